--- a/src/main/java/org/spruceridge/cluster/Room.java
+++ b/src/main/java/org/spruceridge/cluster/Room.java
@@ -16,7 +16,12 @@
 
     /** True if a task of this size goes into that room. */
     public boolean fitsIn(Room room) {
-        return cpus <= room.cpus + SLACK && gpus <= room.gpus + SLACK && memGb <= room.memGb + SLACK;
+        return fitsIn(room.cpus, room.gpus, room.memGb);
+    }
+
+    /** The same, for amounts that are summed up without an object for each sum. */
+    public boolean fitsIn(double roomCpus, double roomGpus, double roomMemGb) {
+        return cpus <= roomCpus + SLACK && gpus <= roomGpus + SLACK && memGb <= roomMemGb + SLACK;
     }
 
     /** The smaller of two amounts, each for itself. */
--- a/src/main/java/org/spruceridge/lead/Rounds.java
+++ b/src/main/java/org/spruceridge/lead/Rounds.java
@@ -96,11 +96,11 @@
         }
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "round: {} placed, {} stopped, {} jobs left waiting for room, {} columns, {} us",
+                    "round: {} placed, {} stopped, {} jobs left waiting for room, {} groups, {} us",
                     plan.placements().size(),
                     plan.stops().size(),
                     plan.unplaced().size(),
-                    plan.columns(),
+                    plan.groups(),
                     (loop.nanos() - now) / 1000);
         }
     }
--- a/src/main/java/org/spruceridge/schedule/Aging.java
+++ b/src/main/java/org/spruceridge/schedule/Aging.java
@@ -3,7 +3,7 @@
 /** The Anti-aging term, equation 13. */
 public final class Aging implements Heuristic {
     @Override
-    public double value(Row row, Column column, double remainingS) {
+    public double value(Row row, MachineGroup group, double remainingS) {
         double ageS = Math.max(0, row.candidate().ageS());
         return ageS / (ageS + remainingS);
     }
--- a/src/main/java/org/spruceridge/schedule/Candidate.java
+++ b/src/main/java/org/spruceridge/schedule/Candidate.java
@@ -9,4 +9,9 @@
  * @param ageS since the job was submitted
  * @param slackS until the job's deadline, infinite without one
  */
-public record Candidate(Job job, double elapsedS, double ageS, double slackS) {}
+public record Candidate(Job job, double elapsedS, double ageS, double slackS) {
+    /** The waiting tasks of a job, at a time of day in milliseconds. */
+    static Candidate waiting(Job job, long wallMs) {
+        return new Candidate(job, 0, (wallMs - job.submittedMs()) / 1000.0, (job.deadlineMs() - wallMs) / 1000.0);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -0,0 +1,180 @@
+package org.spruceridge.schedule;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.spruceridge.cluster.Cluster;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Kind;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineType;
+import org.spruceridge.cluster.Room;
+import org.spruceridge.config.Settings;
+import org.spruceridge.config.Settings.Team;
+
+/**
+ * The working copy of one scheduling cycle: what is free on each machine, what each team uses and which zones each job
+ * occupies, all counted over bindings, together with what the cycle has placed so far. The cluster itself is only read.
+ */
+final class CycleState {
+    /** A machine that has been silent for this many report periods gets no work. */
+    private static final double SILENCE_OF_REPORT = 2.5;
+
+    private final Cluster cluster;
+    private final Settings settings;
+    private final int mostBindings;
+    private final long now;
+    private final List<Kind> kinds = new ArrayList<>();
+    private final List<MachineCapacity> machines = new ArrayList<>();
+    private final Map<String, Room> teamUse = new HashMap<>();
+    private final Set<String> reservedTeams = new HashSet<>();
+    private final Map<Job, Map<String, Integer>> zones = new HashMap<>();
+
+    /** {@code mostBindings} is what the record of one machine can hold. */
+    CycleState(Cluster cluster, Settings settings, int mostBindings, long now) {
+        this.cluster = cluster;
+        this.settings = settings;
+        this.mostBindings = mostBindings;
+        this.now = now;
+        Map<Kind, Integer> kindIndexes = new HashMap<>();
+        for (Machine machine : cluster.machines()) {
+            MachineType type = cluster.types().get(machine.type());
+            if (type != null && usable(machine)) {
+                int kindIndex = kindIndexes.computeIfAbsent(machine.kind(), this::addKind);
+                machines.add(new MachineCapacity(machine, type, kindIndex));
+            }
+        }
+        for (String team : settings.teams().keySet()) {
+            teamUse.put(team, cluster.usedBy(team));
+        }
+    }
+
+    private int addKind(Kind kind) {
+        kinds.add(kind);
+        return kinds.size() - 1;
+    }
+
+    private boolean usable(Machine machine) {
+        double silentS = (now - machine.lastHeard()) / 1e9;
+        return machine.fenced()
+                && !machine.returning()
+                && !machine.unfit()
+                && silentS < SILENCE_OF_REPORT * settings.workers().reportS();
+    }
+
+    /** All machines that may get work, in the cluster's order. */
+    List<MachineCapacity> machines() {
+        return machines;
+    }
+
+    long now() {
+        return now;
+    }
+
+    /** The waiting jobs that may be placed now, in the cluster's order. */
+    Map<Job, WaitingJob> waitingJobs(long wallMs) {
+        Map<Job, WaitingJob> waiting = new LinkedHashMap<>();
+        for (Job job : cluster.jobs()) {
+            if (job.waiting() > 0 && job.notBefore() <= now) {
+                waiting.put(job, new WaitingJob(Candidate.waiting(job, wallMs), allowedKinds(job.spec())));
+            }
+        }
+        return waiting;
+    }
+
+    private boolean[] allowedKinds(JobSpec spec) {
+        boolean[] allowed = new boolean[kinds.size()];
+        for (int i = 0; i < allowed.length; i++) {
+            Kind kind = kinds.get(i);
+            allowed[i] = spec.task().fitsIn(cluster.types().get(kind.type()).room())
+                    && spec.allows(kind.type(), kind.zone(), kind.spot());
+        }
+        return allowed;
+    }
+
+    /** The machines by what their scores depend on. */
+    Map<MachineGroup, GroupCapacity> groups() {
+        double[] prices = new double[kinds.size()];
+        double dearest = 0;
+        for (int i = 0; i < prices.length; i++) {
+            Kind kind = kinds.get(i);
+            MachineType type = cluster.types().get(kind.type());
+            prices[i] = type.price(kind.spot()) / type.room().cpus();
+            dearest = Math.max(dearest, prices[i]);
+        }
+        Map<MachineGroup, GroupCapacity> groups = new LinkedHashMap<>();
+        for (MachineCapacity capacity : machines) {
+            int kindIndex = capacity.kindIndex();
+            double share = dearest > 0 ? prices[kindIndex] / dearest : 1;
+            MachineGroup group = new MachineGroup(kinds.get(kindIndex), share, capacity.fullness());
+            groups.computeIfAbsent(group, g -> new GroupCapacity(g, kindIndex)).add(capacity);
+        }
+        return groups;
+    }
+
+    /** True if the job allows the machine's kind and nothing but free capacity can keep its tasks from it. */
+    boolean eligible(WaitingJob waiting, MachineCapacity capacity) {
+        return waiting.allows(capacity.kindIndex())
+                && capacity.accepts(waiting.job())
+                && capacity.bindingCount() < mostBindings
+                && zoneAllowed(waiting.job(), capacity.machine().zone());
+    }
+
+    private boolean zoneAllowed(Job job, String zone) {
+        JobSpec spec = job.spec();
+        if (!spec.oneZone() && !spec.spread()) {
+            return true;
+        }
+        Map<String, Integer> used = zones.computeIfAbsent(job, CycleState::zonesOf);
+        boolean together = !spec.oneZone() || used.isEmpty() || used.containsKey(zone);
+        return together && used.getOrDefault(zone, 0) < spec.zoneLimit();
+    }
+
+    private static Map<String, Integer> zonesOf(Job job) {
+        Map<String, Integer> used = new HashMap<>();
+        job.bindings().forEach(b -> used.merge(b.machine().zone(), 1, Integer::sum));
+        return used;
+    }
+
+    /** How many more tasks of this size the team's limit admits. */
+    int teamAdmits(JobSpec spec) {
+        Team team = settings.teams().get(spec.team());
+        if (team == null || reservedTeams.contains(spec.team())) {
+            return 0;
+        }
+        if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
+            return Integer.MAX_VALUE;
+        }
+        Room used = teamUse.get(spec.team());
+        Room left = new Room(
+                team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.MAX_VALUE,
+                team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.MAX_VALUE,
+                Double.MAX_VALUE);
+        return left.holds(spec.task());
+    }
+
+    /** Keeps what is left of a team's limit from the candidates that follow in this cycle. */
+    void reserveTeam(String team) {
+        reservedTeams.add(team);
+    }
+
+    boolean teamReserved(String team) {
+        return reservedTeams.contains(team);
+    }
+
+    /** Counts one task of the job as placed on the machine. */
+    void place(Job job, MachineCapacity capacity) {
+        JobSpec spec = job.spec();
+        capacity.take(spec.task());
+        teamUse.computeIfPresent(spec.team(), (team, used) -> used.plus(spec.task()));
+        if (spec.oneZone() || spec.spread()) {
+            zones.computeIfAbsent(job, CycleState::zonesOf)
+                    .merge(capacity.machine().zone(), 1, Integer::sum);
+        }
+    }
+}
--- a/src/main/java/org/spruceridge/schedule/Deadline.java
+++ b/src/main/java/org/spruceridge/schedule/Deadline.java
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public double value(Row row, Column column, double remainingS) {
+    public double value(Row row, MachineGroup group, double remainingS) {
         return (1 - urgency(row.candidate().slackS(), remainingS)) * row.urgency();
     }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -0,0 +1,56 @@
+package org.spruceridge.schedule;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.spruceridge.cluster.Room;
+
+/** The machines of one group that still have room for some waiting task in this cycle. */
+final class GroupCapacity {
+    private final MachineGroup group;
+    private final int kindIndex;
+    private final List<MachineCapacity> open = new ArrayList<>();
+
+    GroupCapacity(MachineGroup group, int kindIndex) {
+        this.group = group;
+        this.kindIndex = kindIndex;
+    }
+
+    MachineGroup group() {
+        return group;
+    }
+
+    int kindIndex() {
+        return kindIndex;
+    }
+
+    void add(MachineCapacity capacity) {
+        open.add(capacity);
+    }
+
+    /** Leaves out the machines that not even a task of this size fits on; within a cycle they stay full. */
+    void dropFull(Room smallestTask) {
+        open.removeIf(capacity -> !capacity.fits(smallestTask));
+    }
+
+    boolean hasRoomFor(Room task) {
+        for (MachineCapacity capacity : open) {
+            if (capacity.fits(task)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** The fullest machine that can take a task of the job now, or null. */
+    MachineCapacity fullestFor(WaitingJob waiting, CycleState state) {
+        Room task = waiting.job().spec().task();
+        MachineCapacity best = null;
+        for (MachineCapacity capacity : open) {
+            boolean fuller = best == null || capacity.free().cpus() < best.free().cpus();
+            if (fuller && capacity.fits(task) && state.eligible(waiting, capacity)) {
+                best = capacity;
+            }
+        }
+        return best;
+    }
+}
--- a/src/main/java/org/spruceridge/schedule/Heuristic.java
+++ b/src/main/java/org/spruceridge/schedule/Heuristic.java
@@ -1,9 +1,14 @@
 package org.spruceridge.schedule;
 
-/** One term of the sum: a value in [0, 1] for a candidate on the machines of a column. */
+/** One term of the sum: a value in [0, 1] for a candidate on the machines of a group. */
 public interface Heuristic {
     /** {@code row} holds what does not depend on the machine. */
-    double value(Row row, Column column, double remainingS);
+    double value(Row row, MachineGroup group, double remainingS);
+
+    /** False if the value is the same on all machines, so that it need not be worked out for each group. */
+    default boolean dependsOnMachine() {
+        return false;
+    }
 
     /**
      * A candidate with the figures that its terms share.
--- /dev/null
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -0,0 +1,114 @@
+package org.spruceridge.schedule;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineType;
+import org.spruceridge.cluster.Room;
+
+/** The free capacity of one machine in the working copy of a scheduling cycle. */
+final class MachineCapacity {
+    /** Sums of decimal amounts may be off in the last places. */
+    private static final double ROUNDING = 1e-6;
+
+    private final Machine machine;
+    private final MachineType type;
+    private final int kindIndex;
+    private Room free;
+    private int bindingCount;
+    private boolean reserved;
+    private List<Departure> departures;
+
+    /** A running task: when it is expected to end, and what it will leave. */
+    private record Departure(double inSeconds, Room resources) {}
+
+    /** {@code kindIndex} numbers the machine's kind within the cycle. */
+    MachineCapacity(Machine machine, MachineType type, int kindIndex) {
+        this.machine = machine;
+        this.type = type;
+        this.kindIndex = kindIndex;
+        this.free = type.room().minus(machine.used());
+        this.bindingCount = machine.bindings().size();
+    }
+
+    Machine machine() {
+        return machine;
+    }
+
+    int kindIndex() {
+        return kindIndex;
+    }
+
+    Room free() {
+        return free;
+    }
+
+    int bindingCount() {
+        return bindingCount;
+    }
+
+    /** The share of the machine's CPUs that is taken, without rounding errors. */
+    double fullness() {
+        return Math.rint((1 - free.cpus() / type.room().cpus()) / ROUNDING) * ROUNDING;
+    }
+
+    /** True unless tasks of this job failed on the machine and the machine is to blame. */
+    boolean accepts(Job job) {
+        return job.faultyOn().isEmpty()
+                || job.doubted()
+                || !job.faultyOn().contains(machine.name());
+    }
+
+    boolean fits(Room task) {
+        return task.fitsIn(free);
+    }
+
+    void take(Room task) {
+        free = free.minus(task);
+        bindingCount++;
+    }
+
+    boolean reserved() {
+        return reserved;
+    }
+
+    /** Keeps what is free, up to the size of one task, from the candidates that follow in this cycle. */
+    void reserve(Room task) {
+        reserved = true;
+        free = free.minus(free.least(task));
+    }
+
+    /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never do. */
+    double secondsUntilFit(Room task, Estimates estimates, long now) {
+        if (departures == null) {
+            departures = departures(estimates, now);
+        }
+        double cpus = free.cpus();
+        double gpus = free.gpus();
+        double memGb = free.memGb();
+        for (Departure next : departures) {
+            cpus += next.resources.cpus();
+            gpus += next.resources.gpus();
+            memGb += next.resources.memGb();
+            if (task.fitsIn(cpus, gpus, memGb)) {
+                return next.inSeconds;
+            }
+        }
+        return Double.POSITIVE_INFINITY;
+    }
+
+    private List<Departure> departures(Estimates estimates, long now) {
+        List<Departure> leaving = new ArrayList<>(machine.bindings().size());
+        for (Binding b : machine.bindings()) {
+            if (!b.gone()) {
+                double remainingS = estimates.remainingS(b.job().spec().estimateS(), b.elapsedS(now));
+                leaving.add(new Departure(remainingS, b.job().spec().task()));
+            }
+        }
+        leaving.sort(Comparator.comparingDouble(Departure::inSeconds));
+        return leaving;
+    }
+}
--- a/src/main/java/org/spruceridge/schedule/Column.java
+++ b/src/main/java/org/spruceridge/schedule/MachineGroup.java
@@ -3,15 +3,16 @@
 import org.spruceridge.cluster.Kind;
 
 /**
- * One column of the matrix: machines that score alike for every candidate, being of one kind and equally full.
+ * One column of the matrix: the machines that score alike for every candidate, because they are of one kind and equally
+ * full.
  *
- * @param price what such a machine costs, as a share of the dearest in the matrix
+ * @param price what such a machine costs per CPU, as a share of the dearest in the matrix
  * @param fullness the share of such a machine's CPUs that is taken
  */
-public record Column(Kind kind, double price, double fullness) {
+public record MachineGroup(Kind kind, double price, double fullness) {
     @Override
     public boolean equals(Object other) {
-        return other instanceof Column that
+        return other instanceof MachineGroup that
                 && Double.compare(fullness, that.fullness) == 0
                 && Double.compare(price, that.price) == 0
                 && kind.equals(that.kind);
--- a/src/main/java/org/spruceridge/schedule/Overhead.java
+++ b/src/main/java/org/spruceridge/schedule/Overhead.java
@@ -3,7 +3,7 @@
 /** The Overhead minimization term, equation 8. */
 public final class Overhead implements Heuristic {
     @Override
-    public double value(Row row, Column column, double remainingS) {
+    public double value(Row row, MachineGroup group, double remainingS) {
         double elapsedS = row.candidate().elapsedS();
         return elapsedS / Math.max(remainingS, elapsedS);
     }
--- a/src/main/java/org/spruceridge/schedule/Packing.java
+++ b/src/main/java/org/spruceridge/schedule/Packing.java
@@ -6,7 +6,12 @@
  */
 public final class Packing implements Heuristic {
     @Override
-    public double value(Row row, Column column, double remainingS) {
-        return column.fullness();
+    public double value(Row row, MachineGroup group, double remainingS) {
+        return group.fullness();
+    }
+
+    @Override
+    public boolean dependsOnMachine() {
+        return true;
     }
 }
--- a/src/main/java/org/spruceridge/schedule/Patience.java
+++ b/src/main/java/org/spruceridge/schedule/Patience.java
@@ -18,7 +18,7 @@
     private static final double BEGUN_UNTIL = 3;
 
     @Override
-    public double value(Row row, Column column, double remainingS) {
+    public double value(Row row, MachineGroup group, double remainingS) {
         boolean begun = row.candidate().job().begun();
         double from = beginWithinS * (begun ? BEGUN_FROM : FROM);
         double until = beginWithinS * (begun ? BEGUN_UNTIL : UNTIL);
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -9,14 +9,14 @@
 /**
  * What a round decided.
  *
- * @param columns how many columns the matrix had, which is what a round costs
+ * @param columns how many machine groups the matrix had, which is what a round costs
  * @param unplaced tasks of each job for which only room was lacking, the most urgent job first
  */
 public record Plan(
         ImmutableList<Placement> placements,
         ImmutableList<Binding> stops,
         ImmutableMap<Job, Integer> unplaced,
-        int columns) {
+        int groups) {
 
     /** A waiting task to be bound to a machine. */
     public record Placement(Job job, int index, Machine machine) {}
--- /dev/null
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -0,0 +1,87 @@
+package org.spruceridge.schedule;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.Rank;
+import org.spruceridge.cluster.Room;
+import org.spruceridge.schedule.PreemptionSite.Victim;
+
+/** Chooses running tasks to stop for waiting ones of a higher rank that would otherwise miss their deadline. */
+final class Preemption {
+    private final CycleState state;
+    private final double perMachineS;
+    private final List<PreemptionSite> sites = new ArrayList<>();
+    private final List<Binding> stops = new ArrayList<>();
+    private Room smallestTask = Room.NONE;
+    private Rank highestRank = Rank.LOW;
+
+    /** {@code perMachineS} is the least time between two stops on one machine. */
+    Preemption(CycleState state, double perMachineS) {
+        this.state = state;
+        this.perMachineS = perMachineS;
+    }
+
+    /** The tasks to stop for these jobs, the most urgent of which comes first. */
+    List<Binding> stopsFor(Collection<WaitingJob> pressing) {
+        if (!pressing.isEmpty()) {
+            findSites(pressing);
+            pressing.forEach(this::makeRoom);
+        }
+        return stops;
+    }
+
+    /** Only machines that can be of use to one of the jobs are looked at for each of them. */
+    private void findSites(Collection<WaitingJob> pressing) {
+        smallestTask = pressing.iterator().next().job().spec().task();
+        for (WaitingJob waiting : pressing) {
+            JobSpec spec = waiting.job().spec();
+            smallestTask = smallestTask.least(spec.task());
+            highestRank = spec.rank().outranks(highestRank) ? spec.rank() : highestRank;
+        }
+        for (MachineCapacity capacity : state.machines()) {
+            PreemptionSite site = new PreemptionSite(capacity, mayStopOn(capacity.machine()), state.now());
+            if (site.isOfUse(smallestTask, highestRank)) {
+                sites.add(site);
+            }
+        }
+    }
+
+    private boolean mayStopOn(Machine machine) {
+        return machine.lastStop() == Long.MIN_VALUE || (state.now() - machine.lastStop()) / 1e9 >= perMachineS;
+    }
+
+    private void makeRoom(WaitingJob waiting) {
+        JobSpec spec = waiting.job().spec();
+        int wanted = Math.min(waiting.remaining(), state.teamAdmits(spec));
+        List<Victim> victims = new ArrayList<>();
+        for (PreemptionSite site : sites) {
+            if (wanted <= 0) {
+                return;
+            }
+            if (!state.eligible(waiting, site.capacity())) {
+                continue;
+            }
+            int claimed = site.claimExpected(spec.task(), wanted);
+            wanted -= claimed;
+            Victim victim = claimed > 0 ? null : site.cheapestVictim(spec);
+            if (victim != null) {
+                victims.add(victim);
+            }
+        }
+        stopCheapest(victims, wanted, spec.task());
+    }
+
+    private void stopCheapest(List<Victim> victims, int wanted, Room task) {
+        victims.sort(Comparator.comparingDouble(Victim::lossS));
+        for (Victim victim : victims.subList(0, Math.min(wanted, victims.size()))) {
+            stops.add(victim.binding());
+            victim.site().stop(victim, task);
+        }
+        sites.removeIf(site -> !site.isOfUse(smallestTask, highestRank));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/schedule/PreemptionSite.java
@@ -0,0 +1,110 @@
+package org.spruceridge.schedule;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Rank;
+import org.spruceridge.cluster.Room;
+
+/** One machine as the preemption of a cycle sees it: what will be free there, and which tasks may be stopped. */
+final class PreemptionSite {
+    private final MachineCapacity capacity;
+    /** The tasks that may be stopped, the one that loses least work first. */
+    private final List<Victim> victims;
+
+    private Room expectedFree;
+
+    /** A running task that may be stopped, and what stopping it throws away, in seconds of work. */
+    record Victim(PreemptionSite site, Binding binding, double lossS) {}
+
+    /** {@code mayStop} is false while the machine had a task stopped too recently. */
+    PreemptionSite(MachineCapacity capacity, boolean mayStop, long now) {
+        this.capacity = capacity;
+        this.expectedFree = expectedFree(capacity);
+        this.victims = mayStop ? victims(now) : new ArrayList<>();
+    }
+
+    /** What is free on the machine, or is being left by tasks that end. */
+    private static Room expectedFree(MachineCapacity capacity) {
+        Room room = capacity.free();
+        for (Binding b : capacity.machine().bindings()) {
+            boolean leaving = b.halt() != Binding.Halt.NO || b.phase() == Binding.Phase.ENDED;
+            room = leaving && !b.gone() ? room.plus(b.job().spec().task()) : room;
+        }
+        return room;
+    }
+
+    private List<Victim> victims(long now) {
+        List<Victim> found = new ArrayList<>(capacity.machine().bindings().size());
+        for (Binding b : capacity.machine().bindings()) {
+            boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.FETCHING;
+            if (there && b.halt() == Binding.Halt.NO) {
+                found.add(new Victim(this, b, lossS(b, now)));
+            }
+        }
+        found.sort(Comparator.comparingDouble(Victim::lossS));
+        return found;
+    }
+
+    /** What stopping the task throws away: the time it takes to save, or all that it has run. */
+    private static double lossS(Binding b, long now) {
+        JobSpec spec = b.job().spec();
+        return spec.saves() ? spec.saveS() : b.elapsedS(now);
+    }
+
+    MachineCapacity capacity() {
+        return capacity;
+    }
+
+    /** True if a task of this size and rank may find room here, with or without a stop. */
+    boolean isOfUse(Room smallestTask, Rank highestRank) {
+        if (smallestTask.fitsIn(expectedFree)) {
+            return true;
+        }
+        // By index, here and below: an iterator for each machine and job is most of what a cycle would allocate.
+        for (int i = 0; i < victims.size(); i++) {
+            if (highestRank.outranks(victims.get(i).binding.job().spec().rank())) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Counts on what will be free there anyway for at most {@code wanted} tasks; returns for how many it is enough. */
+    int claimExpected(Room task, int wanted) {
+        if (!task.fitsIn(expectedFree)) {
+            return 0;
+        }
+        int count = Math.min(wanted, expectedFree.holds(task));
+        for (int i = 0; i < count; i++) {
+            expectedFree = expectedFree.minus(task);
+        }
+        return count;
+    }
+
+    /** The task that loses least work among those whose stop makes room for such a task, or null. */
+    Victim cheapestVictim(JobSpec spec) {
+        for (int i = 0; i < victims.size(); i++) {
+            JobSpec stopped = victims.get(i).binding.job().spec();
+            if (spec.rank().outranks(stopped.rank()) && fitsAfter(spec.task(), stopped.task())) {
+                return victims.get(i);
+            }
+        }
+        return null;
+    }
+
+    private boolean fitsAfter(Room task, Room freed) {
+        return task.fitsIn(
+                expectedFree.cpus() + freed.cpus(),
+                expectedFree.gpus() + freed.gpus(),
+                expectedFree.memGb() + freed.memGb());
+    }
+
+    /** The victim is stopped for a task of this size; nothing else is stopped here in this cycle. */
+    void stop(Victim victim, Room task) {
+        expectedFree = expectedFree.plus(victim.binding.job().spec().task()).minus(task);
+        victims.clear();
+    }
+}
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -8,20 +8,21 @@
 
 /**
  * The Job-Machine matrix: the weighted sum of all terms for each candidate on each machine that can run it. Machines
- * that score alike for every candidate share a column, so that its size follows what differs and not what is there.
+ * that score alike for every candidate share a group, so that its size follows what differs and not what is there.
  */
 public final class PriorityMatrix {
     private final Estimates estimates;
-    private final ImmutableList<Term> terms;
+    private final ImmutableList<Term> jobTerms;
+    private final ImmutableList<Term> machineTerms;
 
     private record Term(Heuristic heuristic, double weight) {}
 
     /** One entry of the matrix. */
-    public record Entry(Candidate candidate, Column column, double score, double urgency) {}
+    public record Entry(Candidate candidate, MachineGroup group, double score, double urgency) {}
 
     public PriorityMatrix(Weights weights, Estimates estimates, double beginWithinS) {
         this.estimates = estimates;
-        this.terms = ImmutableList.of(
+        ImmutableList<Term> terms = ImmutableList.of(
                 new Term(new Deadline(), weights.deadline()),
                 new Term(new Overhead(), weights.overhead()),
                 new Term(new Wait(), weights.waiting()),
@@ -29,39 +30,87 @@
                 new Term(new Patience(beginWithinS), weights.patience()),
                 new Term(new Thrift(), weights.thrift()),
                 new Term(new Packing(), weights.packing()));
+        this.jobTerms = select(terms, false);
+        this.machineTerms = select(terms, true);
+    }
+
+    private static ImmutableList<Term> select(ImmutableList<Term> terms, boolean dependingOnMachine) {
+        return terms.stream()
+                .filter(term -> term.heuristic.dependsOnMachine() == dependingOnMachine)
+                .collect(ImmutableList.toImmutableList());
     }
 
     /** All entries; {@code eligible} is the Minimal requirements heuristic, a filter before any score. */
     public List<Entry> entries(
             ImmutableList<Candidate> candidates,
-            ImmutableList<Column> columns,
-            BiPredicate<Candidate, Column> eligible) {
+            ImmutableList<MachineGroup> groups,
+            BiPredicate<Candidate, MachineGroup> eligible) {
+        return entries(candidates, groups, eligible, (candidate, group) -> true);
+    }
+
+    /**
+     * The entries of groups that have room for the candidate now and, whether or not there is room, the best entry of
+     * each candidate.
+     */
+    public List<Entry> entries(
+            ImmutableList<Candidate> candidates,
+            ImmutableList<MachineGroup> groups,
+            BiPredicate<Candidate, MachineGroup> eligible,
+            BiPredicate<Candidate, MachineGroup> hasRoom) {
+        List<List<MachineGroup>> eligibleGroups = new ArrayList<>(candidates.size());
         double longestS = 0;
-        List<List<Column>> rows = new ArrayList<>();
-        for (Candidate c : candidates) {
-            List<Column> row = new ArrayList<>();
-            for (Column column : columns) {
-                if (eligible.test(c, column)) {
-                    row.add(column);
-                }
-            }
-            rows.add(row);
-            longestS = Math.max(longestS, row.isEmpty() ? 0 : estimates.remainingS(c));
+        for (Candidate candidate : candidates) {
+            List<MachineGroup> row =
+                    groups.stream().filter(g -> eligible.test(candidate, g)).toList();
+            eligibleGroups.add(row);
+            longestS = Math.max(longestS, row.isEmpty() ? 0 : estimates.remainingS(candidate));
         }
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < candidates.size(); i++) {
-            Candidate c = candidates.get(i);
-            double remainingS = estimates.remainingS(c);
-            // Equation 7 takes the mean over the machines of the row, on which the remaining time is the same.
-            Heuristic.Row row = new Heuristic.Row(c, Deadline.urgency(c.slackS(), remainingS), longestS);
-            for (Column column : rows.get(i)) {
-                double sum = 0;
-                for (Term term : terms) {
-                    sum += term.weight * term.heuristic.value(row, column, remainingS);
-                }
-                entries.add(new Entry(c, column, sum, row.urgency()));
-            }
+            addRow(entries, candidates.get(i), eligibleGroups.get(i), longestS, hasRoom);
         }
         return entries;
     }
+
+    private void addRow(
+            List<Entry> entries,
+            Candidate candidate,
+            List<MachineGroup> groups,
+            double longestS,
+            BiPredicate<Candidate, MachineGroup> hasRoom) {
+        double remainingS = estimates.remainingS(candidate);
+        // Equation 7 takes the mean over the machines of the row, on which the remaining time is the same.
+        Heuristic.Row row =
+                new Heuristic.Row(candidate, Deadline.urgency(candidate.slackS(), remainingS), longestS);
+        Entry best = null;
+        boolean bestHasRoom = false;
+        double jobScore = groups.isEmpty() ? 0 : sum(jobTerms, row, groups.get(0), remainingS);
+        for (MachineGroup group : groups) {
+            double score = jobScore + sum(machineTerms, row, group, remainingS);
+            boolean room = hasRoom.test(candidate, group);
+            boolean better = best == null || score > best.score;
+            if (!room && !better) {
+                continue;
+            }
+            Entry entry = new Entry(candidate, group, score, row.urgency());
+            if (room) {
+                entries.add(entry);
+            }
+            if (better) {
+                best = entry;
+                bestHasRoom = room;
+            }
+        }
+        if (best != null && !bestHasRoom) {
+            entries.add(best);
+        }
+    }
+
+    private static double sum(ImmutableList<Term> terms, Heuristic.Row row, MachineGroup group, double remainingS) {
+        double sum = 0;
+        for (Term term : terms) {
+            sum += term.weight * term.heuristic.value(row, group, remainingS);
+        }
+        return sum;
+    }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -0,0 +1,130 @@
+package org.spruceridge.schedule;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableMap;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.Room;
+import org.spruceridge.config.Policy;
+import org.spruceridge.schedule.Plan.Placement;
+import org.spruceridge.schedule.PriorityMatrix.Entry;
+
+/**
+ * One walk over the matrix, from the highest score down. Its cost follows the waiting jobs and the machines that have
+ * room: entries at which nothing can be bound are left out, but for the best entry of each job, at which reservations
+ * are made.
+ */
+final class SchedulingCycle {
+    private static final Comparator<Entry> WALK_ORDER = Comparator.comparingDouble((Entry e) -> -e.score())
+            .thenComparingLong(e -> e.candidate().job().submittedMs())
+            .thenComparing(e -> e.candidate().job().id());
+
+    private final CycleState state;
+    private final PriorityMatrix matrix;
+    private final Reservations reservations;
+    private final Preemption preemption;
+    private final Map<Job, WaitingJob> waitingJobs;
+    private final Map<MachineGroup, GroupCapacity> groups;
+    private final List<Placement> placements = new ArrayList<>();
+
+    SchedulingCycle(CycleState state, PriorityMatrix matrix, Estimates estimates, Policy policy, long wallMs) {
+        this.state = state;
+        this.matrix = matrix;
+        this.reservations =
+                new Reservations(state, estimates, policy.rounds().heldShare());
+        this.preemption = new Preemption(state, policy.stops().perMachineS());
+        this.waitingJobs = state.waitingJobs(wallMs);
+        this.groups = state.groups();
+    }
+
+    Plan run() {
+        if (waitingJobs.isEmpty()) {
+            return new Plan(ImmutableList.of(), ImmutableList.of(), ImmutableMap.of(), groups.size());
+        }
+        Room smallestTask = smallestTask();
+        groups.values().forEach(group -> group.dropFull(smallestTask));
+        List<Entry> entries = entries();
+        for (Entry entry : entries) {
+            WaitingJob waiting = waitingJobs.get(entry.candidate().job());
+            if (waiting.firstVisit()) {
+                reservations.reserveFor(waiting);
+            }
+            placeIn(groups.get(entry.group()), waiting, smallestTask);
+        }
+        return new Plan(
+                ImmutableList.copyOf(placements),
+                ImmutableList.copyOf(preemption.stopsFor(pressing(entries))),
+                unplaced(),
+                groups.size());
+    }
+
+    /** At most what any waiting task takes, by each resource: where this does not fit, none does. */
+    private Room smallestTask() {
+        return waitingJobs.keySet().stream()
+                .map(job -> job.spec().task())
+                .reduce(Room::least)
+                .orElseThrow();
+    }
+
+    private List<Entry> entries() {
+        List<Entry> entries = matrix.entries(
+                waitingJobs.values().stream().map(WaitingJob::candidate).collect(ImmutableList.toImmutableList()),
+                ImmutableList.copyOf(groups.keySet()),
+                (candidate, group) -> waitingJobs
+                        .get(candidate.job())
+                        .allows(groups.get(group).kindIndex()),
+                (candidate, group) ->
+                        groups.get(group).hasRoomFor(candidate.job().spec().task()));
+        entries.sort(WALK_ORDER);
+        return entries;
+    }
+
+    /** Binds what the machines of one group take, always on the fullest that still has room. */
+    private void placeIn(GroupCapacity group, WaitingJob waiting, Room smallestTask) {
+        Job job = waiting.job();
+        while (mayPlace(waiting)) {
+            MachineCapacity fullest = group.fullestFor(waiting, state);
+            if (fullest == null) {
+                return;
+            }
+            // It stays the fullest until no more of these tasks fit.
+            while (mayPlace(waiting) && fullest.fits(job.spec().task()) && state.eligible(waiting, fullest)) {
+                state.place(job, fullest);
+                placements.add(new Placement(job, waiting.takeNext(), fullest.machine()));
+            }
+            group.dropFull(smallestTask);
+        }
+    }
+
+    private boolean mayPlace(WaitingJob waiting) {
+        return waiting.remaining() > 0 && state.teamAdmits(waiting.job().spec()) > 0;
+    }
+
+    /** Jobs with tasks left that can still meet their deadline if they begin now, the best score first. */
+    private List<WaitingJob> pressing(List<Entry> entries) {
+        Map<Job, WaitingJob> pressing = new LinkedHashMap<>();
+        for (Entry entry : entries) {
+            WaitingJob waiting = waitingJobs.get(entry.candidate().job());
+            if (entry.urgency() > 0 && entry.urgency() < 1 && waiting.remaining() > 0) {
+                pressing.putIfAbsent(waiting.job(), waiting);
+            }
+        }
+        return List.copyOf(pressing.values());
+    }
+
+    private ImmutableMap<Job, Integer> unplaced() {
+        ImmutableMap.Builder<Job, Integer> unplaced = ImmutableMap.builder();
+        for (WaitingJob waiting : waitingJobs.values()) {
+            Job job = waiting.job();
+            int wanted = job.doubted() ? 0 : Math.min(waiting.remaining(), state.teamAdmits(job.spec()));
+            if (wanted > 0) {
+                unplaced.put(job, wanted);
+            }
+        }
+        return unplaced.build();
+    }
+}
--- a/src/main/java/org/spruceridge/schedule/Wait.java
+++ b/src/main/java/org/spruceridge/schedule/Wait.java
@@ -3,7 +3,7 @@
 /** The Wait minimization term, equation 12. */
 public final class Wait implements Heuristic {
     @Override
-    public double value(Row row, Column column, double remainingS) {
+    public double value(Row row, MachineGroup group, double remainingS) {
         return 1 - remainingS / row.longestS();
     }
 }
--- a/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
+++ b/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
@@ -18,7 +18,7 @@
 
 /** The document's equations against values worked out by hand. */
 final class HeuristicsTest {
-    private static final Column COLUMN = new Column(new Kind("t", "z", false), 1, 0.5);
+    private static final MachineGroup COLUMN = new MachineGroup(new Kind("t", "z", false), 1, 0.5);
 
     static Job job(int number, double estimateS, OptionalDouble deadlineS) {
         return new Job(
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -176,7 +176,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-    void columnsBindWhatThePlainWalkBinds(long seed) {
+    void groupsBindWhatThePlainWalkBinds(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         picture(random, 3 + random.nextInt(10), 2 + random.nextInt(8));
         List<String> plan = new Matching(MatchingTest.SETTINGS, NO_HOLDING, 50)
@@ -189,11 +189,11 @@
     @Test
     void theMatrixGrowsWithWhatDiffersAndNotWithTheMachines() {
         picture(new SplittableRandom(1), 1500, 60);
-        List<Column> seen = new ArrayList<>();
+        List<MachineGroup> seen = new ArrayList<>();
         for (Machine m : machines) {
             double full =
                     1 - cluster.free(m).cpus() / TYPES.get(m.type()).room().cpus();
-            Column column = new Column(m.kind(), 1, full);
+            MachineGroup column = new MachineGroup(m.kind(), 1, full);
             if (!seen.contains(column)) {
                 seen.add(column);
             }
@@ -201,6 +201,6 @@
         // Two types, two zones, spot or not, and four tasks' worth of fullness at most.
         assertTrue(seen.size() <= 2 * 2 * 2 * 4, "columns: " + seen.size());
         Plan plan = new Matching(MatchingTest.SETTINGS, Policy.defaults(), 50).plan(cluster, NOW, WALL);
-        assertEquals(seen.size(), plan.columns());
+        assertEquals(seen.size(), plan.groups());
     }
 }
--- /dev/null
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -0,0 +1,106 @@
+package org.spruceridge.schedule;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableMap;
+import com.sun.management.ThreadMXBean;
+import java.lang.management.ManagementFactory;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Cluster;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Kind;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineType;
+import org.spruceridge.cluster.Rank;
+import org.spruceridge.cluster.Room;
+import org.spruceridge.config.Policy;
+
+/** What a scheduling cycle costs in a burst: a large cluster that is full, and many jobs that wait. */
+final class SchedulingCostTest {
+    private static final long NOW = 1_000_000_000_000L;
+    private static final long WALL = 1_000_000;
+    private static final int MACHINES = 1120;
+    private static final int WAITING_JOBS = 150;
+    /** A fifth of what a walk over all machines for each job allocated. */
+    private static final long MOST_BYTES = 3_000_000;
+
+    private final Cluster cluster = new Cluster();
+    private final Matching matching = new Matching(MatchingTest.SETTINGS, Policy.defaults(), 50);
+    private int jobs;
+
+    private Job job(Rank rank, int tasks, double cpus, double estimateS, double deadlineS) {
+        Job job = new Job(
+                new JobSpec(
+                        String.format("j-%06d", ++jobs),
+                        "c",
+                        "red",
+                        rank,
+                        tasks,
+                        new Room(cpus, 0, cpus * 3),
+                        Optional.empty(),
+                        Optional.empty(),
+                        false,
+                        false,
+                        true,
+                        "img",
+                        1,
+                        estimateS,
+                        rank == Rank.LOW ? 20 : 0,
+                        3,
+                        deadlineS > 0 ? OptionalDouble.of(deadlineS) : OptionalDouble.empty()),
+                1,
+                WALL - 1000L * jobs);
+        cluster.add(job);
+        return job;
+    }
+
+    @BeforeEach
+    void fullCluster() {
+        cluster.types(ImmutableMap.of(
+                "t4", new MachineType("t4", new Room(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
+        Job small = job(Rank.NORMAL, 10_000, 1, 60, 1e6);
+        Job large = job(Rank.LOW, 10_000, 4, 60, 0);
+        for (int i = 0; i < MACHINES; i++) {
+            Machine machine = new Machine("i-" + i, "", new Kind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0), NOW, NOW);
+            machine.heard(1, 1, "", true, NOW);
+            machine.fence();
+            cluster.add(machine);
+            Job running = i % 2 == 0 ? small : large;
+            for (int k = 0; running.spec().task().fitsIn(cluster.free(machine)); k++) {
+                Binding b = new Binding(running, running.nextWaiting(0), 1, machine, Binding.Stage.COMMITTED, NOW);
+                b.phase(Binding.Phase.RUNNING, NOW);
+                cluster.bind(b);
+            }
+        }
+        small.notBefore(Long.MAX_VALUE);
+        large.notBefore(Long.MAX_VALUE);
+        for (int i = 0; i < WAITING_JOBS; i++) {
+            switch (i % 3) {
+                case 0 -> job(Rank.NORMAL, 60, 1, 60, 100 + i);
+                case 1 -> job(Rank.LOW, 20, 4, 60, 0);
+                default -> job(Rank.HIGH, 12, 4, 15, 30 + i);
+            }
+        }
+    }
+
+    @Test
+    void aCycleOnAFullClusterAllocatesLittle() {
+        ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
+        Plan plan = matching.plan(cluster, NOW, WALL);
+        long before = threads.getCurrentThreadAllocatedBytes();
+        for (int i = 0; i < 10; i++) {
+            matching.plan(cluster, NOW, WALL);
+        }
+        long bytes = (threads.getCurrentThreadAllocatedBytes() - before) / 10;
+        assertEquals(0, plan.placements().size());
+        assertTrue(plan.stops().size() > 0, "no stop was planned");
+        assertTrue(bytes < MOST_BYTES, "bytes a cycle: " + bytes);
+    }
+}
