--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -8,6 +8,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.ServerChannelRecvByteBufAllocator;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
@@ -75,6 +76,11 @@
                 .channel(NioServerSocketChannel.class)
                 // After a restart of all nodes the whole fleet connects within a moment.
                 .option(ChannelOption.SO_BACKLOG, sockets.mostInbound())
+                // All that wait are accepted at once: by Netty's default of 16 for each turn of the loop, a busy leader's
+                // turns of a tenth of a second left the workers that look for it waiting until they had given up.
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(sockets.mostInbound()))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
