--- a/src/main/java/org/spruceridge/fleet/Demand.java
+++ b/src/main/java/org/spruceridge/fleet/Demand.java
@@ -25,16 +25,21 @@
 
     private final Cluster cluster;
     private final Predicate<Kind> available;
+    private final Room smallestTask;
     private final List<Bin> bins = new ArrayList<>();
     private final Map<Kind, Integer> wanted = new HashMap<>();
     private final Map<String, Integer> perZone = new HashMap<>();
     private final Set<Machine> kept = new HashSet<>();
     private int fresh;
 
-    /** {@code available} tells which offers were not refused lately. */
-    Demand(Cluster cluster, Predicate<Kind> available) {
+    /**
+     * {@code available} tells which offers were not refused lately, {@code smallestTask} the least that any task to be
+     * placed takes of each resource: room in which that does not fit need not be looked at for each job.
+     */
+    Demand(Cluster cluster, Predicate<Kind> available, Room smallestTask) {
         this.cluster = cluster;
         this.available = available;
+        this.smallestTask = smallestTask;
         for (Machine m : cluster.machines()) {
             perZone.merge(m.zone(), 1, Integer::sum);
         }
@@ -42,12 +47,18 @@
 
     /** Room on a machine that is there. */
     void add(Machine machine) {
-        bins.add(new Bin(machine.kind(), cluster.free(machine), machine));
+        addIfUseful(machine.kind(), cluster.free(machine), machine);
     }
 
     /** Room that will have fallen free on a machine by the time a new one would be up. */
     void addFreed(Machine machine, Room freed) {
-        bins.add(new Bin(machine.kind(), freed, machine));
+        addIfUseful(machine.kind(), freed, machine);
+    }
+
+    private void addIfUseful(Kind kind, Room free, Machine machine) {
+        if (smallestTask.fitsIn(free)) {
+            bins.add(new Bin(kind, free, machine));
+        }
     }
 
     /** Room on a machine that was asked for. */
@@ -131,7 +142,7 @@
         }
 
         int take(JobSpec spec, int most) {
-            if (!spec.allows(offer.type(), offer.zone(), offer.spot())) {
+            if (!spec.task().fitsIn(free) || !spec.allows(offer.type(), offer.zone(), offer.spot())) {
                 return 0;
             }
             int n = Math.min(most, free.holds(spec.task()));
--- a/src/main/java/org/spruceridge/fleet/Fleet.java
+++ b/src/main/java/org/spruceridge/fleet/Fleet.java
@@ -11,6 +11,7 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spruceridge.cloud.CloudClient;
@@ -19,6 +20,7 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.MachineType;
@@ -279,7 +281,11 @@
             return;
         }
         long now = loop.nanos();
-        Demand demand = new Demand(cluster, offer -> refusedUntil.getOrDefault(offer, Long.MIN_VALUE) <= now);
+        List<Standby.Wanted> standingBy = standby.wanted(cluster, now);
+        Demand demand = new Demand(
+                cluster,
+                offer -> refusedUntil.getOrDefault(offer, Long.MIN_VALUE) <= now,
+                smallestTask(plan, standingBy));
         List<Machine> here = new ArrayList<>();
         for (Machine m : cluster.machines()) {
             if (m.returning() || m.unfit()) {
@@ -301,11 +307,19 @@
         }
         plan.unplaced().forEach((job, count) -> demand.place(job.spec(), count));
         here.forEach(demand::add); // standing by may count on room that the round left free
-        standby.wanted(cluster, now, demand::place);
+        standingBy.forEach(wanted -> demand.place(wanted.example(), wanted.tasks()));
         demand.wanted().forEach(this::rent);
         returnIdle(demand.kept(), now);
     }
 
+    /** The least of each resource that any task to be placed takes. */
+    private static Room smallestTask(Plan plan, List<Standby.Wanted> standingBy) {
+        return Stream.concat(plan.unplaced().keySet().stream().map(Job::spec), standingBy.stream().map(Standby.Wanted::example))
+                .map(JobSpec::task)
+                .reduce(Room::least)
+                .orElse(Room.NONE);
+    }
+
     /** What the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
     private Room freedWithinBoot(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
--- a/src/main/java/org/spruceridge/fleet/Standby.java
+++ b/src/main/java/org/spruceridge/fleet/Standby.java
@@ -1,8 +1,9 @@
 package org.spruceridge.fleet;
 
+import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
-import java.util.function.BiConsumer;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.JobSpec;
@@ -22,6 +23,9 @@
     private final long since;
     private final Map<String, Peak> peaks = new HashMap<>();
 
+    /** Room to be kept free for so many tasks like those of a job. */
+    record Wanted(JobSpec example, int tasks) {}
+
     Standby(Settings settings, long now) {
         this.settings = settings;
         this.since = now;
@@ -48,9 +52,10 @@
         return aim.kind().equals("wait") && aim.withinS() < bootS;
     }
 
-    /** Hands on, for each such class, a job of it and how many of its tasks should find room. */
-    void wanted(Cluster cluster, long now, BiConsumer<JobSpec, Integer> take) {
+    /** For each such class a job of it, and how many of its tasks should find room. */
+    List<Wanted> wanted(Cluster cluster, long now) {
         double bootS = bootS(cluster);
+        List<Wanted> wanted = new ArrayList<>();
         for (Settings.Objective aim : settings.objectives()) {
             if (!needsRoom(aim, bootS)) {
                 continue;
@@ -66,9 +71,10 @@
             Peak peak = peaks.computeIfAbsent(aim.jobClass(), c -> new Peak());
             peak.see(example, unfinished, now, Times.nanos(MEMORY_OF_BOOT * bootS));
             if (peak.example != null) {
-                take.accept(peak.example, peak.tasks);
+                wanted.add(new Wanted(peak.example, peak.tasks));
             }
         }
+        return wanted;
     }
 
     private static final class Peak {
--- a/src/main/java/org/spruceridge/net/Json.java
+++ b/src/main/java/org/spruceridge/net/Json.java
@@ -82,6 +82,20 @@
         return child.textValue();
     }
 
+    /** A field that holds bytes as Base64. */
+    public static byte[] bytes(JsonNode node, String name) throws BadMessageException {
+        JsonNode child = node.get(name);
+        try {
+            byte[] bytes = child == null ? null : child.binaryValue();
+            if (bytes != null) {
+                return bytes;
+            }
+        } catch (IOException e) {
+            // not Base64
+        }
+        throw new BadMessageException(name + " is not Base64");
+    }
+
     public static String textOrNull(JsonNode node, String name) throws BadMessageException {
         return node.hasNonNull(name) ? text(node, name) : null;
     }
--- a/src/main/java/org/spruceridge/net/JsonTrees.java
+++ b/src/main/java/org/spruceridge/net/JsonTrees.java
@@ -68,6 +68,7 @@
                 out.writeEndArray();
             }
             case STRING -> out.writeString(node.textValue());
+            case BINARY -> out.writeBinary(node.binaryValue());
             case NUMBER -> writeNumber(node, out);
             case BOOLEAN -> out.writeBoolean(node.booleanValue());
             default -> out.writeNull();
--- a/src/main/java/org/spruceridge/record/Packed.java
+++ b/src/main/java/org/spruceridge/record/Packed.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.util.Base64;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -43,7 +42,7 @@
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             writer.write(out);
             return Json.object()
-                    .put(BYTES, Base64.getEncoder().encodeToString(out.toByteArray()))
+                    .put(BYTES, out.toByteArray()) // Jackson writes it as Base64, without a string in between
                     .put(WRITE, write);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -51,12 +50,7 @@
     }
 
     public static <T> T read(JsonNode value, Reader<T> reader) throws BadMessageException {
-        byte[] bytes;
-        try {
-            bytes = Base64.getDecoder().decode(Json.text(value, BYTES));
-        } catch (IllegalArgumentException e) {
-            throw new BadMessageException("not Base64");
-        }
+        byte[] bytes = Json.bytes(value, BYTES);
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(in);
         } catch (IOException | MessagePackException e) {
