--- a/src/main/java/org/spruceridge/fleet/Fleet.java
+++ b/src/main/java/org/spruceridge/fleet/Fleet.java
@@ -41,6 +41,9 @@
     /** Beyond a lease's drift: late timers, on both sides. */
     private static final double LEASE_MARGIN_S = 1;
 
+    /** While requests wait, what to rent is worked out only this often, as a share of a lease. */
+    private static final double MOST_DELAY_OF_LEASE = 0.1;
+
     private static final long CATALOGUE_EVERY = Times.nanos(60);
     private static final long RETRY = Times.nanos(2);
 
@@ -63,6 +66,7 @@
     private final Set<String> unlisted = new HashSet<>();
     private long claimCount;
     private long lastTick;
+    private long lastPlanned = Long.MIN_VALUE / 2;
     private long behindUntil = Long.MIN_VALUE;
 
     /** A rental request that is on its way. */
@@ -131,7 +135,10 @@
             if (now >= behindUntil) {
                 deleteLost();
             }
-            rentAndReturn();
+            if (!loop.busy() || now - lastPlanned > Times.nanos(MOST_DELAY_OF_LEASE * settings.workers().leaseS())) {
+                lastPlanned = now;
+                rentAndReturn();
+            }
         }
         scope.after(Times.nanos(settings.workers().reportS() / 3), this::tick);
     }
--- a/src/main/java/org/spruceridge/lead/Rounds.java
+++ b/src/main/java/org/spruceridge/lead/Rounds.java
@@ -22,6 +22,11 @@
     /** Rounds take at most one part in this many of the processor: workers' reports come before decisions. */
     private static final long COSTS_APART = 4;
 
+    /** While requests wait, a round is put off for at most this share of a lease: workers' reports come first. */
+    private static final double MOST_DELAY_OF_LEASE = 0.1;
+
+    private static final long LOOK_AGAIN = Times.millis(20);
+
     private final Loop loop;
     private final Scope scope;
     private final Cluster cluster;
@@ -32,6 +37,8 @@
     private final Latencies latencies;
     private final Consumer<Machine> push;
     private Plan lastPlan;
+    private final long mostDelay;
+    private long dueAt;
     private boolean due;
     private long lastRun;
     private long lastCost;
@@ -59,6 +66,7 @@
         this.push = push;
         this.spacing = Times.nanos(
                 policy.rounds().spacingOfReport() * settings.workers().reportS());
+        this.mostDelay = Times.nanos(MOST_DELAY_OF_LEASE * settings.workers().leaseS());
         this.lastRun = loop.nanos() - spacing;
     }
 
@@ -66,7 +74,16 @@
     public void request() {
         if (!due) {
             due = true;
-            scope.after(Math.max(0, lastRun + Math.max(spacing, COSTS_APART * lastCost) - loop.nanos()), this::run);
+            dueAt = Math.max(loop.nanos(), lastRun + Math.max(spacing, COSTS_APART * lastCost));
+            scope.after(dueAt - loop.nanos(), this::runUnlessBusy);
+        }
+    }
+
+    private void runUnlessBusy() {
+        if (loop.busy() && loop.nanos() - dueAt < mostDelay) {
+            scope.after(LOOK_AGAIN, this::runUnlessBusy);
+        } else {
+            run();
         }
     }
 
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -65,6 +65,7 @@
         this.loop = loop;
         this.sockets = sockets;
         this.intake = new Intake(loop);
+        loop.busyWhile(intake::waiting);
         this.workerIdleNanos = workerIdleNanos;
         this.handler = handler;
     }
--- a/src/main/java/org/spruceridge/net/Intake.java
+++ b/src/main/java/org/spruceridge/net/Intake.java
@@ -71,6 +71,11 @@
         idleFrom = loop.nanos();
     }
 
+    /** True while requests wait for the processor. */
+    boolean waiting() {
+        return draining;
+    }
+
     private void drainSoon() {
         if (!draining) {
             draining = true;
--- a/src/main/java/org/spruceridge/net/Loop.java
+++ b/src/main/java/org/spruceridge/net/Loop.java
@@ -10,4 +10,9 @@
 
     /** Runs the task on this loop after a delay. */
     Cancellable after(long delayNanos, Runnable task);
+
+    /** True while requests wait for this loop's time: what can wait longer than they should let them go first. */
+    default boolean busy() {
+        return false;
+    }
 }
--- a/src/main/java/org/spruceridge/net/NettyLoop.java
+++ b/src/main/java/org/spruceridge/net/NettyLoop.java
@@ -7,6 +7,7 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,12 +18,23 @@
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
+    private BooleanSupplier requestsWaiting = () -> false;
 
     /** The loop, for those who open connections. */
     public EventLoopGroup group() {
         return group;
     }
 
+    /** Says how to find out whether requests wait. */
+    void busyWhile(BooleanSupplier waiting) {
+        requestsWaiting = waiting;
+    }
+
+    @Override
+    public boolean busy() {
+        return requestsWaiting.getAsBoolean();
+    }
+
     /** Runs the task on the loop, from any thread. */
     public void execute(Runnable task) {
         loop.execute(() -> runLogged(task));
