--- a/src/main/java/org/spruceridge/cli/RehearseCommand.java
+++ b/src/main/java/org/spruceridge/cli/RehearseCommand.java
@@ -2,16 +2,19 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import com.google.common.collect.ImmutableList;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.URISyntaxException;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.OptionalDouble;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.jar.JarFile;
+import org.spruceridge.cluster.Kind;
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
@@ -23,6 +26,7 @@
 import org.spruceridge.net.Sockets;
 import org.spruceridge.node.Node;
 import org.spruceridge.peer.NettyPeerLink;
+import org.spruceridge.worker.Report;
 import picocli.CommandLine.Model.CommandSpec;
 
 /**
@@ -110,17 +114,9 @@
     }
 
     private static JsonNode report() {
-        ObjectNode report = Json.object()
-                .put("host", "i-000001")
-                .put("endpoint", "127.0.0.1:1")
-                .put("build", "any")
-                .put("grove", "here")
-                .put("windfall", false)
-                .put("watch", 1)
-                .put("tally", 1)
-                .put("warrant", 0);
-        report.putArray("parts");
-        return report;
+        Kind kind = new Kind("any", "here", false);
+        return new Report("i-000001", "127.0.0.1:1", kind, 1, 1, 0, OptionalDouble.empty(), ImmutableList.of())
+                .toJson();
     }
 
     private static JsonNode job() {
--- a/src/main/java/org/spruceridge/lead/Leader.java
+++ b/src/main/java/org/spruceridge/lead/Leader.java
@@ -6,6 +6,8 @@
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import org.spruceridge.cloud.CloudClient;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
@@ -30,6 +32,8 @@
 
 /** All that a node does while it leads: one object for each term, stopped with it. */
 public final class Leader {
+    private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
+
     /** Rounds run at least this often, in report periods: time alone changes scores and silences machines. */
     private static final double IDLE_ROUND_OF_REPORT = 1.0;
 
@@ -135,6 +139,12 @@
             @Override
             public void ready(long revision) {
                 ready = true;
+                LOG.info(
+                        "term {}: took over {} jobs and {} machines after {} ms",
+                        tenure.term(),
+                        cluster.jobs().size(),
+                        cluster.machines().size(),
+                        ledFor() / 1_000_000);
                 watch.start(revision);
                 fleet.start();
                 new Summary(scope, cluster, ledger, tenure).start();
--- a/src/main/java/org/spruceridge/lead/Takeover.java
+++ b/src/main/java/org/spruceridge/lead/Takeover.java
@@ -10,8 +10,6 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
@@ -36,7 +34,6 @@
  * change what they find: only users' submissions and cancellations can, and those the watch brings.
  */
 public final class Takeover {
-    private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
     private static final long RETRY = Times.millis(200);
 
     private final Loop loop;
@@ -90,12 +87,6 @@
                         fetchEnded(recorded, () -> {
                             recorded.forEach(this::addMachine);
                             closeEnded();
-                            LOG.info(
-                                    "term {}: took over {} jobs and {} machines after {} ms",
-                                    tenure.term(),
-                                    cluster.jobs().size(),
-                                    cluster.machines().size(),
-                                    (loop.nanos() - tenure.since()) / 1_000_000);
                             listener.ready(open.revision());
                         });
                     }));
--- /dev/null
+++ b/src/main/java/org/spruceridge/lead/WarmUpLeader.java
@@ -0,0 +1,226 @@
+package org.spruceridge.lead;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableMap;
+import com.google.common.collect.ImmutableSet;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Cluster;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Kind;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineType;
+import org.spruceridge.cluster.Rank;
+import org.spruceridge.cluster.Room;
+import org.spruceridge.config.Policy;
+import org.spruceridge.config.Settings;
+import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Budget;
+import org.spruceridge.net.Json;
+import org.spruceridge.net.Latencies;
+import org.spruceridge.net.ManualLoop;
+import org.spruceridge.net.Oddities;
+import org.spruceridge.net.Scope;
+import org.spruceridge.net.Times;
+import org.spruceridge.record.BindingsRecord;
+import org.spruceridge.record.JobRecord;
+import org.spruceridge.record.Keys;
+import org.spruceridge.schedule.Matching;
+import org.spruceridge.state.AcceptingState;
+import org.spruceridge.state.Entry;
+import org.spruceridge.state.StateClient;
+import org.spruceridge.worker.Order;
+import org.spruceridge.worker.Report;
+import org.spruceridge.worker.Report.Cause;
+import org.spruceridge.worker.Report.TaskReport;
+import org.spruceridge.worker.Report.TaskState;
+
+/**
+ * A leader of a small cluster that exists only in here, on virtual time and with a state service within the process. Each
+ * step lets some workers report and does what a leader does then: it decodes, schedules, records and answers. Nothing
+ * of it is shared with the node's own state.
+ */
+final class WarmUpLeader {
+    private static final int MACHINES = 32;
+    private static final int JOBS = 8;
+    private static final int TASKS_OF_A_JOB = 24;
+    private static final int REPORTS_A_STEP = 4;
+    private static final int STEPS_A_TAKEOVER = 8;
+    private static final long TERM = 1;
+    private static final double CPUS = 4;
+    private static final double MEMORY_GB = 16;
+    private static final double ESTIMATE_S = 60;
+    private static final double PLENTY = 1e6;
+
+    private final ManualLoop loop = new ManualLoop();
+    private final Scope scope = new Scope(loop);
+    private final Settings settings;
+    private final Cluster cluster = new Cluster();
+    private final List<Machine> machines = new ArrayList<>();
+    private final Map<Long, Integer> reportsOfAttempt = new HashMap<>();
+    private final Tenure tenure = new Tenure(TERM, 1, 0);
+    private final Oddities oddities = new Oddities(loop);
+    private final Latencies latencies = new Latencies(loop);
+    private final StateClient state;
+    private final Ledger ledger;
+    private final ReportDesk desk;
+    private final Rounds rounds;
+    private long jobs;
+    private long sequence;
+    private int steps;
+
+    WarmUpLeader(Settings settings, Policy policy) {
+        this.settings = settings;
+        this.state = new StateClient(
+                loop,
+                new AcceptingState(loop, this::recorded),
+                settings.stateAddress(),
+                new Budget(loop, PLENTY, PLENTY, PLENTY),
+                oddities,
+                latencies);
+        this.ledger = new Ledger(loop, scope, state, cluster, tenure, settings, latencies, new Ledger.Listener() {
+            @Override
+            public void committed(ImmutableSet<Machine> bound) {
+                requestRound();
+            }
+
+            @Override
+            public void cancelled(Job job) {
+                throw new IllegalStateException("nobody cancels " + job.id());
+            }
+
+            @Override
+            public void broken(String why) {
+                throw new IllegalStateException(why);
+            }
+        });
+        this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, oddities, machine -> requestRound());
+        Matching matching = new Matching(
+                settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
+        this.rounds = new Rounds(
+                loop, scope, cluster, ledger, matching, settings, policy, tenure, latencies, machine -> {});
+        addMachines();
+    }
+
+    private void requestRound() {
+        rounds.request();
+    }
+
+    private void addMachines() {
+        ImmutableList<String> zones =
+                settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
+        MachineType type = new MachineType("warm-up", new Room(CPUS, 0, MEMORY_GB), 1, 1, 0.25, 20, zones);
+        cluster.types(ImmutableMap.of(type.name(), type));
+        for (int i = 0; i < MACHINES; i++) {
+            Kind kind = new Kind(type.name(), zones.get(i % zones.size()), i % 2 == 0);
+            Machine machine = new Machine("i-" + i, "10.0.0.1:9000", kind, loop.nanos(), loop.nanos());
+            cluster.add(machine);
+            machines.add(machine);
+        }
+    }
+
+    /** Does a small part of the work; each costs about the same. */
+    void step() {
+        while (cluster.jobs().size() < JOBS) {
+            cluster.add(newJob());
+        }
+        for (int i = 0; i < REPORTS_A_STEP; i++) {
+            report(machines.get((int) (sequence % MACHINES)));
+        }
+        loop.advance(Times.nanos(settings.workers().reportS() * REPORTS_A_STEP / MACHINES));
+        if (++steps % STEPS_A_TAKEOVER == 0) {
+            takeOver();
+        }
+    }
+
+    /** Tasks that completed so far. */
+    int completed() {
+        return (int) reportsOfAttempt.values().stream().filter(n -> n > 2).count();
+    }
+
+    private Job newJob() {
+        long number = ++jobs;
+        // Every other job asks for whole machines, so that reservations are made.
+        double cpus = number % 2 == 0 ? CPUS : 1;
+        JobSpec spec = new JobSpec(
+                "j-" + number,
+                "warm-up",
+                settings.teams().keySet().asList().get((int) (number % settings.teams().size())),
+                Rank.NORMAL,
+                TASKS_OF_A_JOB,
+                new Room(cpus, 0, cpus),
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "warm-up",
+                1,
+                ESTIMATE_S,
+                0,
+                0,
+                OptionalDouble.of(2 * ESTIMATE_S));
+        return new Job(spec, 1, loop.wallMillis());
+    }
+
+    /** Takes a report from its bytes and makes the bytes of its answer. */
+    private void report(Machine machine) {
+        ImmutableList.Builder<TaskReport> tasks = ImmutableList.builder();
+        for (Binding b : machine.bindings()) {
+            int seen = b.stage() == Binding.Stage.PROPOSED ? 0 : reportsOfAttempt.merge(b.attempt(), 1, Integer::sum);
+            if (seen > 2) {
+                tasks.add(new TaskReport(b.task(), b.attempt(), TaskState.EXITED, Cause.DONE));
+            } else if (seen > 1) {
+                tasks.add(new TaskReport(b.task(), b.attempt(), TaskState.RUNNING, Cause.NONE));
+            }
+        }
+        Report report = new Report(
+                machine.name(),
+                machine.address(),
+                machine.kind(),
+                1,
+                ++sequence,
+                TERM,
+                OptionalDouble.empty(),
+                tasks.build());
+        try {
+            Order.answer(TERM, desk.take(Report.read(Json.bytes(report.toJson()))));
+        } catch (BadMessageException e) {
+            throw new IllegalStateException("our own report cannot be read", e);
+        }
+    }
+
+    private void takeOver() {
+        Cluster other = new Cluster();
+        Takeover takeover = new Takeover(
+                loop, scope, state, other, new Records(settings.state()), tenure, oddities);
+        takeover.start(new Takeover.Listener() {
+            @Override
+            public void jobsKnown(long asOf) {}
+
+            @Override
+            public void ready(long revision) {}
+        });
+        loop.advance(Times.millis(1));
+    }
+
+    /** What the state service would hold of this cluster. */
+    private List<Entry> recorded(String prefix) {
+        List<Entry> entries = new ArrayList<>();
+        if (prefix.equals(Keys.OPEN)) {
+            for (Job job : cluster.jobs()) {
+                JobRecord record = JobRecord.open(job.spec(), job.submittedMs());
+                entries.add(new Entry(Keys.open(job.id()), record.write(), job.stamp()));
+            }
+        } else if (prefix.equals(Keys.BINDINGS)) {
+            entries.add(new Entry(Keys.BINDINGS + 1, BindingsRecord.write("w1", machines, b -> true), 1));
+        }
+        return entries;
+    }
+}
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -16,6 +16,7 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.lead.Election;
 import org.spruceridge.lead.Leader;
+import org.spruceridge.lead.LeaderWarmUp;
 import org.spruceridge.lead.Tenure;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Budget;
@@ -69,6 +70,7 @@
     private final Router router;
     private final Catalogue catalogue;
     private final Cancellations cancellations;
+    private final LeaderWarmUp warmUp;
     private final Map<String, Response> elsewhere = new HashMap<>();
     private final Response nobodyLeads = Response.error(503, "no leader known");
     private Leader leader;
@@ -92,6 +94,7 @@
         this.workers = new WorkerClient(http, oddities);
         this.election = new Election(loop, state, random, oddities, settings, policy, this);
         this.peers = new Peers(loop, link, oddities, this::beacon, this::cancelled);
+        this.warmUp = new LeaderWarmUp(loop, settings, policy);
         this.cancellations = new Cancellations(
                 loop, Times.nanos(CancellationTimes.of(settings.workers()).knowledgeS()));
         JobsEndpoint jobs =
@@ -114,6 +117,7 @@
 
     public void stop() {
         scope.close();
+        warmUp.stop();
         catalogue.stop();
         peers.stop();
         latencies.stop();
@@ -131,6 +135,7 @@
 
     @Override
     public void won(Tenure tenure) {
+        warmUp.stop();
         shareLimits(true);
         leader = new Leader(
                 loop,
@@ -288,6 +293,9 @@
     /** Asks the state service for something small, to know whether it serves this node. */
     private void pulse() {
         yieldIfCutOff();
+        if (leader == null && steward().isPresent()) {
+            warmUp.start();
+        }
         state.get(Keys.LEADER, Rank.RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
     }
 }
--- a/src/main/java/org/spruceridge/worker/Report.java
+++ b/src/main/java/org/spruceridge/worker/Report.java
@@ -2,6 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableList;
 import java.io.IOException;
 import java.util.OptionalDouble;
@@ -23,21 +25,33 @@
 
     /** Where a task stands on its machine. */
     public enum TaskState {
-        FETCHING,
-        RUNNING,
-        SAVING,
-        EXITED
+        FETCHING("fetching"),
+        RUNNING("running"),
+        SAVING("saving"),
+        EXITED("ended");
+
+        private final String wire;
+
+        TaskState(String wire) {
+            this.wire = wire;
+        }
     }
 
     /** Why a task exited. */
     public enum Cause {
-        NONE,
-        DONE,
-        STOPPED,
-        ERROR,
-        NO_ROOM,
-        BUSY,
-        UNKNOWN
+        NONE(null),
+        DONE("done"),
+        STOPPED("stopped"),
+        ERROR("error"),
+        NO_ROOM("no_room"),
+        BUSY("in_use"),
+        UNKNOWN("unknown");
+
+        private final String wire;
+
+        Cause(String wire) {
+            this.wire = wire;
+        }
     }
 
     /** One task of a report. */
@@ -56,6 +70,31 @@
         }
     }
 
+    /** The report as a worker sends it. */
+    public ObjectNode toJson() {
+        ObjectNode out = Json.object()
+                .put("host", machine)
+                .put("endpoint", address)
+                .put("build", kind.type())
+                .put("grove", kind.zone())
+                .put("windfall", kind.spot())
+                .put("watch", session)
+                .put("tally", sequence)
+                .put("warrant", token);
+        noticeS.ifPresent(seconds -> out.put("warningS", seconds));
+        ArrayNode parts = out.putArray("parts");
+        for (TaskReport task : tasks) {
+            ObjectNode part = parts.addObject()
+                    .put("part", task.task.toString())
+                    .put("try", task.attempt)
+                    .put("stage", task.state.wire);
+            if (task.state == TaskState.EXITED) {
+                part.put("cause", task.cause.wire);
+            }
+        }
+        return out;
+    }
+
     /** A report of which some fields have been read. */
     private static final class Draft {
         private final JsonParser in;
@@ -162,24 +201,21 @@
     }
 
     private static TaskState state(String text) throws BadMessageException {
-        return switch (text) {
-            case "fetching" -> TaskState.FETCHING;
-            case "running" -> TaskState.RUNNING;
-            case "saving" -> TaskState.SAVING;
-            case "ended" -> TaskState.EXITED;
-            default -> throw new BadMessageException("unknown state of a task");
-        };
+        for (TaskState state : TaskState.values()) {
+            if (state.wire.equals(text)) {
+                return state;
+            }
+        }
+        throw new BadMessageException("unknown state of a task");
     }
 
     private static Cause cause(String text) {
-        return switch (text) {
-            case "done" -> Cause.DONE;
-            case "stopped" -> Cause.STOPPED;
-            case "no_room" -> Cause.NO_ROOM;
-            case "in_use" -> Cause.BUSY;
-            case "unknown" -> Cause.UNKNOWN;
-            default -> Cause.ERROR;
-        };
+        for (Cause cause : Cause.values()) {
+            if (text.equals(cause.wire)) {
+                return cause;
+            }
+        }
+        return Cause.ERROR;
     }
 
     private static TaskId taskId(String text) throws BadMessageException {
--- /dev/null
+++ b/src/test/java/org/spruceridge/lead/LeaderWarmUpTest.java
@@ -0,0 +1,79 @@
+package org.spruceridge.lead;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableMap;
+import org.junit.jupiter.api.Test;
+import org.spruceridge.config.Address;
+import org.spruceridge.config.Policy;
+import org.spruceridge.config.Settings;
+import org.spruceridge.sim.SimLoop;
+
+/** The warm-up is bounded, makes way for requests, ends when told to, and does a leader's work on its own data. */
+final class LeaderWarmUpTest {
+    private static final Address HERE = new Address("10.0.0.1", 1);
+    private static final Settings SETTINGS = new Settings(
+            "n0",
+            "a",
+            HERE,
+            HERE,
+            ImmutableList.of(),
+            HERE,
+            HERE,
+            ImmutableList.of("a", "b"),
+            ImmutableMap.of("red", new Settings.Team("red", 0, 0, 0, 0)),
+            ImmutableList.of(),
+            new Settings.Workers(5, 22, 42),
+            new Settings.State(200, 50, 8, 24),
+            new Settings.Cloud(6, 10),
+            new Settings.Resources(0.1, 142, 900),
+            0);
+
+    private final SimLoop loop = new SimLoop();
+    private final LeaderWarmUp warmUp = new LeaderWarmUp(loop, SETTINGS, Policy.defaults());
+
+    @Test
+    void itEndsAfterItsStepsAndLeavesNothingPending() {
+        warmUp.start();
+        warmUp.start();
+        loop.run(120);
+        assertEquals(LeaderWarmUp.STEPS, warmUp.steps());
+        assertEquals(0, loop.pending());
+    }
+
+    @Test
+    void itMakesWayWhileRequestsWait() {
+        loop.busy(true);
+        warmUp.start();
+        loop.run(60);
+        assertEquals(0, warmUp.steps());
+        loop.busy(false);
+        loop.run(120);
+        assertEquals(LeaderWarmUp.STEPS, warmUp.steps());
+    }
+
+    @Test
+    void itEndsForGoodWhenToldTo() {
+        warmUp.start();
+        loop.run(1);
+        warmUp.stop();
+        int steps = warmUp.steps();
+        assertTrue(steps > 0, "it had begun");
+        warmUp.start();
+        loop.run(60);
+        assertEquals(steps, warmUp.steps());
+        assertEquals(0, loop.pending());
+    }
+
+    /** Else it would warm up nothing: reports are taken, tasks bound, recorded, started and ended, and jobs come to an end. */
+    @Test
+    void itDoesAllThatALeaderDoes() {
+        WarmUpLeader leader = new WarmUpLeader(SETTINGS, Policy.defaults());
+        for (int i = 0; i < LeaderWarmUp.STEPS; i++) {
+            leader.step();
+        }
+        assertTrue(leader.completed() > 200, "tasks completed: " + leader.completed());
+    }
+}
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -12,6 +12,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
     private long now = Times.nanos(1000);
     private long order;
+    private boolean busy;
 
     private record Task(long at, long order, Runnable work) {}
 
@@ -32,6 +33,21 @@
         return () -> queue.remove(task);
     }
 
+    @Override
+    public boolean busy() {
+        return busy;
+    }
+
+    /** Lets requests wait for this loop's time, or none any more. */
+    public void busy(boolean value) {
+        busy = value;
+    }
+
+    /** Tasks that are still to run. */
+    public int pending() {
+        return queue.size();
+    }
+
     /** Time passes within a task, as when it costs much processor. */
     public void pass(double seconds) {
         now += Times.nanos(seconds);
@@ -93,5 +109,10 @@
         public Cancellable after(long delayNanos, Runnable work) {
             return loop.after(delayNanos, () -> run(work));
         }
+
+        @Override
+        public boolean busy() {
+            return loop.busy();
+        }
     }
 }
