--- a/src/main/java/org/spruceridge/cli/RehearseCommand.java
+++ b/src/main/java/org/spruceridge/cli/RehearseCommand.java
@@ -52,7 +52,7 @@
         Node node = new Node(loop, client, link, new SplittableRandom(1), settings, Policy.defaults());
         link.listen();
         new HttpServer(loop, sockets, PATIENCE, node.handler()).start(settings.serveOn());
-        loop.execute(node::start);
+        loop.execute(() -> node.start(() -> {}));
         List<HttpCall> calls = List.of(
                 HttpCall.get("/healthz"),
                 HttpCall.post("/hello", Json.bytes(report())),
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -2,6 +2,8 @@
 
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Policy;
@@ -17,6 +19,9 @@
 
 /** Runs a controller node until the process is killed. */
 final class ServeCommand implements Callable<Integer> {
+    /** It listens after this share of a lease at the latest: in an outage of the state service nobody knows a leader. */
+    private static final double LISTEN_OF_LEASE = 0.125;
+
     private final SettingsFiles files = new SettingsFiles();
 
     static CommandSpec describe() {
@@ -44,8 +49,12 @@
         long workerIdle = Times.nanos(settings.workers().leaseS());
         HttpServer server = new HttpServer(loop, sockets, workerIdle, node.handler());
         link.listen();
+        CountDownLatch ready = new CountDownLatch(1);
+        loop.execute(() -> node.start(ready::countDown));
+        // Until it knows the leader it could only turn workers away, who would all be back a second later and keep it from
+        // finding out. A refused connection costs nothing, and they go on to the next node.
+        ready.await(Times.nanos(settings.workers().leaseS() * LISTEN_OF_LEASE), TimeUnit.NANOSECONDS);
         server.start(settings.serveOn());
-        loop.execute(node::start);
         loop.join();
         return 0;
     }
--- a/src/main/java/org/spruceridge/net/NettyHttpClient.java
+++ b/src/main/java/org/spruceridge/net/NettyHttpClient.java
@@ -45,6 +45,9 @@
     /** Behind an idle connection of this age there may be nobody any more. */
     private static final long IDLE_NANOS = Times.nanos(90);
 
+    /** A timer that fires later than this is late because of the loop, not because of its resolution. */
+    private static final long LATE_NANOS = Times.millis(50);
+
     private final NettyLoop loop;
     private final Sockets sockets;
     private final Map<Address, Deque<Connection>> idle = new HashMap<>();
@@ -60,7 +63,8 @@
     @Override
     public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done) {
         Exchange exchange = new Exchange(to, call, done);
-        exchange.timeout = loop.after(timeoutNanos, exchange::giveUp);
+        long due = loop.nanos() + timeoutNanos;
+        exchange.timeout = loop.after(timeoutNanos, () -> timedOut(exchange, due));
         Connection reused = takeIdle(to);
         if (reused != null) {
             reused.send(exchange);
@@ -72,6 +76,18 @@
         return exchange::abandon;
     }
 
+    /**
+     * A timer that fires late says that this loop was busy, not that the other side is silent: what has arrived meanwhile
+     * is read first. Else a node that is flooded with requests never learns anything from the state service.
+     */
+    private void timedOut(Exchange exchange, long due) {
+        if (loop.nanos() - due > LATE_NANOS) {
+            exchange.timeout = loop.after(0, exchange::giveUp); // runs after the network has been looked at
+        } else {
+            exchange.giveUp();
+        }
+    }
+
     private Connection takeIdle(Address to) {
         Deque<Connection> waiting = idle.get(to);
         while (waiting != null && !waiting.isEmpty()) {
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -52,6 +52,7 @@
     private static final double STAY_OF_LEASE = 10;
 
     private static final long PULSE = Times.nanos(1);
+    private static final long LOOK_WHETHER_READY = Times.millis(50);
     private static final long CUT_OFF = Times.nanos(3);
 
     private final Loop loop;
@@ -76,6 +77,7 @@
     private Leader leader;
     private long lastReport;
     private long staysUntil = Long.MIN_VALUE;
+    private Runnable whenReady = () -> {};
 
     public Node(Loop loop, HttpClient http, PeerLink link, RandomGenerator random, Settings settings, Policy policy) {
         this.loop = loop;
@@ -107,7 +109,13 @@
         return router;
     }
 
-    public void start() {
+    /**
+     * Begins all duties. {@code ready} runs once, when this node knows where workers belong: it knows the leader, or
+     * leads and has taken over.
+     */
+    public void start(Runnable ready) {
+        whenReady = ready;
+        lookWhetherReady();
         election.start();
         latencies.start();
         peers.start();
@@ -115,6 +123,15 @@
         pulse();
     }
 
+    private void lookWhetherReady() {
+        boolean knowsLeader = steward().filter(name -> !name.equals(settings.hostName())).isPresent();
+        if (leader == null ? knowsLeader : leader.informed()) {
+            whenReady.run();
+        } else {
+            scope.after(LOOK_WHETHER_READY, this::lookWhetherReady);
+        }
+    }
+
     public void stop() {
         scope.close();
         warmUp.stop();
--- a/src/test/java/org/spruceridge/net/SocketsTest.java
+++ b/src/test/java/org/spruceridge/net/SocketsTest.java
@@ -105,6 +105,31 @@
         assertEquals(36, onLoop(few::open));
     }
 
+    /** A flooded node once timed its calls of the state service out while their answers lay unread, and never led. */
+    @Test
+    void anAnswerThatCameWhileTheLoopWasBusyIsTaken() throws Exception {
+        NettyLoop other = new NettyLoop();
+        new HttpServer(other, new Sockets(40), PATIENCE, new ServesAll()).start(new Address("0.0.0.0", port));
+        NettyHttpClient client = new NettyHttpClient(loop, new Sockets(40));
+        Address server = new Address("127.0.0.1", port);
+        assertEquals(200, call(client, server)); // its connection is kept
+        CompletableFuture<Integer> status = new CompletableFuture<>();
+        loop.execute(() -> {
+            client.call(server, HttpCall.get("/"), Times.millis(200), answer -> status.complete(answer.status()));
+            sleep(600);
+        });
+        assertEquals(200, status.get(10, TimeUnit.SECONDS));
+        other.group().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+
+    private static void sleep(long millis) {
+        try {
+            Thread.sleep(millis);
+        } catch (InterruptedException e) {
+            throw new AssertionError(e);
+        }
+    }
+
     private Socket connect() throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout(10_000);
--- a/src/test/java/org/spruceridge/sim/World.java
+++ b/src/test/java/org/spruceridge/sim/World.java
@@ -107,7 +107,7 @@
                                 answer.accept(new HttpAnswer(response.status(), response.body()));
                             }
                         })));
-        process.after(0, node::start);
+        process.after(0, () -> node.start(() -> {}));
     }
 
     /** Ends a node as a kill without a signal does. */
