--- a/src/main/java/org/spruceridge/fleet/Fleet.java
+++ b/src/main/java/org/spruceridge/fleet/Fleet.java
@@ -135,7 +135,10 @@
             if (now >= behindUntil) {
                 deleteLost();
             }
-            if (!loop.busy() || now - lastPlanned > Times.nanos(MOST_DELAY_OF_LEASE * settings.workers().leaseS())) {
+            if (!loop.busy()
+                    || now - lastPlanned
+                            > Times.nanos(
+                                    MOST_DELAY_OF_LEASE * settings.workers().leaseS())) {
                 lastPlanned = now;
                 rentAndReturn();
             }
@@ -321,7 +324,9 @@
 
     /** The least of each resource that any task to be placed takes. */
     private static Room smallestTask(Plan plan, List<Standby.Wanted> standingBy) {
-        return Stream.concat(plan.unplaced().keySet().stream().map(Job::spec), standingBy.stream().map(Standby.Wanted::example))
+        return Stream.concat(
+                        plan.unplaced().keySet().stream().map(Job::spec),
+                        standingBy.stream().map(Standby.Wanted::example))
                 .map(JobSpec::task)
                 .reduce(Room::least)
                 .orElse(Room.NONE);
--- a/src/main/java/org/spruceridge/lead/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/lead/WarmUpLeader.java
@@ -103,8 +103,8 @@
         this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, oddities, machine -> requestRound());
         Matching matching = new Matching(
                 settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
-        this.rounds = new Rounds(
-                loop, scope, cluster, ledger, matching, settings, policy, tenure, latencies, machine -> {});
+        this.rounds =
+                new Rounds(loop, scope, cluster, ledger, matching, settings, policy, tenure, latencies, machine -> {});
         addMachines();
     }
 
@@ -113,8 +113,7 @@
     }
 
     private void addMachines() {
-        ImmutableList<String> zones =
-                settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
+        ImmutableList<String> zones = settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
         MachineType type = new MachineType("warm-up", new Room(CPUS, 0, MEMORY_GB), 1, 1, 0.25, 20, zones);
         cluster.types(ImmutableMap.of(type.name(), type));
         for (int i = 0; i < MACHINES; i++) {
@@ -151,7 +150,8 @@
         JobSpec spec = new JobSpec(
                 "j-" + number,
                 "warm-up",
-                settings.teams().keySet().asList().get((int) (number % settings.teams().size())),
+                settings.teams().keySet().asList().get((int)
+                        (number % settings.teams().size())),
                 Rank.NORMAL,
                 TASKS_OF_A_JOB,
                 new Room(cpus, 0, cpus),
@@ -198,8 +198,7 @@
 
     private void takeOver() {
         Cluster other = new Cluster();
-        Takeover takeover = new Takeover(
-                loop, scope, state, other, new Records(settings.state()), tenure, oddities);
+        Takeover takeover = new Takeover(loop, scope, state, other, new Records(settings.state()), tenure, oddities);
         takeover.start(new Takeover.Listener() {
             @Override
             public void jobsKnown(long asOf) {}
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -77,7 +77,8 @@
                 .channel(NioServerSocketChannel.class)
                 // After a restart of all nodes the whole fleet connects within a moment.
                 .option(ChannelOption.SO_BACKLOG, sockets.mostInbound())
-                // All that wait are accepted at once: by Netty's default of 16 for each turn of the loop, a busy leader's
+                // All that wait are accepted at once: by Netty's default of 16 for each turn of the loop, a busy
+                // leader's
                 // turns of a tenth of a second left the workers that look for it waiting until they had given up.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -124,7 +124,8 @@
     }
 
     private void lookWhetherReady() {
-        boolean knowsLeader = steward().filter(name -> !name.equals(settings.hostName())).isPresent();
+        boolean knowsLeader =
+                steward().filter(name -> !name.equals(settings.hostName())).isPresent();
         if (leader == null ? knowsLeader : leader.informed()) {
             whenReady.run();
         } else {
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -46,7 +46,8 @@
         Room task = waiting.job().spec().task();
         MachineCapacity best = null;
         for (MachineCapacity capacity : open) {
-            boolean fuller = best == null || capacity.free().cpus() < best.free().cpus();
+            boolean fuller =
+                    best == null || capacity.free().cpus() < best.free().cpus();
             if (fuller && capacity.fits(task) && state.eligible(waiting, capacity)) {
                 best = capacity;
             }
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -80,8 +80,7 @@
             BiPredicate<Candidate, MachineGroup> hasRoom) {
         double remainingS = estimates.remainingS(candidate);
         // Equation 7 takes the mean over the machines of the row, on which the remaining time is the same.
-        Heuristic.Row row =
-                new Heuristic.Row(candidate, Deadline.urgency(candidate.slackS(), remainingS), longestS);
+        Heuristic.Row row = new Heuristic.Row(candidate, Deadline.urgency(candidate.slackS(), remainingS), longestS);
         Entry best = null;
         boolean bestHasRoom = false;
         double jobScore = groups.isEmpty() ? 0 : sum(jobTerms, row, groups.get(0), remainingS);
--- a/src/test/java/org/spruceridge/net/SocketsTest.java
+++ b/src/test/java/org/spruceridge/net/SocketsTest.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
@@ -122,6 +123,32 @@
         other.group().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
+    /** At Netty's default of 16 a turn, workers waited in the backlog of a busy leader until they had given up. */
+    @Test
+    void allThatWaitAreAcceptedInOneTurn() throws Exception {
+        Sockets sockets = new Sockets(10_000);
+        serve(sockets, PATIENCE);
+        CountDownLatch connected = new CountDownLatch(1);
+        CompletableFuture<Integer> open = new CompletableFuture<>();
+        loop.execute(() -> {
+            await(connected);
+            loop.after(0, () -> loop.after(0, () -> open.complete(sockets.open())));
+        });
+        for (int i = 0; i < 100; i++) {
+            connect();
+        }
+        connected.countDown();
+        assertEquals(100, open.get(10, TimeUnit.SECONDS));
+    }
+
+    private static void await(CountDownLatch latch) {
+        try {
+            latch.await();
+        } catch (InterruptedException e) {
+            throw new AssertionError(e);
+        }
+    }
+
     private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
--- a/src/test/java/org/spruceridge/sim/World.java
+++ b/src/test/java/org/spruceridge/sim/World.java
@@ -51,6 +51,7 @@
     private final Map<String, Running> nodes = new TreeMap<>();
     private final Rules rules = new Rules(loop::nanos, TEAM_CPUS, CANCEL_S);
     private final List<String> starts = new ArrayList<>();
+    private final Set<String> ready = new HashSet<>();
     private final Set<String> cutPeers = new HashSet<>();
     private int lives;
 
@@ -107,11 +108,12 @@
                                 answer.accept(new HttpAnswer(response.status(), response.body()));
                             }
                         })));
-        process.after(0, () -> node.start(() -> {}));
+        process.after(0, () -> node.start(() -> ready.add(name)));
     }
 
     /** Ends a node as a kill without a signal does. */
     public void crash(String name) {
+        ready.remove(name);
         nodes.get(name).process.kill();
         net.remove(address(name));
     }
@@ -141,6 +143,11 @@
         return null;
     }
 
+    /** True once the node has found out since its start where workers belong. */
+    public boolean ready(String name) {
+        return ready.contains(name);
+    }
+
     /** A node that runs and does not lead. */
     public String follower() {
         return names.stream()
--- a/src/test/java/org/spruceridge/story/FairnessStoriesTest.java
+++ b/src/test/java/org/spruceridge/story/FairnessStoriesTest.java
@@ -1,5 +1,6 @@
 package org.spruceridge.story;
 
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
@@ -44,6 +45,25 @@
         }
     }
 
+    /** Workers' reports come before decisions; but a leader that is never idle must decide all the same. */
+    @Test
+    void decisionsWaitWhileRequestsWaitButNotForLong() {
+        world.until(() -> world.leader() != null, 10);
+        submitSmall(1);
+        world.until(() -> world.running().size() == 1, 40);
+        submitSmall(2);
+        world.until(() -> started("j-000002"), 1);
+        world.loop.busy(true);
+        submitSmall(3);
+        world.loop.run(0.08 * World.LEASE_S);
+        assertFalse(started("j-000003"), "reports come first");
+        world.until(() -> started("j-000003"), 0.1 * World.LEASE_S);
+    }
+
+    private boolean started(String job) {
+        return world.starts().stream().anyMatch(s -> s.startsWith(job));
+    }
+
     private void submitSmall(int number) {
         world.submit(World.job(number, 1).put("cpus", 1.0).put("memGb", 1.0).put("expectS", 8.0));
     }
--- a/src/test/java/org/spruceridge/story/LeadershipStoriesTest.java
+++ b/src/test/java/org/spruceridge/story/LeadershipStoriesTest.java
@@ -38,6 +38,20 @@
         assertEquals(1, world.starts().size());
     }
 
+    /** Before that it could only turn workers away, and those would flood it while it finds out. */
+    @Test
+    void aNodeThatStartsIsReadyOnceItKnowsTheLeader() {
+        world.until(() -> world.leader() != null, 10);
+        world.until(() -> List.of("n0", "n1", "n2").stream().allMatch(world::ready), 5);
+        String follower = world.follower();
+        world.crash(follower);
+        world.state.outage(8);
+        world.boot(follower);
+        world.loop.run(7);
+        assertFalse(world.ready(follower), "in an outage it knows no leader");
+        world.until(() -> world.ready(follower), 10);
+    }
+
     @Test
     void aDeposedLeadersLateTransactionChangesNothing() {
         world.until(() -> world.leader() != null, 10);
