--- a/src/main/java/org/spruceridge/api/Admission.java
+++ b/src/main/java/org/spruceridge/api/Admission.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Settings.Team;
 
 /** Judges whether a well-formed job can ever run. */
@@ -24,12 +24,12 @@
             return Optional.of("unknown team");
         }
         boolean fits = types.values().stream()
-                .anyMatch(t -> spec.task().fitsIn(t.room())
+                .anyMatch(t -> spec.task().fitsIn(t.capacity())
                         && t.zones().stream().anyMatch(zone -> spec.allows(t.name(), zone, false)));
         if (!fits) {
             return Optional.of("a task fits no allowed machine type");
         }
-        Room limit = new Room(
+        Resources limit = new Resources(
                 team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
                 team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE,
                 Double.MAX_VALUE);
--- a/src/main/java/org/spruceridge/cli/RehearseCommand.java
+++ b/src/main/java/org/spruceridge/cli/RehearseCommand.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.jar.JarFile;
-import org.spruceridge.cluster.Kind;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
@@ -114,7 +114,7 @@
     }
 
     private static JsonNode report() {
-        Kind kind = new Kind("any", "here", false);
+        MachineKind kind = new MachineKind("any", "here", false);
         return new Report("i-000001", "127.0.0.1:1", kind, 1, 1, 0, OptionalDouble.empty(), ImmutableList.of())
                 .toJson();
     }
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Address;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Budget;
@@ -128,7 +128,7 @@
                         name,
                         new MachineType(
                                 name,
-                                new Room(
+                                new Resources(
                                         Json.number(item, "cpus"),
                                         Json.number(item, "accelerators"),
                                         Json.number(item, "memGb")),
--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -16,7 +16,7 @@
     private final Set<String> gone = new LinkedHashSet<>();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Map<String, Room> teamUse = new HashMap<>();
+    private final Map<String, Resources> teamUse = new HashMap<>();
     private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
     public Collection<Job> jobs() {
@@ -77,19 +77,19 @@
     }
 
     /** The room that a machine has left; none while its type is unknown. */
-    public Room free(Machine machine) {
-        return typeOf(machine).map(t -> t.room().minus(machine.used())).orElse(Room.NONE);
+    public Resources free(Machine machine) {
+        return typeOf(machine).map(t -> t.capacity().minus(machine.used())).orElse(Resources.NONE);
     }
 
     /** What all bindings of a team take together. */
-    public Room usedBy(String team) {
-        return teamUse.getOrDefault(team, Room.NONE);
+    public Resources usedBy(String team) {
+        return teamUse.getOrDefault(team, Resources.NONE);
     }
 
     public void bind(Binding binding) {
         binding.job().bind(binding);
         binding.machine().bind(binding);
-        teamUse.merge(binding.job().spec().team(), binding.job().spec().task(), Room::plus);
+        teamUse.merge(binding.job().spec().team(), binding.job().spec().task(), Resources::plus);
     }
 
     /**
--- a/src/main/java/org/spruceridge/cluster/Rank.java
+++ b/src/main/java/org/spruceridge/cluster/JobPriority.java
@@ -1,14 +1,14 @@
 package org.spruceridge.cluster;
 
 /** A job's priority, the highest first. */
-public enum Rank {
+public enum JobPriority {
     PRODUCTION,
     HIGH,
     NORMAL,
     LOW;
 
     /** True if work of this rank may have work of the other stopped. */
-    public boolean outranks(Rank other) {
+    public boolean outranks(JobPriority other) {
         return ordinal() < other.ordinal();
     }
 }
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -12,11 +12,11 @@
     public static final long NEVER = Long.MAX_VALUE;
 
     private final String name;
-    private final Kind kind;
+    private final MachineKind kind;
     private final Map<TaskId, Binding> bindings = new LinkedHashMap<>();
     private final Set<String> failedJobs = new HashSet<>();
     private String address;
-    private Room used = Room.NONE;
+    private Resources used = Resources.NONE;
     private long session;
     private long sequence;
     private long leastSession;
@@ -37,7 +37,7 @@
     private long bornAt;
 
     /** {@code answeredAt} is the last moment at which any entitled node can have answered a report of it. */
-    public Machine(String name, String address, Kind kind, long now, long answeredAt) {
+    public Machine(String name, String address, MachineKind kind, long now, long answeredAt) {
         this.name = name;
         this.address = address;
         this.kind = kind;
@@ -56,7 +56,7 @@
         return address;
     }
 
-    public Kind kind() {
+    public MachineKind kind() {
         return kind;
     }
 
@@ -90,7 +90,7 @@
         bindings.remove(binding.task(), binding);
         if (bindings.isEmpty()) {
             idleSince = now;
-            used = Room.NONE; // no rounding stays behind
+            used = Resources.NONE; // no rounding stays behind
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** What all tasks take together that may be on the machine. */
-    public Room used() {
+    public Resources used() {
         return used;
     }
 
--- a/src/main/java/org/spruceridge/cluster/MachineType.java
+++ b/src/main/java/org/spruceridge/cluster/MachineType.java
@@ -5,7 +5,7 @@
 /** A type of machine that the cloud rents. */
 public record MachineType(
         String name,
-        Room room,
+        Resources capacity,
         double fetchGbPerS,
         double price,
         double spotPrice,
--- a/src/main/java/org/spruceridge/cluster/Room.java
+++ b/src/main/java/org/spruceridge/cluster/Resources.java
@@ -1,21 +1,21 @@
 package org.spruceridge.cluster;
 
 /** CPUs, GPUs and memory, as an amount that a machine has or a task takes. */
-public record Room(double cpus, double gpus, double memGb) {
-    public static final Room NONE = new Room(0, 0, 0);
+public record Resources(double cpus, double gpus, double memGb) {
+    public static final Resources NONE = new Resources(0, 0, 0);
     /** Amounts are decimal numbers; sums of them may be off in the last places. */
     private static final double SLACK = 1e-6;
 
-    public Room plus(Room other) {
-        return new Room(cpus + other.cpus, gpus + other.gpus, memGb + other.memGb);
+    public Resources plus(Resources other) {
+        return new Resources(cpus + other.cpus, gpus + other.gpus, memGb + other.memGb);
     }
 
-    public Room minus(Room other) {
-        return new Room(cpus - other.cpus, gpus - other.gpus, memGb - other.memGb);
+    public Resources minus(Resources other) {
+        return new Resources(cpus - other.cpus, gpus - other.gpus, memGb - other.memGb);
     }
 
     /** True if a task of this size goes into that room. */
-    public boolean fitsIn(Room room) {
+    public boolean fitsIn(Resources room) {
         return fitsIn(room.cpus, room.gpus, room.memGb);
     }
 
@@ -25,12 +25,12 @@
     }
 
     /** The smaller of two amounts, each for itself. */
-    public Room least(Room other) {
-        return new Room(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memGb, other.memGb));
+    public Resources least(Resources other) {
+        return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memGb, other.memGb));
     }
 
     /** How many tasks of the given size go in. */
-    public int holds(Room task) {
+    public int holds(Resources task) {
         double n = Integer.MAX_VALUE;
         n = task.cpus > 0 ? Math.min(n, (cpus + SLACK) / task.cpus) : n;
         n = task.gpus > 0 ? Math.min(n, (gpus + SLACK) / task.gpus) : n;
--- a/src/main/java/org/spruceridge/fleet/Demand.java
+++ b/src/main/java/org/spruceridge/fleet/Demand.java
@@ -11,10 +11,10 @@
 import java.util.function.Predicate;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 
 /**
  * Packs tasks that found no room into machines that are coming, and then into machines yet to be rented, the cheapest
@@ -24,10 +24,10 @@
     private static final int MOST_NEW = 100;
 
     private final Cluster cluster;
-    private final Predicate<Kind> available;
-    private final Room smallestTask;
+    private final Predicate<MachineKind> available;
+    private final Resources smallestTask;
     private final List<Bin> bins = new ArrayList<>();
-    private final Map<Kind, Integer> wanted = new HashMap<>();
+    private final Map<MachineKind, Integer> wanted = new HashMap<>();
     private final Map<String, Integer> perZone = new HashMap<>();
     private final Set<Machine> kept = new HashSet<>();
     private int fresh;
@@ -36,7 +36,7 @@
      * {@code available} tells which offers were not refused lately, {@code smallestTask} the least that any task to be
      * placed takes of each resource: room in which that does not fit need not be looked at for each job.
      */
-    Demand(Cluster cluster, Predicate<Kind> available, Room smallestTask) {
+    Demand(Cluster cluster, Predicate<MachineKind> available, Resources smallestTask) {
         this.cluster = cluster;
         this.available = available;
         this.smallestTask = smallestTask;
@@ -45,27 +45,27 @@
         }
     }
 
-    /** Room on a machine that is there. */
+    /** Resources on a machine that is there. */
     void add(Machine machine) {
         addIfUseful(machine.kind(), cluster.free(machine), machine);
     }
 
-    /** Room that will have fallen free on a machine by the time a new one would be up. */
-    void addFreed(Machine machine, Room freed) {
+    /** Resources that will have fallen free on a machine by the time a new one would be up. */
+    void addFreed(Machine machine, Resources freed) {
         addIfUseful(machine.kind(), freed, machine);
     }
 
-    private void addIfUseful(Kind kind, Room free, Machine machine) {
+    private void addIfUseful(MachineKind kind, Resources free, Machine machine) {
         if (smallestTask.fitsIn(free)) {
             bins.add(new Bin(kind, free, machine));
         }
     }
 
-    /** Room on a machine that was asked for. */
-    void add(Kind offer) {
+    /** Resources on a machine that was asked for. */
+    void add(MachineKind offer) {
         MachineType type = cluster.types().get(offer.type());
         if (type != null) {
-            bins.add(new Bin(offer, type.room(), null));
+            bins.add(new Bin(offer, type.capacity(), null));
         }
     }
 
@@ -79,12 +79,12 @@
             left -= bin.take(spec, left);
         }
         while (left > 0 && fresh < MOST_NEW) {
-            Optional<Kind> offer = cheapest(spec);
+            Optional<MachineKind> offer = cheapest(spec);
             if (offer.isEmpty()) {
                 return;
             }
             Bin bin =
-                    new Bin(offer.get(), cluster.types().get(offer.get().type()).room(), null);
+                    new Bin(offer.get(), cluster.types().get(offer.get().type()).capacity(), null);
             bins.add(bin);
             fresh++;
             wanted.merge(offer.get(), 1, Integer::sum);
@@ -94,7 +94,7 @@
     }
 
     /** Machines to be rented, by kind. */
-    Map<Kind, Integer> wanted() {
+    Map<MachineKind, Integer> wanted() {
         return wanted;
     }
 
@@ -103,15 +103,15 @@
         return kept;
     }
 
-    private Optional<Kind> cheapest(JobSpec spec) {
-        List<Kind> offers = new ArrayList<>();
+    private Optional<MachineKind> cheapest(JobSpec spec) {
+        List<MachineKind> offers = new ArrayList<>();
         for (MachineType type : cluster.types().values()) {
-            if (!spec.task().fitsIn(type.room())) {
+            if (!spec.task().fitsIn(type.capacity())) {
                 continue;
             }
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    Kind offer = new Kind(type.name(), zone, spot);
+                    MachineKind offer = new MachineKind(type.name(), zone, spot);
                     if (spec.allows(type.name(), zone, spot) && available.test(offer)) {
                         offers.add(offer);
                     }
@@ -119,23 +119,23 @@
             }
         }
         return offers.stream()
-                .min(Comparator.comparingDouble((Kind o) -> pricePerTask(o, spec))
+                .min(Comparator.comparingDouble((MachineKind o) -> pricePerTask(o, spec))
                         .thenComparing(o -> perZone.getOrDefault(o.zone(), 0))
-                        .thenComparing(Kind::zone));
+                        .thenComparing(MachineKind::zone));
     }
 
-    private double pricePerTask(Kind offer, JobSpec spec) {
+    private double pricePerTask(MachineKind offer, JobSpec spec) {
         MachineType type = cluster.types().get(offer.type());
-        int holds = Math.min(spec.tasks(), type.room().holds(spec.task()));
+        int holds = Math.min(spec.tasks(), type.capacity().holds(spec.task()));
         return type.price(offer.spot()) / Math.max(1, holds);
     }
 
     private final class Bin {
-        private final Kind offer;
+        private final MachineKind offer;
         private final Machine machine;
-        private Room free;
+        private Resources free;
 
-        Bin(Kind offer, Room free, Machine machine) {
+        Bin(MachineKind offer, Resources free, Machine machine) {
             this.offer = offer;
             this.free = free;
             this.machine = machine;
--- a/src/main/java/org/spruceridge/fleet/Fleet.java
+++ b/src/main/java/org/spruceridge/fleet/Fleet.java
@@ -21,10 +21,10 @@
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.CancellationTimes;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
@@ -60,7 +60,7 @@
     private final Runnable changed;
     private final CancellationTimes times;
     private final Standby standby;
-    private final Map<Kind, Long> refusedUntil = new HashMap<>();
+    private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
     private final Map<String, Claim> claims = new LinkedHashMap<>();
     private final Set<String> deleting = new HashSet<>();
     private final Set<String> unlisted = new HashSet<>();
@@ -70,7 +70,7 @@
     private long behindUntil = Long.MIN_VALUE;
 
     /** A rental request that is on its way. */
-    private record Claim(Kind offer, int count, long askedAt) {}
+    private record Claim(MachineKind offer, int count, long askedAt) {}
 
     public Fleet(
             Loop loop,
@@ -168,7 +168,7 @@
             }
             if (machine == null && !cluster.isGone(host.name())) {
                 machine = new Machine(
-                        host.name(), host.address(), new Kind(host.type(), host.zone(), host.spot()), now, now);
+                        host.name(), host.address(), new MachineKind(host.type(), host.zone(), host.spot()), now, now);
                 cluster.add(machine);
             }
             if (machine != null) {
@@ -323,19 +323,19 @@
     }
 
     /** The least of each resource that any task to be placed takes. */
-    private static Room smallestTask(Plan plan, List<Standby.Wanted> standingBy) {
+    private static Resources smallestTask(Plan plan, List<Standby.Wanted> standingBy) {
         return Stream.concat(
                         plan.unplaced().keySet().stream().map(Job::spec),
                         standingBy.stream().map(Standby.Wanted::example))
                 .map(JobSpec::task)
-                .reduce(Room::least)
-                .orElse(Room.NONE);
+                .reduce(Resources::least)
+                .orElse(Resources.NONE);
     }
 
     /** What the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
-    private Room freedWithinBoot(Machine m, long now) {
+    private Resources freedWithinBoot(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-        Room freed = Room.NONE;
+        Resources freed = Resources.NONE;
         for (Binding b : m.bindings()) {
             double remainingS = b.job().spec().estimateS() - b.elapsedS(now);
             boolean runs = b.phase() == Binding.Phase.RUNNING;
@@ -352,7 +352,7 @@
                 || secondsSince(m.knownSince(), now) < 2 * settings.workers().reportS();
     }
 
-    private void rent(Kind offer, int count) {
+    private void rent(MachineKind offer, int count) {
         String name = term + "-" + (++claimCount);
         Claim claim = new Claim(offer, Math.min(count, CloudClient.MOST_RENTED), loop.nanos());
         claims.put(name, claim);
@@ -371,7 +371,7 @@
             scope.after(RETRY, () -> ask(name, claim));
             return;
         }
-        Kind offer = claim.offer;
+        MachineKind offer = claim.offer;
         cloud.rent(name, offer.type(), offer.zone(), offer.spot(), claim.count, scope.guard(rental -> {
             if (rental.kind() == Rental.Kind.UNKNOWN) {
                 // Machines may have been rented: the same claim asks what came of it and rents nothing twice.
@@ -385,7 +385,7 @@
 
     private void rented(String name, Claim claim, Rental rental) {
         long now = loop.nanos();
-        Kind offer = claim.offer;
+        MachineKind offer = claim.offer;
         for (String id : rental.machines()) {
             if (cluster.machine(id) == null && !cluster.isGone(id)) {
                 Machine m = new Machine(id, "", offer, now, now);
--- a/src/main/java/org/spruceridge/fleet/Standby.java
+++ b/src/main/java/org/spruceridge/fleet/Standby.java
@@ -12,7 +12,7 @@
 import org.spruceridge.net.Times;
 
 /**
- * Room kept free for classes whose tasks should start sooner than a machine boots: as much as the class has lately
+ * Resources kept free for classes whose tasks should start sooner than a machine boots: as much as the class has lately
  * had unfinished at one time.
  */
 final class Standby {
@@ -23,7 +23,7 @@
     private final long since;
     private final Map<String, Peak> peaks = new HashMap<>();
 
-    /** Room to be kept free for so many tasks like those of a job. */
+    /** Resources to be kept free for so many tasks like those of a job. */
     record Wanted(JobSpec example, int tasks) {}
 
     Standby(Settings settings, long now) {
--- a/src/main/java/org/spruceridge/lead/Summary.java
+++ b/src/main/java/org/spruceridge/lead/Summary.java
@@ -52,7 +52,10 @@
             ordinary += m.spot() ? 0 : 1;
             idle += m.bindings().isEmpty() ? 1 : 0;
             leaving += m.returning() || m.unfit() ? 1 : 0;
-            cpus += cluster.typeOf(m).map(MachineType::room).map(r -> r.cpus()).orElse(0.0);
+            cpus += cluster.typeOf(m)
+                    .map(MachineType::capacity)
+                    .map(r -> r.cpus())
+                    .orElse(0.0);
             bound += m.used().cpus();
         }
         LOG.info(
--- a/src/main/java/org/spruceridge/lead/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/lead/WarmUpLeader.java
@@ -12,12 +12,12 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
@@ -114,10 +114,10 @@
 
     private void addMachines() {
         ImmutableList<String> zones = settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
-        MachineType type = new MachineType("warm-up", new Room(CPUS, 0, MEMORY_GB), 1, 1, 0.25, 20, zones);
+        MachineType type = new MachineType("warm-up", new Resources(CPUS, 0, MEMORY_GB), 1, 1, 0.25, 20, zones);
         cluster.types(ImmutableMap.of(type.name(), type));
         for (int i = 0; i < MACHINES; i++) {
-            Kind kind = new Kind(type.name(), zones.get(i % zones.size()), i % 2 == 0);
+            MachineKind kind = new MachineKind(type.name(), zones.get(i % zones.size()), i % 2 == 0);
             Machine machine = new Machine("i-" + i, "10.0.0.1:9000", kind, loop.nanos(), loop.nanos());
             cluster.add(machine);
             machines.add(machine);
@@ -152,9 +152,9 @@
                 "warm-up",
                 settings.teams().keySet().asList().get((int)
                         (number % settings.teams().size())),
-                Rank.NORMAL,
+                JobPriority.NORMAL,
                 TASKS_OF_A_JOB,
-                new Room(cpus, 0, cpus),
+                new Resources(cpus, 0, cpus),
                 Optional.empty(),
                 Optional.empty(),
                 false,
--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -14,8 +14,8 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessageUnpacker;
 import org.spruceridge.cluster.Binding;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.net.BadMessageException;
 
@@ -40,7 +40,7 @@
     public record Bound(TaskId task, long attempt) {}
 
     /** A machine and what is bound to it. */
-    public record OnMachine(String name, Kind kind, ImmutableList<Bound> bound) {}
+    public record OnMachine(String name, MachineKind kind, ImmutableList<Bound> bound) {}
 
     /** The most bindings of one machine that a page holds. */
     public static int mostBindings(double valueKb) {
@@ -50,7 +50,7 @@
 
     /** The most bytes that a page of these machines takes with all that is bound to them now. */
     public static int bytes(Collection<Machine> machines) {
-        Set<Kind> kinds = new HashSet<>();
+        Set<MachineKind> kinds = new HashSet<>();
         int sum = 5;
         for (Machine m : machines) {
             if (kinds.add(m.kind())) {
@@ -70,7 +70,7 @@
 
     /** A page with those bindings of the machines that belong on record. */
     public static ObjectNode write(String write, Collection<Machine> machines, Predicate<Binding> recorded) {
-        ImmutableListMultimap.Builder<Kind, OnMachine> byKind = ImmutableListMultimap.builder();
+        ImmutableListMultimap.Builder<MachineKind, OnMachine> byKind = ImmutableListMultimap.builder();
         for (Machine m : machines) {
             ImmutableList.Builder<Bound> list = ImmutableList.builder();
             for (Binding b : m.bindings()) {
@@ -83,10 +83,10 @@
                 byKind.put(m.kind(), new OnMachine(m.name(), m.kind(), bound));
             }
         }
-        ImmutableListMultimap<Kind, OnMachine> groups = byKind.build();
+        ImmutableListMultimap<MachineKind, OnMachine> groups = byKind.build();
         return Packed.write(write, out -> {
             out.packArrayHeader(groups.keySet().size());
-            for (Kind kind : groups.keySet()) {
+            for (MachineKind kind : groups.keySet()) {
                 out.packArrayHeader(4);
                 out.packString(kind.type());
                 out.packString(kind.zone());
@@ -126,7 +126,7 @@
             int kinds = in.unpackArrayHeader();
             for (int i = 0; i < kinds; i++) {
                 in.unpackArrayHeader();
-                Kind kind = new Kind(in.unpackString(), in.unpackString(), in.unpackBoolean());
+                MachineKind kind = new MachineKind(in.unpackString(), in.unpackString(), in.unpackBoolean());
                 int count = in.unpackArrayHeader();
                 for (int j = 0; j < count; j++) {
                     machines.add(readMachine(in, kind));
@@ -136,7 +136,7 @@
         });
     }
 
-    private static OnMachine readMachine(MessageUnpacker in, Kind kind) throws IOException {
+    private static OnMachine readMachine(MessageUnpacker in, MachineKind kind) throws IOException {
         String name = in.unpackString();
         ImmutableList.Builder<Bound> bound = ImmutableList.builder();
         int count = in.unpackArrayHeader();
--- a/src/main/java/org/spruceridge/record/CatalogueRecord.java
+++ b/src/main/java/org/spruceridge/record/CatalogueRecord.java
@@ -6,7 +6,7 @@
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
@@ -22,7 +22,8 @@
             ImmutableList.Builder<String> zones = ImmutableList.builder();
             Json.list(item, "zones").forEach(z -> zones.add(z.asText()));
             String name = Json.text(item, "name");
-            Room room = new Room(Json.number(item, "cpus"), Json.number(item, "gpus"), Json.number(item, "memGb"));
+            Resources room =
+                    new Resources(Json.number(item, "cpus"), Json.number(item, "gpus"), Json.number(item, "memGb"));
             out.put(
                     name,
                     new MachineType(
@@ -43,9 +44,9 @@
         for (MachineType t : types.values()) {
             ObjectNode item = list.addObject()
                     .put("name", t.name())
-                    .put("cpus", t.room().cpus())
-                    .put("gpus", t.room().gpus())
-                    .put("memGb", t.room().memGb())
+                    .put("cpus", t.capacity().cpus())
+                    .put("gpus", t.capacity().gpus())
+                    .put("memGb", t.capacity().memGb())
                     .put("fetch", t.fetchGbPerS())
                     .put("price", t.price())
                     .put("spotPrice", t.spotPrice())
@@ -61,7 +62,7 @@
         return types.keySet().equals(other.types.keySet())
                 && types.values().stream().allMatch(t -> {
                     MachineType o = other.types.get(t.name());
-                    return t.room().equals(o.room())
+                    return t.capacity().equals(o.capacity())
                             && t.bootS() == o.bootS()
                             && t.zones().equals(o.zones());
                 });
--- a/src/main/java/org/spruceridge/record/SpecMessage.java
+++ b/src/main/java/org/spruceridge/record/SpecMessage.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.regex.Pattern;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
@@ -52,7 +52,7 @@
                 name(body, "crew"),
                 rank(Json.text(body, "rank")),
                 (int) tasks,
-                new Room(positive(body, "cpus"), notNegative(body, "accelerators"), positive(body, "memGb")),
+                new Resources(positive(body, "cpus"), notNegative(body, "accelerators"), positive(body, "memGb")),
                 types(body),
                 Optional.ofNullable(zone),
                 Json.flag(body, "samePlace"),
@@ -129,17 +129,17 @@
         return value;
     }
 
-    private static Rank rank(String text) throws BadMessageException {
+    private static JobPriority rank(String text) throws BadMessageException {
         return switch (text) {
-            case "production" -> Rank.PRODUCTION;
-            case "high" -> Rank.HIGH;
-            case "normal" -> Rank.NORMAL;
-            case "best_effort" -> Rank.LOW;
+            case "production" -> JobPriority.PRODUCTION;
+            case "high" -> JobPriority.HIGH;
+            case "normal" -> JobPriority.NORMAL;
+            case "best_effort" -> JobPriority.LOW;
             default -> throw new BadMessageException("rank is not known");
         };
     }
 
-    private static String rank(Rank rank) {
+    private static String rank(JobPriority rank) {
         return switch (rank) {
             case PRODUCTION -> "production";
             case HIGH -> "high";
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -10,10 +10,10 @@
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Settings;
 import org.spruceridge.config.Settings.Team;
 
@@ -29,9 +29,9 @@
     private final Settings settings;
     private final int mostBindings;
     private final long now;
-    private final List<Kind> kinds = new ArrayList<>();
+    private final List<MachineKind> kinds = new ArrayList<>();
     private final List<MachineCapacity> machines = new ArrayList<>();
-    private final Map<String, Room> teamUse = new HashMap<>();
+    private final Map<String, Resources> teamUse = new HashMap<>();
     private final Set<String> reservedTeams = new HashSet<>();
     private final Map<Job, Map<String, Integer>> zones = new HashMap<>();
 
@@ -41,7 +41,7 @@
         this.settings = settings;
         this.mostBindings = mostBindings;
         this.now = now;
-        Map<Kind, Integer> kindIndexes = new HashMap<>();
+        Map<MachineKind, Integer> kindIndexes = new HashMap<>();
         for (Machine machine : cluster.machines()) {
             MachineType type = cluster.types().get(machine.type());
             if (type != null && usable(machine)) {
@@ -54,7 +54,7 @@
         }
     }
 
-    private int addKind(Kind kind) {
+    private int addKind(MachineKind kind) {
         kinds.add(kind);
         return kinds.size() - 1;
     }
@@ -90,8 +90,8 @@
     private boolean[] allowedKinds(JobSpec spec) {
         boolean[] allowed = new boolean[kinds.size()];
         for (int i = 0; i < allowed.length; i++) {
-            Kind kind = kinds.get(i);
-            allowed[i] = spec.task().fitsIn(cluster.types().get(kind.type()).room())
+            MachineKind kind = kinds.get(i);
+            allowed[i] = spec.task().fitsIn(cluster.types().get(kind.type()).capacity())
                     && spec.allows(kind.type(), kind.zone(), kind.spot());
         }
         return allowed;
@@ -102,9 +102,9 @@
         double[] prices = new double[kinds.size()];
         double dearest = 0;
         for (int i = 0; i < prices.length; i++) {
-            Kind kind = kinds.get(i);
+            MachineKind kind = kinds.get(i);
             MachineType type = cluster.types().get(kind.type());
-            prices[i] = type.price(kind.spot()) / type.room().cpus();
+            prices[i] = type.price(kind.spot()) / type.capacity().cpus();
             dearest = Math.max(dearest, prices[i]);
         }
         Map<MachineGroup, GroupCapacity> groups = new LinkedHashMap<>();
@@ -150,8 +150,8 @@
         if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
             return Integer.MAX_VALUE;
         }
-        Room used = teamUse.get(spec.team());
-        Room left = new Room(
+        Resources used = teamUse.get(spec.team());
+        Resources left = new Resources(
                 team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.MAX_VALUE,
                 team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.MAX_VALUE,
                 Double.MAX_VALUE);
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 
 /** The machines of one group that still have room for some waiting task in this cycle. */
 final class GroupCapacity {
@@ -28,11 +28,11 @@
     }
 
     /** Leaves out the machines that not even a task of this size fits on; within a cycle they stay full. */
-    void dropFull(Room smallestTask) {
+    void dropFull(Resources smallestTask) {
         open.removeIf(capacity -> !capacity.fits(smallestTask));
     }
 
-    boolean hasRoomFor(Room task) {
+    boolean hasRoomFor(Resources task) {
         for (MachineCapacity capacity : open) {
             if (capacity.fits(task)) {
                 return true;
@@ -43,7 +43,7 @@
 
     /** The fullest machine that can take a task of the job now, or null. */
     MachineCapacity fullestFor(WaitingJob waiting, CycleState state) {
-        Room task = waiting.job().spec().task();
+        Resources task = waiting.job().spec().task();
         MachineCapacity best = null;
         for (MachineCapacity capacity : open) {
             boolean fuller =
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -7,7 +7,7 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 
 /** The free capacity of one machine in the working copy of a scheduling cycle. */
 final class MachineCapacity {
@@ -17,20 +17,20 @@
     private final Machine machine;
     private final MachineType type;
     private final int kindIndex;
-    private Room free;
+    private Resources free;
     private int bindingCount;
     private boolean reserved;
     private List<Departure> departures;
 
     /** A running task: when it is expected to end, and what it will leave. */
-    private record Departure(double inSeconds, Room resources) {}
+    private record Departure(double inSeconds, Resources resources) {}
 
     /** {@code kindIndex} numbers the machine's kind within the cycle. */
     MachineCapacity(Machine machine, MachineType type, int kindIndex) {
         this.machine = machine;
         this.type = type;
         this.kindIndex = kindIndex;
-        this.free = type.room().minus(machine.used());
+        this.free = type.capacity().minus(machine.used());
         this.bindingCount = machine.bindings().size();
     }
 
@@ -42,7 +42,7 @@
         return kindIndex;
     }
 
-    Room free() {
+    Resources free() {
         return free;
     }
 
@@ -52,7 +52,7 @@
 
     /** The share of the machine's CPUs that is taken, without rounding errors. */
     double fullness() {
-        return Math.rint((1 - free.cpus() / type.room().cpus()) / ROUNDING) * ROUNDING;
+        return Math.rint((1 - free.cpus() / type.capacity().cpus()) / ROUNDING) * ROUNDING;
     }
 
     /** True unless tasks of this job failed on the machine and the machine is to blame. */
@@ -60,11 +60,11 @@
         return job.faultyOn().isEmpty() || job.doubted() || !job.faultyOn().contains(machine.name());
     }
 
-    boolean fits(Room task) {
+    boolean fits(Resources task) {
         return task.fitsIn(free);
     }
 
-    void take(Room task) {
+    void take(Resources task) {
         free = free.minus(task);
         bindingCount++;
     }
@@ -74,13 +74,13 @@
     }
 
     /** Keeps what is free, up to the size of one task, from the candidates that follow in this cycle. */
-    void reserve(Room task) {
+    void reserve(Resources task) {
         reserved = true;
         free = free.minus(free.least(task));
     }
 
     /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never do. */
-    double secondsUntilFit(Room task, Estimates estimates, long now) {
+    double secondsUntilFit(Resources task, Estimates estimates, long now) {
         if (departures == null) {
             departures = departures(estimates, now);
         }
--- a/src/main/java/org/spruceridge/schedule/MachineGroup.java
+++ b/src/main/java/org/spruceridge/schedule/MachineGroup.java
@@ -1,6 +1,6 @@
 package org.spruceridge.schedule;
 
-import org.spruceridge.cluster.Kind;
+import org.spruceridge.cluster.MachineKind;
 
 /**
  * One column of the matrix: the machines that score alike for every candidate, because they are of one kind and equally
@@ -9,7 +9,7 @@
  * @param price what such a machine costs per CPU, as a share of the dearest in the matrix
  * @param fullness the share of such a machine's CPUs that is taken
  */
-public record MachineGroup(Kind kind, double price, double fullness) {
+public record MachineGroup(MachineKind kind, double price, double fullness) {
     @Override
     public boolean equals(Object other) {
         return other instanceof MachineGroup that
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -5,10 +5,10 @@
 import java.util.Comparator;
 import java.util.List;
 import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.Machine;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.schedule.PreemptionSite.Victim;
 
 /** Chooses running tasks to stop for waiting ones of a higher rank that would otherwise miss their deadline. */
@@ -17,8 +17,8 @@
     private final double perMachineS;
     private final List<PreemptionSite> sites = new ArrayList<>();
     private final List<Binding> stops = new ArrayList<>();
-    private Room smallestTask = Room.NONE;
-    private Rank highestRank = Rank.LOW;
+    private Resources smallestTask = Resources.NONE;
+    private JobPriority highestRank = JobPriority.LOW;
 
     /** {@code perMachineS} is the least time between two stops on one machine. */
     Preemption(CycleState state, double perMachineS) {
@@ -76,7 +76,7 @@
         stopCheapest(victims, wanted, spec.task());
     }
 
-    private void stopCheapest(List<Victim> victims, int wanted, Room task) {
+    private void stopCheapest(List<Victim> victims, int wanted, Resources task) {
         victims.sort(Comparator.comparingDouble(Victim::lossS));
         for (Victim victim : victims.subList(0, Math.min(wanted, victims.size()))) {
             stops.add(victim.binding());
--- a/src/main/java/org/spruceridge/schedule/PreemptionSite.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionSite.java
@@ -4,9 +4,9 @@
 import java.util.Comparator;
 import java.util.List;
 import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 
 /** One machine as the preemption of a cycle sees it: what will be free there, and which tasks may be stopped. */
 final class PreemptionSite {
@@ -14,7 +14,7 @@
     /** The tasks that may be stopped, the one that loses least work first. */
     private final List<Victim> victims;
 
-    private Room expectedFree;
+    private Resources expectedFree;
 
     /** A running task that may be stopped, and what stopping it throws away, in seconds of work. */
     record Victim(PreemptionSite site, Binding binding, double lossS) {}
@@ -27,8 +27,8 @@
     }
 
     /** What is free on the machine, or is being left by tasks that end. */
-    private static Room expectedFree(MachineCapacity capacity) {
-        Room room = capacity.free();
+    private static Resources expectedFree(MachineCapacity capacity) {
+        Resources room = capacity.free();
         for (Binding b : capacity.machine().bindings()) {
             boolean leaving = b.halt() != Binding.Halt.NO || b.phase() == Binding.Phase.ENDED;
             room = leaving && !b.gone() ? room.plus(b.job().spec().task()) : room;
@@ -59,7 +59,7 @@
     }
 
     /** True if a task of this size and rank may find room here, with or without a stop. */
-    boolean isOfUse(Room smallestTask, Rank highestRank) {
+    boolean isOfUse(Resources smallestTask, JobPriority highestRank) {
         if (smallestTask.fitsIn(expectedFree)) {
             return true;
         }
@@ -73,7 +73,7 @@
     }
 
     /** Counts on what will be free there anyway for at most {@code wanted} tasks; returns for how many it is enough. */
-    int claimExpected(Room task, int wanted) {
+    int claimExpected(Resources task, int wanted) {
         if (!task.fitsIn(expectedFree)) {
             return 0;
         }
@@ -95,7 +95,7 @@
         return null;
     }
 
-    private boolean fitsAfter(Room task, Room freed) {
+    private boolean fitsAfter(Resources task, Resources freed) {
         return task.fitsIn(
                 expectedFree.cpus() + freed.cpus(),
                 expectedFree.gpus() + freed.gpus(),
@@ -103,7 +103,7 @@
     }
 
     /** The victim is stopped for a task of this size; nothing else is stopped here in this cycle. */
-    void stop(Victim victim, Room task) {
+    void stop(Victim victim, Resources task) {
         expectedFree = expectedFree.plus(victim.binding.job().spec().task()).minus(task);
         victims.clear();
     }
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -27,8 +27,8 @@
                 new Term(new Overhead(), weights.overhead()),
                 new Term(new Wait(), weights.waiting()),
                 new Term(new Aging(), weights.aging()),
-                new Term(new Patience(beginWithinS), weights.patience()),
-                new Term(new Thrift(), weights.thrift()),
+                new Term(new StarvationPrevention(beginWithinS), weights.patience()),
+                new Term(new MachinePrice(), weights.thrift()),
                 new Term(new Packing(), weights.packing()));
         this.jobTerms = select(terms, false);
         this.machineTerms = select(terms, true);
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 
 /**
  * Reservations for well-scored tasks that fit nowhere now, on the machines that will have room for them soonest. Without
@@ -37,7 +37,7 @@
         }
         int wanted = Math.min(waiting.remaining(), admitted);
         List<FutureFit> future = new ArrayList<>();
-        Room task = waiting.job().spec().task();
+        Resources task = waiting.job().spec().task();
         for (MachineCapacity capacity : state.machines()) {
             if (!state.eligible(waiting, capacity)) {
                 continue;
@@ -57,7 +57,7 @@
         reserveSoonest(future, task, wanted);
     }
 
-    private void reserveSoonest(List<FutureFit> future, Room task, int wanted) {
+    private void reserveSoonest(List<FutureFit> future, Resources task, int wanted) {
         future.sort(Comparator.comparingDouble(FutureFit::inSeconds));
         int count = Math.min(future.size(), Math.min(wanted, most - made));
         for (FutureFit fit : future.subList(0, count)) {
@@ -75,7 +75,7 @@
         if (most == 0 || state.teamReserved(team)) {
             return;
         }
-        Room task = waiting.job().spec().task();
+        Resources task = waiting.job().spec().task();
         for (MachineCapacity capacity : state.machines()) {
             if (capacity.fits(task) && state.eligible(waiting, capacity)) {
                 state.reserveTeam(team);
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.spruceridge.cluster.Job;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Policy;
 import org.spruceridge.schedule.Plan.Placement;
 import org.spruceridge.schedule.PriorityMatrix.Entry;
@@ -44,7 +44,7 @@
         if (waitingJobs.isEmpty()) {
             return new Plan(ImmutableList.of(), ImmutableList.of(), ImmutableMap.of(), groups.size());
         }
-        Room smallestTask = smallestTask();
+        Resources smallestTask = smallestTask();
         groups.values().forEach(group -> group.dropFull(smallestTask));
         List<Entry> entries = entries();
         for (Entry entry : entries) {
@@ -62,10 +62,10 @@
     }
 
     /** At most what any waiting task takes, by each resource: where this does not fit, none does. */
-    private Room smallestTask() {
+    private Resources smallestTask() {
         return waitingJobs.keySet().stream()
                 .map(job -> job.spec().task())
-                .reduce(Room::least)
+                .reduce(Resources::least)
                 .orElseThrow();
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** Binds what the machines of one group take, always on the fullest that still has room. */
-    private void placeIn(GroupCapacity group, WaitingJob waiting, Room smallestTask) {
+    private void placeIn(GroupCapacity group, WaitingJob waiting, Resources smallestTask) {
         Job job = waiting.job();
         while (mayPlace(waiting)) {
             MachineCapacity fullest = group.fullestFor(waiting, state);
--- a/src/main/java/org/spruceridge/schedule/Patience.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -7,7 +7,7 @@
  *
  * @param beginWithinS the time within which every job should have begun
  */
-public record Patience(double beginWithinS) implements Heuristic {
+public record StarvationPrevention(double beginWithinS) implements Heuristic {
     /** When it begins to count for a job that has not begun, and until when it grows, as shares of that time. */
     private static final double FROM = 0.5;
 
--- a/src/main/java/org/spruceridge/worker/Report.java
+++ b/src/main/java/org/spruceridge/worker/Report.java
@@ -7,7 +7,7 @@
 import com.google.common.collect.ImmutableList;
 import java.io.IOException;
 import java.util.OptionalDouble;
-import org.spruceridge.cluster.Kind;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
@@ -16,7 +16,7 @@
 public record Report(
         String machine,
         String address,
-        Kind kind,
+        MachineKind kind,
         long session,
         long sequence,
         long token,
@@ -134,7 +134,8 @@
             expect(in.currentToken() == JsonToken.END_OBJECT, "not an object");
             boolean whole = machine != null && address != null && type != null && zone != null && spot != null;
             expect(whole && session >= 0 && sequence >= 0 && token >= 0 && tasks != null, "a field is missing");
-            return new Report(machine, address, new Kind(type, zone, spot), session, sequence, token, noticeS, tasks);
+            return new Report(
+                    machine, address, new MachineKind(type, zone, spot), session, sequence, token, noticeS, tasks);
         }
 
         private ImmutableList<TaskReport> tasks() throws IOException, BadMessageException {
--- a/src/test/java/org/spruceridge/lead/BatchTest.java
+++ b/src/test/java/org/spruceridge/lead/BatchTest.java
@@ -19,11 +19,11 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.MachineKind;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
@@ -45,9 +45,9 @@
                         String.format("j-%06d", number),
                         "c",
                         "red",
-                        Rank.NORMAL,
+                        JobPriority.NORMAL,
                         tasks,
-                        new Room(1, 0, 1),
+                        new Resources(1, 0, 1),
                         Optional.empty(),
                         Optional.empty(),
                         false,
@@ -74,7 +74,7 @@
     }
 
     private Machine machine(int number) {
-        Machine m = new Machine(String.format("i-%06d", number), "", new Kind("t4", "a", number % 2 == 0), 0, 0);
+        Machine m = new Machine(String.format("i-%06d", number), "", new MachineKind("t4", "a", number % 2 == 0), 0, 0);
         cluster.add(m);
         return m;
     }
--- a/src/test/java/org/spruceridge/lead/LedgerTest.java
+++ b/src/test/java/org/spruceridge/lead/LedgerTest.java
@@ -14,8 +14,8 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.Budget;
@@ -94,7 +94,7 @@
     private List<Machine> machines(int from, int count) {
         List<Machine> out = new ArrayList<>();
         for (int i = from; i < from + count; i++) {
-            Machine m = new Machine(String.format("i-%06d", i), "", new Kind("t8", "a", true), loop.nanos(), 0);
+            Machine m = new Machine(String.format("i-%06d", i), "", new MachineKind("t8", "a", true), loop.nanos(), 0);
             cluster.add(m);
             out.add(m);
         }
--- a/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
+++ b/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.MachineKind;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Policy;
 
 /** The document's equations against values worked out by hand. */
 final class HeuristicsTest {
-    private static final MachineGroup COLUMN = new MachineGroup(new Kind("t", "z", false), 1, 0.5);
+    private static final MachineGroup COLUMN = new MachineGroup(new MachineKind("t", "z", false), 1, 0.5);
 
     static Job job(int number, double estimateS, OptionalDouble deadlineS) {
         return new Job(
@@ -26,9 +26,9 @@
                         "j-" + number,
                         "c",
                         "red",
-                        Rank.NORMAL,
+                        JobPriority.NORMAL,
                         4,
-                        new Room(2, 0, 1),
+                        new Resources(2, 0, 1),
                         Optional.empty(),
                         Optional.empty(),
                         false,
@@ -95,7 +95,7 @@
             job.markDone(0);
         }
         Candidate c = new Candidate(job, 0, ageS, 0);
-        assertEquals(expected, new Patience(240).value(new Heuristic.Row(c, 0, 100), COLUMN, 40), 1e-9);
+        assertEquals(expected, new StarvationPrevention(240).value(new Heuristic.Row(c, 0, 100), COLUMN, 40), 1e-9);
     }
 
     @Test
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -14,12 +14,12 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
@@ -57,11 +57,11 @@
     @BeforeEach
     void catalogue() {
         cluster.types(ImmutableMap.of(
-                "t8", new MachineType("t8", new Room(8, 0, 32), 1, 1, 0.3, 20, ImmutableList.of("a", "b"))));
+                "t8", new MachineType("t8", new Resources(8, 0, 32), 1, 1, 0.3, 20, ImmutableList.of("a", "b"))));
     }
 
     private Machine machine(String name, String zone, boolean spot) {
-        Machine m = new Machine(name, "", new Kind("t8", zone, spot), NOW, NOW);
+        Machine m = new Machine(name, "", new MachineKind("t8", zone, spot), NOW, NOW);
         m.heard(1, 1, "", true, NOW);
         m.fence();
         cluster.add(m);
@@ -70,7 +70,7 @@
 
     private final class JobMaker {
         private String team = "red";
-        private Rank rank = Rank.NORMAL;
+        private JobPriority rank = JobPriority.NORMAL;
         private int tasks = 1;
         private double cpus = 4;
         private Optional<ImmutableSet<String>> types = Optional.empty();
@@ -90,7 +90,7 @@
                             team,
                             rank,
                             tasks,
-                            new Room(cpus, 0, 1),
+                            new Resources(cpus, 0, 1),
                             types,
                             zone,
                             oneZone,
@@ -221,7 +221,7 @@
         cluster.vacate(gone); // proof may come twice; room is given once
         assertEquals(List.of("m"), machines(plan()));
         cluster.unbind(gone, NOW);
-        assertEquals(new Room(8, 0, 32), cluster.free(m));
+        assertEquals(new Resources(8, 0, 32), cluster.free(m));
     }
 
     @Test
@@ -270,7 +270,7 @@
 
     @Test
     void onlyMachinesThatThisTermHeardAreUsed() {
-        Machine unheard = new Machine("unheard", "", new Kind("t8", "a", false), NOW, NOW);
+        Machine unheard = new Machine("unheard", "", new MachineKind("t8", "a", false), NOW, NOW);
         cluster.add(unheard);
         machine("returning", "a", false).returning(true);
         machine("faulty", "a", false).suspect(true);
@@ -283,13 +283,13 @@
     void aPressingTaskStopsLowerWorkOncePerMachineAndMinute() {
         Machine m = machine("m", "a", false);
         JobMaker low = job();
-        low.rank = Rank.LOW;
+        low.rank = JobPriority.LOW;
         low.tasks = 2;
         Job victimJob = low.add();
         running(victimJob, 0, m);
         running(victimJob, 1, m);
         JobMaker high = job();
-        high.rank = Rank.HIGH;
+        high.rank = JobPriority.HIGH;
         high.tasks = 2;
         high.estimateS = 30;
         high.deadlineS = OptionalDouble.of(40);
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -19,12 +19,12 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Policy;
 
 /**
@@ -35,8 +35,8 @@
     private static final long NOW = 1_000_000_000_000L;
     private static final long WALL = 1_000_000;
     private static final ImmutableMap<String, MachineType> TYPES = ImmutableMap.of(
-            "t4", new MachineType("t4", new Room(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b")),
-            "t8", new MachineType("t8", new Room(8, 0, 32), 1, 0.5, 0.11, 20, ImmutableList.of("a", "b")));
+            "t4", new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b")),
+            "t8", new MachineType("t8", new Resources(8, 0, 32), 1, 0.5, 0.11, 20, ImmutableList.of("a", "b")));
     private static final Policy NO_HOLDING = new Policy(
             Policy.defaults().weights(),
             new Policy.Rounds(0.1, 10, 0, 240),
@@ -55,9 +55,9 @@
                         String.format("j-%06d", jobs.size()),
                         "c",
                         random.nextInt(3) == 0 ? "blue" : "red",
-                        Rank.NORMAL,
+                        JobPriority.NORMAL,
                         tasks,
-                        new Room(cpus, 0, 1),
+                        new Resources(cpus, 0, 1),
                         Optional.empty(),
                         random.nextInt(4) == 0 ? Optional.of("b") : Optional.empty(),
                         false,
@@ -82,7 +82,7 @@
         for (int i = 0; i < machineCount; i++) {
             String type = random.nextBoolean() ? "t4" : "t8";
             String zone = random.nextBoolean() ? "a" : "b";
-            Machine m = new Machine("m" + i, "", new Kind(type, zone, random.nextBoolean()), NOW, NOW);
+            Machine m = new Machine("m" + i, "", new MachineKind(type, zone, random.nextBoolean()), NOW, NOW);
             m.heard(1, 1, "", true, NOW);
             m.fence();
             cluster.add(m);
@@ -106,13 +106,13 @@
     private List<String> plainWalk() {
         Estimates estimates = new Estimates(10);
         Map<Machine, Double> fullness = new HashMap<>();
-        Map<Machine, Room> free = new HashMap<>();
+        Map<Machine, Resources> free = new HashMap<>();
         double dearest = 0;
         for (Machine m : machines) {
             MachineType t = TYPES.get(m.type());
             free.put(m, cluster.free(m));
-            fullness.put(m, 1 - cluster.free(m).cpus() / t.room().cpus());
-            dearest = Math.max(dearest, t.price(m.spot()) / t.room().cpus());
+            fullness.put(m, 1 - cluster.free(m).cpus() / t.capacity().cpus());
+            dearest = Math.max(dearest, t.price(m.spot()) / t.capacity().cpus());
         }
         double longestS = 0;
         for (Job job : jobs) {
@@ -124,13 +124,13 @@
                 MachineType t = TYPES.get(m.type());
                 if (job.cancelled()
                         || !job.spec().allows(m.type(), m.zone(), m.spot())
-                        || !job.spec().task().fitsIn(t.room())) {
+                        || !job.spec().task().fitsIn(t.capacity())) {
                     continue;
                 }
                 Candidate c = candidate(job);
                 double remainingS = estimates.remainingS(c);
                 double urgency = Deadline.urgency(c.slackS(), remainingS);
-                double price = t.price(m.spot()) / t.room().cpus() / dearest;
+                double price = t.price(m.spot()) / t.capacity().cpus() / dearest;
                 double score = 15 * (1 - urgency) * urgency
                         + 8 * (1 - remainingS / longestS)
                         + 5 * c.ageS() / (c.ageS() + remainingS)
@@ -152,7 +152,7 @@
             for (; i < pairs.size() && pairs.get(i).job == first.job && pairs.get(i).score == first.score; i++) {
                 tied.add(pairs.get(i).machine);
             }
-            Room task = first.job.spec().task();
+            Resources task = first.job.spec().task();
             while (left.get(first.job) > 0) {
                 Optional<Machine> best = tied.stream()
                         .filter(m -> task.fitsIn(free.get(m)))
@@ -192,7 +192,7 @@
         List<MachineGroup> seen = new ArrayList<>();
         for (Machine m : machines) {
             double full =
-                    1 - cluster.free(m).cpus() / TYPES.get(m.type()).room().cpus();
+                    1 - cluster.free(m).cpus() / TYPES.get(m.type()).capacity().cpus();
             MachineGroup column = new MachineGroup(m.kind(), 1, full);
             if (!seen.contains(column)) {
                 seen.add(column);
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -14,12 +14,12 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.JobSpec;
-import org.spruceridge.cluster.Kind;
 import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Rank;
-import org.spruceridge.cluster.Room;
+import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Policy;
 
 /** What a scheduling cycle costs in a burst: a large cluster that is full, and many jobs that wait. */
@@ -35,7 +35,7 @@
     private final Matching matching = new Matching(MatchingTest.SETTINGS, Policy.defaults(), 50);
     private int jobs;
 
-    private Job job(Rank rank, int tasks, double cpus, double estimateS, double deadlineS) {
+    private Job job(JobPriority rank, int tasks, double cpus, double estimateS, double deadlineS) {
         Job job = new Job(
                 new JobSpec(
                         String.format("j-%06d", ++jobs),
@@ -43,7 +43,7 @@
                         "red",
                         rank,
                         tasks,
-                        new Room(cpus, 0, cpus * 3),
+                        new Resources(cpus, 0, cpus * 3),
                         Optional.empty(),
                         Optional.empty(),
                         false,
@@ -52,7 +52,7 @@
                         "img",
                         1,
                         estimateS,
-                        rank == Rank.LOW ? 20 : 0,
+                        rank == JobPriority.LOW ? 20 : 0,
                         3,
                         deadlineS > 0 ? OptionalDouble.of(deadlineS) : OptionalDouble.empty()),
                 1,
@@ -64,11 +64,12 @@
     @BeforeEach
     void fullCluster() {
         cluster.types(ImmutableMap.of(
-                "t4", new MachineType("t4", new Room(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
-        Job small = job(Rank.NORMAL, 10_000, 1, 60, 1e6);
-        Job large = job(Rank.LOW, 10_000, 4, 60, 0);
+                "t4", new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
+        Job small = job(JobPriority.NORMAL, 10_000, 1, 60, 1e6);
+        Job large = job(JobPriority.LOW, 10_000, 4, 60, 0);
         for (int i = 0; i < MACHINES; i++) {
-            Machine machine = new Machine("i-" + i, "", new Kind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0), NOW, NOW);
+            Machine machine =
+                    new Machine("i-" + i, "", new MachineKind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0), NOW, NOW);
             machine.heard(1, 1, "", true, NOW);
             machine.fence();
             cluster.add(machine);
@@ -83,9 +84,9 @@
         large.notBefore(Long.MAX_VALUE);
         for (int i = 0; i < WAITING_JOBS; i++) {
             switch (i % 3) {
-                case 0 -> job(Rank.NORMAL, 60, 1, 60, 100 + i);
-                case 1 -> job(Rank.LOW, 20, 4, 60, 0);
-                default -> job(Rank.HIGH, 12, 4, 15, 30 + i);
+                case 0 -> job(JobPriority.NORMAL, 60, 1, 60, 100 + i);
+                case 1 -> job(JobPriority.LOW, 20, 4, 60, 0);
+                default -> job(JobPriority.HIGH, 12, 4, 15, 30 + i);
             }
         }
     }
--- a/src/test/java/org/spruceridge/worker/ReportTest.java
+++ b/src/test/java/org/spruceridge/worker/ReportTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.spruceridge.cluster.Kind;
+import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
@@ -54,7 +54,7 @@
         Report expected = new Report(
                 "i-000231",
                 "10.1.0.232:9000",
-                new Kind("g8", "a", true),
+                new MachineKind("g8", "a", true),
                 1,
                 88,
                 41,
