--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -13,13 +13,13 @@
 import org.spruceridge.cluster.MachineType;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget.Rank;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.net.Response;
-import org.spruceridge.net.Times;
-import org.spruceridge.peer.Beacon.Progress;
+import org.spruceridge.peer.Heartbeat.Progress;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.record.SpecMessage;
@@ -33,14 +33,14 @@
     private static final int RETRY_AFTER_S = 1;
     private static final int ENDED_KEPT = 20_000;
     /** Users wait 5 s for an answer; within this time an unknown outcome is still asked after. */
-    private static final long PATIENCE = Times.millis(3500);
+    private static final long PATIENCE = Durations.millis(3500);
 
     private final Loop loop;
     private final StateClient state;
     private final Admission admission;
     private final Supplier<Optional<ImmutableMap<String, MachineType>>> catalogue;
     private final Function<String, Progress> progress;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
     private final Cancellations cancellations;
     /** Ends never change, so they may be answered from memory. */
     private final Cache<String, Ended> ended =
@@ -54,14 +54,14 @@
             Settings settings,
             Supplier<Optional<ImmutableMap<String, MachineType>>> catalogue,
             Function<String, Progress> progress,
-            Oddities oddities,
+            RateLimitedWarnings warnings,
             Cancellations cancellations) {
         this.loop = loop;
         this.state = state;
         this.admission = new Admission(settings.teams());
         this.catalogue = catalogue;
         this.progress = progress;
-        this.oddities = oddities;
+        this.warnings = warnings;
         this.cancellations = cancellations;
     }
 
@@ -130,7 +130,7 @@
     }
 
     private void abort(String id, long until, Consumer<Response> answer) {
-        state.get(Keys.job(id), Rank.SUBMISSIONS, found -> {
+        state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
             if (!found.isOk()) {
                 answer.accept(found.kind() == Result.Kind.MISSING ? unknownJob() : later());
                 return;
@@ -167,7 +167,7 @@
 
     /** Commits; an unknown outcome is settled by the same transaction again, while the user still waits. */
     private void settle(Transaction txn, long until, Consumer<Response> answer, Consumer<TxnResult> settled) {
-        state.commit(txn, Rank.SUBMISSIONS, result -> {
+        state.commit(txn, Priority.SUBMISSIONS, result -> {
             switch (result.kind()) {
                 case COMMITTED, CONFLICT -> settled.accept(result);
                 case UNKNOWN -> {
@@ -190,7 +190,7 @@
             answer.accept(Response.of(200, full(id, end)));
             return;
         }
-        state.get(Keys.job(id), Rank.SUBMISSIONS, found -> {
+        state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
             if (found.isOk()) {
                 answer.accept(read(id, found.value().value())
                         .map(this::present)
@@ -223,7 +223,7 @@
         try {
             return Optional.of(JobRecord.read(value));
         } catch (BadMessageException e) {
-            oddities.note("unreadable job record", id + ": " + e.getMessage());
+            warnings.warn("unreadable job record", id + ": " + e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -3,12 +3,12 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.spruceridge.net.Intake;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.Request;
 import org.spruceridge.net.RequestHandler;
+import org.spruceridge.net.RequestQueue;
 import org.spruceridge.net.Response;
 
 /** Hands each request to its endpoint. */
@@ -42,11 +42,11 @@
     }
 
     @Override
-    public Intake.Rank rank(Request request) {
+    public RequestQueue.Priority priority(Request request) {
         return switch (request.path()) {
-            case HEALTH -> Intake.Rank.HEALTH;
-            case REPORTS -> Intake.Rank.REPORT;
-            default -> Intake.Rank.USER;
+            case HEALTH -> RequestQueue.Priority.HEALTH;
+            case REPORTS -> RequestQueue.Priority.REPORT;
+            default -> RequestQueue.Priority.USER;
         };
     }
 
--- a/src/main/java/org/spruceridge/cli/RehearseCommand.java
+++ b/src/main/java/org/spruceridge/cli/RehearseCommand.java
@@ -18,14 +18,14 @@
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
+import org.spruceridge.net.ConnectionLimiter;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpServer;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.NettyHttpClient;
 import org.spruceridge.net.NettyLoop;
-import org.spruceridge.net.Sockets;
 import org.spruceridge.node.Node;
-import org.spruceridge.peer.NettyPeerLink;
+import org.spruceridge.peer.NettyPeerTransport;
 import org.spruceridge.worker.Report;
 import picocli.CommandLine.Model.CommandSpec;
 
@@ -46,12 +46,14 @@
     public Integer call() throws Exception {
         Settings settings = settings();
         NettyLoop loop = new NettyLoop();
-        NettyPeerLink link = new NettyPeerLink(loop.group(), settings.peerListen(), List.of(settings.peerListen()));
-        Sockets sockets = new Sockets(settings.resources().maxSockets());
-        NettyHttpClient client = new NettyHttpClient(loop, sockets);
+        NettyPeerTransport link =
+                new NettyPeerTransport(loop.group(), settings.peerListen(), List.of(settings.peerListen()));
+        ConnectionLimiter connectionLimiter =
+                new ConnectionLimiter(settings.resources().maxSockets());
+        NettyHttpClient client = new NettyHttpClient(loop, connectionLimiter);
         Node node = new Node(loop, client, link, new SplittableRandom(1), settings, Policy.defaults());
         link.listen();
-        new HttpServer(loop, sockets, PATIENCE, node.handler()).start(settings.serveOn());
+        new HttpServer(loop, connectionLimiter, PATIENCE, node.handler()).start(settings.serveOn());
         loop.execute(() -> node.start(() -> {}));
         List<HttpCall> calls = List.of(
                 HttpCall.get("/healthz"),
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -8,13 +8,13 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
+import org.spruceridge.net.ConnectionLimiter;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpServer;
 import org.spruceridge.net.NettyHttpClient;
 import org.spruceridge.net.NettyLoop;
-import org.spruceridge.net.Sockets;
-import org.spruceridge.net.Times;
 import org.spruceridge.node.Node;
-import org.spruceridge.peer.NettyPeerLink;
+import org.spruceridge.peer.NettyPeerTransport;
 import picocli.CommandLine.Model.CommandSpec;
 
 /** Runs a controller node until the process is killed. */
@@ -39,22 +39,23 @@
         SplittableRandom random = new SplittableRandom(System.nanoTime()
                 ^ System.currentTimeMillis()
                 ^ settings.hostName().hashCode());
-        NettyPeerLink link = new NettyPeerLink(
+        NettyPeerTransport link = new NettyPeerTransport(
                 loop.group(),
                 settings.peerListen(),
                 settings.members().stream().map(Settings.Member::address).toList());
-        Sockets sockets = new Sockets(settings.resources().maxSockets());
-        Node node = new Node(loop, new NettyHttpClient(loop, sockets), link, random, settings, policy);
+        ConnectionLimiter connectionLimiter =
+                new ConnectionLimiter(settings.resources().maxSockets());
+        Node node = new Node(loop, new NettyHttpClient(loop, connectionLimiter), link, random, settings, policy);
         // A worker that has not reported for a lease has lost it: it is gone, or comes on another connection.
-        long workerIdle = Times.nanos(settings.workers().leaseS());
-        HttpServer server = new HttpServer(loop, sockets, workerIdle, node.handler());
+        long workerIdle = Durations.nanos(settings.workers().leaseS());
+        HttpServer server = new HttpServer(loop, connectionLimiter, workerIdle, node.handler());
         link.listen();
         CountDownLatch ready = new CountDownLatch(1);
         loop.execute(() -> node.start(ready::countDown));
         // Until it knows the leader it could only turn workers away, who would all be back a second later and keep it
         // from
         // finding out. A refused connection costs nothing, and they go on to the next node.
-        ready.await(Times.nanos(settings.workers().leaseS() * LISTEN_OF_LEASE), TimeUnit.NANOSECONDS);
+        ready.await(Durations.nanos(settings.workers().leaseS() * LISTEN_OF_LEASE), TimeUnit.NANOSECONDS);
         server.start(settings.serveOn());
         loop.join();
         return 0;
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -12,14 +12,14 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Address;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget;
-import org.spruceridge.net.Budget.Rank;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter;
+import org.spruceridge.net.RateLimiter.Priority;
 
 /** The cloud's protocol with typed messages, within this node's share of its limit. */
 public final class CloudClient {
@@ -29,23 +29,23 @@
     public static final int MOST_DELETED = 100;
 
     private static final int PAGE = 500;
-    private static final long PATIENCE = Times.nanos(5);
+    private static final long PATIENCE = Durations.nanos(5);
 
     private final HttpClient http;
     private final Address address;
-    private final Budget budget;
-    private final Oddities oddities;
+    private final RateLimiter limiter;
+    private final RateLimitedWarnings warnings;
 
-    public CloudClient(HttpClient http, Address address, Budget budget, Oddities oddities) {
+    public CloudClient(HttpClient http, Address address, RateLimiter limiter, RateLimitedWarnings warnings) {
         this.http = http;
         this.address = address;
-        this.budget = budget;
-        this.oddities = oddities;
+        this.limiter = limiter;
+        this.warnings = warnings;
     }
 
     /** The machine types and their present prices; empty if the cloud did not say. */
     public void catalogue(Consumer<Optional<ImmutableMap<String, MachineType>>> done) {
-        send(Rank.DECISIONS, HttpCall.get("/flavors"), answer -> done.accept(readCatalogue(answer)));
+        send(Priority.DECISIONS, HttpCall.get("/flavors"), answer -> done.accept(readCatalogue(answer)));
     }
 
     /** Asks for machines. The claim must be new, or that of a request that got no answer or a refusal. */
@@ -56,7 +56,7 @@
                 .put("grove", zone)
                 .put("windfall", spot)
                 .put("howMany", count));
-        send(Rank.DECISIONS, HttpCall.post("/hosts", body), answer -> done.accept(readRental(answer)));
+        send(Priority.DECISIONS, HttpCall.post("/hosts", body), answer -> done.accept(readRental(answer)));
     }
 
     /** Gives machines back; true means that they are gone with all that was on them. */
@@ -64,7 +64,7 @@
         ArrayNode names = Json.array();
         machines.forEach(names::add);
         byte[] body = Json.bytes(Json.object().set("hosts", names));
-        send(Rank.REPORTS, HttpCall.post("/hosts/delete", body), answer -> done.accept(answer.status() == 200));
+        send(Priority.REPORTS, HttpCall.post("/hosts/delete", body), answer -> done.accept(answer.status() == 200));
     }
 
     /** All machines, page by page; empty if the cloud did not say. The list lags and may go backwards. */
@@ -74,7 +74,7 @@
 
     private void page(String from, List<HostInfo> sofar, Consumer<Optional<ImmutableList<HostInfo>>> done) {
         String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE;
-        send(Rank.DECISIONS, HttpCall.get(target), answer -> {
+        send(Priority.DECISIONS, HttpCall.get(target), answer -> {
             if (answer.status() != 200) {
                 done.accept(Optional.empty());
                 return;
@@ -169,13 +169,13 @@
         }
     }
 
-    private void send(Rank rank, HttpCall call, Consumer<HttpAnswer> done) {
-        if (!budget.submit(rank, 0, () -> http.call(address, call, PATIENCE, done))) {
+    private void send(Priority rank, HttpCall call, Consumer<HttpAnswer> done) {
+        if (!limiter.submit(rank, 0, () -> http.call(address, call, PATIENCE, done))) {
             done.accept(new HttpAnswer(429, new byte[0]));
         }
     }
 
     private void unreadable(BadMessageException e) {
-        oddities.note("unreadable answer of the cloud", e.getMessage());
+        warnings.warn("unreadable answer of the cloud", e.getMessage());
     }
 }
--- a/src/main/java/org/spruceridge/config/CancellationTimes.java
+++ b/src/main/java/org/spruceridge/config/CancellationTimes.java
@@ -1,6 +1,6 @@
 package org.spruceridge.config;
 
-import org.spruceridge.net.Times;
+import org.spruceridge.net.Durations;
 
 /**
  * What of {@code cancel_s} each step may take, from the moment at which a user is told of a cancellation to the last at
@@ -22,7 +22,7 @@
 
     /** How long a worker's tasks may outlive the last report of it that was answered. */
     public double fullLeaseS() {
-        return leaseS * (1 + 2 * Times.DRIFT);
+        return leaseS * (1 + 2 * Durations.DRIFT);
     }
 
     /**
--- a/src/main/java/org/spruceridge/fleet/Fleet.java
+++ b/src/main/java/org/spruceridge/fleet/Fleet.java
@@ -28,9 +28,9 @@
 import org.spruceridge.config.CancellationTimes;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
 import org.spruceridge.schedule.Plan;
 
 /** Keeps the machines: rents what the rounds lack, returns what idles, and finds out which are gone. */
@@ -44,11 +44,11 @@
     /** While requests wait, what to rent is worked out only this often, as a share of a lease. */
     private static final double MOST_DELAY_OF_LEASE = 0.1;
 
-    private static final long CATALOGUE_EVERY = Times.nanos(60);
-    private static final long RETRY = Times.nanos(2);
+    private static final long CATALOGUE_EVERY = Durations.nanos(60);
+    private static final long RETRY = Durations.nanos(2);
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final CloudClient cloud;
     private final Cluster cluster;
     private final MachineLog ledger;
@@ -74,7 +74,7 @@
 
     public Fleet(
             Loop loop,
-            Scope scope,
+            CancellationScope scope,
             CloudClient cloud,
             Cluster cluster,
             MachineLog ledger,
@@ -119,13 +119,13 @@
     private void refreshList() {
         cloud.machines(scope.guard(answer -> {
             answer.ifPresent(this::takeList);
-            scope.after(Math.max(RETRY, Times.nanos(settings.cloud().listLagS() / 2)), this::refreshList);
+            scope.after(Math.max(RETRY, Durations.nanos(settings.cloud().listLagS() / 2)), this::refreshList);
         }));
     }
 
     private void tick() {
         long now = loop.nanos();
-        if (now - lastTick > Times.nanos(settings.workers().reportS())) {
+        if (now - lastTick > Durations.nanos(settings.workers().reportS())) {
             fallsBehind();
         }
         lastTick = now;
@@ -137,18 +137,18 @@
             }
             if (!loop.busy()
                     || now - lastPlanned
-                            > Times.nanos(
+                            > Durations.nanos(
                                     MOST_DELAY_OF_LEASE * settings.workers().leaseS())) {
                 lastPlanned = now;
                 rentAndReturn();
             }
         }
-        scope.after(Times.nanos(settings.workers().reportS() / 3), this::tick);
+        scope.after(Durations.nanos(settings.workers().reportS() / 3), this::tick);
     }
 
     /** This node does not keep up: what it has not heard yet may well have been said. */
     public void fallsBehind() {
-        behindUntil = loop.nanos() + Times.nanos(settings.workers().leaseS() / 2);
+        behindUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
     }
 
     private void takeList(ImmutableList<HostInfo> list) {
@@ -172,7 +172,7 @@
                 cluster.add(machine);
             }
             if (machine != null) {
-                machine.bornAt(Math.min(machine.bornAt(), now - Times.nanos(host.ageS())));
+                machine.bornAt(Math.min(machine.bornAt(), now - Durations.nanos(host.ageS())));
             }
         }
         for (List<String> part : Lists.partition(failed, CloudClient.MOST_DELETED)) {
@@ -186,7 +186,7 @@
 
     /** A machine that nobody can have answered for a whole lease has killed its tasks. */
     private void endLeases() {
-        long lease = Times.nanos(settings.workers().leaseS() * (1 + 2 * Times.DRIFT) + LEASE_MARGIN_S);
+        long lease = Durations.nanos(settings.workers().leaseS() * (1 + 2 * Durations.DRIFT) + LEASE_MARGIN_S);
         long now = loop.nanos();
         for (Machine m : ImmutableList.copyOf(cluster.machines())) {
             boolean open = m.bindings().stream().anyMatch(b -> b.stage() != Binding.Stage.RELEASING);
@@ -403,7 +403,7 @@
                     ? cluster.types().get(offer.type()).bootS()
                     : settings.workers().leaseS();
             boolean full = rental.kind() == Rental.Kind.NO_CAPACITY || rental.kind() == Rental.Kind.RENTED;
-            refusedUntil.put(offer, now + (full ? Times.nanos(bootS) : RETRY));
+            refusedUntil.put(offer, now + (full ? Durations.nanos(bootS) : RETRY));
         }
     }
 
--- a/src/main/java/org/spruceridge/fleet/Standby.java
+++ b/src/main/java/org/spruceridge/fleet/Standby.java
@@ -9,7 +9,7 @@
 import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.MachineType;
 import org.spruceridge.config.Settings;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.Durations;
 
 /**
  * Resources kept free for classes whose tasks should start sooner than a machine boots: as much as the class has lately
@@ -38,7 +38,7 @@
     boolean learning(Cluster cluster, long now) {
         double bootS = bootS(cluster);
         return settings.objectives().stream().anyMatch(aim -> needsRoom(aim, bootS))
-                && now - since < Times.nanos(MEMORY_OF_BOOT * bootS);
+                && now - since < Durations.nanos(MEMORY_OF_BOOT * bootS);
     }
 
     private static double bootS(Cluster cluster) {
@@ -69,7 +69,7 @@
                 }
             }
             Peak peak = peaks.computeIfAbsent(aim.jobClass(), c -> new Peak());
-            peak.see(example, unfinished, now, Times.nanos(MEMORY_OF_BOOT * bootS));
+            peak.see(example, unfinished, now, Durations.nanos(MEMORY_OF_BOOT * bootS));
             if (peak.example != null) {
                 wanted.add(new Wanted(peak.example, peak.tasks));
             }
--- a/src/main/java/org/spruceridge/lead/Batch.java
+++ b/src/main/java/org/spruceridge/lead/Batch.java
@@ -15,8 +15,8 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.lead.Pages.Page;
 import org.spruceridge.lead.Records.Chunk;
-import org.spruceridge.net.Budget.Rank;
 import org.spruceridge.net.Json;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.record.Packed;
@@ -56,8 +56,8 @@
         return released.isEmpty() && bound.isEmpty();
     }
 
-    Rank rank() {
-        return released.isEmpty() ? Rank.DECISIONS : Rank.REPORTS;
+    Priority rank() {
+        return released.isEmpty() ? Priority.DECISIONS : Priority.REPORTS;
     }
 
     Map<Binding, Boolean> released() {
--- a/src/main/java/org/spruceridge/lead/Election.java
+++ b/src/main/java/org/spruceridge/lead/Election.java
@@ -8,13 +8,13 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget.Rank;
 import org.spruceridge.net.Cancellable;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.Keys;
 import org.spruceridge.record.LeaderRecord;
 import org.spruceridge.state.Change;
@@ -31,7 +31,7 @@
 public final class Election {
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
     private static final double WATCH_S = 20;
-    private static final long RETRY = Times.millis(250);
+    private static final long RETRY = Durations.millis(250);
     /** What is taken off a grant's time for rounding and late timers, as a share of it. */
     private static final double SAFETY = 0.03;
 
@@ -45,13 +45,13 @@
     private final Loop loop;
     private final StateClient state;
     private final RandomGenerator random;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
     private final String hostName;
     private final String incarnation;
     private final long ttl;
     private final long renewEvery;
     private final Listener listener;
-    private final Scope scope;
+    private final CancellationScope scope;
     private Cancellable watch = () -> {};
     private Optional<LeaderRecord> known = Optional.empty();
     private final boolean others;
@@ -65,21 +65,22 @@
             Loop loop,
             StateClient state,
             RandomGenerator random,
-            Oddities oddities,
+            RateLimitedWarnings warnings,
             Settings settings,
             Policy policy,
             Listener listener) {
         this.loop = loop;
         this.state = state;
         this.random = random;
-        this.oddities = oddities;
+        this.warnings = warnings;
         this.hostName = settings.hostName();
         this.others = settings.nodeCount() > 1;
         this.incarnation = Long.toHexString(random.nextLong());
-        this.ttl = Times.nanos(settings.workers().leaseS() * policy.leading().ttlOfLease());
+        this.ttl =
+                Durations.nanos(settings.workers().leaseS() * policy.leading().ttlOfLease());
         this.renewEvery = (long) (ttl / policy.leading().renewalsPerTtl());
         this.listener = listener;
-        this.scope = new Scope(loop);
+        this.scope = new CancellationScope(loop);
     }
 
     public void start() {
@@ -118,7 +119,7 @@
 
     private void read() {
         watch.cancel();
-        state.list(Keys.LEADER, Rank.RENEWAL, scope.guard(listing -> {
+        state.list(Keys.LEADER, Priority.RENEWAL, scope.guard(listing -> {
             if (!listing.isOk()) {
                 again();
                 return;
@@ -162,7 +163,7 @@
         try {
             return LeaderRecord.read(value);
         } catch (BadMessageException e) {
-            oddities.note("unreadable leader record", e.getMessage());
+            warnings.warn("unreadable leader record", e.getMessage());
             return new LeaderRecord("", "", 0);
         }
     }
@@ -205,7 +206,7 @@
             restUntil = Math.max(restUntil, loop.nanos() + renewEvery);
         }
         Transaction txn = Transaction.builder().drop(Keys.LEADER, stamp).build();
-        state.commit(txn, Rank.RENEWAL, scope.guard(result -> {
+        state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
             if (result.kind() != TxnResult.Kind.COMMITTED) {
                 again();
             }
@@ -226,7 +227,7 @@
             }
             permit = granted.value();
             validUntil = validity(asked);
-            state.get(Keys.TERM, Rank.RENEWAL, scope.guard(term -> {
+            state.get(Keys.TERM, Priority.RENEWAL, scope.guard(term -> {
                 if (term.kind() == Result.Kind.UNAVAILABLE) {
                     giveUpCampaign();
                     return;
@@ -244,7 +245,7 @@
     }
 
     private void attempt(Transaction txn, LeaderRecord record) {
-        state.commit(txn, Rank.RENEWAL, scope.guard(result -> {
+        state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
             if (result.kind() == TxnResult.Kind.COMMITTED) {
                 win(record, result.revision());
             } else if (result.kind() == TxnResult.Kind.UNKNOWN && loop.nanos() < validUntil) {
@@ -295,7 +296,7 @@
     }
 
     private long validity(long sentAt) {
-        return sentAt + (long) (ttl * (1 - Times.DRIFT - SAFETY));
+        return sentAt + (long) (ttl * (1 - Durations.DRIFT - SAFETY));
     }
 
     private void lose() {
--- a/src/main/java/org/spruceridge/lead/JobWatch.java
+++ b/src/main/java/org/spruceridge/lead/JobWatch.java
@@ -11,12 +11,12 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.CancellationTimes;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget.Rank;
 import org.spruceridge.net.Cancellable;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.Change;
@@ -26,14 +26,14 @@
 
 /** Learns of accepted and cancelled jobs by watching the markers of unfinished jobs. */
 public final class JobWatch {
-    private static final long RETRY = Times.millis(250);
+    private static final long RETRY = Durations.millis(250);
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final StateClient state;
     private final Cluster cluster;
     private final Ledger ledger;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
     private final Consumer<Machine> push;
     private final Runnable changed;
     private final double watchS;
@@ -44,11 +44,11 @@
     /** {@code push} is told of machines on which something has to be stopped. */
     public JobWatch(
             Loop loop,
-            Scope scope,
+            CancellationScope scope,
             StateClient state,
             Cluster cluster,
             Ledger ledger,
-            Oddities oddities,
+            RateLimitedWarnings warnings,
             CancellationTimes times,
             Consumer<Machine> push,
             Runnable changed) {
@@ -57,11 +57,11 @@
         this.state = state;
         this.cluster = cluster;
         this.ledger = ledger;
-        this.oddities = oddities;
+        this.warnings = warnings;
         this.push = push;
         this.changed = changed;
         this.watchS = times.watchS();
-        this.knowledge = Times.nanos(times.knowledgeS());
+        this.knowledge = Durations.nanos(times.knowledgeS());
     }
 
     /** Every cancellation that was confirmed before this moment is in the picture. */
@@ -135,13 +135,13 @@
             JobRecord record = JobRecord.read(value);
             cluster.add(new Job(record.spec(), stamp, record.submittedMs()));
         } catch (BadMessageException e) {
-            oddities.note("unreadable job record", id + ": " + e.getMessage());
+            warnings.warn("unreadable job record", id + ": " + e.getMessage());
         }
     }
 
     private void readAgain() {
         long asked = loop.nanos();
-        state.list(Keys.OPEN, Rank.REPORTS, scope.guard(listing -> {
+        state.list(Keys.OPEN, Priority.REPORTS, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scope.after(RETRY, this::readAgain);
                 return;
--- a/src/main/java/org/spruceridge/lead/Leader.java
+++ b/src/main/java/org/spruceridge/lead/Leader.java
@@ -17,12 +17,12 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.fleet.Fleet;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
+import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.Response;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.state.StateClient;
@@ -38,7 +38,7 @@
     private static final double IDLE_ROUND_OF_REPORT = 1.0;
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final Cluster cluster = new Cluster();
     private final Ledger ledger;
     private final ReportDesk desk;
@@ -60,7 +60,7 @@
             WorkerClient workers,
             Settings settings,
             Policy policy,
-            Oddities oddities,
+            RateLimitedWarnings warnings,
             Latencies latencies,
             Tenure tenure,
             BooleanSupplier leads,
@@ -68,8 +68,8 @@
         this.loop = loop;
         this.tenure = tenure;
         this.nothingToDo = Order.answer(tenure.term(), List.of());
-        this.scope = new Scope(loop);
-        this.idleRound = Times.nanos(settings.workers().reportS() * IDLE_ROUND_OF_REPORT);
+        this.scope = new CancellationScope(loop);
+        this.idleRound = Durations.nanos(settings.workers().reportS() * IDLE_ROUND_OF_REPORT);
         Ledger.Listener events = new Ledger.Listener() {
             @Override
             public void committed(ImmutableSet<Machine> bound) {
@@ -88,7 +88,7 @@
             }
         };
         this.ledger = new Ledger(loop, scope, state, cluster, tenure, settings, latencies, events);
-        this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, oddities, this::available);
+        this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, warnings, this::available);
         this.rounds = new Rounds(
                 loop,
                 scope,
@@ -110,11 +110,11 @@
                 state,
                 cluster,
                 ledger,
-                oddities,
+                warnings,
                 CancellationTimes.of(settings.workers()),
                 pusher::push,
                 () -> rounds.request());
-        this.takeover = new Takeover(loop, scope, state, cluster, ledger.records(), tenure, oddities);
+        this.takeover = new Takeover(loop, scope, state, cluster, ledger.records(), tenure, warnings);
         this.fleet = new Fleet(
                 loop,
                 scope,
--- a/src/main/java/org/spruceridge/lead/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/lead/LeaderWarmUp.java
@@ -2,9 +2,9 @@
 
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
 
 /**
  * Goes through a leader's code while this node follows, so that the virtual machine has compiled it when the node is
@@ -20,10 +20,10 @@
     /** Between two steps there is this many times what the last has cost. */
     private static final long COSTS_APART = 4;
 
-    private static final long LEAST_SPACING = Times.millis(50);
+    private static final long LEAST_SPACING = Durations.millis(50);
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final Settings settings;
     private final Policy policy;
     private WarmUpLeader leader;
@@ -32,7 +32,7 @@
 
     public LeaderWarmUp(Loop loop, Settings settings, Policy policy) {
         this.loop = loop;
-        this.scope = new Scope(loop);
+        this.scope = new CancellationScope(loop);
         this.settings = settings;
         this.policy = policy;
     }
--- a/src/main/java/org/spruceridge/lead/Ledger.java
+++ b/src/main/java/org/spruceridge/lead/Ledger.java
@@ -12,11 +12,11 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.Settings;
 import org.spruceridge.fleet.MachineLog;
-import org.spruceridge.net.Budget.Rank;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
@@ -29,8 +29,8 @@
  * both outcomes count.
  */
 public final class Ledger implements MachineLog {
-    private static final long FIRST_RETRY = Times.millis(100);
-    private static final long LAST_RETRY = Times.millis(1600);
+    private static final long FIRST_RETRY = Durations.millis(100);
+    private static final long LAST_RETRY = Durations.millis(1600);
 
     private enum Write {
         BIND,
@@ -52,7 +52,7 @@
     }
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final StateClient state;
     private final Cluster cluster;
     private final Tenure tenure;
@@ -68,7 +68,7 @@
 
     public Ledger(
             Loop loop,
-            Scope scope,
+            CancellationScope scope,
             StateClient state,
             Cluster cluster,
             Tenure tenure,
@@ -140,7 +140,7 @@
         }
         waitsForTurn = true;
         boolean decisionsOnly = waiting.values().stream().allMatch(w -> w == Write.BIND);
-        Rank rank = decisionsOnly ? Rank.DECISIONS : Rank.REPORTS;
+        Priority rank = decisionsOnly ? Priority.DECISIONS : Priority.REPORTS;
         state.commitAtTurn(
                 rank,
                 records.likelyChanges(),
--- a/src/main/java/org/spruceridge/lead/Pusher.java
+++ b/src/main/java/org/spruceridge/lead/Pusher.java
@@ -11,9 +11,9 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Settings;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
 import org.spruceridge.worker.Order;
 import org.spruceridge.worker.Push;
 import org.spruceridge.worker.WorkerClient;
@@ -30,7 +30,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Pusher.class);
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final WorkerClient workers;
     private final ReportDesk desk;
     private final BooleanSupplier leads;
@@ -42,7 +42,7 @@
 
     public Pusher(
             Loop loop,
-            Scope scope,
+            CancellationScope scope,
             WorkerClient workers,
             ReportDesk desk,
             Settings settings,
@@ -56,7 +56,7 @@
         this.leads = leads;
         this.changed = changed;
         this.term = tenure.term();
-        this.patience = Times.nanos(settings.workers().leaseS() / 4);
+        this.patience = Durations.nanos(settings.workers().leaseS() / 4);
     }
 
     /** Asks a machine for a sign that our words reach it. */
--- a/src/main/java/org/spruceridge/lead/ReportDesk.java
+++ b/src/main/java/org/spruceridge/lead/ReportDesk.java
@@ -15,9 +15,9 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.config.Settings;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.worker.Order;
 import org.spruceridge.worker.Report;
 import org.spruceridge.worker.Report.Cause;
@@ -34,7 +34,7 @@
     private final Ledger ledger;
     private final long term;
     private final Settings settings;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
     private final Consumer<Machine> available;
 
     /** {@code available} is told of machines that have room anew: that begin to report, or that a task has left. */
@@ -44,14 +44,14 @@
             Ledger ledger,
             Tenure tenure,
             Settings settings,
-            Oddities oddities,
+            RateLimitedWarnings warnings,
             Consumer<Machine> available) {
         this.loop = loop;
         this.cluster = cluster;
         this.ledger = ledger;
         this.term = tenure.term();
         this.settings = settings;
-        this.oddities = oddities;
+        this.warnings = warnings;
         this.available = available;
     }
 
@@ -93,7 +93,7 @@
         }
         // Not sooner: right after a takeover answers may come too late for the workers, and then it is not they who are
         // at fault.
-        long patience = Times.nanos(settings.workers().leaseS());
+        long patience = Durations.nanos(settings.workers().leaseS());
         boolean deaf = report.token() != term && loop.nanos() - machine.greetedAt() > patience;
         return deaf || (machine.returning() && machine.unreachedSince() != Machine.NEVER);
     }
@@ -119,7 +119,7 @@
         machine.fence();
         machine.takenAt(
                 report.noticeS().isPresent()
-                        ? now + Times.nanos(report.noticeS().getAsDouble())
+                        ? now + Durations.nanos(report.noticeS().getAsDouble())
                         : Long.MAX_VALUE);
         Map<TaskId, TaskReport> listed = new HashMap<>();
         List<TaskReport> unbound = new ArrayList<>();
@@ -175,7 +175,7 @@
                             b,
                             b.job().spec().jobClass(),
                             (loop.wallMillis() - b.job().submittedMs()) / 1000.0,
-                            Times.seconds(now - b.boundAt()));
+                            Durations.seconds(now - b.boundAt()));
                 }
                 b.phase(Binding.Phase.RUNNING, now);
             }
@@ -200,7 +200,7 @@
             }
             case ERROR -> failed(job, machine, now);
             case NO_ROOM, BUSY, UNKNOWN -> {
-                oddities.note("start refused: " + cause, b.toString());
+                warnings.warn("start refused: " + cause, b.toString());
                 holdBack(job, now, settings.workers().reportS());
             }
             default -> {}
@@ -229,7 +229,7 @@
     }
 
     private static void holdBack(Job job, long now, double seconds) {
-        job.notBefore(Math.max(job.notBefore(), now + Times.nanos(seconds)));
+        job.notBefore(Math.max(job.notBefore(), now + Durations.nanos(seconds)));
     }
 
     private static boolean mustNotStart(Binding b) {
@@ -287,7 +287,7 @@
 
     /** A running task that no record knows: it should not be. It is counted where it is, and stopped. */
     private void stray(Machine machine, TaskReport task, long now) {
-        oddities.note("task without a binding", task.task() + "#" + task.attempt() + " on " + machine.name());
+        warnings.warn("task without a binding", task.task() + "#" + task.attempt() + " on " + machine.name());
         Job job = cluster.job(task.task().job());
         if (job == null
                 || job.binding(task.task().index()) != null
@@ -307,7 +307,7 @@
             return;
         }
         JobSpec spec = b.job().spec();
-        double leftS = Times.seconds(machine.takenAt() - now);
+        double leftS = Durations.seconds(machine.takenAt() - now);
         // The next chance to say so is a report away, at the latest one and a quarter periods.
         double lastChanceS = 2.5 * settings.workers().reportS() + (spec.saves() ? 1.5 * spec.saveS() : 0);
         if (leftS <= lastChanceS) {
@@ -318,7 +318,7 @@
     private double graceS(Binding b, long now) {
         double wanted = 2 * b.job().spec().saveS() + 1;
         return b.machine().noticed()
-                ? Math.max(0, Math.min(wanted, Times.seconds(b.machine().takenAt() - now)))
+                ? Math.max(0, Math.min(wanted, Durations.seconds(b.machine().takenAt() - now)))
                 : wanted;
     }
 }
--- a/src/main/java/org/spruceridge/lead/Rounds.java
+++ b/src/main/java/org/spruceridge/lead/Rounds.java
@@ -8,10 +8,10 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.schedule.Plan;
 
@@ -25,10 +25,10 @@
     /** While requests wait, a round is put off for at most this share of a lease: workers' reports come first. */
     private static final double MOST_DELAY_OF_LEASE = 0.1;
 
-    private static final long LOOK_AGAIN = Times.millis(20);
+    private static final long LOOK_AGAIN = Durations.millis(20);
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final Cluster cluster;
     private final Ledger ledger;
     private final Matching matching;
@@ -47,7 +47,7 @@
     /** {@code push} is told of machines on which something has to be stopped. */
     public Rounds(
             Loop loop,
-            Scope scope,
+            CancellationScope scope,
             Cluster cluster,
             Ledger ledger,
             Matching matching,
@@ -64,9 +64,10 @@
         this.tenure = tenure;
         this.latencies = latencies;
         this.push = push;
-        this.spacing = Times.nanos(
+        this.spacing = Durations.nanos(
                 policy.rounds().spacingOfReport() * settings.workers().reportS());
-        this.mostDelay = Times.nanos(MOST_DELAY_OF_LEASE * settings.workers().leaseS());
+        this.mostDelay =
+                Durations.nanos(MOST_DELAY_OF_LEASE * settings.workers().leaseS());
         this.lastRun = loop.nanos() - spacing;
     }
 
--- a/src/main/java/org/spruceridge/lead/Summary.java
+++ b/src/main/java/org/spruceridge/lead/Summary.java
@@ -6,20 +6,20 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 
 /** Says in one log line, once in a while, how the cluster stands: for whoever is on call. */
 final class Summary {
     private static final Logger LOG = LoggerFactory.getLogger(Summary.class);
-    private static final long EVERY = Times.nanos(15);
+    private static final long EVERY = Durations.nanos(15);
 
-    private final Scope scope;
+    private final CancellationScope scope;
     private final Cluster cluster;
     private final Ledger ledger;
     private final long term;
 
-    Summary(Scope scope, Cluster cluster, Ledger ledger, Tenure tenure) {
+    Summary(CancellationScope scope, Cluster cluster, Ledger ledger, Tenure tenure) {
         this.scope = scope;
         this.cluster = cluster;
         this.ledger = ledger;
--- a/src/main/java/org/spruceridge/lead/Takeover.java
+++ b/src/main/java/org/spruceridge/lead/Takeover.java
@@ -15,11 +15,11 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget.Rank;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.FinishedRecord;
 import org.spruceridge.record.JobRecord;
@@ -34,15 +34,15 @@
  * change what they find: only users' submissions and cancellations can, and those the watch brings.
  */
 public final class Takeover {
-    private static final long RETRY = Times.millis(200);
+    private static final long RETRY = Durations.millis(200);
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final StateClient state;
     private final Cluster cluster;
     private final Records records;
     private final Tenure tenure;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
     private final Map<String, Long> endedMs = new HashMap<>();
 
     /** Hears how far the picture has come. */
@@ -58,19 +58,19 @@
 
     public Takeover(
             Loop loop,
-            Scope scope,
+            CancellationScope scope,
             StateClient state,
             Cluster cluster,
             Records records,
             Tenure tenure,
-            Oddities oddities) {
+            RateLimitedWarnings warnings) {
         this.loop = loop;
         this.scope = scope;
         this.state = state;
         this.cluster = cluster;
         this.records = records;
         this.tenure = tenure;
-        this.oddities = oddities;
+        this.warnings = warnings;
     }
 
     /** Reads everything, the open jobs first. */
@@ -94,7 +94,7 @@
     }
 
     private void list(String prefix, Consumer<Listing> next) {
-        state.list(prefix, Rank.RENEWAL, scope.guard(result -> {
+        state.list(prefix, Priority.RENEWAL, scope.guard(result -> {
             if (result.isOk()) {
                 next.accept(result.value());
             } else {
@@ -109,7 +109,7 @@
                 JobRecord record = JobRecord.read(e.value());
                 cluster.add(new Job(record.spec(), e.stamp(), record.submittedMs()));
             } catch (BadMessageException bad) {
-                oddities.note("unreadable job record", e.key() + ": " + bad.getMessage());
+                warnings.warn("unreadable job record", e.key() + ": " + bad.getMessage());
             }
         }
     }
@@ -126,7 +126,7 @@
                     }
                 }
             } catch (BadMessageException bad) {
-                oddities.note("unreadable record of finished tasks", bad.getMessage());
+                warnings.warn("unreadable record of finished tasks", bad.getMessage());
             }
         }
     }
@@ -138,7 +138,7 @@
             try {
                 BindingsRecord.read(e.value()).forEach(m -> out.add(new Recorded(page, m)));
             } catch (BadMessageException bad) {
-                oddities.note("unreadable record of bindings", e.key() + ": " + bad.getMessage());
+                warnings.warn("unreadable record of bindings", e.key() + ": " + bad.getMessage());
             }
         }
         return out;
@@ -163,7 +163,7 @@
             return;
         }
         String id = ids.peek();
-        state.get(Keys.job(id), Rank.RENEWAL, scope.guard(result -> {
+        state.get(Keys.job(id), Priority.RENEWAL, scope.guard(result -> {
             if (result.kind() == Result.Kind.UNAVAILABLE) {
                 scope.after(RETRY, () -> fetchNext(ids, next));
                 return;
@@ -176,7 +176,7 @@
                     endedMs.put(id, record.endedMs());
                 }
             } catch (BadMessageException bad) {
-                oddities.note("unreadable job record", id + ": " + bad.getMessage());
+                warnings.warn("unreadable job record", id + ": " + bad.getMessage());
             }
             fetchNext(ids, next);
         }));
@@ -195,7 +195,7 @@
         for (BindingsRecord.Bound b : record.bound()) {
             Job job = cluster.job(b.task().job());
             if (job == null || b.task().index() >= job.spec().tasks()) {
-                oddities.note("binding of an unknown task", b.task() + " on " + record.name());
+                warnings.warn("binding of an unknown task", b.task() + " on " + record.name());
                 continue;
             }
             cluster.bind(
@@ -209,7 +209,7 @@
                 // A job whose marker is gone while tasks are bound was cancelled. What is left of its time is not
                 // begun anew with each leader.
                 long agoMs = Math.max(0, loop.wallMillis() - endedMs.get(job.id()));
-                job.cancel(loop.nanos() - Times.millis(agoMs), loop.nanos());
+                job.cancel(loop.nanos() - Durations.millis(agoMs), loop.nanos());
             }
         }
     }
--- a/src/main/java/org/spruceridge/lead/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/lead/WarmUpLeader.java
@@ -21,13 +21,13 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.ManualLoop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
@@ -59,13 +59,13 @@
     private static final double PLENTY = 1e6;
 
     private final ManualLoop loop = new ManualLoop();
-    private final Scope scope = new Scope(loop);
+    private final CancellationScope scope = new CancellationScope(loop);
     private final Settings settings;
     private final Cluster cluster = new Cluster();
     private final List<Machine> machines = new ArrayList<>();
     private final Map<Long, Integer> reportsOfAttempt = new HashMap<>();
     private final Tenure tenure = new Tenure(TERM, 1, 0);
-    private final Oddities oddities = new Oddities(loop);
+    private final RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
     private final Latencies latencies = new Latencies(loop);
     private final StateClient state;
     private final Ledger ledger;
@@ -81,8 +81,8 @@
                 loop,
                 new AcceptingState(loop, this::recorded),
                 settings.stateAddress(),
-                new Budget(loop, PLENTY, PLENTY, PLENTY),
-                oddities,
+                new RateLimiter(loop, PLENTY, PLENTY, PLENTY),
+                warnings,
                 latencies);
         this.ledger = new Ledger(loop, scope, state, cluster, tenure, settings, latencies, new Ledger.Listener() {
             @Override
@@ -100,7 +100,7 @@
                 throw new IllegalStateException(why);
             }
         });
-        this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, oddities, machine -> requestRound());
+        this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, warnings, machine -> requestRound());
         Matching matching = new Matching(
                 settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
         this.rounds =
@@ -132,7 +132,7 @@
         for (int i = 0; i < REPORTS_A_STEP; i++) {
             report(machines.get((int) (sequence % MACHINES)));
         }
-        loop.advance(Times.nanos(settings.workers().reportS() * REPORTS_A_STEP / MACHINES));
+        loop.advance(Durations.nanos(settings.workers().reportS() * REPORTS_A_STEP / MACHINES));
         if (++steps % STEPS_A_TAKEOVER == 0) {
             takeOver();
         }
@@ -198,7 +198,7 @@
 
     private void takeOver() {
         Cluster other = new Cluster();
-        Takeover takeover = new Takeover(loop, scope, state, other, new Records(settings.state()), tenure, oddities);
+        Takeover takeover = new Takeover(loop, scope, state, other, new Records(settings.state()), tenure, warnings);
         takeover.start(new Takeover.Listener() {
             @Override
             public void jobsKnown(long asOf) {}
@@ -206,7 +206,7 @@
             @Override
             public void ready(long revision) {}
         });
-        loop.advance(Times.millis(1));
+        loop.advance(Durations.millis(1));
     }
 
     /** What the state service would hold of this cluster. */
--- a/src/main/java/org/spruceridge/net/Scope.java
+++ b/src/main/java/org/spruceridge/net/CancellationScope.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 
 /** All that one duty has pending. Once closed, no timer fires and no callback made through it runs. */
-public final class Scope {
+public final class CancellationScope {
     private final Loop loop;
     private final Set<Timer> timers = new HashSet<>();
     private boolean closed;
 
-    public Scope(Loop loop) {
+    public CancellationScope(Loop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/org/spruceridge/net/Sockets.java
+++ b/src/main/java/org/spruceridge/net/ConnectionLimiter.java
@@ -7,7 +7,7 @@
  * allows. Over the limit new connections fail, users' and health checks' too; so idle connections of our own are closed
  * before it is reached, and workers leave a share to all others.
  */
-public final class Sockets {
+public final class ConnectionLimiter {
     /** The rest is for listening, for the other nodes, and for connections that are closed and not gone yet. */
     private static final double USABLE_SHARE = 0.95;
     /** Idle connections of our own are kept only below this share, so that whoever comes finds room. */
@@ -21,7 +21,7 @@
     private BooleanSupplier closeIdle = () -> false;
     private int open;
 
-    public Sockets(int max) {
+    public ConnectionLimiter(int max) {
         this.max = max;
     }
 
--- a/src/main/java/org/spruceridge/net/Times.java
+++ b/src/main/java/org/spruceridge/net/Durations.java
@@ -1,11 +1,11 @@
 package org.spruceridge.net;
 
 /** Durations of the settings, in seconds, as nanoseconds. */
-public final class Times {
+public final class Durations {
     /** The most that two steady clocks drift apart. */
     public static final double DRIFT = 0.0005;
 
-    private Times() {}
+    private Durations() {}
 
     public static long nanos(double seconds) {
         return (long) (seconds * 1e9);
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -40,19 +40,19 @@
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
     private static final int MAX_BODY = 64 << 10;
-    private static final long REQUEST_NANOS = Times.nanos(10);
-    private static final long IDLE_NANOS = Times.nanos(90);
+    private static final long REQUEST_NANOS = Durations.nanos(10);
+    private static final long IDLE_NANOS = Durations.nanos(90);
     /** Connections are looked over this often: a timer for each request costs more than all the looks. */
-    private static final long LOOK_NANOS = Times.nanos(1);
+    private static final long LOOK_NANOS = Durations.nanos(1);
 
     /** What we write ourselves needs no check. */
     private static final HttpHeadersFactory OWN_HEADERS =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
     private final NettyLoop loop;
-    private final Sockets sockets;
+    private final ConnectionLimiter connectionLimiter;
     private final long workerIdleNanos;
-    private final Intake intake;
+    private final RequestQueue requestQueue;
     private final RequestHandler handler;
     /** Connections on which workers report, the one silent longest first. */
     private final Set<Connection> workers = new LinkedHashSet<>();
@@ -61,11 +61,12 @@
     private int connections;
 
     /** Connections on which workers report are closed after {@code workerIdleNanos} of silence. */
-    public HttpServer(NettyLoop loop, Sockets sockets, long workerIdleNanos, RequestHandler handler) {
+    public HttpServer(
+            NettyLoop loop, ConnectionLimiter connectionLimiter, long workerIdleNanos, RequestHandler handler) {
         this.loop = loop;
-        this.sockets = sockets;
-        this.intake = new Intake(loop);
-        loop.busyWhile(intake::waiting);
+        this.connectionLimiter = connectionLimiter;
+        this.requestQueue = new RequestQueue(loop);
+        loop.busyWhile(requestQueue::waiting);
         this.workerIdleNanos = workerIdleNanos;
         this.handler = handler;
     }
@@ -76,13 +77,13 @@
                 .group(loop.group())
                 .channel(NioServerSocketChannel.class)
                 // After a restart of all nodes the whole fleet connects within a moment.
-                .option(ChannelOption.SO_BACKLOG, sockets.mostInbound())
+                .option(ChannelOption.SO_BACKLOG, connectionLimiter.mostInbound())
                 // All that wait are accepted at once: by Netty's default of 16 for each turn of the loop, a busy
                 // leader's
                 // turns of a tenth of a second left the workers that look for it waiting until they had given up.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(sockets.mostInbound()))
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(connectionLimiter.mostInbound()))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -125,13 +126,13 @@
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            if (connections >= sockets.mostInbound() && !closeSilentWorker()) {
+            if (connections >= connectionLimiter.mostInbound() && !closeSilentWorker()) {
                 ctx.close();
                 return;
             }
             connections++;
             counted = true;
-            sockets.opened();
+            connectionLimiter.opened();
             context = ctx;
             expect(IDLE_NANOS);
             ctx.fireChannelActive();
@@ -158,7 +159,7 @@
             if (counted) {
                 counted = false;
                 connections--;
-                sockets.closed();
+                connectionLimiter.closed();
             }
         }
 
@@ -204,7 +205,7 @@
         private void isOfWorker(ChannelHandlerContext ctx) {
             context = ctx;
             workers.remove(this);
-            if (workers.size() >= sockets.mostOfWorkers()) {
+            if (workers.size() >= connectionLimiter.mostOfWorkers()) {
                 closeSilentWorker();
             }
             workers.add(this);
@@ -225,18 +226,18 @@
             boolean keepAlive = HttpUtil.isKeepAlive(request);
             Request read =
                     new Request(request.method().name(), path(request.uri()), ByteBufUtil.getBytes(request.content()));
-            Intake.Rank rank = handler.rank(read);
-            if (rank == Intake.Rank.REPORT) {
+            RequestQueue.Priority priority = handler.priority(read);
+            if (priority == RequestQueue.Priority.REPORT) {
                 isOfWorker(ctx);
             }
-            intake.add(rank, new Intake.Work() {
+            requestQueue.add(priority, new RequestQueue.Work() {
                 @Override
-                public void take() {
+                public void run() {
                     handle(ctx, read, keepAlive);
                 }
 
                 @Override
-                public void refuse() {
+                public void reject() {
                     write(ctx, handler.refusal(read), keepAlive);
                 }
 
--- a/src/main/java/org/spruceridge/net/Latencies.java
+++ b/src/main/java/org/spruceridge/net/Latencies.java
@@ -27,13 +27,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(Latencies.class);
     private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(2);
     private static final int DIGITS = 2;
-    private static final long EVERY = Times.nanos(120);
+    private static final long EVERY = Durations.nanos(120);
 
-    private final Scope scope;
+    private final CancellationScope scope;
     private final Map<Kind, Histogram> histograms = new EnumMap<>(Kind.class);
 
     public Latencies(Loop loop) {
-        this.scope = new Scope(loop);
+        this.scope = new CancellationScope(loop);
         for (Kind kind : Kind.values()) {
             histograms.put(kind, new Histogram(LONGEST_MICROS, DIGITS));
         }
--- a/src/main/java/org/spruceridge/net/NettyHttpClient.java
+++ b/src/main/java/org/spruceridge/net/NettyHttpClient.java
@@ -43,21 +43,21 @@
     private static final int CONNECT_MILLIS = 1000;
 
     /** Behind an idle connection of this age there may be nobody any more. */
-    private static final long IDLE_NANOS = Times.nanos(90);
+    private static final long IDLE_NANOS = Durations.nanos(90);
 
     /** A timer that fires later than this is late because of the loop, not because of its resolution. */
-    private static final long LATE_NANOS = Times.millis(50);
+    private static final long LATE_NANOS = Durations.millis(50);
 
     private final NettyLoop loop;
-    private final Sockets sockets;
+    private final ConnectionLimiter connectionLimiter;
     private final Map<Address, Deque<Connection>> idle = new HashMap<>();
     /** All idle connections, the one used least lately first. */
     private final Set<Connection> idleByUse = new LinkedHashSet<>();
 
-    public NettyHttpClient(NettyLoop loop, Sockets sockets) {
+    public NettyHttpClient(NettyLoop loop, ConnectionLimiter connectionLimiter) {
         this.loop = loop;
-        this.sockets = sockets;
-        sockets.makeRoomBy(this::closeLeastUsed);
+        this.connectionLimiter = connectionLimiter;
+        connectionLimiter.makeRoomBy(this::closeLeastUsed);
     }
 
     @Override
@@ -68,7 +68,7 @@
         Connection reused = takeIdle(to);
         if (reused != null) {
             reused.send(exchange);
-        } else if (sockets.exhausted()) {
+        } else if (connectionLimiter.exhausted()) {
             loop.execute(() -> exchange.finish(HttpAnswer.unsent()));
         } else {
             connect(exchange);
@@ -210,7 +210,7 @@
 
         void opened() {
             counted = true;
-            sockets.opened();
+            connectionLimiter.opened();
         }
 
         void close() {
@@ -222,7 +222,7 @@
             leaveIdle();
             if (counted) {
                 counted = false;
-                sockets.closed();
+                connectionLimiter.closed();
             }
         }
 
@@ -231,7 +231,7 @@
             idle.computeIfAbsent(to, a -> new ArrayDeque<>()).push(this);
             idleByUse.add(this);
             closeAged();
-            sockets.trim();
+            connectionLimiter.trim();
         }
 
         void leaveIdle() {
--- a/src/main/java/org/spruceridge/net/Oddities.java
+++ b/src/main/java/org/spruceridge/net/RateLimitedWarnings.java
@@ -6,19 +6,19 @@
 import org.slf4j.LoggerFactory;
 
 /** Counts what cannot be read or should not be, and logs each kind once in a while. */
-public final class Oddities {
-    private static final Logger LOG = LoggerFactory.getLogger(Oddities.class);
-    private static final long QUIET_NANOS = Times.nanos(30);
+public final class RateLimitedWarnings {
+    private static final Logger LOG = LoggerFactory.getLogger(RateLimitedWarnings.class);
+    private static final long QUIET_NANOS = Durations.nanos(30);
 
     private final Loop loop;
     private final Map<String, Kind> kinds = new HashMap<>();
 
-    public Oddities(Loop loop) {
+    public RateLimitedWarnings(Loop loop) {
         this.loop = loop;
     }
 
     /** Notes one; {@code kind} comes from a small fixed set. */
-    public void note(String kind, String detail) {
+    public void warn(String kind, String detail) {
         Kind seen = kinds.computeIfAbsent(kind, k -> new Kind());
         seen.count++;
         long now = loop.nanos();
--- a/src/main/java/org/spruceridge/net/Budget.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -12,9 +12,9 @@
  * waits for changes, and users' changes have an allowance of their own: however much a leader has to write, the users
  * that come to its node are taken like those that come to others.
  */
-public final class Budget {
+public final class RateLimiter {
     /** What the work is for; earlier ranks go first. */
-    public enum Rank {
+    public enum Priority {
         RENEWAL,
         REPORTS,
         DECISIONS,
@@ -32,16 +32,16 @@
     private final Allowance requests;
     private final Allowance changes;
     private final Allowance usersChanges;
-    private final Map<Rank, Queue> queues = new EnumMap<>(Rank.class);
+    private final Map<Priority, Queue> queues = new EnumMap<>(Priority.class);
     private Cancellable wakeUp;
     private long taken;
 
-    public Budget(Loop loop, double requestsPerS, double changesPerS, double usersChangesPerS) {
+    public RateLimiter(Loop loop, double requestsPerS, double changesPerS, double usersChangesPerS) {
         this.loop = loop;
         this.requests = new Allowance(requestsPerS, 1, loop.nanos());
         this.changes = new Allowance(changesPerS, 1, loop.nanos());
         this.usersChanges = new Allowance(usersChangesPerS, USERS_BURST, loop.nanos());
-        for (Rank rank : Rank.values()) {
+        for (Priority rank : Priority.values()) {
             queues.put(rank, new Queue());
         }
     }
@@ -55,7 +55,7 @@
     }
 
     /** Runs the work when its turn comes; false if too much is waiting already, and then it never runs. */
-    public boolean submit(Rank rank, int changeCount, Runnable work) {
+    public boolean submit(Priority rank, int changeCount, Runnable work) {
         return submit(rank, changeCount, () -> {
             work.run();
             return changeCount;
@@ -63,9 +63,9 @@
     }
 
     /** The same for work that tells only at its turn how many changes it makes, at most {@code mostChanges}. */
-    public boolean submit(Rank rank, int mostChanges, IntSupplier work) {
+    public boolean submit(Priority rank, int mostChanges, IntSupplier work) {
         Queue queue = queues.get(rank);
-        if (queue.size() >= QUEUE_LIMIT || (rank == Rank.SUBMISSIONS && waitS(queue) > LONGEST_WAIT_S)) {
+        if (queue.size() >= QUEUE_LIMIT || (rank == Priority.SUBMISSIONS && waitS(queue) > LONGEST_WAIT_S)) {
             return false;
         }
         (mostChanges > 0 ? queue.changing : queue.reading).add(new Waiting(++taken, mostChanges, work));
@@ -105,9 +105,9 @@
         long forRequest = requests.waitFor(1, now);
         long wait = Long.MAX_VALUE;
         boolean changesShort = false;
-        for (Rank rank : Rank.values()) {
+        for (Priority rank : Priority.values()) {
             Queue queue = queues.get(rank);
-            Allowance from = rank == Rank.SUBMISSIONS ? usersChanges : changes;
+            Allowance from = rank == Priority.SUBMISSIONS ? usersChanges : changes;
             boolean mayChange = !queue.changing.isEmpty();
             if (mayChange) {
                 long forChanges = from.waitFor(queue.changing.peek().mostChanges, now);
--- a/src/main/java/org/spruceridge/net/RequestHandler.java
+++ b/src/main/java/org/spruceridge/net/RequestHandler.java
@@ -8,7 +8,7 @@
     void handle(Request request, Consumer<Response> answer);
 
     /** Which requests come first when there are too many. */
-    Intake.Rank rank(Request request);
+    RequestQueue.Priority priority(Request request);
 
     /** What is answered to a request that could not be taken in time. */
     Response refusal(Request request);
--- a/src/main/java/org/spruceridge/net/Intake.java
+++ b/src/main/java/org/spruceridge/net/RequestQueue.java
@@ -11,9 +11,9 @@
  * meanwhile are let go unread: a node that spends itself on answers that nobody waits for would answer nobody in time,
  * and whoever gives up asks again.
  */
-public final class Intake {
+public final class RequestQueue {
     /** The order in which requests are taken when there are too many. */
-    public enum Rank {
+    public enum Priority {
         /** Else the load balancer would take a busy node for a dead one. */
         HEALTH(1),
         /** Workers give a report up after 4 s. */
@@ -21,51 +21,51 @@
         /** Users are told at once to come back rather than held. */
         USER(1);
 
-        private final long patience;
+        private final long timeoutNanos;
 
-        Rank(double patienceS) {
-            patience = Times.nanos(patienceS);
+        Priority(double timeoutS) {
+            timeoutNanos = Durations.nanos(timeoutS);
         }
     }
 
     /** Something that waits for the processor. */
     interface Work {
-        void take();
+        void run();
 
         /** It has waited longer than its rank allows, or longer than its sender, and is not taken. */
-        void refuse();
+        void reject();
 
         /** True if nobody waits for it any more. */
         boolean abandoned();
     }
 
     /** As long as this is spent on requests before the network is looked at again: more may have come, or gone. */
-    private static final long SLICE = Times.millis(50);
+    private static final long SLICE = Durations.millis(50);
 
     private final Loop loop;
-    private final Map<Rank, Deque<Waiting>> queues = new EnumMap<>(Rank.class);
+    private final Map<Priority, Deque<Waiting>> queues = new EnumMap<>(Priority.class);
     private long idleFrom;
     private long spent;
     private boolean draining;
 
     private record Waiting(Work work, long since) {}
 
-    Intake(Loop loop) {
+    RequestQueue(Loop loop) {
         this.loop = loop;
         this.idleFrom = loop.nanos();
-        for (Rank rank : Rank.values()) {
+        for (Priority rank : Priority.values()) {
             queues.put(rank, new ArrayDeque<>());
         }
     }
 
-    void add(Rank rank, Work work) {
+    void add(Priority rank, Work work) {
         long now = loop.nanos();
         spent = Math.max(0, spent - (now - idleFrom)); // as long as it was idle, it has caught up
         if (draining || spent > SLICE) {
             queues.get(rank).add(new Waiting(work, now));
             drainSoon();
         } else {
-            work.take();
+            work.run();
             spent += loop.nanos() - now;
         }
         idleFrom = loop.nanos();
@@ -93,10 +93,10 @@
                     return;
                 }
                 Waiting next = queue.getValue().remove();
-                if (next.work.abandoned() || now - next.since > queue.getKey().patience) {
-                    next.work.refuse();
+                if (next.work.abandoned() || now - next.since > queue.getKey().timeoutNanos) {
+                    next.work.reject();
                 } else {
-                    next.work.take();
+                    next.work.run();
                 }
             }
         }
--- a/src/main/java/org/spruceridge/node/Catalogue.java
+++ b/src/main/java/org/spruceridge/node/Catalogue.java
@@ -8,11 +8,11 @@
 import org.spruceridge.cloud.CloudClient;
 import org.spruceridge.cluster.MachineType;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget.Rank;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.CatalogueRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.Result;
@@ -22,13 +22,13 @@
 /** What this node knows of the machine types: from the cloud, or, until that answers, from the record. */
 final class Catalogue {
     private static final Logger LOG = LoggerFactory.getLogger(Catalogue.class);
-    private static final long RETRY = Times.nanos(2);
-    private static final long EVERY = Times.nanos(300);
+    private static final long RETRY = Durations.nanos(2);
+    private static final long EVERY = Durations.nanos(300);
 
-    private final Scope scope;
+    private final CancellationScope scope;
     private final CloudClient cloud;
     private final StateClient state;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
     private final Consumer<ImmutableMap<String, MachineType>> learned;
     private Optional<ImmutableMap<String, MachineType>> types = Optional.empty();
 
@@ -36,12 +36,12 @@
             Loop loop,
             CloudClient cloud,
             StateClient state,
-            Oddities oddities,
+            RateLimitedWarnings warnings,
             Consumer<ImmutableMap<String, MachineType>> learned) {
-        this.scope = new Scope(loop);
+        this.scope = new CancellationScope(loop);
         this.cloud = cloud;
         this.state = state;
-        this.oddities = oddities;
+        this.warnings = warnings;
         this.learned = learned;
     }
 
@@ -69,7 +69,7 @@
     }
 
     private void recall() {
-        state.get(Keys.CATALOGUE, Rank.DECISIONS, scope.guard(found -> {
+        state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
             if (types.isPresent()) {
                 return;
             }
@@ -78,7 +78,7 @@
                     take(CatalogueRecord.read(found.value().value()).types());
                     return;
                 } catch (BadMessageException e) {
-                    oddities.note("unreadable catalogue record", e.getMessage());
+                    warnings.warn("unreadable catalogue record", e.getMessage());
                 }
             }
             scope.after(RETRY, this::recall);
@@ -95,7 +95,7 @@
 
     /** Puts the types on record where they are not; should that fail, the next refresh tries again. */
     private void keep(CatalogueRecord now) {
-        state.get(Keys.CATALOGUE, Rank.DECISIONS, scope.guard(found -> {
+        state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
             if (found.kind() == Result.Kind.UNAVAILABLE) {
                 return;
             }
@@ -104,13 +104,13 @@
                     return;
                 }
             } catch (BadMessageException e) {
-                oddities.note("unreadable catalogue record", e.getMessage());
+                warnings.warn("unreadable catalogue record", e.getMessage());
             }
             long stamp = found.isOk() ? found.value().stamp() : 0;
             Transaction txn = Transaction.builder()
                     .set(Keys.CATALOGUE, stamp, now.write())
                     .build();
-            state.commit(txn, Rank.DECISIONS, result -> {});
+            state.commit(txn, Priority.DECISIONS, result -> {});
         }));
     }
 }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -19,19 +19,19 @@
 import org.spruceridge.lead.LeaderWarmUp;
 import org.spruceridge.lead.Tenure;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget;
-import org.spruceridge.net.Budget.Rank;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.net.RequestHandler;
 import org.spruceridge.net.Response;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
-import org.spruceridge.peer.Beacon;
-import org.spruceridge.peer.PeerLink;
-import org.spruceridge.peer.Peers;
+import org.spruceridge.peer.Heartbeat;
+import org.spruceridge.peer.PeerMonitor;
+import org.spruceridge.peer.PeerTransport;
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.worker.Order;
@@ -51,23 +51,23 @@
     /** After it has given the lead up for that, it does not do so again for this many leases. */
     private static final double STAY_OF_LEASE = 10;
 
-    private static final long PULSE = Times.nanos(1);
-    private static final long LOOK_WHETHER_READY = Times.millis(50);
-    private static final long CUT_OFF = Times.nanos(3);
+    private static final long PULSE = Durations.nanos(1);
+    private static final long LOOK_WHETHER_READY = Durations.millis(50);
+    private static final long CUT_OFF = Durations.nanos(3);
 
     private final Loop loop;
-    private final Scope scope;
+    private final CancellationScope scope;
     private final Settings settings;
     private final Policy policy;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
     private final Latencies latencies;
-    private final Budget stateBudget;
-    private final Budget cloudBudget;
+    private final RateLimiter stateLimiter;
+    private final RateLimiter cloudLimiter;
     private final StateClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
     private final Election election;
-    private final Peers peers;
+    private final PeerMonitor peers;
     private final Router router;
     private final Catalogue catalogue;
     private final Cancellations cancellations;
@@ -79,28 +79,29 @@
     private long staysUntil = Long.MIN_VALUE;
     private Runnable whenReady = () -> {};
 
-    public Node(Loop loop, HttpClient http, PeerLink link, RandomGenerator random, Settings settings, Policy policy) {
+    public Node(
+            Loop loop, HttpClient http, PeerTransport link, RandomGenerator random, Settings settings, Policy policy) {
         this.loop = loop;
-        this.scope = new Scope(loop);
+        this.scope = new CancellationScope(loop);
         this.settings = settings;
         this.policy = policy;
-        this.oddities = new Oddities(loop);
+        this.warnings = new RateLimitedWarnings(loop);
         this.lastReport = loop.nanos();
         this.latencies = new Latencies(loop);
-        this.stateBudget = new Budget(loop, 1, 1, 1);
-        this.cloudBudget = new Budget(loop, 1, 1, 1);
+        this.stateLimiter = new RateLimiter(loop, 1, 1, 1);
+        this.cloudLimiter = new RateLimiter(loop, 1, 1, 1);
         shareLimits(false);
-        this.state = new StateClient(loop, http, settings.stateAddress(), stateBudget, oddities, latencies);
-        this.cloud = new CloudClient(http, settings.cloudAddress(), cloudBudget, oddities);
-        this.catalogue = new Catalogue(loop, cloud, state, oddities, this::learned);
-        this.workers = new WorkerClient(http, oddities);
-        this.election = new Election(loop, state, random, oddities, settings, policy, this);
-        this.peers = new Peers(loop, link, oddities, this::beacon, this::cancelled);
+        this.state = new StateClient(loop, http, settings.stateAddress(), stateLimiter, warnings, latencies);
+        this.cloud = new CloudClient(http, settings.cloudAddress(), cloudLimiter, warnings);
+        this.catalogue = new Catalogue(loop, cloud, state, warnings, this::learned);
+        this.workers = new WorkerClient(http, warnings);
+        this.election = new Election(loop, state, random, warnings, settings, policy, this);
+        this.peers = new PeerMonitor(loop, link, warnings, this::heartbeat, this::cancelled);
         this.warmUp = new LeaderWarmUp(loop, settings, policy);
         this.cancellations = new Cancellations(
-                loop, Times.nanos(CancellationTimes.of(settings.workers()).knowledgeS()));
+                loop, Durations.nanos(CancellationTimes.of(settings.workers()).knowledgeS()));
         JobsEndpoint jobs =
-                new JobsEndpoint(loop, state, settings, catalogue::types, this::progress, oddities, cancellations);
+                new JobsEndpoint(loop, state, settings, catalogue::types, this::progress, warnings, cancellations);
         this.router = new Router(jobs, this::report, this::reportMissed, this::healthy, loop, latencies);
     }
 
@@ -162,7 +163,7 @@
                 workers,
                 settings,
                 policy,
-                oddities,
+                warnings,
                 latencies,
                 tenure,
                 election::leads,
@@ -193,9 +194,9 @@
         double usersShare = USERS_SHARE / nodes;
         // A follower has next to nothing of its own to write: an election, the catalogue.
         double ownShare = leading ? 1 - USERS_SHARE : usersShare;
-        stateBudget.rates(reads, writes * ownShare, writes * usersShare);
+        stateLimiter.rates(reads, writes * ownShare, writes * usersShare);
         double cloudShare = nodes == 1 ? 1 : leading ? 0.8 : 0.2 / (nodes - 1);
-        cloudBudget.rates(settings.cloud().rps() * HEADROOM * cloudShare, 1, 1);
+        cloudLimiter.rates(settings.cloud().rps() * HEADROOM * cloudShare, 1, 1);
     }
 
     /**
@@ -213,7 +214,7 @@
         try {
             return report(Report.read(body));
         } catch (BadMessageException e) {
-            oddities.note("unreadable report", e.getMessage());
+            warnings.warn("unreadable report", e.getMessage());
             return Response.error(400, e.getMessage());
         }
     }
@@ -251,18 +252,18 @@
         return state.sinceServed() < CUT_OFF;
     }
 
-    private Beacon beacon() {
-        ImmutableMap.Builder<String, Beacon.Progress> progress = ImmutableMap.builder();
+    private Heartbeat heartbeat() {
+        ImmutableMap.Builder<String, Heartbeat.Progress> progress = ImmutableMap.builder();
         long term = 0;
         if (leader != null && election.leads()) {
             term = leader.term();
             for (Job job : leader.cluster().jobs()) {
                 if (!job.cancelled()) {
-                    progress.put(job.id(), new Beacon.Progress(job.doneCount(), job.running()));
+                    progress.put(job.id(), new Heartbeat.Progress(job.doneCount(), job.running()));
                 }
             }
         }
-        return new Beacon(
+        return new Heartbeat(
                 settings.hostName(),
                 state.everServed() && stateServes(),
                 workersReach(),
@@ -278,10 +279,10 @@
         }
     }
 
-    private Beacon.Progress progress(String id) {
+    private Heartbeat.Progress progress(String id) {
         if (leader != null) {
             Job job = leader.cluster().job(id);
-            return job == null ? Beacon.Progress.NONE : new Beacon.Progress(job.doneCount(), job.running());
+            return job == null ? Heartbeat.Progress.NONE : new Heartbeat.Progress(job.doneCount(), job.running());
         }
         return peers.progress(id);
     }
@@ -291,7 +292,7 @@
     }
 
     private long quietNanos() {
-        return Times.nanos(REACHED_OF_REPORT * settings.workers().reportS());
+        return Durations.nanos(REACHED_OF_REPORT * settings.workers().reportS());
     }
 
     /**
@@ -303,7 +304,8 @@
         long now = loop.nanos();
         boolean cutOff = leader != null && leader.ledFor() > quietNanos() && !workersReach() && peers.anyReached();
         if (cutOff && now >= staysUntil) {
-            staysUntil = now + Times.nanos(STAY_OF_LEASE * settings.workers().leaseS());
+            staysUntil =
+                    now + Durations.nanos(STAY_OF_LEASE * settings.workers().leaseS());
             election.resign("workers reach other nodes, and not this one");
         }
     }
@@ -314,6 +316,6 @@
         if (leader == null && steward().isPresent()) {
             warmUp.start();
         }
-        state.get(Keys.LEADER, Rank.RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
+        state.get(Keys.LEADER, Priority.RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
     }
 }
--- a/src/main/java/org/spruceridge/peer/Beacon.java
+++ b/src/main/java/org/spruceridge/peer/Heartbeat.java
@@ -15,7 +15,7 @@
  * it: it is for display, for the health check, for a leader that workers do not reach, and to have cancelled tasks
  * stopped sooner than the state service tells the leader.
  */
-public record Beacon(
+public record Heartbeat(
         String hostName,
         boolean stateServes,
         boolean workersReach,
@@ -58,10 +58,10 @@
         }
     }
 
-    public static Beacon read(byte[] frame) throws BadMessageException {
+    public static Heartbeat read(byte[] frame) throws BadMessageException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
             if (in.unpackArrayHeader() < FIELDS) {
-                throw new BadMessageException("a beacon is too short");
+                throw new BadMessageException("a heartbeat is too short");
             }
             String host = in.unpackString();
             boolean serves = in.unpackBoolean();
@@ -78,9 +78,9 @@
             for (int i = in.unpackArrayHeader(); i > 0; i--) {
                 cancelled.add(in.unpackString());
             }
-            return new Beacon(host, serves, reached, term, progress.buildKeepingLast(), cancelled.build());
+            return new Heartbeat(host, serves, reached, term, progress.buildKeepingLast(), cancelled.build());
         } catch (IOException | MessagePackException e) {
-            throw new BadMessageException("not a beacon: " + e.getClass().getSimpleName());
+            throw new BadMessageException("not a heartbeat: " + e.getClass().getSimpleName());
         }
     }
 }
--- a/src/main/java/org/spruceridge/peer/NettyPeerLink.java
+++ b/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
@@ -26,8 +26,8 @@
 import org.spruceridge.config.Address;
 
 /** The peer link on Netty: one connection out to each other node, frames with a length before them. */
-public final class NettyPeerLink implements PeerLink {
-    private static final Logger LOG = LoggerFactory.getLogger(NettyPeerLink.class);
+public final class NettyPeerTransport implements PeerTransport {
+    private static final Logger LOG = LoggerFactory.getLogger(NettyPeerTransport.class);
     private static final int MAX_FRAME = 1 << 20;
     private static final int HEADER = 4;
     private static final int CONNECT_MILLIS = 1000;
@@ -40,7 +40,7 @@
     private final Map<Address, Channel> out = new HashMap<>();
     private Consumer<byte[]> incoming = frame -> {};
 
-    public NettyPeerLink(EventLoopGroup group, Address listen, List<Address> others) {
+    public NettyPeerTransport(EventLoopGroup group, Address listen, List<Address> others) {
         this.group = group;
         this.listen = listen;
         this.others = others;
--- a/src/main/java/org/spruceridge/peer/Peers.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -10,34 +10,39 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
-import org.spruceridge.peer.Beacon.Progress;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.peer.Heartbeat.Progress;
 
-/** Sends this node's beacon and keeps what the others' last said. */
-public final class Peers {
-    private static final long EVERY = Times.nanos(1);
-    private static final long FRESH = Times.nanos(3);
+/** Sends this node's heartbeat and keeps what the others' last said. */
+public final class PeerMonitor {
+    private static final long EVERY = Durations.nanos(1);
+    private static final long FRESH = Durations.nanos(3);
 
     private final Loop loop;
-    private final Scope scope;
-    private final PeerLink link;
-    private final Oddities oddities;
-    private final Supplier<Beacon> own;
+    private final CancellationScope scope;
+    private final PeerTransport link;
+    private final RateLimitedWarnings warnings;
+    private final Supplier<Heartbeat> own;
     private final Consumer<String> cancelled;
     private final Map<String, Heard> heard = new HashMap<>();
-    private Beacon leader = new Beacon("", false, false, 0, ImmutableMap.of(), ImmutableList.of());
+    private Heartbeat leader = new Heartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of());
 
-    private record Heard(Beacon beacon, long at) {}
+    private record Heard(Heartbeat heartbeat, long at) {}
 
     /** {@code cancelled} is told of each job that another node lately told a user to be cancelled, again and again. */
-    public Peers(Loop loop, PeerLink link, Oddities oddities, Supplier<Beacon> own, Consumer<String> cancelled) {
+    public PeerMonitor(
+            Loop loop,
+            PeerTransport link,
+            RateLimitedWarnings warnings,
+            Supplier<Heartbeat> own,
+            Consumer<String> cancelled) {
         this.loop = loop;
-        this.scope = new Scope(loop);
+        this.scope = new CancellationScope(loop);
         this.link = link;
-        this.oddities = oddities;
+        this.warnings = warnings;
         this.own = own;
         this.cancelled = cancelled;
     }
@@ -53,32 +58,32 @@
 
     /** True if another node lately said that the state service serves it. */
     public boolean anyServed() {
-        return anyFresh(Beacon::stateServes);
+        return anyFresh(Heartbeat::stateServes);
     }
 
     /** True if another node was heard lately. */
     public boolean anyHeard() {
-        return anyFresh(beacon -> true);
+        return anyFresh(heartbeat -> true);
     }
 
     /** The node that lately said that it leads, by the highest term. */
     public Optional<String> leader() {
         long now = loop.nanos();
         return heard.values().stream()
-                .filter(h -> now - h.at < FRESH && h.beacon.term() > 0)
-                .map(Heard::beacon)
-                .max(Comparator.comparingLong(Beacon::term))
-                .map(Beacon::hostName);
+                .filter(h -> now - h.at < FRESH && h.heartbeat.term() > 0)
+                .map(Heard::heartbeat)
+                .max(Comparator.comparingLong(Heartbeat::term))
+                .map(Heartbeat::hostName);
     }
 
     /** True if workers lately reached another node. */
     public boolean anyReached() {
-        return anyFresh(Beacon::workersReach);
+        return anyFresh(Heartbeat::workersReach);
     }
 
-    private boolean anyFresh(Predicate<Beacon> says) {
+    private boolean anyFresh(Predicate<Heartbeat> says) {
         long now = loop.nanos();
-        return heard.values().stream().anyMatch(h -> says.test(h.beacon) && now - h.at < FRESH);
+        return heard.values().stream().anyMatch(h -> says.test(h.heartbeat) && now - h.at < FRESH);
     }
 
     /** How far a job has come, by the latest word of the newest leader. */
@@ -93,14 +98,14 @@
 
     private void take(byte[] frame) {
         try {
-            Beacon beacon = Beacon.read(frame);
-            heard.put(beacon.hostName(), new Heard(beacon, loop.nanos()));
-            if (beacon.term() >= leader.term() && beacon.term() > 0) {
-                leader = beacon;
+            Heartbeat heartbeat = Heartbeat.read(frame);
+            heard.put(heartbeat.hostName(), new Heard(heartbeat, loop.nanos()));
+            if (heartbeat.term() >= leader.term() && heartbeat.term() > 0) {
+                leader = heartbeat;
             }
-            beacon.cancelled().forEach(cancelled);
+            heartbeat.cancelled().forEach(cancelled);
         } catch (BadMessageException e) {
-            oddities.note("unreadable frame of a peer", e.getMessage());
+            warnings.warn("unreadable frame of a peer", e.getMessage());
         }
     }
 }
--- a/src/main/java/org/spruceridge/peer/PeerLink.java
+++ b/src/main/java/org/spruceridge/peer/PeerTransport.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** Carries frames between the controller nodes; any of them may be lost. */
-public interface PeerLink {
+public interface PeerTransport {
     /** Hands on whatever comes in from now on. */
     void start(Consumer<byte[]> taker);
 
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -10,43 +10,48 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Address;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Budget;
-import org.spruceridge.net.Budget.Rank;
 import org.spruceridge.net.Cancellable;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter;
+import org.spruceridge.net.RateLimiter.Priority;
 
 /** The state service's protocol with typed messages, within this node's share of its limits. */
 public final class StateClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
     private static final int PAGE = 500;
     /** Responses usually take under 10 ms and occasionally a few hundred. */
-    private static final long PATIENCE = Times.millis(1000);
+    private static final long PATIENCE = Durations.millis(1000);
     /** A watch may answer this much after the time that it was asked to wait. */
-    private static final long WATCH_SLACK = Times.nanos(5);
+    private static final long WATCH_SLACK = Durations.nanos(5);
 
     private final Loop loop;
     private final HttpClient http;
     private final Address address;
-    private final Budget budget;
-    private final Oddities oddities;
+    private final RateLimiter limiter;
+    private final RateLimitedWarnings warnings;
     private final Latencies latencies;
     private long lastServed;
     private boolean everServed;
 
     public StateClient(
-            Loop loop, HttpClient http, Address address, Budget budget, Oddities oddities, Latencies latencies) {
+            Loop loop,
+            HttpClient http,
+            Address address,
+            RateLimiter limiter,
+            RateLimitedWarnings warnings,
+            Latencies latencies) {
         this.loop = loop;
         this.http = http;
         this.address = address;
-        this.budget = budget;
-        this.oddities = oddities;
+        this.limiter = limiter;
+        this.warnings = warnings;
         this.latencies = latencies;
         this.lastServed = loop.nanos();
     }
@@ -61,17 +66,22 @@
         return everServed;
     }
 
-    public void get(String key, Rank rank, Consumer<Result<Entry>> done) {
+    public void get(String key, Priority rank, Consumer<Result<Entry>> done) {
         send(rank, 0, HttpCall.get("/store/" + key), PATIENCE, answer -> done.accept(readEntry(key, answer)));
     }
 
     /** Reads all keys under a prefix, page by page. */
-    public void list(String prefix, Rank rank, Consumer<Result<Listing>> done) {
+    public void list(String prefix, Priority rank, Consumer<Result<Listing>> done) {
         listPage(prefix, rank, "", new ArrayList<>(), Long.MAX_VALUE, done);
     }
 
     private void listPage(
-            String prefix, Rank rank, String from, List<Entry> sofar, long revision, Consumer<Result<Listing>> done) {
+            String prefix,
+            Priority rank,
+            String from,
+            List<Entry> sofar,
+            long revision,
+            Consumer<Result<Listing>> done) {
         String target = "/store?starts=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&limit=" + PAGE;
         send(rank, 0, HttpCall.get(target), PATIENCE, answer -> {
             if (answer.status() != 200) {
@@ -96,7 +106,7 @@
         });
     }
 
-    public void commit(Transaction txn, Rank rank, Consumer<TxnResult> done) {
+    public void commit(Transaction txn, Priority rank, Consumer<TxnResult> done) {
         send(rank, txn.changeCount(), HttpCall.post("/txn", txn.body()), PATIENCE, judged(done));
     }
 
@@ -104,8 +114,8 @@
      * Commits a transaction that is made only when its turn comes, of at most so many changes, so that it carries all
      * that has gathered by then. With null nothing is sent, and {@code done} is not called.
      */
-    public void commitAtTurn(Rank rank, int mostChanges, Supplier<Transaction> make, Consumer<TxnResult> done) {
-        boolean taken = budget.submit(rank, mostChanges, () -> {
+    public void commitAtTurn(Priority rank, int mostChanges, Supplier<Transaction> make, Consumer<TxnResult> done) {
+        boolean taken = limiter.submit(rank, mostChanges, () -> {
             Transaction txn = make.get();
             if (txn == null) {
                 return 0;
@@ -131,7 +141,7 @@
     /** Asks for a grant of this time to live. */
     public void grant(long ttlMillis, Consumer<Result<Long>> done) {
         byte[] body = Json.bytes(Json.object().put("ttlMs", ttlMillis));
-        send(Rank.RENEWAL, 0, HttpCall.post("/grants", body), PATIENCE, answer -> {
+        send(Priority.RENEWAL, 0, HttpCall.post("/grants", body), PATIENCE, answer -> {
             if (answer.status() != 200) {
                 done.accept(Result.failed(Result.Kind.UNAVAILABLE));
                 return;
@@ -149,7 +159,7 @@
     public void renew(long permit, long patience, Consumer<Result<Long>> done) {
         HttpCall call = HttpCall.post("/grants/" + permit + "/renew", new byte[0]);
         long[] sent = new long[1];
-        submit(Rank.RENEWAL, 0, done, () -> {
+        submit(Priority.RENEWAL, 0, done, () -> {
             sent[0] = loop.nanos();
             http.call(address, call, patience, served(answer -> {
                 if (answer.status() == 200) {
@@ -163,7 +173,7 @@
 
     /** Ends a grant, and with it the keys attached to it; nothing depends on whether it works. */
     public void endGrant(long permit) {
-        send(Rank.RENEWAL, 0, new HttpCall("DELETE", "/grants/" + permit, new byte[0]), PATIENCE, answer -> {});
+        send(Priority.RENEWAL, 0, new HttpCall("DELETE", "/grants/" + permit, new byte[0]), PATIENCE, answer -> {});
     }
 
     /** Waits for changes after a revision. */
@@ -171,12 +181,12 @@
         long blockMs = (long) (blockS * 1000);
         String target = "/follow?starts=" + prefix + "&from=" + from + "&blockMs=" + blockMs;
         CancelLater later = new CancelLater();
-        boolean taken = budget.submit(Rank.RENEWAL, 0, () -> {
+        boolean taken = limiter.submit(Priority.RENEWAL, 0, () -> {
             if (!later.cancelled) {
                 later.call = http.call(
                         address,
                         HttpCall.get(target),
-                        Times.millis(blockMs) + WATCH_SLACK,
+                        Durations.millis(blockMs) + WATCH_SLACK,
                         served(answer -> done.accept(readChanges(answer))));
             }
         });
@@ -199,15 +209,15 @@
         }
     }
 
-    private void send(Rank rank, int changes, HttpCall call, long patience, Consumer<HttpAnswer> done) {
-        boolean taken = budget.submit(rank, changes, () -> http.call(address, call, patience, timed(served(done))));
+    private void send(Priority rank, int changes, HttpCall call, long patience, Consumer<HttpAnswer> done) {
+        boolean taken = limiter.submit(rank, changes, () -> http.call(address, call, patience, timed(served(done))));
         if (!taken) {
             done.accept(new HttpAnswer(429, new byte[0])); // as good as refused: it was never sent
         }
     }
 
-    private <T> void submit(Rank rank, int changes, Consumer<Result<T>> done, Runnable work) {
-        if (!budget.submit(rank, changes, work)) {
+    private <T> void submit(Priority rank, int changes, Consumer<Result<T>> done, Runnable work) {
+        if (!limiter.submit(rank, changes, work)) {
             done.accept(Result.failed(Result.Kind.UNAVAILABLE));
         }
     }
@@ -295,6 +305,6 @@
     }
 
     private void unreadable(BadMessageException e) {
-        oddities.note("unreadable answer of the state service", e.getMessage());
+        warnings.warn("unreadable answer of the state service", e.getMessage());
     }
 }
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -10,16 +10,16 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
-import org.spruceridge.net.Oddities;
+import org.spruceridge.net.RateLimitedWarnings;
 
 /** Sends orders straight to workers, beside the answers to their reports. */
 public final class WorkerClient {
     private final HttpClient http;
-    private final Oddities oddities;
+    private final RateLimitedWarnings warnings;
 
-    public WorkerClient(HttpClient http, Oddities oddities) {
+    public WorkerClient(HttpClient http, RateLimitedWarnings warnings) {
         this.http = http;
-        this.oddities = oddities;
+        this.warnings = warnings;
     }
 
     /** Sends orders for one session of a worker, under a token. */
@@ -42,7 +42,7 @@
                     return new Push(kind, Optional.empty());
             }
         } catch (BadMessageException e) {
-            oddities.note("unreadable answer of a worker", e.getMessage());
+            warnings.warn("unreadable answer of a worker", e.getMessage());
             return new Push(Push.Kind.UNKNOWN, Optional.empty());
         }
     }
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.Durations;
 
 /** The sums of docs/safety.md, for settings of many shapes: each way ends within {@code cancel_s}. */
 final class CancellationTimesTest {
@@ -28,7 +28,7 @@
         // The leader hears of it from its watch well before it may answer no more.
         assertTrue(t.watchS() > 0 && t.watchS() < t.knowledgeS() / 2);
         // The lease itself is never counted shorter than a worker's slowest clock has it.
-        assertTrue(t.fullLeaseS() >= leaseS * (1 + Times.DRIFT));
+        assertTrue(t.fullLeaseS() >= leaseS * (1 + Durations.DRIFT));
     }
 
     @ParameterizedTest
--- a/src/test/java/org/spruceridge/lead/LedgerTest.java
+++ b/src/test/java/org/spruceridge/lead/LedgerTest.java
@@ -18,14 +18,14 @@
 import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Settings;
-import org.spruceridge.net.Budget;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Latencies;
-import org.spruceridge.net.Oddities;
-import org.spruceridge.net.Scope;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter;
 import org.spruceridge.sim.SimLoop;
 import org.spruceridge.state.StateClient;
 
@@ -53,23 +53,23 @@
 
     private final SimLoop loop = new SimLoop();
     private final Cluster cluster = new Cluster();
-    private final Budget budget = new Budget(loop, 90, CHANGES_PER_S, 1);
+    private final RateLimiter limiter = new RateLimiter(loop, 90, CHANGES_PER_S, 1);
     private final Ledger ledger = ledger();
     private long revision = 1;
     private long attempt = 9L << 24;
 
     private Ledger ledger() {
-        Oddities oddities = new Oddities(loop);
+        RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
         Latencies latencies = new Latencies(loop);
         HttpClient http = (to, call, timeout, done) -> {
             long ring = ++revision;
             loop.after(
-                    Times.millis(12),
+                    Durations.millis(12),
                     () -> done.accept(
                             new HttpAnswer(200, Json.bytes(Json.object().put("ring", ring)))));
             return () -> {};
         };
-        StateClient state = new StateClient(loop, http, HERE, budget, oddities, latencies);
+        StateClient state = new StateClient(loop, http, HERE, limiter, warnings, latencies);
         Ledger.Listener nothing = new Ledger.Listener() {
             @Override
             public void committed(ImmutableSet<Machine> bound) {}
@@ -82,7 +82,8 @@
                 throw new AssertionError(why);
             }
         };
-        return new Ledger(loop, new Scope(loop), state, cluster, new Tenure(9, 1, 0), SETTINGS, latencies, nothing);
+        return new Ledger(
+                loop, new CancellationScope(loop), state, cluster, new Tenure(9, 1, 0), SETTINGS, latencies, nothing);
     }
 
     private Job job() {
@@ -131,7 +132,8 @@
             proposed.removeIf(b -> b.stage() != Binding.Stage.PROPOSED);
             if (!proposed.isEmpty()) {
                 longestS = Math.max(
-                        longestS, Times.seconds(loop.nanos() - proposed.peek().boundAt()));
+                        longestS,
+                        Durations.seconds(loop.nanos() - proposed.peek().boundAt()));
             }
         }
         assertTrue(longestS < 4, "a proposal waited " + longestS + " s for its record");
--- a/src/test/java/org/spruceridge/net/SocketsTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -20,8 +20,8 @@
 import org.spruceridge.config.Address;
 
 /** That connections stay within the machine's sockets and that nobody is shut out, on loopback. */
-final class SocketsTest {
-    private static final long PATIENCE = Times.nanos(10);
+final class ConnectionLimiterTest {
+    private static final long PATIENCE = Durations.nanos(10);
 
     private final NettyLoop loop = new NettyLoop();
     private final List<Socket> opened = new ArrayList<>();
@@ -43,8 +43,8 @@
         }
 
         @Override
-        public Intake.Rank rank(Request request) {
-            return request.path().equals("/hello") ? Intake.Rank.REPORT : Intake.Rank.USER;
+        public RequestQueue.Priority priority(Request request) {
+            return request.path().equals("/hello") ? RequestQueue.Priority.REPORT : RequestQueue.Priority.USER;
         }
 
         @Override
@@ -53,8 +53,8 @@
         }
     }
 
-    private void serve(Sockets sockets, long workerIdle) {
-        new HttpServer(loop, sockets, workerIdle, new ServesAll()).start(new Address("0.0.0.0", port));
+    private void serve(ConnectionLimiter connectionLimiter, long workerIdle) {
+        new HttpServer(loop, connectionLimiter, workerIdle, new ServesAll()).start(new Address("0.0.0.0", port));
     }
 
     @AfterEach
@@ -87,8 +87,8 @@
 
     @Test
     void pushesToMoreMachinesThanThereAreSocketsAllArrive() throws Exception {
-        serve(new Sockets(10_000), PATIENCE);
-        Sockets few = new Sockets(40);
+        serve(new ConnectionLimiter(10_000), PATIENCE);
+        ConnectionLimiter few = new ConnectionLimiter(40);
         NettyHttpClient client = new NettyHttpClient(loop, few);
         for (int round = 0; round < 2; round++) {
             for (int machine = 1; machine <= 60; machine++) {
@@ -110,13 +110,13 @@
     @Test
     void anAnswerThatCameWhileTheLoopWasBusyIsTaken() throws Exception {
         NettyLoop other = new NettyLoop();
-        new HttpServer(other, new Sockets(40), PATIENCE, new ServesAll()).start(new Address("0.0.0.0", port));
-        NettyHttpClient client = new NettyHttpClient(loop, new Sockets(40));
+        new HttpServer(other, new ConnectionLimiter(40), PATIENCE, new ServesAll()).start(new Address("0.0.0.0", port));
+        NettyHttpClient client = new NettyHttpClient(loop, new ConnectionLimiter(40));
         Address server = new Address("127.0.0.1", port);
         assertEquals(200, call(client, server)); // its connection is kept
         CompletableFuture<Integer> status = new CompletableFuture<>();
         loop.execute(() -> {
-            client.call(server, HttpCall.get("/"), Times.millis(200), answer -> status.complete(answer.status()));
+            client.call(server, HttpCall.get("/"), Durations.millis(200), answer -> status.complete(answer.status()));
             sleep(600);
         });
         assertEquals(200, status.get(10, TimeUnit.SECONDS));
@@ -126,13 +126,13 @@
     /** At Netty's default of 16 a turn, workers waited in the backlog of a busy leader until they had given up. */
     @Test
     void allThatWaitAreAcceptedInOneTurn() throws Exception {
-        Sockets sockets = new Sockets(10_000);
-        serve(sockets, PATIENCE);
+        ConnectionLimiter connectionLimiter = new ConnectionLimiter(10_000);
+        serve(connectionLimiter, PATIENCE);
         CountDownLatch connected = new CountDownLatch(1);
         CompletableFuture<Integer> open = new CompletableFuture<>();
         loop.execute(() -> {
             await(connected);
-            loop.after(0, () -> loop.after(0, () -> open.complete(sockets.open())));
+            loop.after(0, () -> loop.after(0, () -> open.complete(connectionLimiter.open())));
         });
         for (int i = 0; i < 100; i++) {
             connect();
@@ -179,7 +179,7 @@
 
     @Test
     void aFleetThatComesAndGoesShutsNobodyOut() throws Exception {
-        serve(new Sockets(40), PATIENCE);
+        serve(new ConnectionLimiter(40), PATIENCE);
         Socket user = connect();
         assertTrue(asks(user, "/api/jobs/j-1"));
         Socket first = connect();
@@ -198,7 +198,7 @@
 
     @Test
     void aWorkersConnectionEndsSoonAfterItsLastReport() throws Exception {
-        serve(new Sockets(40), Times.millis(200));
+        serve(new ConnectionLimiter(40), Durations.millis(200));
         Socket worker = connect();
         assertTrue(asks(worker, "/hello"));
         assertEquals(-1, worker.getInputStream().read(), "closed by the server");
--- a/src/test/java/org/spruceridge/net/BudgetTest.java
+++ b/src/test/java/org/spruceridge/net/RateLimiterTest.java
@@ -7,40 +7,40 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.spruceridge.net.Budget.Rank;
+import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.sim.SimLoop;
 
 /** Who goes first when there is more to ask than may be asked. */
-final class BudgetTest {
+final class RateLimiterTest {
     private final SimLoop loop = new SimLoop();
-    private final Budget budget = new Budget(loop, 10, 4, 2);
+    private final RateLimiter limiter = new RateLimiter(loop, 10, 4, 2);
     private final List<String> ran = new ArrayList<>();
 
-    private boolean submit(Rank rank, int changes, String name) {
-        return budget.submit(rank, changes, () -> ran.add(name));
+    private boolean submit(Priority rank, int changes, String name) {
+        return limiter.submit(rank, changes, () -> ran.add(name));
     }
 
     @Test
     void reportsGoBeforeDecisionsAndThoseBeforeSubmissions() {
         for (int i = 0; i < 10; i++) {
-            submit(Rank.DECISIONS, 0, "spends all requests");
+            submit(Priority.DECISIONS, 0, "spends all requests");
         }
         ran.clear();
-        submit(Rank.SUBMISSIONS, 2, "submission");
-        submit(Rank.DECISIONS, 2, "decision");
-        submit(Rank.REPORTS, 2, "report");
-        submit(Rank.RENEWAL, 0, "renewal");
+        submit(Priority.SUBMISSIONS, 2, "submission");
+        submit(Priority.DECISIONS, 2, "decision");
+        submit(Priority.REPORTS, 2, "report");
+        submit(Priority.RENEWAL, 0, "renewal");
         loop.run(1);
         assertEquals(List.of("renewal", "report", "decision", "submission"), ran);
     }
 
     @Test
     void readsDoNotWaitForChangesNorUsersForTheLeadersWrites() {
-        submit(Rank.DECISIONS, 4, "spends all changes");
-        submit(Rank.REPORTS, 2, "report");
-        submit(Rank.DECISIONS, 1, "decision");
-        submit(Rank.SUBMISSIONS, 0, "poll");
-        submit(Rank.SUBMISSIONS, 2, "submission");
+        submit(Priority.DECISIONS, 4, "spends all changes");
+        submit(Priority.REPORTS, 2, "report");
+        submit(Priority.DECISIONS, 1, "decision");
+        submit(Priority.SUBMISSIONS, 0, "poll");
+        submit(Priority.SUBMISSIONS, 2, "submission");
         assertEquals(List.of("spends all changes", "poll", "submission"), ran);
         loop.run(1);
         assertEquals(List.of("report", "decision"), ran.subList(3, 5), "the smaller one does not slip past");
@@ -48,15 +48,15 @@
 
     @Test
     void whatIsNotUsedOfAReservationIsGivenBack() {
-        budget.submit(Rank.DECISIONS, 4, () -> 1);
-        submit(Rank.DECISIONS, 3, "fits");
+        limiter.submit(Priority.DECISIONS, 4, () -> 1);
+        submit(Priority.DECISIONS, 3, "fits");
         assertEquals(List.of("fits"), ran);
     }
 
     @Test
     void noMoreThanTheRateGoesOutInAnySecond() {
         for (int i = 0; i < 40; i++) {
-            submit(Rank.REPORTS, 1, "r" + i);
+            submit(Priority.REPORTS, 1, "r" + i);
         }
         assertEquals(4, ran.size());
         loop.run(1.01);
@@ -65,10 +65,10 @@
 
     @Test
     void aSubmissionThatWouldWaitLongIsTurnedAwayAtOnce() {
-        assertTrue(submit(Rank.SUBMISSIONS, 4, "spends the users' share"));
-        assertTrue(submit(Rank.SUBMISSIONS, 2, "s1"));
-        assertTrue(submit(Rank.SUBMISSIONS, 2, "s2"));
-        assertFalse(submit(Rank.SUBMISSIONS, 2, "s3"));
-        assertTrue(submit(Rank.REPORTS, 2, "reports wait for their turn"));
+        assertTrue(submit(Priority.SUBMISSIONS, 4, "spends the users' share"));
+        assertTrue(submit(Priority.SUBMISSIONS, 2, "s1"));
+        assertTrue(submit(Priority.SUBMISSIONS, 2, "s2"));
+        assertFalse(submit(Priority.SUBMISSIONS, 2, "s3"));
+        assertTrue(submit(Priority.REPORTS, 2, "reports wait for their turn"));
     }
 }
--- a/src/test/java/org/spruceridge/net/IntakeTest.java
+++ b/src/test/java/org/spruceridge/net/RequestQueueTest.java
@@ -5,16 +5,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.spruceridge.net.Intake.Rank;
+import org.spruceridge.net.RequestQueue.Priority;
 import org.spruceridge.sim.SimLoop;
 
 /** With too little processor, reports come before users, and nothing is done for those who wait no more. */
-final class IntakeTest {
+final class RequestQueueTest {
     private final SimLoop loop = new SimLoop();
-    private final Intake intake = new Intake(loop);
+    private final RequestQueue requestQueue = new RequestQueue(loop);
     private final List<String> done = new ArrayList<>();
 
-    private final class Request implements Intake.Work {
+    private final class Request implements RequestQueue.Work {
         private final String name;
         private final double costS;
         private boolean abandoned;
@@ -25,13 +25,13 @@
         }
 
         @Override
-        public void take() {
+        public void run() {
             done.add(name);
             loop.pass(costS);
         }
 
         @Override
-        public void refuse() {
+        public void reject() {
             done.add("no " + name);
         }
 
@@ -44,7 +44,7 @@
     @Test
     void withProcessorToSpareEachRequestIsTakenAtOnce() {
         for (int i = 0; i < 5; i++) {
-            intake.add(Rank.USER, new Request("user", 0.005));
+            requestQueue.add(Priority.USER, new Request("user", 0.005));
             assertEquals(i + 1, done.size());
             loop.run(1);
         }
@@ -52,26 +52,26 @@
 
     @Test
     void whenTheyComeTooFastReportsGoBeforeUsersAndHealthBeforeBoth() {
-        intake.add(Rank.USER, new Request("first", 0.2));
-        intake.add(Rank.USER, new Request("user", 0.2));
-        intake.add(Rank.REPORT, new Request("report", 0.2));
-        intake.add(Rank.HEALTH, new Request("health", 0.01));
+        requestQueue.add(Priority.USER, new Request("first", 0.2));
+        requestQueue.add(Priority.USER, new Request("user", 0.2));
+        requestQueue.add(Priority.REPORT, new Request("report", 0.2));
+        requestQueue.add(Priority.HEALTH, new Request("health", 0.01));
         loop.run(1);
         assertEquals(List.of("first", "health", "report", "user"), done);
     }
 
     @Test
     void whoWaitsTooLongIsRefusedAndWhoHasGoneIsNotServed() {
-        intake.add(Rank.REPORT, new Request("first", 2));
-        intake.add(Rank.USER, new Request("user", 0.1));
+        requestQueue.add(Priority.REPORT, new Request("first", 2));
+        requestQueue.add(Priority.USER, new Request("user", 0.1));
         Request gone = new Request("gone", 0.1);
-        intake.add(Rank.REPORT, gone);
-        intake.add(Rank.REPORT, new Request("report", 2.5));
+        requestQueue.add(Priority.REPORT, gone);
+        requestQueue.add(Priority.REPORT, new Request("report", 2.5));
         gone.abandoned = true;
         loop.run(10);
         assertEquals(List.of("first", "no gone", "report", "no user"), done);
         loop.run(1);
-        intake.add(Rank.USER, new Request("later", 0.1));
+        requestQueue.add(Priority.USER, new Request("later", 0.1));
         assertEquals("later", done.get(4), "all is as before");
     }
 }
--- a/src/test/java/org/spruceridge/peer/BeaconTest.java
+++ b/src/test/java/org/spruceridge/peer/HeartbeatTest.java
@@ -8,25 +8,25 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.peer.Beacon.Progress;
+import org.spruceridge.peer.Heartbeat.Progress;
 
 /** What goes between nodes comes out as it went in, and nothing else is taken for it. */
-final class BeaconTest {
-    private final Beacon beacon = new Beacon(
+final class HeartbeatTest {
+    private final Heartbeat heartbeat = new Heartbeat(
             "n0", true, false, 7, ImmutableMap.of("j-000001", new Progress(3, 4)), ImmutableList.of("j-000002"));
 
     @Test
     void aBeaconIsReadAsItWasWritten() throws BadMessageException {
-        assertEquals(beacon, Beacon.read(beacon.write()));
+        assertEquals(heartbeat, Heartbeat.read(heartbeat.write()));
     }
 
     @Test
     void whatIsCutShortOrForeignIsRefused() {
-        byte[] whole = beacon.write();
+        byte[] whole = heartbeat.write();
         for (int length = 0; length < whole.length; length++) {
             byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(BadMessageException.class, () -> Beacon.read(part));
+            assertThrows(BadMessageException.class, () -> Heartbeat.read(part));
         }
-        assertThrows(BadMessageException.class, () -> Beacon.read("GET / HTTP/1.1".getBytes()));
+        assertThrows(BadMessageException.class, () -> Heartbeat.read("GET / HTTP/1.1".getBytes()));
     }
 }
--- a/src/test/java/org/spruceridge/sim/Limit.java
+++ b/src/test/java/org/spruceridge/sim/Limit.java
@@ -1,7 +1,7 @@
 package org.spruceridge.sim;
 
 import java.util.function.LongSupplier;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.Durations;
 
 /** A limit of the settings on something per second, with bursts of some seconds' worth: who exceeds it fails the story. */
 final class Limit {
@@ -23,7 +23,7 @@
 
     void take(int count) {
         long now = clock.getAsLong();
-        left = Math.min(burst, left + Times.seconds(now - at) * perS) - count;
+        left = Math.min(burst, left + Durations.seconds(now - at) * perS) - count;
         at = now;
         if (left < 0) {
             throw new AssertionError("limit: more than " + perS + " " + what + " a second");
--- a/src/test/java/org/spruceridge/sim/LimitTest.java
+++ b/src/test/java/org/spruceridge/sim/LimitTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import org.junit.jupiter.api.Test;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.Durations;
 
 /** The stand-ins' limits let a second's worth through at once, and no more than the rate after it. */
 final class LimitTest {
     private double nowS;
-    private final Limit limit = new Limit("requests", 10, 1, () -> Times.nanos(nowS));
+    private final Limit limit = new Limit("requests", 10, 1, () -> Durations.nanos(nowS));
 
     @Test
     void aBurstAndThenTheRateAreWithinTheLimit() {
--- a/src/test/java/org/spruceridge/sim/Rules.java
+++ b/src/test/java/org/spruceridge/sim/Rules.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.Durations;
 
 /**
  * The protocol's rules over one world. It keeps its own book of what was submitted, what runs where and what users were
@@ -93,7 +93,7 @@
 
     private double sinceCancelledS(String id) {
         Long at = cancelled.get(id);
-        return at == null ? 0 : Times.seconds(clock.getAsLong() - at);
+        return at == null ? 0 : Durations.seconds(clock.getAsLong() - at);
     }
 
     void starts(String part, String machine, String zone, boolean spot) {
@@ -191,7 +191,7 @@
             return;
         }
         long since = besideRoom.computeIfAbsent(id, i -> clock.getAsLong());
-        if (Times.seconds(clock.getAsLong() - since) > WAIT_S) {
+        if (Durations.seconds(clock.getAsLong() - since) > WAIT_S) {
             broken("waits beside room", id);
         }
     }
--- a/src/test/java/org/spruceridge/sim/RulesTest.java
+++ b/src/test/java/org/spruceridge/sim/RulesTest.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.spruceridge.net.Times;
+import org.spruceridge.net.Durations;
 
 /** Each clause of the stand-ins' rules fails on a world that breaks it, and on no other. */
 final class RulesTest {
@@ -16,7 +16,7 @@
     private static final String TASK = "j-000001/0";
 
     private double nowS;
-    private final Rules rules = new Rules(() -> Times.nanos(nowS), 16, 30);
+    private final Rules rules = new Rules(() -> Durations.nanos(nowS), 16, 30);
 
     private void accepted(ObjectNode job) {
         rules.submits(job);
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -10,10 +10,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.Json;
-import org.spruceridge.net.Times;
 
 /** The cloud, written from its published protocol, with one machine type. */
 public final class SimCloud implements SimNet.Server {
@@ -66,7 +66,7 @@
     public void die(SimWorker worker) {
         worker.kill();
         Host host = hosts.get(worker.name());
-        world.loop.after(Times.nanos(30), () -> host.stage[0] = "failed");
+        world.loop.after(Durations.nanos(30), () -> host.stage[0] = "failed");
     }
 
     @Override
@@ -119,7 +119,7 @@
         String name = String.format("i-%06d", count++);
         Host host = new Host(zone, spot, world.loop.nanos(), new SimWorker[1], new String[] {"booting"});
         hosts.put(name, host);
-        world.loop.after(Times.nanos(World.BOOT_S), () -> {
+        world.loop.after(Durations.nanos(World.BOOT_S), () -> {
             if (hosts.containsKey(name)) {
                 host.worker[0] = new SimWorker(world, name, zone, spot);
                 host.stage[0] = "running";
@@ -138,7 +138,7 @@
                 .put("grove", h.zone)
                 .put("windfall", h.spot)
                 .put("stage", h.stage[0])
-                .put("heldS", Times.seconds(world.loop.nanos() - h.rentedAt)));
+                .put("heldS", Durations.seconds(world.loop.nanos() - h.rentedAt)));
         return out;
     }
 
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -3,14 +3,14 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import org.spruceridge.net.Cancellable;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.Times;
 
 /** Simulated time: tasks run in the order of their moments, and time passes only between them. */
 public final class SimLoop implements Loop {
     private final PriorityQueue<Task> queue =
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
-    private long now = Times.nanos(1000);
+    private long now = Durations.nanos(1000);
     private long order;
     private boolean busy;
 
@@ -50,12 +50,12 @@
 
     /** Time passes within a task, as when it costs much processor. */
     public void pass(double seconds) {
-        now += Times.nanos(seconds);
+        now += Durations.nanos(seconds);
     }
 
     /** Lets time pass. */
     public void run(double seconds) {
-        long end = now + Times.nanos(seconds);
+        long end = now + Durations.nanos(seconds);
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             Task task = queue.remove();
             now = Math.max(now, task.at());
@@ -76,7 +76,7 @@
 
         /** Lets the process stand still while its clocks run on; then all that was due meanwhile runs, in order. */
         void standStill(double seconds) {
-            stillUntil = loop.nanos() + Times.nanos(seconds);
+            stillUntil = loop.nanos() + Durations.nanos(seconds);
         }
 
         private void run(Runnable work) {
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -8,14 +8,14 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import org.spruceridge.config.Address;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpClient;
-import org.spruceridge.net.Times;
 
 /** A network in memory that can lose, hold and delay messages. */
 public final class SimNet {
-    private static final long LATENCY = Times.millis(1);
+    private static final long LATENCY = Durations.millis(1);
 
     /** What becomes of a request. */
     public enum Fate {
@@ -63,7 +63,7 @@
 
     /** The state service refuses this node alone for a while; its open watches wait. */
     public void refuse(String node, double seconds) {
-        refusedUntil.put(node, loop.nanos() + Times.nanos(seconds));
+        refusedUntil.put(node, loop.nanos() + Durations.nanos(seconds));
     }
 
     private boolean refused(String from, Address to) {
@@ -133,7 +133,7 @@
             };
             switch (fate) {
                 case DELIVERED, ANSWER_LOST -> loop.after(LATENCY, arrive);
-                case SLOW -> loop.after(Times.millis(100), arrive);
+                case SLOW -> loop.after(Durations.millis(100), arrive);
                 case HELD -> held.add(arrive);
                 case COPIED -> {
                     loop.after(LATENCY, arrive);
@@ -141,9 +141,9 @@
                 }
                 case COPIED_LATE -> {
                     loop.after(LATENCY, arrive);
-                    loop.after(Times.nanos(random.nextDouble(2, 1.5 * World.LEASE_S)), arrive);
+                    loop.after(Durations.nanos(random.nextDouble(2, 1.5 * World.LEASE_S)), arrive);
                 }
-                case LATE -> loop.after(Times.nanos(random.nextDouble(2, 12)), arrive);
+                case LATE -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrive);
                 case REFUSED -> back.accept(new HttpAnswer(503, new byte[0]));
                 case LOST -> {}
             }
@@ -154,7 +154,7 @@
     /** The watch of a node that is refused waits, as in an outage. */
     private void answer(String from, Address to, HttpCall call, HttpAnswer answer, Consumer<HttpAnswer> back) {
         if (call.target().startsWith("/follow") && refused(from, to)) {
-            loop.after(Times.millis(50), () -> answer(from, to, call, answer, back));
+            loop.after(Durations.millis(50), () -> answer(from, to, call, answer, back));
         } else {
             back.accept(answer);
         }
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.Json;
-import org.spruceridge.net.Times;
 
 /** The state service, written from its published protocol. */
 public final class SimState implements SimNet.Server {
@@ -55,8 +55,8 @@
 
     /** Refuses everything for a while; grants get their full time back after it. */
     public void outage(double seconds) {
-        outageUntil = loop.nanos() + Times.nanos(seconds);
-        loop.after(Times.nanos(seconds), () -> grants.values().forEach(g -> g.until = loop.nanos() + g.ttl));
+        outageUntil = loop.nanos() + Durations.nanos(seconds);
+        loop.after(Durations.nanos(seconds), () -> grants.values().forEach(g -> g.until = loop.nanos() + g.ttl));
     }
 
     /** The value of a key, or null. */
@@ -81,7 +81,7 @@
                 }
             }
         }
-        loop.after(Times.millis(20), this::expire);
+        loop.after(Durations.millis(20), this::expire);
     }
 
     private void end(long permit) {
@@ -112,7 +112,7 @@
                 }
                 answer.accept(txn(Json.object(call.body())));
             } else if (path.equals("/grants")) {
-                Grant grant = new Grant(Times.millis(Json.number(Json.object(call.body()), "ttlMs")));
+                Grant grant = new Grant(Durations.millis(Json.number(Json.object(call.body()), "ttlMs")));
                 grant.until = loop.nanos() + grant.ttl;
                 grants.put(++lastGrant, grant);
                 answer.accept(ok(Json.object().put("permit", lastGrant)));
@@ -222,7 +222,7 @@
         Watch watch = new Watch(
                 query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer, new boolean[1]);
         watches.add(watch);
-        loop.after(Times.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> runOut(watch));
+        loop.after(Durations.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> runOut(watch));
         wake();
     }
 
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -10,11 +10,11 @@
 import java.util.function.Consumer;
 import org.spruceridge.config.Address;
 import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
-import org.spruceridge.net.Times;
 
 /** A worker, written from its published protocol. */
 public final class SimWorker {
@@ -154,24 +154,24 @@
     }
 
     private void checkLease() {
-        if (world.loop.nanos() - leaseFrom > Times.nanos(World.LEASE_S)) {
+        if (world.loop.nanos() - leaseFrom > Durations.nanos(World.LEASE_S)) {
             session++;
             leaseFrom = world.loop.nanos();
             tasks.values().forEach(t -> world.ended(t.part, name));
             tasks.clear();
         }
-        process.after(Times.millis(50), this::checkLease);
+        process.after(Durations.millis(50), this::checkLease);
     }
 
     private void report() {
-        process.after(Times.nanos(World.REPORT_S), this::report);
+        process.after(Durations.nanos(World.REPORT_S), this::report);
         if (!frozen) {
             send();
         }
     }
 
     private void soon() {
-        long wait = lastSent + Times.millis(500) - world.loop.nanos();
+        long wait = lastSent + Durations.millis(500) - world.loop.nanos();
         process.after(Math.max(0, wait), this::send);
     }
 
@@ -185,7 +185,7 @@
         lastSent = sentAt;
         long sentIn = session;
         Address to = World.address(nodes.get(node));
-        http.call(to, HttpCall.post("/hello", Json.bytes(body())), Times.nanos(4), answer -> {
+        http.call(to, HttpCall.post("/hello", Json.bytes(body())), Durations.nanos(4), answer -> {
             waiting = false;
             answered(answer, sentAt, sentIn);
         });
@@ -220,7 +220,7 @@
         }
         if (answer.status() != 200) {
             node = next(answer);
-            process.after(Times.millis(answer.status() == 421 ? 100 : 1000), this::send);
+            process.after(Durations.millis(answer.status() == 421 ? 100 : 1000), this::send);
             return;
         }
         try {
@@ -285,7 +285,7 @@
         tasks.put(key, task);
         world.started(task.part, this, zone, spot);
         soon();
-        process.after(Times.nanos(world.runS(task.part)), () -> complete(task, key));
+        process.after(Durations.nanos(world.runS(task.part)), () -> complete(task, key));
     }
 
     private void complete(Task task, String key) {
--- a/src/test/java/org/spruceridge/sim/World.java
+++ b/src/test/java/org/spruceridge/sim/World.java
@@ -16,13 +16,13 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Request;
 import org.spruceridge.net.Response;
-import org.spruceridge.net.Times;
 import org.spruceridge.node.Node;
-import org.spruceridge.peer.PeerLink;
+import org.spruceridge.peer.PeerTransport;
 import org.spruceridge.record.BindingsRecord;
 
 /**
@@ -76,7 +76,7 @@
 
     private void watchRules() {
         rules.watch();
-        loop.after(Times.millis(100), this::watchRules);
+        loop.after(Durations.millis(100), this::watchRules);
     }
 
     List<String> nodeNames() {
@@ -193,7 +193,7 @@
         String name = leader();
         if (name != null) {
             crash(name);
-            loop.after(Times.nanos(backAfterS), () -> bootIfDead(name));
+            loop.after(Durations.nanos(backAfterS), () -> bootIfDead(name));
         }
     }
 
@@ -392,7 +392,7 @@
         return Settings.read(root);
     }
 
-    private final class Link implements PeerLink {
+    private final class Link implements PeerTransport {
         private final String from;
         private Consumer<byte[]> taker = frame -> {};
 
