--- a/src/main/java/org/spruceridge/fleet/Fleet.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.spruceridge.fleet;
+package org.spruceridge.autoscaling;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.Lists;
@@ -34,8 +34,8 @@
 import org.spruceridge.schedule.Plan;
 
 /** Keeps the machines: rents what the rounds lack, returns what idles, and finds out which are gone. */
-public final class Fleet {
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class Autoscaler {
+    private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
     /** A deleted machine costs at least this long, so an idle one is not returned before. */
     private static final double LEAST_PAID_S = 60;
     /** Beyond a lease's drift: late timers, on both sides. */
@@ -51,7 +51,7 @@
     private final CancellationScope scope;
     private final CloudClient cloud;
     private final Cluster cluster;
-    private final MachineLog ledger;
+    private final BindingReleaser recordWriter;
     private final Settings settings;
     private final Policy policy;
     private final long term;
@@ -59,7 +59,7 @@
     private final Supplier<Plan> lastPlan;
     private final Runnable changed;
     private final CancellationTimes times;
-    private final Standby standby;
+    private final WarmCapacity warmCapacity;
     private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
     private final Map<String, Claim> claims = new LinkedHashMap<>();
     private final Set<String> deleting = new HashSet<>();
@@ -72,12 +72,12 @@
     /** A rental request that is on its way. */
     private record Claim(MachineKind offer, int count, long askedAt) {}
 
-    public Fleet(
+    public Autoscaler(
             Loop loop,
             CancellationScope scope,
             CloudClient cloud,
             Cluster cluster,
-            MachineLog ledger,
+            BindingReleaser recordWriter,
             Settings settings,
             Policy policy,
             long term,
@@ -88,7 +88,7 @@
         this.scope = scope;
         this.cloud = cloud;
         this.cluster = cluster;
-        this.ledger = ledger;
+        this.recordWriter = recordWriter;
         this.settings = settings;
         this.policy = policy;
         this.term = term;
@@ -96,7 +96,7 @@
         this.lastPlan = lastPlan;
         this.changed = changed;
         this.times = CancellationTimes.of(settings.workers());
-        this.standby = new Standby(settings, loop.nanos());
+        this.warmCapacity = new WarmCapacity(settings, loop.nanos());
         this.lastTick = loop.nanos();
     }
 
@@ -172,7 +172,7 @@
                 cluster.add(machine);
             }
             if (machine != null) {
-                machine.bornAt(Math.min(machine.bornAt(), now - Durations.nanos(host.ageS())));
+                machine.rentedAt(Math.min(machine.rentedAt(), now - Durations.nanos(host.ageS())));
             }
         }
         for (List<String> part : Lists.partition(failed, CloudClient.MOST_DELETED)) {
@@ -203,10 +203,10 @@
 
     private void releaseAll(Machine m) {
         for (Binding b : ImmutableList.copyOf(m.bindings())) {
-            if (b.stage() == Binding.Stage.STRAY) {
+            if (b.stage() == Binding.Stage.ORPHANED) {
                 cluster.unbind(b, loop.nanos());
             } else {
-                ledger.release(b, false);
+                recordWriter.release(b, false);
             }
         }
     }
@@ -243,7 +243,7 @@
         double silentS = policy.fleet().silentOfLease() * settings.workers().leaseS();
         Map<String, int[]> heardOfZone = new HashMap<>();
         for (Machine m : cluster.machines()) {
-            if (m.everHeard()) {
+            if (m.hasReported()) {
                 int[] counts = heardOfZone.computeIfAbsent(m.zone(), z -> new int[2]);
                 counts[0]++;
                 counts[1] += outOfTouchS(m, now) < silentS ? 1 : 0;
@@ -252,9 +252,9 @@
         List<Machine> lost = new ArrayList<>();
         for (Machine m : cluster.machines()) {
             double silentForS = outOfTouchS(m, now);
-            if (!m.everHeard()) {
+            if (!m.hasReported()) {
                 double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-                boolean stuck = secondsSince(m.bornAt(), now) > policy.fleet().stuckOfBoot() * bootS;
+                boolean stuck = secondsSince(m.rentedAt(), now) > policy.fleet().stuckOfBoot() * bootS;
                 if (stuck
                         && secondsSince(m.knownSince(), now)
                                 > settings.workers().leaseS()) {
@@ -278,7 +278,9 @@
     /** How long the machine has not been heard, or has been heard without doing as it was told. */
     private static double outOfTouchS(Machine m, long now) {
         double silentS = secondsSince(m.lastHeard(), now);
-        return m.unreachedSince() == Machine.NEVER ? silentS : Math.max(silentS, secondsSince(m.unreachedSince(), now));
+        return m.unreachableSince() == Machine.NEVER
+                ? silentS
+                : Math.max(silentS, secondsSince(m.unreachableSince(), now));
     }
 
     private static double secondsSince(long moment, long now) {
@@ -291,42 +293,42 @@
             return;
         }
         long now = loop.nanos();
-        List<Standby.Wanted> standingBy = standby.wanted(cluster, now);
-        Demand demand = new Demand(
+        List<WarmCapacity.Wanted> standingBy = warmCapacity.wanted(cluster, now);
+        ScaleUpPlanner planner = new ScaleUpPlanner(
                 cluster,
                 offer -> refusedUntil.getOrDefault(offer, Long.MIN_VALUE) <= now,
                 smallestTask(plan, standingBy));
         List<Machine> here = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (m.returning() || m.unfit()) {
+            if (m.returning() || m.unschedulable()) {
                 continue;
             }
-            if (m.everHeard()) {
+            if (m.hasReported()) {
                 here.add(m);
             } else if (comingSoon(m, now)) {
-                demand.add(m);
+                planner.add(m);
             }
         }
         for (Claim claim : claims.values()) {
             for (int i = 0; i < claim.count; i++) {
-                demand.add(claim.offer);
+                planner.add(claim.offer);
             }
         }
         for (Machine m : here) {
-            demand.addFreed(m, freedWithinBoot(m, now));
+            planner.addFreed(m, freedWithinBoot(m, now));
         }
-        plan.unplaced().forEach((job, count) -> demand.place(job.spec(), count));
-        here.forEach(demand::add); // standing by may count on room that the round left free
-        standingBy.forEach(wanted -> demand.place(wanted.example(), wanted.tasks()));
-        demand.wanted().forEach(this::rent);
-        returnIdle(demand.kept(), now);
+        plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count));
+        here.forEach(planner::add); // standing by may count on room that the round left free
+        standingBy.forEach(wanted -> planner.place(wanted.example(), wanted.tasks()));
+        planner.wanted().forEach(this::rent);
+        returnIdle(planner.kept(), now);
     }
 
     /** The least of each resource that any task to be placed takes. */
-    private static Resources smallestTask(Plan plan, List<Standby.Wanted> standingBy) {
+    private static Resources smallestTask(Plan plan, List<WarmCapacity.Wanted> standingBy) {
         return Stream.concat(
                         plan.unplaced().keySet().stream().map(Job::spec),
-                        standingBy.stream().map(Standby.Wanted::example))
+                        standingBy.stream().map(WarmCapacity.Wanted::example))
                 .map(JobSpec::task)
                 .reduce(Resources::least)
                 .orElse(Resources.NONE);
@@ -348,7 +350,7 @@
 
     private boolean comingSoon(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-        return secondsSince(m.bornAt(), now) < 2 * bootS
+        return secondsSince(m.rentedAt(), now) < 2 * bootS
                 || secondsSince(m.knownSince(), now) < 2 * settings.workers().reportS();
     }
 
@@ -389,7 +391,7 @@
         for (String id : rental.machines()) {
             if (cluster.machine(id) == null && !cluster.isGone(id)) {
                 Machine m = new Machine(id, "", offer, now, now);
-                m.bornAt(claim.askedAt);
+                m.rentedAt(claim.askedAt);
                 cluster.add(m);
             }
         }
@@ -410,14 +412,14 @@
     private void returnIdle(Set<Machine> kept, long now) {
         List<Machine> idle = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (m.returning() || !m.everHeard() || !(m.bindings().isEmpty() || lateStartMayHarm(m))) {
+            if (m.returning() || !m.hasReported() || !(m.bindings().isEmpty() || lateStartMayHarm(m))) {
                 continue;
             }
             double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
             boolean idleLong = secondsSince(m.idleSince(), now) > policy.fleet().idleOfBoot() * bootS * cheapness(m)
-                    && secondsSince(m.bornAt(), now) > LEAST_PAID_S;
-            boolean useless = m.unfit() && !(m.doubted() && beingAsked(m, now));
-            if (useless || (idleLong && !kept.contains(m) && !standby.learning(cluster, now))) {
+                    && secondsSince(m.rentedAt(), now) > LEAST_PAID_S;
+            boolean useless = m.unschedulable() && !(m.suspectedUnreachable() && beingAsked(m, now));
+            if (useless || (idleLong && !kept.contains(m) && !warmCapacity.learning(cluster, now))) {
                 idle.add(m);
             }
         }
@@ -428,7 +430,7 @@
 
     /** Its reach came into doubt a moment ago, and it has been asked for a sign. */
     private boolean beingAsked(Machine m, long now) {
-        return secondsSince(m.unreachedSince(), now) < settings.workers().leaseS() / 2;
+        return secondsSince(m.unreachableSince(), now) < settings.workers().leaseS() / 2;
     }
 
     /** The lowest price of a machine's type against its own: the dearer it is, the sooner it is given back. */
@@ -440,7 +442,7 @@
 
     /** A start of a cancelled job may still be on its way to this machine: only its end makes sure. */
     private static boolean lateStartMayHarm(Machine m) {
-        return m.tainted()
+        return m.startUncertain()
                 && m.bindings().stream()
                         .anyMatch(b -> b.job().cancelled()
                                 && b.phase() == Binding.Phase.ABSENT
--- a/src/main/java/org/spruceridge/fleet/MachineLog.java
+++ b/src/main/java/org/spruceridge/autoscaling/BindingReleaser.java
@@ -1,9 +1,9 @@
-package org.spruceridge.fleet;
+package org.spruceridge.autoscaling;
 
 import org.spruceridge.cluster.Binding;
 
 /** Where proof about machines goes on record. */
-public interface MachineLog {
+public interface BindingReleaser {
     /** The task of the binding is certainly not on its machine; {@code done} if it completed. */
     void release(Binding binding, boolean done);
 }
--- a/src/main/java/org/spruceridge/fleet/Demand.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
@@ -1,4 +1,4 @@
-package org.spruceridge.fleet;
+package org.spruceridge.autoscaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -20,7 +20,7 @@
  * Packs tasks that found no room into machines that are coming, and then into machines yet to be rented, the cheapest
  * that fits and can be had. It only computes; what it asks for is the fleet's to rent.
  */
-final class Demand {
+final class ScaleUpPlanner {
     private static final int MOST_NEW = 100;
 
     private final Cluster cluster;
@@ -36,7 +36,7 @@
      * {@code available} tells which offers were not refused lately, {@code smallestTask} the least that any task to be
      * placed takes of each resource: room in which that does not fit need not be looked at for each job.
      */
-    Demand(Cluster cluster, Predicate<MachineKind> available, Resources smallestTask) {
+    ScaleUpPlanner(Cluster cluster, Predicate<MachineKind> available, Resources smallestTask) {
         this.cluster = cluster;
         this.available = available;
         this.smallestTask = smallestTask;
--- a/src/main/java/org/spruceridge/fleet/Standby.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -1,4 +1,4 @@
-package org.spruceridge.fleet;
+package org.spruceridge.autoscaling;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,7 +15,7 @@
  * Resources kept free for classes whose tasks should start sooner than a machine boots: as much as the class has lately
  * had unfinished at one time.
  */
-final class Standby {
+final class WarmCapacity {
     /** How long a peak is remembered, in boot times. */
     private static final double MEMORY_OF_BOOT = 15;
 
@@ -26,7 +26,7 @@
     /** Resources to be kept free for so many tasks like those of a job. */
     record Wanted(JobSpec example, int tasks) {}
 
-    Standby(Settings settings, long now) {
+    WarmCapacity(Settings settings, long now) {
         this.settings = settings;
         this.since = now;
     }
--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -14,7 +14,7 @@
         /** Proof that the task is gone was seen; the record still holds the binding. */
         RELEASING,
         /** Seen in a report without a record; halted, and counted until it is gone. */
-        STRAY
+        ORPHANED
     }
 
     /** Why the task is to be stopped, if it is. */
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -139,7 +139,7 @@
     }
 
     /** Its tasks fail on one machine after another: likely it was submitted with a mistake. */
-    public boolean doubted() {
+    public boolean suspectedFaulty() {
         return faultyOn.size() >= MACHINES_TO_DOUBT;
     }
 
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -23,18 +23,18 @@
     private boolean fenced;
     private long lastHeard;
     private long lastAnswered;
-    private boolean everHeard;
-    private long takenAt = Long.MAX_VALUE;
+    private boolean hasReported;
+    private long reclaimAt = Long.MAX_VALUE;
     private long knownSince;
     private boolean returning;
-    private boolean suspect;
+    private boolean suspectedFaulty;
     private final Set<Long> unresolved = new HashSet<>();
-    private boolean tainted;
-    private long doubtedSince = NEVER;
-    private long greetedAt = NEVER;
+    private boolean startUncertain;
+    private long suspectedSince = NEVER;
+    private long tokenSentAt = NEVER;
     private long idleSince;
-    private long lastStop = Long.MIN_VALUE;
-    private long bornAt;
+    private long lastPreemption = Long.MIN_VALUE;
+    private long rentedAt;
 
     /** {@code answeredAt} is the last moment at which any entitled node can have answered a report of it. */
     public Machine(String name, String address, MachineKind kind, long now, long answeredAt) {
@@ -42,7 +42,7 @@
         this.address = address;
         this.kind = kind;
         this.knownSince = now;
-        this.bornAt = now;
+        this.rentedAt = now;
         this.lastHeard = now;
         this.lastAnswered = answeredAt;
         this.idleSince = now;
@@ -119,7 +119,7 @@
 
     /** It was up before this term, as its bindings tell: it is waited for like one that was heard. */
     public void expected() {
-        everHeard = true;
+        hasReported = true;
     }
 
     /**
@@ -127,7 +127,7 @@
      * worker reaches a controller, on which its lease depends.
      */
     public void heard(long reportSession, long reportSequence, String reportAddress, boolean byItself, long now) {
-        if (!everHeard) {
+        if (!hasReported) {
             idleSince = now;
         }
         if (reportSession > session) {
@@ -136,8 +136,8 @@
             // session counted, tasks that were pushed to this one would be taken for gone while they run.
             lastAnswered = Math.max(lastAnswered, now);
             // Its lease ran out: perhaps our answers do not reach it. It has to show that something does.
-            if (session > 0 && doubtedSince == NEVER) {
-                doubtedSince = now;
+            if (session > 0 && suspectedSince == NEVER) {
+                suspectedSince = now;
             }
         }
         session = reportSession;
@@ -146,14 +146,14 @@
         if (byItself) {
             lastHeard = now;
         }
-        everHeard = true;
+        hasReported = true;
     }
 
     /** The lease of the session ran out: what it may still have sent changes nothing. */
     public void endSession() {
         leastSession = session + 1;
         fenced = false;
-        greetedAt = NEVER;
+        tokenSentAt = NEVER;
         voidPushes();
     }
 
@@ -163,27 +163,27 @@
     }
 
     /** A push of this session was not answered: a start may come late. */
-    public boolean tainted() {
-        return tainted;
+    public boolean startUncertain() {
+        return startUncertain;
     }
 
-    public void taint() {
-        tainted = true;
+    public void markStartUncertain() {
+        startUncertain = true;
     }
 
     /** An order of ours was carried out or answered. */
     public void reached() {
-        doubtedSince = NEVER;
+        suspectedSince = NEVER;
     }
 
     /** It is heard, but there is reason to think that nothing we say reaches it. */
-    public boolean doubted() {
-        return doubtedSince != NEVER;
+    public boolean suspectedUnreachable() {
+        return suspectedSince != NEVER;
     }
 
     /** Since when an order has been waiting for it, or its reach has been in doubt; {@link #NEVER} if neither. */
-    public long unreachedSince() {
-        long since = doubtedSince;
+    public long unreachableSince() {
+        long since = suspectedSince;
         for (Binding b : bindings.values()) {
             since = Math.min(since, b.orderedAt());
         }
@@ -191,13 +191,13 @@
     }
 
     /** Nothing more is placed here: it is taken for faulty, about to be taken away, perhaps out of reach, or a late start may come. */
-    public boolean unfit() {
-        return suspect || noticed() || tainted || doubted();
+    public boolean unschedulable() {
+        return suspectedFaulty || reclaimAnnounced() || startUncertain || suspectedUnreachable();
     }
 
     private void voidPushes() {
         unresolved.clear();
-        tainted = false;
+        startUncertain = false;
     }
 
     /** True once a report carried this term's token: no older leader's answer counts there any more. */
@@ -214,8 +214,8 @@
         return lastHeard;
     }
 
-    public boolean everHeard() {
-        return everHeard;
+    public boolean hasReported() {
+        return hasReported;
     }
 
     /** The last moment at which a lease of its worker can have begun anew. */
@@ -226,25 +226,25 @@
     /** Its report is answered; {@code known} if it showed this term's token. */
     public void answered(long now, boolean known) {
         lastAnswered = now;
-        greetedAt = known ? NEVER : Math.min(greetedAt, now);
+        tokenSentAt = known ? NEVER : Math.min(tokenSentAt, now);
     }
 
     /** When it was first handed this term's token that it has not shown since; {@link #NEVER} if it has. */
-    public long greetedAt() {
-        return greetedAt;
+    public long tokenSentAt() {
+        return tokenSentAt;
     }
 
     /** When the cloud will take the machine away; Long.MAX_VALUE if no notice was given. */
-    public long takenAt() {
-        return takenAt;
+    public long reclaimAt() {
+        return reclaimAt;
     }
 
-    public void takenAt(long moment) {
-        takenAt = moment;
+    public void reclaimAt(long moment) {
+        reclaimAt = moment;
     }
 
-    public boolean noticed() {
-        return takenAt != Long.MAX_VALUE;
+    public boolean reclaimAnnounced() {
+        return reclaimAt != Long.MAX_VALUE;
     }
 
     public long knownSince() {
@@ -252,12 +252,12 @@
     }
 
     /** When it was rented, as far as is known. */
-    public long bornAt() {
-        return bornAt;
+    public long rentedAt() {
+        return rentedAt;
     }
 
-    public void bornAt(long moment) {
-        bornAt = moment;
+    public void rentedAt(long moment) {
+        rentedAt = moment;
     }
 
     /** The machine is being given back: nothing is placed on it any more. */
@@ -275,12 +275,12 @@
     }
 
     /** Tasks of several jobs failed here. */
-    public boolean suspect() {
-        return suspect;
+    public boolean suspectedFaulty() {
+        return suspectedFaulty;
     }
 
-    public void suspect(boolean value) {
-        suspect = value;
+    public void suspectedFaulty(boolean value) {
+        suspectedFaulty = value;
     }
 
     /** Since when it has had no binding. */
@@ -288,11 +288,11 @@
         return idleSince;
     }
 
-    public long lastStop() {
-        return lastStop;
+    public long lastPreemption() {
+        return lastPreemption;
     }
 
-    public void lastStop(long moment) {
-        lastStop = moment;
+    public void lastPreemption(long moment) {
+        lastPreemption = moment;
     }
 }
--- a/src/main/java/org/spruceridge/config/CancellationTimes.java
+++ b/src/main/java/org/spruceridge/config/CancellationTimes.java
@@ -29,13 +29,13 @@
      * How old a leader's knowledge of cancellations may be while it answers workers. A job that is cancelled behind its
      * back keeps its tasks for so long, and for a lease from the last answer.
      */
-    public double knowledgeS() {
+    public double maxStalenessS() {
         return Math.min(leaseS, (1 - MARGIN) * (cancelS - fullLeaseS()));
     }
 
     /** How long a watch of the cancellations waits before it says that there was none. */
     public double watchS() {
-        return knowledgeS() / WATCHES_OF_KNOWLEDGE;
+        return maxStalenessS() / WATCHES_OF_KNOWLEDGE;
     }
 
     /** After this time a machine on which a stop is not proven is given back, whatever else is on it. */
--- a/src/main/java/org/spruceridge/config/Policy.java
+++ b/src/main/java/org/spruceridge/config/Policy.java
@@ -12,7 +12,7 @@
  * The operators' own settings: the weights of the document's terms and the ratios by which everything else follows
  * from the platform's figures.
  */
-public record Policy(Weights weights, Rounds rounds, Stops stops, Leading leading, FleetRatios fleet) {
+public record Policy(Weights weights, Scheduling rounds, Stops stops, Leading leading, FleetRatios fleet) {
 
     /** The document's weights, and those of our own terms. */
     public record Weights(
@@ -27,7 +27,7 @@
     /** How far apart rounds are, against the workers' report period, the least remaining time that the scores assume, and
      * when each job should have begun.
      */
-    public record Rounds(double spacingOfReport, double remainingFloorS, double heldShare, double beginWithinS) {}
+    public record Scheduling(double spacingOfReport, double remainingFloorS, double heldShare, double beginWithinS) {}
 
     /** How often a running task of one machine may be stopped for a waiting one. */
     public record Stops(double perMachineS) {}
@@ -42,7 +42,7 @@
     public static Policy defaults() {
         return new Policy(
                 new Weights(15, 40, 8, 5, 40, 2, 3),
-                new Rounds(0.1, 10, 0.25, 240),
+                new Scheduling(0.1, 10, 0.25, 240),
                 new Stops(60),
                 new Leading(0.5, 8),
                 new FleetRatios(0.25, 4, 0.5));
@@ -82,11 +82,11 @@
                     f.atLeastZeroOr("thrift", weights.thrift),
                     f.atLeastZeroOr("packing", weights.packing));
         }
-        Rounds rounds = d.rounds;
+        Scheduling rounds = d.rounds;
         if (top.has("rounds")) {
             Fields f = top.object("rounds");
             f.onlyThese(ImmutableSet.of("spacing_of_report", "remaining_floor_s", "held_share", "begin_within_s"));
-            rounds = new Rounds(
+            rounds = new Scheduling(
                     f.positiveOr("spacing_of_report", rounds.spacingOfReport),
                     f.positiveOr("remaining_floor_s", rounds.remainingFloorS),
                     f.atLeastZeroOr("held_share", rounds.heldShare),
--- a/src/main/java/org/spruceridge/lead/Pusher.java
+++ b/src/main/java/org/spruceridge/leader/CommandSender.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -26,13 +26,13 @@
  * its absence from a report proves nothing, the worker is not told to forget the attempt, and a machine that did not
  * answer a push gets no more work and is returned. A new session or a newer token voids whatever is on its way.
  */
-public final class Pusher {
-    private static final Logger LOG = LoggerFactory.getLogger(Pusher.class);
+public final class CommandSender {
+    private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
 
     private final Loop loop;
     private final CancellationScope scope;
     private final WorkerClient workers;
-    private final ReportDesk desk;
+    private final ReportHandler reportHandler;
     private final BooleanSupplier leads;
     private final Runnable changed;
     private final long term;
@@ -40,22 +40,22 @@
     private final Set<Machine> busy = new HashSet<>();
     private final Set<Machine> again = new HashSet<>();
 
-    public Pusher(
+    public CommandSender(
             Loop loop,
             CancellationScope scope,
             WorkerClient workers,
-            ReportDesk desk,
+            ReportHandler reportHandler,
             Settings settings,
-            Tenure tenure,
+            LeaderTerm term,
             BooleanSupplier leads,
             Runnable changed) {
         this.loop = loop;
         this.scope = scope;
         this.workers = workers;
-        this.desk = desk;
+        this.reportHandler = reportHandler;
         this.leads = leads;
         this.changed = changed;
-        this.term = tenure.term();
+        this.term = term.term();
         this.patience = Durations.nanos(settings.workers().leaseS() / 4);
     }
 
@@ -79,9 +79,9 @@
         List<Binding> starts = new ArrayList<>();
         List<Binding> stops = new ArrayList<>();
         for (Binding b : m.bindings()) {
-            Order order = desk.due(b);
+            Order order = reportHandler.due(b);
             // Only the first start is pushed: what that did not bring about is left to the answers to reports.
-            boolean start = order != null && order.verb() == Order.Verb.START && !b.pushed() && !m.tainted();
+            boolean start = order != null && order.verb() == Order.Verb.START && !b.pushed() && !m.startUncertain();
             boolean stop = order != null && order.verb() == Order.Verb.STOP && !b.stopPushed();
             if (start) {
                 starts.add(b);
@@ -117,7 +117,7 @@
             if (push.kind() == Push.Kind.UNKNOWN) {
                 if (!starts.isEmpty() && m.session() == session) {
                     LOG.info("machine {} did not answer a push: it gets no more work", m.name());
-                    m.taint();
+                    m.markStartUncertain();
                 }
             } else {
                 starts.forEach(b -> m.unresolved().remove(b.attempt()));
@@ -129,10 +129,10 @@
             }
             if (push.report().isPresent()) {
                 m.reached();
-            } else if (m.doubted() && !m.returning()) {
+            } else if (m.suspectedUnreachable() && !m.returning()) {
                 scope.after(patience, () -> probe(m));
             }
-            push.report().ifPresent(desk::learn);
+            push.report().ifPresent(reportHandler::apply);
             if (again.remove(m)) {
                 push(m);
             }
--- a/src/main/java/org/spruceridge/lead/Election.java
+++ b/src/main/java/org/spruceridge/leader/Election.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
@@ -37,7 +37,7 @@
 
     /** Hears of this node's terms. */
     public interface Listener {
-        void won(Tenure tenure);
+        void won(LeaderTerm leaderTerm);
 
         void lost();
     }
@@ -57,7 +57,7 @@
     private final boolean others;
     private boolean campaigning;
     private long restUntil = Long.MIN_VALUE;
-    private Tenure tenure;
+    private LeaderTerm leaderTerm;
     private long permit;
     private long validUntil;
 
@@ -90,15 +90,15 @@
     public void stop() {
         watch.cancel();
         scope.close();
-        if (tenure != null) {
-            tenure = null;
+        if (leaderTerm != null) {
+            leaderTerm = null;
             state.endGrant(permit);
         }
     }
 
     /** True while this node may act as leader: its grant certainly has not ended. */
     public boolean leads() {
-        return tenure != null && loop.nanos() < validUntil;
+        return leaderTerm != null && loop.nanos() < validUntil;
     }
 
     /** The name of the leader, as far as is known. */
@@ -108,8 +108,8 @@
 
     /** Gives the lead up, as when the records are not as this node left them. */
     public void resign(String why) {
-        if (tenure != null) {
-            LOG.warn("term {}: giving up the lead: {}", tenure.term(), why);
+        if (leaderTerm != null) {
+            LOG.warn("term {}: giving up the lead: {}", leaderTerm.term(), why);
             state.endGrant(permit);
             lose();
             restUntil = loop.nanos() + ttl; // others first
@@ -170,7 +170,7 @@
 
     /** Acts on what the leader key held as of a revision. */
     private void judge(Optional<LeaderRecord> record, long stamp, long revision) {
-        if (tenure != null && revision <= tenure.leaderStamp()) {
+        if (leaderTerm != null && revision <= leaderTerm.leaderStamp()) {
             return; // older than our win
         }
         if (!known.equals(record)) {
@@ -181,8 +181,8 @@
         known = record;
         boolean mine = record.isPresent() && record.get().hostName().equals(hostName);
         boolean thisLife = mine && record.get().incarnation().equals(incarnation);
-        if (tenure != null) {
-            if (thisLife && record.get().term() == tenure.term()) {
+        if (leaderTerm != null) {
+            if (thisLife && record.get().term() == leaderTerm.term()) {
                 return;
             }
             lose();
@@ -269,18 +269,18 @@
     private void win(LeaderRecord record, long stamp) {
         campaigning = false;
         known = Optional.of(record);
-        tenure = new Tenure(record.term(), stamp, loop.nanos());
+        leaderTerm = new LeaderTerm(record.term(), stamp, loop.nanos());
         LOG.info("term {}: this node leads", record.term());
         scope.after(renewEvery, () -> renew(record.term()));
-        listener.won(tenure);
+        listener.won(leaderTerm);
     }
 
     private void renew(long term) {
-        if (tenure == null || tenure.term() != term) {
+        if (leaderTerm == null || leaderTerm.term() != term) {
             return;
         }
         state.renew(permit, renewEvery, scope.guard(result -> {
-            if (tenure == null || tenure.term() != term) {
+            if (leaderTerm == null || leaderTerm.term() != term) {
                 return;
             }
             if (result.kind() == Result.Kind.MISSING) {
@@ -300,8 +300,8 @@
     }
 
     private void lose() {
-        LOG.info("term {}: this node no longer leads", tenure.term());
-        tenure = null;
+        LOG.info("term {}: this node no longer leads", leaderTerm.term());
+        leaderTerm = null;
         permit = 0;
         listener.lost();
     }
--- a/src/main/java/org/spruceridge/lead/JobWatch.java
+++ b/src/main/java/org/spruceridge/leader/JobWatcher.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
@@ -25,29 +25,29 @@
 import org.spruceridge.state.StateClient;
 
 /** Learns of accepted and cancelled jobs by watching the markers of unfinished jobs. */
-public final class JobWatch {
+public final class JobWatcher {
     private static final long RETRY = Durations.millis(250);
 
     private final Loop loop;
     private final CancellationScope scope;
     private final StateClient state;
     private final Cluster cluster;
-    private final Ledger ledger;
+    private final RecordWriter recordWriter;
     private final RateLimitedWarnings warnings;
     private final Consumer<Machine> push;
     private final Runnable changed;
     private final double watchS;
-    private final long knowledge;
+    private final long maxStaleness;
     private Cancellable watch = () -> {};
-    private long knownUpTo = Long.MIN_VALUE;
+    private long refreshedUpTo = Long.MIN_VALUE;
 
     /** {@code push} is told of machines on which something has to be stopped. */
-    public JobWatch(
+    public JobWatcher(
             Loop loop,
             CancellationScope scope,
             StateClient state,
             Cluster cluster,
-            Ledger ledger,
+            RecordWriter recordWriter,
             RateLimitedWarnings warnings,
             CancellationTimes times,
             Consumer<Machine> push,
@@ -56,25 +56,25 @@
         this.scope = scope;
         this.state = state;
         this.cluster = cluster;
-        this.ledger = ledger;
+        this.recordWriter = recordWriter;
         this.warnings = warnings;
         this.push = push;
         this.changed = changed;
         this.watchS = times.watchS();
-        this.knowledge = Durations.nanos(times.knowledgeS());
+        this.maxStaleness = Durations.nanos(times.maxStalenessS());
     }
 
     /** Every cancellation that was confirmed before this moment is in the picture. */
-    public void knows(long upTo) {
-        knownUpTo = Math.max(knownUpTo, upTo);
+    public void refreshed(long upTo) {
+        refreshedUpTo = Math.max(refreshedUpTo, upTo);
     }
 
     /**
      * True while what is known of cancellations is recent enough for workers to be answered. A renewed grant does not
      * tell: it may pass while the watch is stuck, and after an outage it has its full time again.
      */
-    public boolean informed() {
-        return knownUpTo != Long.MIN_VALUE && loop.nanos() - knownUpTo < knowledge;
+    public boolean upToDate() {
+        return refreshedUpTo != Long.MIN_VALUE && loop.nanos() - refreshedUpTo < maxStaleness;
     }
 
     /** Follows all changes after a revision. The answer tells of all that came before it was asked for. */
@@ -83,7 +83,7 @@
         watch = state.follow(Keys.OPEN, from, watchS, scope.guard(result -> {
             if (result.isOk()) {
                 result.value().changes().forEach(this::apply);
-                knows(asked);
+                refreshed(asked);
                 if (!result.value().changes().isEmpty()) {
                     changed.run();
                 }
@@ -104,8 +104,8 @@
     /** Marks a job as cancelled by its user: what waits is withdrawn, what runs is stopped. */
     public void cancelled(Job job) {
         if (!job.cancelled()) {
-            job.cancel(knownUpTo, loop.nanos());
-            ledger.withdraw(job);
+            job.cancel(refreshedUpTo, loop.nanos());
+            recordWriter.withdraw(job);
             job.bindings().stream().map(Binding::machine).distinct().toList().forEach(push);
             changed.run();
         }
@@ -122,7 +122,7 @@
 
     private void dropped(String id) {
         Job job = cluster.job(id);
-        if (job != null && !ledger.finishing(job)) {
+        if (job != null && !recordWriter.finishing(job)) {
             cancelled(job);
         }
     }
@@ -155,7 +155,7 @@
             List.copyOf(cluster.jobs()).stream()
                     .filter(job -> !open.contains(job.id()))
                     .forEach(job -> dropped(job.id()));
-            knows(asked);
+            refreshed(asked);
             changed.run();
             start(listing.value().revision());
         }));
--- a/src/main/java/org/spruceridge/lead/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.google.common.collect.ImmutableMap;
 import com.google.common.collect.ImmutableSet;
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.spruceridge.autoscaling.Autoscaler;
 import org.spruceridge.cloud.CloudClient;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
@@ -16,7 +17,6 @@
 import org.spruceridge.config.CancellationTimes;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
-import org.spruceridge.fleet.Fleet;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
@@ -34,20 +34,20 @@
 public final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-    /** Rounds run at least this often, in report periods: time alone changes scores and silences machines. */
+    /** SchedulingLoop run at least this often, in report periods: time alone changes scores and silences machines. */
     private static final double IDLE_ROUND_OF_REPORT = 1.0;
 
     private final Loop loop;
     private final CancellationScope scope;
     private final Cluster cluster = new Cluster();
-    private final Ledger ledger;
-    private final ReportDesk desk;
-    private final JobWatch watch;
+    private final RecordWriter recordWriter;
+    private final ReportHandler reportHandler;
+    private final JobWatcher watch;
     private final Takeover takeover;
-    private final Rounds rounds;
-    private final Pusher pusher;
-    private final Fleet fleet;
-    private final Tenure tenure;
+    private final SchedulingLoop rounds;
+    private final CommandSender commandSender;
+    private final Autoscaler autoscaler;
+    private final LeaderTerm term;
     private final long idleRound;
     private final Response nothingToDo;
     private boolean ready;
@@ -62,18 +62,18 @@
             Policy policy,
             RateLimitedWarnings warnings,
             Latencies latencies,
-            Tenure tenure,
+            LeaderTerm term,
             BooleanSupplier leads,
             Consumer<String> resign) {
         this.loop = loop;
-        this.tenure = tenure;
-        this.nothingToDo = Order.answer(tenure.term(), List.of());
+        this.term = term;
+        this.nothingToDo = Order.answer(term.term(), List.of());
         this.scope = new CancellationScope(loop);
         this.idleRound = Durations.nanos(settings.workers().reportS() * IDLE_ROUND_OF_REPORT);
-        Ledger.Listener events = new Ledger.Listener() {
+        RecordWriter.Listener events = new RecordWriter.Listener() {
             @Override
             public void committed(ImmutableSet<Machine> bound) {
-                bound.forEach(pusher::push);
+                bound.forEach(commandSender::push);
                 rounds.request();
             }
 
@@ -87,43 +87,44 @@
                 resign.accept(why);
             }
         };
-        this.ledger = new Ledger(loop, scope, state, cluster, tenure, settings, latencies, events);
-        this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, warnings, this::available);
-        this.rounds = new Rounds(
+        this.recordWriter = new RecordWriter(loop, scope, state, cluster, term, settings, latencies, events);
+        this.reportHandler = new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, this::available);
+        this.rounds = new SchedulingLoop(
                 loop,
                 scope,
                 cluster,
-                ledger,
+                recordWriter,
                 new Matching(
                         settings,
                         policy,
                         BindingsRecord.mostBindings(settings.state().recordKb())),
                 settings,
                 policy,
-                tenure,
+                term,
                 latencies,
                 this::push);
-        this.pusher = new Pusher(loop, scope, workers, desk, settings, tenure, leads, () -> rounds.request());
-        this.watch = new JobWatch(
+        this.commandSender =
+                new CommandSender(loop, scope, workers, reportHandler, settings, term, leads, () -> rounds.request());
+        this.watch = new JobWatcher(
                 loop,
                 scope,
                 state,
                 cluster,
-                ledger,
+                recordWriter,
                 warnings,
                 CancellationTimes.of(settings.workers()),
-                pusher::push,
+                commandSender::push,
                 () -> rounds.request());
-        this.takeover = new Takeover(loop, scope, state, cluster, ledger.records(), tenure, warnings);
-        this.fleet = new Fleet(
+        this.takeover = new Takeover(loop, scope, state, cluster, recordWriter.records(), term, warnings);
+        this.autoscaler = new Autoscaler(
                 loop,
                 scope,
                 cloud,
                 cluster,
-                ledger,
+                recordWriter,
                 settings,
                 policy,
-                tenure.term(),
+                term.term(),
                 leads,
                 rounds::lastPlan,
                 rounds::request);
@@ -133,7 +134,7 @@
         takeover.start(new Takeover.Listener() {
             @Override
             public void jobsKnown(long asOf) {
-                watch.knows(asOf);
+                watch.refreshed(asOf);
             }
 
             @Override
@@ -141,21 +142,21 @@
                 ready = true;
                 LOG.info(
                         "term {}: took over {} jobs and {} machines after {} ms",
-                        tenure.term(),
+                        term.term(),
                         cluster.jobs().size(),
                         cluster.machines().size(),
                         ledFor() / 1_000_000);
                 watch.start(revision);
-                fleet.start();
-                new Summary(scope, cluster, ledger, tenure).start();
+                autoscaler.start();
+                new StatusLogger(scope, cluster, recordWriter, term).start();
                 tick();
             }
         });
     }
 
     /** True while it knows enough of what users cancelled to answer workers. */
-    public boolean informed() {
-        return watch.informed();
+    public boolean upToDate() {
+        return watch.upToDate();
     }
 
     /** A user was told that this job is cancelled: the watch will say so too, perhaps later. */
@@ -173,16 +174,16 @@
 
     /** Nanoseconds since this node won the term. */
     public long ledFor() {
-        return loop.nanos() - tenure.since();
+        return loop.nanos() - term.since();
     }
 
     public long term() {
-        return tenure.term();
+        return term.term();
     }
 
     /** Reports come faster than this node can take them. */
     public void fallsBehind() {
-        fleet.fallsBehind();
+        autoscaler.fallsBehind();
     }
 
     /** Takes over what is known of the machine types, unless the fleet has asked the cloud itself by now. */
@@ -203,25 +204,25 @@
      */
     public Optional<Response> report(Report report) {
         if (!ready) {
-            desk.greet(report);
-            return Optional.of(answer(desk.haltOthers(report)));
+            reportHandler.acknowledge(report);
+            return Optional.of(answer(reportHandler.stopUnknownTasks(report)));
         }
-        return desk.givenUp(report) ? Optional.empty() : Optional.of(answer(desk.take(report)));
+        return reportHandler.ignores(report) ? Optional.empty() : Optional.of(answer(reportHandler.handle(report)));
     }
 
     private Response answer(List<Order> orders) {
-        return orders.isEmpty() ? nothingToDo : Order.answer(tenure.term(), orders);
+        return orders.isEmpty() ? nothingToDo : Order.answer(term.term(), orders);
     }
 
     private void available(Machine machine) {
-        if (machine.doubted()) {
-            pusher.probe(machine);
+        if (machine.suspectedUnreachable()) {
+            commandSender.probe(machine);
         }
         rounds.request();
     }
 
     private void push(Machine machine) {
-        pusher.push(machine);
+        commandSender.push(machine);
     }
 
     private void tick() {
--- a/src/main/java/org/spruceridge/lead/Tenure.java
+++ b/src/main/java/org/spruceridge/leader/LeaderTerm.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 /** A won election: the term, the stamp of the leader key that guards every write, and when the win was known. */
-public record Tenure(long term, long leaderStamp, long since) {}
+public record LeaderTerm(long term, long leaderStamp, long since) {}
--- a/src/main/java/org/spruceridge/lead/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/leader/LeaderWarmUp.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
--- a/src/main/java/org/spruceridge/lead/Pages.java
+++ b/src/main/java/org/spruceridge/leader/PageIndex.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.google.common.collect.Iterables;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
  * Which item is kept on which page, a page being one record that holds many items. A page's stamp stands for those of
  * all its items.
  */
-final class Pages<T> {
+final class PageIndex<T> {
     private final String prefix;
     private final int capacity;
     private final ToIntFunction<Collection<T>> bytes;
@@ -53,7 +53,7 @@
     }
 
     /** {@code bytes} tells the most that the content of a page takes. */
-    Pages(String prefix, int capacity, ToIntFunction<Collection<T>> bytes) {
+    PageIndex(String prefix, int capacity, ToIntFunction<Collection<T>> bytes) {
         this.prefix = prefix;
         this.capacity = capacity;
         this.bytes = bytes;
--- a/src/main/java/org/spruceridge/lead/Records.java
+++ b/src/main/java/org/spruceridge/leader/RecordPages.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.BitSet;
@@ -9,14 +9,14 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.Settings;
-import org.spruceridge.lead.Pages.Page;
+import org.spruceridge.leader.PageIndex.Page;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.FinishedRecord;
 import org.spruceridge.record.Keys;
-import org.spruceridge.record.Packed;
+import org.spruceridge.record.PackedValue;
 
 /** The pages that this leader keeps: the bindings of machines, and the finished tasks of unfinished jobs. */
-final class Records {
+final class RecordPages {
     private static final int BODY_BYTES = 48 << 10;
     /** What a transaction of a few ends changes beside the pages. */
     private static final int CHANGES_OF_ENDS = 4;
@@ -24,26 +24,26 @@
     private final int txnOps;
     private final int chunkSize;
     private final int pageBytes;
-    private final Pages<Machine> bindings;
-    private final Pages<Chunk> finished;
+    private final PageIndex<Machine> bindings;
+    private final PageIndex<Chunk> finished;
 
     /** A run of a job's tasks whose ends are kept together. */
     record Chunk(Job job, int number) {}
 
-    Records(Settings.State limits) {
+    RecordPages(Settings.State limits) {
         this.txnOps = limits.txnOps();
         this.chunkSize = FinishedRecord.chunkSize(limits.recordKb());
         this.pageBytes = (int) (limits.recordKb() * 1024);
-        int capacity = Packed.capacity(limits.recordKb());
-        this.bindings = new Pages<>(Keys.BINDINGS, capacity, BindingsRecord::bytes);
-        this.finished = new Pages<>(Keys.FINISHED, capacity, this::bytes);
+        int capacity = PackedValue.capacity(limits.recordKb());
+        this.bindings = new PageIndex<>(Keys.BINDINGS, capacity, BindingsRecord::bytes);
+        this.finished = new PageIndex<>(Keys.FINISHED, capacity, this::bytes);
     }
 
-    Pages<Machine> bindings() {
+    PageIndex<Machine> bindings() {
         return bindings;
     }
 
-    Pages<Chunk> finished() {
+    PageIndex<Chunk> finished() {
         return finished;
     }
 
--- a/src/main/java/org/spruceridge/lead/Ledger.java
+++ b/src/main/java/org/spruceridge/leader/RecordWriter.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableSet;
@@ -6,12 +6,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.spruceridge.autoscaling.BindingReleaser;
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.Settings;
-import org.spruceridge.fleet.MachineLog;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
@@ -28,7 +28,7 @@
  * every key that it touches. A transaction without an answer is sent again as it was until it is settled; until then
  * both outcomes count.
  */
-public final class Ledger implements MachineLog {
+public final class RecordWriter implements BindingReleaser {
     private static final long FIRST_RETRY = Durations.millis(100);
     private static final long LAST_RETRY = Durations.millis(1600);
 
@@ -55,23 +55,23 @@
     private final CancellationScope scope;
     private final StateClient state;
     private final Cluster cluster;
-    private final Tenure tenure;
+    private final LeaderTerm term;
     private final Listener listener;
     private final Latencies latencies;
-    private final Records records;
+    private final RecordPages records;
     /** What waits for its record, in the order of its coming. */
     private final Map<Binding, Write> waiting = new LinkedHashMap<>();
 
-    private Batch inFlight;
+    private WriteBatch inFlight;
     private boolean waitsForTurn;
     private long writes;
 
-    public Ledger(
+    public RecordWriter(
             Loop loop,
             CancellationScope scope,
             StateClient state,
             Cluster cluster,
-            Tenure tenure,
+            LeaderTerm term,
             Settings settings,
             Latencies latencies,
             Listener listener) {
@@ -79,14 +79,14 @@
         this.scope = scope;
         this.state = state;
         this.cluster = cluster;
-        this.tenure = tenure;
+        this.term = term;
         this.listener = listener;
         this.latencies = latencies;
-        this.records = new Records(settings.state());
+        this.records = new RecordPages(settings.state());
     }
 
     /** What is kept on which page. */
-    Records records() {
+    RecordPages records() {
         return records;
     }
 
@@ -161,23 +161,23 @@
                 }));
     }
 
-    private Batch compose() {
-        Batch batch = new Batch(records, tenure, "w" + tenure.term() + "." + (++writes));
+    private WriteBatch compose() {
+        WriteBatch batch = new WriteBatch(records, term, "w" + term.term() + "." + (++writes));
         // Whatever has waited longest chooses the pages. If releases went first, a stream of them would keep
         // proposals on other pages off the record for as long as it lasts.
         waiting.entrySet().removeIf(e -> take(batch, e.getKey(), e.getValue()));
         return batch.isEmpty() ? null : batch;
     }
 
-    private static boolean take(Batch batch, Binding binding, Write write) {
+    private static boolean take(WriteBatch batch, Binding binding, Write write) {
         return write == Write.BIND ? batch.bind(binding) : batch.release(binding, write == Write.END);
     }
 
-    private void sendAgain(Batch batch, long retry) {
+    private void sendAgain(WriteBatch batch, long retry) {
         state.commit(batch.transaction(), batch.rank(), scope.guard(result -> judge(batch, result, retry)));
     }
 
-    private void judge(Batch batch, TxnResult result, long retry) {
+    private void judge(WriteBatch batch, TxnResult result, long retry) {
         switch (result.kind()) {
             case COMMITTED -> committed(batch, result.revision());
             case CONFLICT -> {
@@ -198,7 +198,7 @@
     }
 
     /** An earlier copy of the transaction may be what made this one fail: its own keys tell. */
-    private void probe(Batch batch, ImmutableList<String> failed) {
+    private void probe(WriteBatch batch, ImmutableList<String> failed) {
         state.get(batch.mark(), batch.rank(), scope.guard(result -> {
             if (result.kind() == Result.Kind.UNAVAILABLE) {
                 scope.after(FIRST_RETRY, () -> probe(batch, failed));
@@ -210,7 +210,7 @@
         }));
     }
 
-    private void committed(Batch batch, long revision) {
+    private void committed(WriteBatch batch, long revision) {
         inFlight = null;
         long now = loop.nanos();
         batch.written(revision);
@@ -239,7 +239,7 @@
     }
 
     /** A guard did not hold: nothing was written. What failed tells whether that is ordinary. */
-    private void conflict(Batch batch, ImmutableList<String> failed) {
+    private void conflict(WriteBatch batch, ImmutableList<String> failed) {
         if (failed.contains(Keys.LEADER)) {
             listener.broken("another node leads");
             return;
--- a/src/main/java/org/spruceridge/lead/ReportDesk.java
+++ b/src/main/java/org/spruceridge/leader/ReportHandler.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.google.common.collect.ImmutableList;
 import java.util.ArrayList;
@@ -24,39 +24,39 @@
 import org.spruceridge.worker.Report.TaskReport;
 
 /** Takes reports into the picture and answers them with orders. */
-public final class ReportDesk {
-    private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
+public final class ReportHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
     /** Jobs that must fail on a machine before the machine is taken for faulty. */
     private static final int FAULTY_JOBS = 2;
 
     private final Loop loop;
     private final Cluster cluster;
-    private final Ledger ledger;
+    private final RecordWriter recordWriter;
     private final long term;
     private final Settings settings;
     private final RateLimitedWarnings warnings;
     private final Consumer<Machine> available;
 
     /** {@code available} is told of machines that have room anew: that begin to report, or that a task has left. */
-    public ReportDesk(
+    public ReportHandler(
             Loop loop,
             Cluster cluster,
-            Ledger ledger,
-            Tenure tenure,
+            RecordWriter recordWriter,
+            LeaderTerm term,
             Settings settings,
             RateLimitedWarnings warnings,
             Consumer<Machine> available) {
         this.loop = loop;
         this.cluster = cluster;
-        this.ledger = ledger;
-        this.term = tenure.term();
+        this.recordWriter = recordWriter;
+        this.term = term.term();
         this.settings = settings;
         this.warnings = warnings;
         this.available = available;
     }
 
     /** Takes note that a machine reported and is handed this term's token; its tasks are not looked at. */
-    public void greet(Report report) {
+    public void acknowledge(Report report) {
         Machine machine = cluster.machine(report.machine());
         if (machine != null) {
             machine.answered(loop.nanos(), report.token() == term);
@@ -64,7 +64,7 @@
     }
 
     /** Stops for all that the report lists of jobs that are not open. Only open jobs are in the picture yet. */
-    public List<Order> haltOthers(Report report) {
+    public List<Order> stopUnknownTasks(Report report) {
         return report.tasks().stream()
                 .filter(t -> t.state() != Report.TaskState.EXITED
                         && cluster.job(t.task().job()) == null)
@@ -76,9 +76,9 @@
      * Takes a report into the picture. Only one that is newer than all before it and carries this term's token counts:
      * orders of earlier leaders can no longer reach that worker, so what the report lacks is not there.
      */
-    public List<Order> take(Report report) {
-        List<Order> orders = learn(report, true);
-        greet(report);
+    public List<Order> handle(Report report) {
+        List<Order> orders = apply(report, true);
+        acknowledge(report);
         return orders;
     }
 
@@ -86,7 +86,7 @@
      * True if answering this machine would only put off the proof that its tasks are gone: it is being given back and
      * does not do as it is told, or it has long been answered and does not show this term's token.
      */
-    public boolean givenUp(Report report) {
+    public boolean ignores(Report report) {
         Machine machine = cluster.machine(report.machine());
         if (machine == null || machine.bindings().isEmpty()) {
             return false;
@@ -94,16 +94,16 @@
         // Not sooner: right after a takeover answers may come too late for the workers, and then it is not they who are
         // at fault.
         long patience = Durations.nanos(settings.workers().leaseS());
-        boolean deaf = report.token() != term && loop.nanos() - machine.greetedAt() > patience;
-        return deaf || (machine.returning() && machine.unreachedSince() != Machine.NEVER);
+        boolean unreachable = report.token() != term && loop.nanos() - machine.tokenSentAt() > patience;
+        return unreachable || (machine.returning() && machine.unreachableSince() != Machine.NEVER);
     }
 
     /** Takes the report into the picture that came with the answer to a push. */
-    public void learn(Report report) {
-        learn(report, false);
+    public void apply(Report report) {
+        apply(report, false);
     }
 
-    private List<Order> learn(Report report, boolean byItself) {
+    private List<Order> apply(Report report, boolean byItself) {
         // A report with another token may be a copy of any age, of a machine that is gone: it tells nothing. The answer
         // brings this term's token, and the next report with it. A machine that was given back stays so.
         if (report.token() != term || cluster.isGone(report.machine())) {
@@ -117,7 +117,7 @@
         boolean fresh = !machine.fenced() || report.session() > machine.session();
         machine.heard(report.session(), report.sequence(), report.address(), byItself, now);
         machine.fence();
-        machine.takenAt(
+        machine.reclaimAt(
                 report.noticeS().isPresent()
                         ? now + Durations.nanos(report.noticeS().getAsDouble())
                         : Long.MAX_VALUE);
@@ -133,7 +133,7 @@
         }
         for (Binding b : ImmutableList.copyOf(machine.bindings())) {
             Binding.Phase before = b.phase();
-            see(b, listed.get(b.task()), now);
+            reconcile(b, listed.get(b.task()), now);
             if (b.phase() != before && b.phase() != Binding.Phase.ABSENT) {
                 machine.reached();
             }
@@ -155,14 +155,14 @@
         return machine;
     }
 
-    private void see(Binding b, TaskReport seen, long now) {
+    private void reconcile(Binding b, TaskReport seen, long now) {
         if (seen == null) {
             b.phase(Binding.Phase.ABSENT, now);
-            if (b.stage() == Binding.Stage.STRAY) {
+            if (b.stage() == Binding.Stage.ORPHANED) {
                 cluster.unbind(b, now);
                 cluster.removeIfOver(b.job(), b.job().cancelled());
             } else if (b.stage() == Binding.Stage.COMMITTED && mustNotStart(b) && !startMayCome(b)) {
-                ledger.release(b, false);
+                recordWriter.release(b, false);
             }
             return;
         }
@@ -205,10 +205,10 @@
             }
             default -> {}
         }
-        if (b.stage() == Binding.Stage.STRAY) {
+        if (b.stage() == Binding.Stage.ORPHANED) {
             b.stage(Binding.Stage.RELEASING);
         }
-        ledger.release(b, cause == Cause.DONE);
+        recordWriter.release(b, cause == Cause.DONE);
         available.accept(machine);
     }
 
@@ -217,11 +217,11 @@
         job.faultyOn().add(machine.name());
         machine.failedJobs().add(job.id());
         LOG.info("job {} failed on machine {}", job.id(), machine.name());
-        if (!machine.suspect() && machine.failedJobs().size() >= FAULTY_JOBS && !job.doubted()) {
-            machine.suspect(true);
+        if (!machine.suspectedFaulty() && machine.failedJobs().size() >= FAULTY_JOBS && !job.suspectedFaulty()) {
+            machine.suspectedFaulty(true);
             LOG.info("machine {} is taken for faulty: {} failed on it", machine.name(), machine.failedJobs());
         }
-        if (job.doubted()) {
+        if (job.suspectedFaulty()) {
             double backoffS =
                     settings.workers().reportS() * Math.pow(2, job.faultyOn().size());
             holdBack(job, now, Math.min(backoffS, settings.workers().cancelS()));
@@ -235,9 +235,9 @@
     private static boolean mustNotStart(Binding b) {
         return b.halt() != Binding.Halt.NO
                 || b.machine().returning()
-                || b.machine().noticed()
-                || b.machine().suspect()
-                || b.machine().doubted();
+                || b.machine().reclaimAnnounced()
+                || b.machine().suspectedFaulty()
+                || b.machine().suspectedUnreachable();
     }
 
     private List<Order> orders(Machine machine, List<TaskReport> unbound, long now) {
@@ -249,12 +249,12 @@
                 }
                 orders.add(Order.forget(task.task(), task.attempt()));
             } else {
-                stray(machine, task, now);
+                addOrphan(machine, task, now);
                 orders.add(Order.stop(task.task(), task.attempt(), 0));
             }
         }
         for (Binding b : machine.bindings()) {
-            haltBeforeLoss(b, now);
+            stopBeforeReclaim(b, now);
             Order due = due(b);
             if (due != null) {
                 b.ordered(now);
@@ -286,7 +286,7 @@
     }
 
     /** A running task that no record knows: it should not be. It is counted where it is, and stopped. */
-    private void stray(Machine machine, TaskReport task, long now) {
+    private void addOrphan(Machine machine, TaskReport task, long now) {
         warnings.warn("task without a binding", task.task() + "#" + task.attempt() + " on " + machine.name());
         Job job = cluster.job(task.task().job());
         if (job == null
@@ -294,20 +294,20 @@
                 || task.task().index() >= job.spec().tasks()) {
             return;
         }
-        Binding b = new Binding(job, task.task().index(), task.attempt(), machine, Binding.Stage.STRAY, now);
+        Binding b = new Binding(job, task.task().index(), task.attempt(), machine, Binding.Stage.ORPHANED, now);
         b.halt(Binding.Halt.AT_ONCE);
         cluster.bind(b);
     }
 
     /** On a machine about to be taken, a task that cannot end in time is stopped while there is time to save. */
-    private void haltBeforeLoss(Binding b, long now) {
+    private void stopBeforeReclaim(Binding b, long now) {
         Machine machine = b.machine();
         boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.FETCHING;
-        if (!there || !machine.noticed() || b.halt() != Binding.Halt.NO) {
+        if (!there || !machine.reclaimAnnounced() || b.halt() != Binding.Halt.NO) {
             return;
         }
         JobSpec spec = b.job().spec();
-        double leftS = Durations.seconds(machine.takenAt() - now);
+        double leftS = Durations.seconds(machine.reclaimAt() - now);
         // The next chance to say so is a report away, at the latest one and a quarter periods.
         double lastChanceS = 2.5 * settings.workers().reportS() + (spec.saves() ? 1.5 * spec.saveS() : 0);
         if (leftS <= lastChanceS) {
@@ -317,8 +317,8 @@
 
     private double graceS(Binding b, long now) {
         double wanted = 2 * b.job().spec().saveS() + 1;
-        return b.machine().noticed()
-                ? Math.max(0, Math.min(wanted, Durations.seconds(b.machine().takenAt() - now)))
+        return b.machine().reclaimAnnounced()
+                ? Math.max(0, Math.min(wanted, Durations.seconds(b.machine().reclaimAt() - now)))
                 : wanted;
     }
 }
--- a/src/main/java/org/spruceridge/lead/Rounds.java
+++ b/src/main/java/org/spruceridge/leader/SchedulingLoop.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -16,10 +16,10 @@
 import org.spruceridge.schedule.Plan;
 
 /** Runs a round after each event, with at least a set time between two, and carries out what it decides. */
-public final class Rounds {
-    private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
+public final class SchedulingLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
-    /** Rounds take at most one part in this many of the processor: workers' reports come before decisions. */
+    /** SchedulingLoop take at most one part in this many of the processor: workers' reports come before decisions. */
     private static final long COSTS_APART = 4;
 
     /** While requests wait, a round is put off for at most this share of a lease: workers' reports come first. */
@@ -30,10 +30,10 @@
     private final Loop loop;
     private final CancellationScope scope;
     private final Cluster cluster;
-    private final Ledger ledger;
+    private final RecordWriter recordWriter;
     private final Matching matching;
     private final long spacing;
-    private final Tenure tenure;
+    private final LeaderTerm term;
     private final Latencies latencies;
     private final Consumer<Machine> push;
     private Plan lastPlan;
@@ -45,23 +45,23 @@
     private long attempts;
 
     /** {@code push} is told of machines on which something has to be stopped. */
-    public Rounds(
+    public SchedulingLoop(
             Loop loop,
             CancellationScope scope,
             Cluster cluster,
-            Ledger ledger,
+            RecordWriter recordWriter,
             Matching matching,
             Settings settings,
             Policy policy,
-            Tenure tenure,
+            LeaderTerm term,
             Latencies latencies,
             Consumer<Machine> push) {
         this.loop = loop;
         this.scope = scope;
         this.cluster = cluster;
-        this.ledger = ledger;
+        this.recordWriter = recordWriter;
         this.matching = matching;
-        this.tenure = tenure;
+        this.term = term;
         this.latencies = latencies;
         this.push = push;
         this.spacing = Durations.nanos(
@@ -104,11 +104,11 @@
         for (Plan.Placement p : plan.placements()) {
             Binding b = new Binding(p.job(), p.index(), nextAttempt(), p.machine(), Binding.Stage.PROPOSED, now);
             cluster.bind(b);
-            ledger.bind(b);
+            recordWriter.bind(b);
         }
         for (Binding b : plan.stops()) {
             b.halt(Binding.Halt.SAVING);
-            b.machine().lastStop(now);
+            b.machine().lastPreemption(now);
             LOG.info("stopping {} to make room for work of a higher rank", b);
             push.accept(b.machine());
         }
@@ -125,6 +125,6 @@
 
     /** Attempts grow over all terms: the term is their upper part. */
     private long nextAttempt() {
-        return (tenure.term() << 24) + (++attempts);
+        return (term.term() << 24) + (++attempts);
     }
 }
--- a/src/main/java/org/spruceridge/lead/Summary.java
+++ b/src/main/java/org/spruceridge/leader/StatusLogger.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -10,20 +10,20 @@
 import org.spruceridge.net.Durations;
 
 /** Says in one log line, once in a while, how the cluster stands: for whoever is on call. */
-final class Summary {
-    private static final Logger LOG = LoggerFactory.getLogger(Summary.class);
+final class StatusLogger {
+    private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
     private static final long EVERY = Durations.nanos(15);
 
     private final CancellationScope scope;
     private final Cluster cluster;
-    private final Ledger ledger;
+    private final RecordWriter recordWriter;
     private final long term;
 
-    Summary(CancellationScope scope, Cluster cluster, Ledger ledger, Tenure tenure) {
+    StatusLogger(CancellationScope scope, Cluster cluster, RecordWriter recordWriter, LeaderTerm term) {
         this.scope = scope;
         this.cluster = cluster;
-        this.ledger = ledger;
-        this.term = tenure.term();
+        this.recordWriter = recordWriter;
+        this.term = term.term();
     }
 
     void start() {
@@ -44,14 +44,14 @@
         double cpus = 0;
         double bound = 0;
         for (Machine m : cluster.machines()) {
-            if (!m.everHeard()) {
+            if (!m.hasReported()) {
                 coming++;
                 continue;
             }
             spot += m.spot() ? 1 : 0;
             ordinary += m.spot() ? 0 : 1;
             idle += m.bindings().isEmpty() ? 1 : 0;
-            leaving += m.returning() || m.unfit() ? 1 : 0;
+            leaving += m.returning() || m.unschedulable() ? 1 : 0;
             cpus += cluster.typeOf(m)
                     .map(MachineType::capacity)
                     .map(r -> r.cpus())
@@ -71,6 +71,6 @@
                 leaving,
                 Math.round(bound),
                 Math.round(cpus),
-                ledger.backlog());
+                recordWriter.backlog());
     }
 }
--- a/src/main/java/org/spruceridge/lead/Takeover.java
+++ b/src/main/java/org/spruceridge/leader/Takeover.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.google.common.collect.ImmutableList;
 import java.util.ArrayDeque;
@@ -40,8 +40,8 @@
     private final CancellationScope scope;
     private final StateClient state;
     private final Cluster cluster;
-    private final Records records;
-    private final Tenure tenure;
+    private final RecordPages records;
+    private final LeaderTerm term;
     private final RateLimitedWarnings warnings;
     private final Map<String, Long> endedMs = new HashMap<>();
 
@@ -54,22 +54,22 @@
         void ready(long revision);
     }
 
-    private record Recorded(Pages.Page<Machine> page, BindingsRecord.OnMachine record) {}
+    private record Recorded(PageIndex.Page<Machine> page, BindingsRecord.OnMachine record) {}
 
     public Takeover(
             Loop loop,
             CancellationScope scope,
             StateClient state,
             Cluster cluster,
-            Records records,
-            Tenure tenure,
+            RecordPages records,
+            LeaderTerm term,
             RateLimitedWarnings warnings) {
         this.loop = loop;
         this.scope = scope;
         this.state = state;
         this.cluster = cluster;
         this.records = records;
-        this.tenure = tenure;
+        this.term = term;
         this.warnings = warnings;
     }
 
@@ -117,11 +117,11 @@
     private void addFinished(Listing finished) {
         for (Entry e : finished.entries()) {
             try {
-                Pages.Page<Records.Chunk> page = records.finished().recorded(e.key(), e.stamp());
+                PageIndex.Page<RecordPages.Chunk> page = records.finished().recorded(e.key(), e.stamp());
                 for (FinishedRecord.Chunk chunk : FinishedRecord.read(e.value())) {
                     Job job = cluster.job(chunk.job());
                     if (job != null) { // else it has ended, and the next write of the page leaves it out
-                        records.finished().put(new Records.Chunk(job, chunk.number()), page);
+                        records.finished().put(new RecordPages.Chunk(job, chunk.number()), page);
                         chunk.tasks().stream().forEach(i -> job.markDone(chunk.number() * records.chunkSize() + i));
                     }
                 }
@@ -134,7 +134,7 @@
     private List<Recorded> readMachines(Listing pages) {
         List<Recorded> out = new ArrayList<>();
         for (Entry e : pages.entries()) {
-            Pages.Page<Machine> page = records.bindings().recorded(e.key(), e.stamp());
+            PageIndex.Page<Machine> page = records.bindings().recorded(e.key(), e.stamp());
             try {
                 BindingsRecord.read(e.value()).forEach(m -> out.add(new Recorded(page, m)));
             } catch (BadMessageException bad) {
@@ -187,7 +187,7 @@
         Machine machine = cluster.machine(record.name());
         if (machine == null) {
             // Any node entitled before this term can have answered it until the election.
-            machine = new Machine(record.name(), "", record.kind(), loop.nanos(), tenure.since());
+            machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.since());
             machine.expected();
             cluster.add(machine);
         }
--- a/src/main/java/org/spruceridge/lead/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/leader/WarmUpLeader.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
@@ -64,13 +64,13 @@
     private final Cluster cluster = new Cluster();
     private final List<Machine> machines = new ArrayList<>();
     private final Map<Long, Integer> reportsOfAttempt = new HashMap<>();
-    private final Tenure tenure = new Tenure(TERM, 1, 0);
+    private final LeaderTerm term = new LeaderTerm(TERM, 1, 0);
     private final RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
     private final Latencies latencies = new Latencies(loop);
     private final StateClient state;
-    private final Ledger ledger;
-    private final ReportDesk desk;
-    private final Rounds rounds;
+    private final RecordWriter recordWriter;
+    private final ReportHandler reportHandler;
+    private final SchedulingLoop rounds;
     private long jobs;
     private long sequence;
     private int steps;
@@ -84,27 +84,29 @@
                 new RateLimiter(loop, PLENTY, PLENTY, PLENTY),
                 warnings,
                 latencies);
-        this.ledger = new Ledger(loop, scope, state, cluster, tenure, settings, latencies, new Ledger.Listener() {
-            @Override
-            public void committed(ImmutableSet<Machine> bound) {
-                requestRound();
-            }
+        this.recordWriter =
+                new RecordWriter(loop, scope, state, cluster, term, settings, latencies, new RecordWriter.Listener() {
+                    @Override
+                    public void committed(ImmutableSet<Machine> bound) {
+                        requestRound();
+                    }
 
-            @Override
-            public void cancelled(Job job) {
-                throw new IllegalStateException("nobody cancels " + job.id());
-            }
+                    @Override
+                    public void cancelled(Job job) {
+                        throw new IllegalStateException("nobody cancels " + job.id());
+                    }
 
-            @Override
-            public void broken(String why) {
-                throw new IllegalStateException(why);
-            }
-        });
-        this.desk = new ReportDesk(loop, cluster, ledger, tenure, settings, warnings, machine -> requestRound());
+                    @Override
+                    public void broken(String why) {
+                        throw new IllegalStateException(why);
+                    }
+                });
+        this.reportHandler =
+                new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, machine -> requestRound());
         Matching matching = new Matching(
                 settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
-        this.rounds =
-                new Rounds(loop, scope, cluster, ledger, matching, settings, policy, tenure, latencies, machine -> {});
+        this.rounds = new SchedulingLoop(
+                loop, scope, cluster, recordWriter, matching, settings, policy, term, latencies, machine -> {});
         addMachines();
     }
 
@@ -190,7 +192,7 @@
                 OptionalDouble.empty(),
                 tasks.build());
         try {
-            Order.answer(TERM, desk.take(Report.read(Json.bytes(report.toJson()))));
+            Order.answer(TERM, reportHandler.handle(Report.read(Json.bytes(report.toJson()))));
         } catch (BadMessageException e) {
             throw new IllegalStateException("our own report cannot be read", e);
         }
@@ -198,7 +200,7 @@
 
     private void takeOver() {
         Cluster other = new Cluster();
-        Takeover takeover = new Takeover(loop, scope, state, other, new Records(settings.state()), tenure, warnings);
+        Takeover takeover = new Takeover(loop, scope, state, other, new RecordPages(settings.state()), term, warnings);
         takeover.start(new Takeover.Listener() {
             @Override
             public void jobsKnown(long asOf) {}
--- a/src/main/java/org/spruceridge/lead/Batch.java
+++ b/src/main/java/org/spruceridge/leader/WriteBatch.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -13,24 +13,24 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
-import org.spruceridge.lead.Pages.Page;
-import org.spruceridge.lead.Records.Chunk;
+import org.spruceridge.leader.PageIndex.Page;
+import org.spruceridge.leader.RecordPages.Chunk;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
-import org.spruceridge.record.Packed;
+import org.spruceridge.record.PackedValue;
 import org.spruceridge.state.Transaction;
 
 /** The making of one transaction, within the limits that the state service sets. */
-final class Batch {
+final class WriteBatch {
     /** The record of a job's end and its marker. */
     private static final int OPS_OF_AN_END = 2;
     /** Resources in the body for the records of ended jobs, beside the pages. */
     private static final int MOST_ENDS_BYTES = 10 << 10;
 
-    private final Records records;
-    private final Tenure tenure;
+    private final RecordPages records;
+    private final LeaderTerm term;
     private final String write;
     private final Set<Page<Machine>> bindings = new LinkedHashSet<>();
     private final Set<Page<Chunk>> chunks = new LinkedHashSet<>();
@@ -45,9 +45,9 @@
     private Transaction transaction;
     private boolean unknown;
 
-    Batch(Records records, Tenure tenure, String write) {
+    WriteBatch(RecordPages records, LeaderTerm term, String write) {
         this.records = records;
-        this.tenure = tenure;
+        this.term = term;
         this.write = write;
         records.measureAnew();
     }
@@ -201,7 +201,7 @@
     }
 
     private Transaction build() {
-        Transaction.Builder txn = Transaction.builder().guard(Keys.LEADER, tenure.leaderStamp());
+        Transaction.Builder txn = Transaction.builder().guard(Keys.LEADER, term.leaderStamp());
         markers.forEach(job -> txn.guard(Keys.open(job.id()), job.stamp()));
         bindings.forEach(p -> txn.set(p.key(), p.stamp(), records.bindingsPage(write, p, this::recorded)));
         chunks.forEach(p -> txn.set(p.key(), p.stamp(), records.finishedPage(write, p, ending)));
@@ -224,7 +224,7 @@
 
     /** True if this transaction wrote the value of {@link #mark}. */
     boolean wrote(JsonNode value) {
-        return Packed.writeOf(value).equals(write);
+        return PackedValue.writeOf(value).equals(write);
     }
 
     /** It was carried out. */
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -14,10 +14,10 @@
 import org.spruceridge.config.CancellationTimes;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
-import org.spruceridge.lead.Election;
-import org.spruceridge.lead.Leader;
-import org.spruceridge.lead.LeaderWarmUp;
-import org.spruceridge.lead.Tenure;
+import org.spruceridge.leader.Election;
+import org.spruceridge.leader.Leader;
+import org.spruceridge.leader.LeaderTerm;
+import org.spruceridge.leader.LeaderWarmUp;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
@@ -99,7 +99,7 @@
         this.peers = new PeerMonitor(loop, link, warnings, this::heartbeat, this::cancelled);
         this.warmUp = new LeaderWarmUp(loop, settings, policy);
         this.cancellations = new Cancellations(
-                loop, Durations.nanos(CancellationTimes.of(settings.workers()).knowledgeS()));
+                loop, Durations.nanos(CancellationTimes.of(settings.workers()).maxStalenessS()));
         JobsEndpoint jobs =
                 new JobsEndpoint(loop, state, settings, catalogue::types, this::progress, warnings, cancellations);
         this.router = new Router(jobs, this::report, this::reportMissed, this::healthy, loop, latencies);
@@ -127,7 +127,7 @@
     private void lookWhetherReady() {
         boolean knowsLeader =
                 steward().filter(name -> !name.equals(settings.hostName())).isPresent();
-        if (leader == null ? knowsLeader : leader.informed()) {
+        if (leader == null ? knowsLeader : leader.upToDate()) {
             whenReady.run();
         } else {
             scope.after(LOOK_WHETHER_READY, this::lookWhetherReady);
@@ -153,7 +153,7 @@
     }
 
     @Override
-    public void won(Tenure tenure) {
+    public void won(LeaderTerm term) {
         warmUp.stop();
         shareLimits(true);
         leader = new Leader(
@@ -165,7 +165,7 @@
                 policy,
                 warnings,
                 latencies,
-                tenure,
+                term,
                 election::leads,
                 election::resign);
         catalogue.types().ifPresent(leader::types);
@@ -205,7 +205,7 @@
      */
     private Response report(byte[] body) {
         lastReport = loop.nanos();
-        if (!election.leads() || leader == null || !leader.informed()) {
+        if (!election.leads() || leader == null || !leader.upToDate()) {
             return steward()
                     .filter(name -> !name.equals(settings.hostName()))
                     .map(name -> elsewhere.computeIfAbsent(name, Order::elsewhere))
--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -45,7 +45,7 @@
     /** The most bindings of one machine that a page holds. */
     public static int mostBindings(double valueKb) {
         int own = NAMES_BYTES + MACHINE_BYTES + 2 * KIND_BYTES;
-        return Math.max(1, (Packed.capacity(valueKb) - own) / (BOUND_BYTES + JOB_BYTES));
+        return Math.max(1, (PackedValue.capacity(valueKb) - own) / (BOUND_BYTES + JOB_BYTES));
     }
 
     /** The most bytes that a page of these machines takes with all that is bound to them now. */
@@ -84,7 +84,7 @@
             }
         }
         ImmutableListMultimap<MachineKind, OnMachine> groups = byKind.build();
-        return Packed.write(write, out -> {
+        return PackedValue.write(write, out -> {
             out.packArrayHeader(groups.keySet().size());
             for (MachineKind kind : groups.keySet()) {
                 out.packArrayHeader(4);
@@ -121,7 +121,7 @@
     }
 
     public static List<OnMachine> read(JsonNode value) throws BadMessageException {
-        return Packed.read(value, in -> {
+        return PackedValue.read(value, in -> {
             List<OnMachine> machines = new ArrayList<>();
             int kinds = in.unpackArrayHeader();
             for (int i = 0; i < kinds; i++) {
--- a/src/main/java/org/spruceridge/record/FinishedRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedRecord.java
@@ -20,7 +20,7 @@
 
     /** How many tasks go into a chunk, so that a full one takes about a third of a page. */
     public static int chunkSize(double valueKb) {
-        return Math.max(64, Packed.capacity(valueKb) / 3 * 8);
+        return Math.max(64, PackedValue.capacity(valueKb) / 3 * 8);
     }
 
     /** The most bytes that a chunk of so many tasks takes. */
@@ -29,7 +29,7 @@
     }
 
     public static ObjectNode write(String write, Collection<Chunk> chunks) {
-        return Packed.write(write, out -> {
+        return PackedValue.write(write, out -> {
             out.packArrayHeader(chunks.size());
             for (Chunk c : chunks) {
                 byte[] bits = c.tasks.toByteArray();
@@ -42,7 +42,7 @@
     }
 
     public static List<Chunk> read(JsonNode value) throws BadMessageException {
-        return Packed.read(value, in -> {
+        return PackedValue.read(value, in -> {
             List<Chunk> chunks = new ArrayList<>();
             int count = in.unpackArrayHeader();
             for (int i = 0; i < count; i++) {
--- a/src/main/java/org/spruceridge/record/Keys.java
+++ b/src/main/java/org/spruceridge/record/Keys.java
@@ -7,9 +7,9 @@
     public static final String CATALOGUE = "catalogue";
     public static final String JOBS = "job/";
     public static final String OPEN = "open/";
-    /** Pages of finished tasks of unfinished jobs. */
+    /** PageIndex of finished tasks of unfinished jobs. */
     public static final String FINISHED = "parts/";
-    /** Pages of bindings. */
+    /** PageIndex of bindings. */
     public static final String BINDINGS = "bound/";
 
     private Keys() {}
--- a/src/main/java/org/spruceridge/record/Packed.java
+++ b/src/main/java/org/spruceridge/record/PackedValue.java
@@ -15,13 +15,13 @@
  * MessagePack inside a JSON value of the state service, beside the name of the transaction that wrote it: a value
  * holds several times as much as it would in plain JSON.
  */
-public final class Packed {
+public final class PackedValue {
     private static final String BYTES = "b";
     private static final String WRITE = "w";
     /** About what a value takes beside the packed bytes. */
     private static final int FRAME_BYTES = 128;
 
-    private Packed() {}
+    private PackedValue() {}
 
     /** Writes a part of a page. */
     public interface Writer {
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -63,7 +63,7 @@
         double silentS = (now - machine.lastHeard()) / 1e9;
         return machine.fenced()
                 && !machine.returning()
-                && !machine.unfit()
+                && !machine.unschedulable()
                 && silentS < SILENCE_OF_REPORT * settings.workers().reportS();
     }
 
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -57,7 +57,9 @@
 
     /** True unless tasks of this job failed on the machine and the machine is to blame. */
     boolean accepts(Job job) {
-        return job.faultyOn().isEmpty() || job.doubted() || !job.faultyOn().contains(machine.name());
+        return job.faultyOn().isEmpty()
+                || job.suspectedFaulty()
+                || !job.faultyOn().contains(machine.name());
     }
 
     boolean fits(Resources task) {
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -52,7 +52,8 @@
     }
 
     private boolean mayStopOn(Machine machine) {
-        return machine.lastStop() == Long.MIN_VALUE || (state.now() - machine.lastStop()) / 1e9 >= perMachineS;
+        return machine.lastPreemption() == Long.MIN_VALUE
+                || (state.now() - machine.lastPreemption()) / 1e9 >= perMachineS;
     }
 
     private void makeRoom(WaitingJob waiting) {
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -119,7 +119,7 @@
         ImmutableMap.Builder<Job, Integer> unplaced = ImmutableMap.builder();
         for (WaitingJob waiting : waitingJobs.values()) {
             Job job = waiting.job();
-            int wanted = job.doubted() ? 0 : Math.min(waiting.remaining(), state.teamAdmits(job.spec()));
+            int wanted = job.suspectedFaulty() ? 0 : Math.min(waiting.remaining(), state.teamAdmits(job.spec()));
             if (wanted > 0) {
                 unplaced.put(job, wanted);
             }
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -24,9 +24,9 @@
         CancellationTimes t = CancellationTimes.of(new Settings.Workers(reportS, leaseS, cancelS));
 
         // A machine that is out of reach: answered last by a leader that did not know, then a lease.
-        assertTrue(t.knowledgeS() + t.fullLeaseS() < cancelS);
+        assertTrue(t.maxStalenessS() + t.fullLeaseS() < cancelS);
         // The leader hears of it from its watch well before it may answer no more.
-        assertTrue(t.watchS() > 0 && t.watchS() < t.knowledgeS() / 2);
+        assertTrue(t.watchS() > 0 && t.watchS() < t.maxStalenessS() / 2);
         // The lease itself is never counted shorter than a worker's slowest clock has it.
         assertTrue(t.fullLeaseS() >= leaseS * (1 + Durations.DRIFT));
     }
@@ -36,9 +36,9 @@
     void withTheSettingsOfTheDeploymentsStopsAndDeletionsTooComeInTime(double reportS, double leaseS, double cancelS) {
         CancellationTimes t = CancellationTimes.of(new Settings.Workers(reportS, leaseS, cancelS));
         // A machine that is reached: the stop goes with the answer to its next report, up to a quarter late.
-        assertTrue(t.knowledgeS() + 1.25 * reportS < cancelS);
+        assertTrue(t.maxStalenessS() + 1.25 * reportS < cancelS);
         double looksEveryS = reportS / 3;
-        double decidedS = Math.max(t.patienceS(), t.knowledgeS() + t.proofS()) + looksEveryS;
+        double decidedS = Math.max(t.patienceS(), t.maxStalenessS() + t.proofS()) + looksEveryS;
         assertTrue(cancelS - decidedS > 0.1 * cancelS, "what is left for the cloud: " + (cancelS - decidedS));
     }
 }
--- a/src/test/java/org/spruceridge/lead/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/leader/LeaderWarmUpTest.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/spruceridge/lead/LedgerTest.java
+++ b/src/test/java/org/spruceridge/leader/RecordWriterTest.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -30,7 +30,7 @@
 import org.spruceridge.state.StateClient;
 
 /** How long writes wait for their record at the size of a fleet, when changes are short. */
-final class LedgerTest {
+final class RecordWriterTest {
     private static final Address HERE = new Address("10.0.0.1", 1);
     private static final Settings SETTINGS = new Settings(
             "n0",
@@ -54,11 +54,11 @@
     private final SimLoop loop = new SimLoop();
     private final Cluster cluster = new Cluster();
     private final RateLimiter limiter = new RateLimiter(loop, 90, CHANGES_PER_S, 1);
-    private final Ledger ledger = ledger();
+    private final RecordWriter recordWriter = recordWriter();
     private long revision = 1;
     private long attempt = 9L << 24;
 
-    private Ledger ledger() {
+    private RecordWriter recordWriter() {
         RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
         Latencies latencies = new Latencies(loop);
         HttpClient http = (to, call, timeout, done) -> {
@@ -70,7 +70,7 @@
             return () -> {};
         };
         StateClient state = new StateClient(loop, http, HERE, limiter, warnings, latencies);
-        Ledger.Listener nothing = new Ledger.Listener() {
+        RecordWriter.Listener nothing = new RecordWriter.Listener() {
             @Override
             public void committed(ImmutableSet<Machine> bound) {}
 
@@ -82,12 +82,19 @@
                 throw new AssertionError(why);
             }
         };
-        return new Ledger(
-                loop, new CancellationScope(loop), state, cluster, new Tenure(9, 1, 0), SETTINGS, latencies, nothing);
+        return new RecordWriter(
+                loop,
+                new CancellationScope(loop),
+                state,
+                cluster,
+                new LeaderTerm(9, 1, 0),
+                SETTINGS,
+                latencies,
+                nothing);
     }
 
     private Job job() {
-        Job job = BatchTest.job(1, 100_000);
+        Job job = WriteBatchTest.job(1, 100_000);
         cluster.add(job);
         return job;
     }
@@ -105,7 +112,7 @@
     private Binding bind(Job job, Machine m) {
         Binding b = new Binding(job, job.nextWaiting(0), ++attempt, m, Binding.Stage.PROPOSED, loop.nanos());
         cluster.bind(b);
-        ledger.bind(b);
+        recordWriter.bind(b);
         return b;
     }
 
@@ -120,13 +127,13 @@
                 running.add(bind(job, m));
             }
             loop.run(30);
-            assertEquals(0, ledger.backlog());
+            assertEquals(0, recordWriter.backlog());
         }
         Deque<Binding> proposed = new ArrayDeque<>();
         double longestS = 0;
         for (int i = 0; i < 60 * 20; i++) {
             Binding ended = running.get(i * 1009 % running.size());
-            ledger.release(ended, true);
+            recordWriter.release(ended, true);
             proposed.add(bind(job, machines.get(i * 701 % machines.size())));
             loop.run(1.0 / 60);
             proposed.removeIf(b -> b.stage() != Binding.Stage.PROPOSED);
@@ -138,7 +145,7 @@
         }
         assertTrue(longestS < 4, "a proposal waited " + longestS + " s for its record");
         loop.run(4);
-        assertEquals(0, ledger.backlog());
+        assertEquals(0, recordWriter.backlog());
     }
 
     @Test
@@ -151,15 +158,15 @@
             }
         }
         loop.run(30);
-        assertEquals(0, ledger.backlog());
+        assertEquals(0, recordWriter.backlog());
         // A zone with two thirds of the machines has been cut off for a lease.
         long before = revision;
-        running.subList(0, 4 * 970).forEach(b -> ledger.release(b, false));
+        running.subList(0, 4 * 970).forEach(b -> recordWriter.release(b, false));
         assertEquals(
                 4 * 1460 - 4 * 970,
                 job.bindings().stream().filter(b -> !b.gone()).count());
         loop.run(8);
-        assertEquals(0, ledger.backlog());
+        assertEquals(0, recordWriter.backlog());
         assertTrue(revision - before <= 20, (revision - before) + " transactions");
         assertEquals(4 * 1460 - 4 * 970, job.bindings().size());
     }
--- a/src/test/java/org/spruceridge/lead/BatchTest.java
+++ b/src/test/java/org/spruceridge/leader/WriteBatchTest.java
@@ -1,4 +1,4 @@
-package org.spruceridge.lead;
+package org.spruceridge.leader;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -30,13 +30,13 @@
 import org.spruceridge.record.BindingsRecord;
 
 /** What goes into a transaction, and that it stays within the state service's limits at the size of a fleet. */
-final class BatchTest {
+final class WriteBatchTest {
     private static final Settings.State LIMITS = new Settings.State(200, 50, 8, 24);
     private static final long ATTEMPT = 9L << 24;
 
     private final Cluster cluster = new Cluster();
-    private Records records = new Records(LIMITS);
-    private final Tenure tenure = new Tenure(9, 1, 0);
+    private RecordPages records = new RecordPages(LIMITS);
+    private final LeaderTerm term = new LeaderTerm(9, 1, 0);
     private int writes;
 
     static Job job(int number, int tasks) {
@@ -69,8 +69,8 @@
         return b;
     }
 
-    private Batch batch() {
-        return new Batch(records, tenure, "w" + (++writes));
+    private WriteBatch batch() {
+        return new WriteBatch(records, term, "w" + (++writes));
     }
 
     private Machine machine(int number) {
@@ -79,7 +79,7 @@
         return m;
     }
 
-    private static void commit(Batch batch, long revision) {
+    private static void commit(WriteBatch batch, long revision) {
         batch.transaction();
         batch.written(revision);
         batch.bound().forEach(b -> b.stage(Binding.Stage.COMMITTED));
@@ -91,7 +91,7 @@
     void theFleetsPictureGoesIntoAFewTransactionsWithinAllLimits(int machines, double valueKb, int txnOps)
             throws BadMessageException {
         Settings.State limits = new Settings.State(200, 50, valueKb, txnOps);
-        records = new Records(limits);
+        records = new RecordPages(limits);
         Deque<Binding> waiting = new ArrayDeque<>();
         List<Job> jobs = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -107,7 +107,7 @@
         int transactions = 0;
         Set<String> keys = new HashSet<>();
         while (!waiting.isEmpty()) {
-            Batch batch = batch();
+            WriteBatch batch = batch();
             waiting.removeIf(batch::bind);
             commit(batch, ++transactions);
             assertTrue(batch.transaction().changeCount() <= limits.txnOps());
@@ -124,7 +124,7 @@
         assertTrue(transactions <= most, transactions + " transactions for " + pages + " pages");
         int recorded = 0;
         for (Machine m : cluster.machines()) {
-            Pages.Page<Machine> page = records.bindings().of(m);
+            PageIndex.Page<Machine> page = records.bindings().of(m);
             if (keys.remove(page.key())) {
                 var value = records.bindingsPage("w", page, b -> true);
                 assertTrue(Json.bytes(value).length <= limits.valueKb() * 1024);
@@ -139,7 +139,7 @@
     @Test
     void aPageIsMeasuredOnceForAllThatLookForRoom() {
         int[] measured = new int[1];
-        Pages<Integer> pages = new Pages<>("p/", 100, items -> {
+        PageIndex<Integer> pages = new PageIndex<>("p/", 100, items -> {
             measured[0] += items.size() > 1 ? 1 : 0;
             return items.size();
         });
@@ -163,20 +163,20 @@
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             machines.add(machine(i));
-            Batch batch = batch();
+            WriteBatch batch = batch();
             for (int k = 0; k < 40; k++) {
                 assertTrue(batch.bind(binding(job, index++, machines.get(i))));
             }
             commit(batch, i + 1);
         }
         Machine first = machines.get(0);
-        Pages.Page<Machine> page = records.bindings().of(first);
+        PageIndex.Page<Machine> page = records.bindings().of(first);
         List<Binding> more = new ArrayList<>();
         while (!records.bindings().isOverfull(page)) {
             more.add(binding(job, index++, first));
             records.measureAnew();
         }
-        Batch batch = batch();
+        WriteBatch batch = batch();
         more.forEach(b -> assertTrue(batch.bind(b)));
         assertNotSame(page, records.bindings().of(first));
         assertEquals(2, batch.transaction().changeCount(), "both pages are written together");
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -273,8 +273,8 @@
         Machine unheard = new Machine("unheard", "", new MachineKind("t8", "a", false), NOW, NOW);
         cluster.add(unheard);
         machine("returning", "a", false).returning(true);
-        machine("faulty", "a", false).suspect(true);
-        machine("noticed", "a", true).takenAt(NOW + 1);
+        machine("faulty", "a", false).suspectedFaulty(true);
+        machine("noticed", "a", true).reclaimAt(NOW + 1);
         job().add();
         assertEquals(List.of(), machines(plan()));
     }
@@ -297,7 +297,7 @@
         Plan plan = plan();
         assertEquals(1, plan.stops().size());
         plan.stops().get(0).halt(Binding.Halt.SAVING);
-        m.lastStop(NOW);
+        m.lastPreemption(NOW);
         assertEquals(0, plan().stops().size());
     }
 
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -39,7 +39,7 @@
             "t8", new MachineType("t8", new Resources(8, 0, 32), 1, 0.5, 0.11, 20, ImmutableList.of("a", "b")));
     private static final Policy NO_HOLDING = new Policy(
             Policy.defaults().weights(),
-            new Policy.Rounds(0.1, 10, 0, 240),
+            new Policy.Scheduling(0.1, 10, 0, 240),
             Policy.defaults().stops(),
             Policy.defaults().leading(),
             Policy.defaults().fleet());
