--- /dev/null
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -0,0 +1,80 @@
+package org.spruceridge.scenario;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.spruceridge.sim.SimulatedCluster;
+
+/** Nobody starves: the largest jobs and tasks begin too, whatever else is asked for. */
+final class FairnessScenarioTest {
+    private final SimulatedCluster cluster = new SimulatedCluster(3);
+
+    @Test
+    void theLargestJobBeginsUnderAStreamOfSmallUrgentOnes() {
+        cluster.until(() -> cluster.leader() != null, 10);
+        // Two machines' worth of room, and small jobs of a higher rank that ask for more than that all the time.
+        int number = 100;
+        for (int i = 0; i < 12; i++) {
+            submitUrgent(++number);
+        }
+        cluster.until(() -> cluster.running().size() == 4, 40);
+        cluster.submit(SimulatedCluster.job(1, 30).put("rank", "best_effort").put("expectS", 60.0));
+        long submitted = cluster.loop.nanos();
+        while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
+            submitUrgent(++number);
+            cluster.loop.run(1.5);
+            assertTrue(cluster.loop.nanos() - submitted < 240e9, "the largest too must begin within four minutes");
+        }
+    }
+
+    @Test
+    void aLargeTaskBeginsThoughSmallOnesOfItsTeamFillItsLimit() {
+        cluster.until(() -> cluster.leader() != null, 10);
+        int number = 100;
+        for (int i = 0; i < 32; i++) {
+            submitSmall(++number);
+        }
+        cluster.until(() -> cluster.running().size() == (int) SimulatedCluster.TEAM_CPUS, 40);
+        cluster.submit(SimulatedCluster.job(1, 2).put("cpus", 8.0).put("expectS", 10.0));
+        long submitted = cluster.loop.nanos();
+        while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
+            submitSmall(++number);
+            cluster.loop.run(0.4);
+            assertTrue(cluster.loop.nanos() - submitted < 240e9, "it must begin within four minutes");
+        }
+    }
+
+    /** Workers' reports come before decisions; but a leader that is never idle must decide all the same. */
+    @Test
+    void decisionsWaitWhileRequestsWaitButNotForLong() {
+        cluster.until(() -> cluster.leader() != null, 10);
+        submitSmall(1);
+        cluster.until(() -> cluster.running().size() == 1, 40);
+        submitSmall(2);
+        cluster.until(() -> started("j-000002"), 1);
+        cluster.loop.busy(true);
+        submitSmall(3);
+        cluster.loop.run(0.08 * SimulatedCluster.LEASE_S);
+        assertFalse(started("j-000003"), "reports come first");
+        cluster.until(() -> started("j-000003"), 0.1 * SimulatedCluster.LEASE_S);
+    }
+
+    private boolean started(String job) {
+        return cluster.starts().stream().anyMatch(s -> s.startsWith(job));
+    }
+
+    private void submitSmall(int number) {
+        cluster.submit(SimulatedCluster.job(number, 1)
+                .put("cpus", 1.0)
+                .put("memGb", 1.0)
+                .put("expectS", 8.0));
+    }
+
+    private void submitUrgent(int number) {
+        cluster.submit(SimulatedCluster.job(number, 1)
+                .put("rank", "high")
+                .put("expectS", 8.0)
+                .put("dueS", 40.0));
+    }
+}
--- /dev/null
+++ b/src/test/java/org/spruceridge/scenario/MeetingScenarioTest.java
@@ -0,0 +1,374 @@
+package org.spruceridge.scenario;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.function.IntConsumer;
+import org.junit.jupiter.api.Test;
+import org.spruceridge.sim.SimNet.Fate;
+import org.spruceridge.sim.SimWorker;
+import org.spruceridge.sim.SimulatedCluster;
+
+/**
+ * Two troubles meet, each time at a moment that differs by a counted step. The simulated cluster looks after the rules all the
+ * while; {@link SimulatedCluster#settle} then wants every accepted job to end, and to be answered for by every node.
+ */
+final class MeetingScenarioTest {
+    private SimulatedCluster cluster;
+
+    private void meeting(int steps, IntConsumer scenario) {
+        for (int step = 0; step < steps; step++) {
+            cluster = new SimulatedCluster(3);
+            cluster.until(() -> cluster.leader() != null, 10);
+            try {
+                scenario.accept(step);
+                cluster.settle(240);
+            } catch (AssertionError e) {
+                throw new AssertionError("step " + step + ": " + e.getMessage(), e);
+            }
+        }
+    }
+
+    private void runs(int number, int tasks, double seconds) {
+        int before = cluster.running().size();
+        cluster.submit(SimulatedCluster.job(number, tasks).put("expectS", seconds));
+        cluster.until(() -> cluster.running().size() == before + tasks, 40);
+    }
+
+    private static boolean cloud(String host) {
+        return host.equals("10.2.0.2");
+    }
+
+    private static boolean machine(String host) {
+        return host.startsWith("10.1.0.");
+    }
+
+    @Test
+    void aTeamIsAtItsLimitWhenTheLeaderChangesAndMachinesCannotBeAsked() {
+        meeting(6, step -> {
+            runs(1, 2, 300);
+            runs(2, 2, 40);
+            SimWorker away = cluster.cloud.workers().get(0);
+            cluster.net.weather((from, to, call) ->
+                    from.equals(away.name()) || to.host().equals("10.1.0." + away.name()) || cloud(to.host())
+                            ? Fate.LOST
+                            : Fate.DELIVERED);
+            cluster.submit(SimulatedCluster.job(3, 4).put("expectS", 10.0));
+            cluster.loop.run(step * 0.7);
+            cluster.crashLeader(4);
+            cluster.loop.run(step * 0.3);
+            cluster.until(() -> cluster.cancel(cluster.follower(), "j-000001").equals("cancelled"), 10);
+            cluster.loop.run(SimulatedCluster.CANCEL_S);
+        });
+    }
+
+    @Test
+    void aLeaderEndsWhileMachinesDoNotHearTheNextOne() {
+        meeting(6, step -> {
+            runs(1, 4, 60);
+            List<String> deaf = List.of(cluster.cloud.workers().get(0).name());
+            cluster.net.weather((from, to, call) -> {
+                if (deaf.contains(from)) {
+                    return step % 2 == 0 ? Fate.ANSWER_LOST : Fate.LOST;
+                }
+                return machine(to.host()) && deaf.contains(to.host().substring(7)) ? Fate.LOST : Fate.DELIVERED;
+            });
+            cluster.loop.run(step);
+            cluster.crashLeader(3);
+            cluster.loop.run(1.5 * SimulatedCluster.LEASE_S);
+        });
+    }
+
+    @Test
+    void moreWorkThanRoomUrgentAndNotOverASlowNetwork() {
+        meeting(3, step -> {
+            cluster.cloud.capacity(2);
+            SplittableRandom random = new SplittableRandom(step);
+            cluster.net.weather((from, to, call) -> random.nextInt(10) < 2 ? Fate.ANSWER_LOST : Fate.DELIVERED);
+            for (int i = 1; i <= 12; i++) {
+                String rank = i % 3 == 0 ? "production" : i % 3 == 1 ? "best_effort" : "normal";
+                cluster.submit(SimulatedCluster.job(i, 3).put("rank", rank).put("expectS", 4.0 + i));
+                cluster.loop.run(1);
+            }
+            cluster.loop.run(30);
+        });
+    }
+
+    @Test
+    void aReportIsHeldBackUntilANewLeaderHasActed() {
+        meeting(8, step -> {
+            runs(1, 2, 20);
+            SimWorker worker = cluster.cloud.workers().get(0);
+            cluster.net.weather((from, to, call) -> from.equals(worker.name()) ? Fate.HELD : Fate.DELIVERED);
+            cluster.loop.run(0.5 * step);
+            cluster.crashLeader(2);
+            cluster.loop.run(SimulatedCluster.LEASE_S + 5);
+            cluster.net.clear();
+            while (cluster.net.held() > 0) {
+                cluster.net.letOneGo();
+                cluster.loop.run(0.3);
+            }
+        });
+    }
+
+    @Test
+    void oldReportsArriveAfterNewerOnes() {
+        meeting(4, step -> {
+            SplittableRandom random = new SplittableRandom(step);
+            cluster.net.weather((from, to, call) ->
+                    from.startsWith("i-") && random.nextInt(10) < 4 ? Fate.COPIED_LATE : Fate.DELIVERED);
+            for (int i = 1; i <= 6; i++) {
+                cluster.submit(SimulatedCluster.job(i, 2).put("expectS", 6.0));
+                cluster.loop.run(5);
+                if (i % 2 == 0) {
+                    cluster.crashLeader(1);
+                    cluster.cloud.workers().stream().findFirst().ifPresent(SimWorker::restart);
+                }
+            }
+            cluster.loop.run(2 * SimulatedCluster.LEASE_S);
+        });
+    }
+
+    @Test
+    void machinesThatReachNoControllerAreStillTold() {
+        meeting(6, step -> {
+            runs(1, 3, 60);
+            List<String> mute = cluster.cloud.names();
+            cluster.net.weather((from, to, call) -> mute.contains(from) ? Fate.LOST : Fate.DELIVERED);
+            cluster.loop.run(step);
+            cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 10.0));
+            cluster.loop.run(1);
+            assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
+            if (step % 2 == 0) {
+                cluster.crashLeader(5);
+            }
+            cluster.loop.run(SimulatedCluster.CANCEL_S);
+        });
+    }
+
+    @Test
+    void machinesThatReachNoControllerGetNoNewWork() {
+        meeting(1, step -> {
+            runs(1, 3, 60);
+            List<String> mute = cluster.cloud.names();
+            cluster.net.weather((from, to, call) -> mute.contains(from) ? Fate.LOST : Fate.DELIVERED);
+            cluster.loop.run(2.6 * SimulatedCluster.REPORT_S);
+            // The answers to the stops show that they hear; their leases run out all the same.
+            assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
+            cluster.until(() -> cluster.running().isEmpty(), 2);
+            cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 5.0));
+            cluster.until(() -> cluster.starts().size() == 5, 40);
+            assertFalse(mute.contains(cluster.running().get("j-000002/0")));
+            assertFalse(mute.contains(cluster.running().get("j-000002/1")));
+        });
+    }
+
+    /**
+     * Two tasks are being bound to a machine when the state service goes out for longer than leases last. After that the
+     * first start shows the leader, by its refusal, that the worker has begun a new session, and the second, on record a
+     * moment later, is carried out in that session. The machine reports to nobody yet: what was started is not gone
+     * because the session before was answered so long ago.
+     */
+    @Test
+    void tasksPushedToASessionThatIsNotYetAnsweredAreNotTakenForGone() {
+        meeting(30, step -> {
+            runs(1, 1, 3);
+            cluster.until(() -> cluster.running().isEmpty(), 10);
+            cluster.cloud.capacity(cluster.cloud.rented());
+            String leader = cluster.leader();
+            cluster.net.weather(
+                    (from, to, call) -> call.target().equals("/txn") && new String(call.body()).contains("bound/")
+                            ? Fate.LOST
+                            : Fate.DELIVERED);
+            cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 60.0));
+            cluster.loop.run(0.3);
+            cluster.submit(SimulatedCluster.job(3, 1).put("expectS", 60.0));
+            cluster.loop.run(0.3);
+            double outage = 2.5 * SimulatedCluster.LEASE_S + 0.07 * step;
+            cluster.state.outage(outage);
+            cluster.loop.run(outage - 1);
+            List<String> mute = cluster.cloud.names();
+            cluster.net.weather((from, to, call) ->
+                    mute.contains(from) ? Fate.LOST : call.target().equals("/txn") ? Fate.SLOW : Fate.DELIVERED);
+            cluster.cloud.capacity(Integer.MAX_VALUE);
+            cluster.loop.run(12);
+            assertEquals(leader, cluster.leader());
+        });
+    }
+
+    @Test
+    void jobsOfAFewTasksEndFarApartAcrossChangesOfLeader() {
+        meeting(5, step -> {
+            cluster.cloud.capacity(1);
+            cluster.submit(SimulatedCluster.job(1, 3).put("cpus", 8.0).put("expectS", 9.0));
+            cluster.submit(SimulatedCluster.job(2, 2).put("cpus", 8.0).put("expectS", 7.0));
+            for (int i = 0; i < 4; i++) {
+                cluster.loop.run(6 + step);
+                cluster.crashLeader(1);
+            }
+        });
+    }
+
+    @Test
+    void aLeaderIsCutFromStateServiceAndPeersWhileUsersCancelThroughTheNext() {
+        meeting(5, step -> {
+            runs(1, 2, 600);
+            runs(2, 1, 30);
+            String cut = cluster.leader();
+            String other = cluster.follower();
+            cluster.cutPeers(cut);
+            cluster.net.refuse(cut, 25);
+            cluster.loop.run(step * 3);
+            assertEquals("cancelled", cluster.cancel(other, "j-000001"));
+            cluster.loop.run(SimulatedCluster.CANCEL_S);
+            cluster.mendPeers(cut);
+        });
+    }
+
+    @Test
+    void controllersHandOverAndBackAllEndAndOneReturnsAtOnce() {
+        meeting(6, step -> {
+            runs(1, 4, 40);
+            String first = cluster.leader();
+            cluster.net.refuse(first, 9);
+            cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(first), 30);
+            String second = cluster.leader();
+            cluster.net.refuse(second, 9);
+            cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(second), 30);
+            List<String> all = List.of("n0", "n1", "n2");
+            all.forEach(cluster::crash);
+            cluster.loop.run(0.15 * step);
+            cluster.boot(second);
+            cluster.loop.run(3);
+        });
+    }
+
+    @Test
+    void transactionsAreCarriedOutLateAfterNewerOnes() {
+        meeting(6, step -> {
+            SplittableRandom random = new SplittableRandom(step);
+            cluster.net.weather((from, to, call) ->
+                    call.target().equals("/txn") && random.nextInt(10) < 3 ? Fate.LATE : Fate.DELIVERED);
+            for (int i = 1; i <= 5; i++) {
+                cluster.submit(SimulatedCluster.job(i, 2).put("expectS", 5.0));
+                cluster.loop.run(3);
+                if (i % 2 == 1) {
+                    cluster.cancel(cluster.follower(), String.format("j-%06d", i));
+                }
+                if (i == 3) {
+                    cluster.crashLeader(0.3);
+                }
+            }
+            cluster.loop.run(20);
+        });
+    }
+
+    @Test
+    void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage() {
+        meeting(4, step -> {
+            runs(1, 2, 600);
+            cluster.submit(SimulatedCluster.job(2, 6).put("expectS", 12.0));
+            for (int i = 0; i < 10; i++) {
+                cluster.loop.run(9 + step);
+                if (i == 4) {
+                    cluster.state.outage(10);
+                    cluster.loop.run(2);
+                }
+                cluster.crashLeader(1 + 0.5 * step);
+                if (i == 6) {
+                    cluster.until(
+                            () -> cluster.cancel(cluster.follower(), "j-000001").equals("cancelled"), 20);
+                }
+            }
+        });
+    }
+
+    @Test
+    void jobsBoundToOneZoneLoseTheirMachines() {
+        meeting(4, step -> {
+            cluster.submit(SimulatedCluster.job(1, 3).put("samePlace", true).put("expectS", 15.0));
+            cluster.submit(SimulatedCluster.job(2, 1).put("grove", "z2").put("expectS", 15.0));
+            cluster.until(() -> cluster.running().size() == 4, 60);
+            cluster.loop.run(step);
+            List.copyOf(cluster.cloud.workers()).forEach(cluster.cloud::die);
+            if (step % 2 == 1) {
+                cluster.crashLeader(2);
+            }
+            cluster.loop.run(20);
+        });
+    }
+
+    @Test
+    void machinesAndAControllerAreCutOffTogetherForLongerThanALease() {
+        meeting(4, step -> {
+            runs(1, 4, 50);
+            String inside = step % 2 == 0 ? cluster.leader() : cluster.follower();
+            List<String> zone = List.of(inside, cluster.cloud.workers().get(0).name());
+            cluster.cutPeers(inside);
+            cluster.net.weather((from, to, call) -> {
+                boolean here = zone.contains(from);
+                boolean there =
+                        to.equals(SimulatedCluster.address(inside)) || to.host().equals("10.1.0." + zone.get(1));
+                return here == there ? Fate.DELIVERED : Fate.HELD;
+            });
+            cluster.loop.run(3);
+            String outside = List.of("n0", "n1", "n2").stream()
+                    .filter(n -> !n.equals(inside))
+                    .findFirst()
+                    .orElseThrow();
+            if (step >= 2) {
+                cluster.cancel(outside, "j-000001");
+            }
+            cluster.loop.run(SimulatedCluster.LEASE_S + 10);
+            cluster.mendPeers(inside);
+        });
+    }
+
+    @Test
+    void allControllersAreAwayForLongerThanALease() {
+        meeting(3, step -> {
+            runs(1, 2, 30);
+            cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 30.0));
+            cluster.loop.run(step * 0.05);
+            List<String> all = List.of("n0", "n1", "n2");
+            all.forEach(cluster::crash);
+            cluster.loop.run(SimulatedCluster.LEASE_S + 3);
+            all.forEach(cluster::boot);
+        });
+    }
+
+    @Test
+    void aCommandOrItsAnswerIsHeldUpAndTheMachineGoesOn() {
+        meeting(6, step -> {
+            cluster.net.weather((from, to, call) ->
+                    call.target().equals("/do") ? step % 2 == 0 ? Fate.HELD : Fate.ANSWER_LOST : Fate.DELIVERED);
+            cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 8.0));
+            cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 300.0));
+            cluster.loop.run(8 + step);
+            cluster.until(() -> cluster.cancel(cluster.follower(), "j-000002").equals("cancelled"), 10);
+            cluster.loop.run(step);
+            cluster.net.letGo();
+            cluster.loop.run(SimulatedCluster.CANCEL_S);
+        });
+    }
+
+    @Test
+    void aSlowStateServiceRefusesTheLeaderWhileUsersCancelAndAsk() {
+        meeting(4, step -> {
+            runs(1, 2, 600);
+            SplittableRandom random = new SplittableRandom(step);
+            cluster.net.weather((from, to, call) ->
+                    to.host().equals("10.2.0.1") && random.nextInt(10) < 3 ? Fate.ANSWER_LOST : Fate.DELIVERED);
+            cluster.net.refuse(cluster.leader(), 8);
+            for (int i = 0; i < 4; i++) {
+                cluster.cancel(cluster.follower(), "j-000001");
+                cluster.poll("j-000001");
+            }
+            cluster.state.outage(SimulatedCluster.CANCEL_S + 3);
+            cluster.loop.run(SimulatedCluster.CANCEL_S + 3);
+            assertFalse(cluster.running().containsKey("j-000001/0"));
+        });
+    }
+}
--- /dev/null
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -0,0 +1,242 @@
+package org.spruceridge.scenario;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.spruceridge.net.Response;
+import org.spruceridge.sim.SimNet.Fate;
+import org.spruceridge.sim.SimulatedCluster;
+
+/** What users see. */
+final class UserScenarioTest {
+    private final SimulatedCluster cluster = new SimulatedCluster(3);
+
+    @BeforeEach
+    void electALeader() {
+        cluster.loop.run(5);
+    }
+
+    private void runUntilDone(String id) {
+        for (int i = 0; i < 200 && !cluster.poll(id).equals("done"); i++) {
+            cluster.loop.run(0.5);
+        }
+        assertEquals("done", cluster.poll(id));
+    }
+
+    @Test
+    void aJobRunsAndIsDoneOnceAllItsTasksAre() {
+        assertEquals(201, cluster.submit(SimulatedCluster.job(1, 6)));
+        while (cluster.completed().size() < 6) {
+            assertTrue(List.of("pending", "running").contains(cluster.poll("j-000001")));
+            cluster.loop.run(0.25);
+        }
+        cluster.loop.run(3);
+        assertEquals("done", cluster.poll("j-000001"));
+        assertEquals(6, cluster.starts().size());
+    }
+
+    @Test
+    void anIdleMachineIsReturned() {
+        cluster.submit(SimulatedCluster.job(1, 1));
+        runUntilDone("j-000001");
+        cluster.loop.run(90);
+        assertEquals(0, cluster.cloud.rented());
+    }
+
+    @Test
+    void aJobOfManyTasksKeepsItsBooksInChunksAndPages() {
+        SimulatedCluster small = new SimulatedCluster(2, 6, 2);
+        small.loop.run(5);
+        small.submit(SimulatedCluster.job(7, 40).put("expectS", 1.0));
+        small.loop.run(20);
+        small.crash(small.leader());
+        small.loop.run(200);
+        assertEquals(40, small.completed().size());
+        assertEquals("done", small.poll("j-000007"));
+        assertTrue(small.recorded().isEmpty());
+        assertTrue(small.state.keys("open/").isEmpty());
+    }
+
+    @Test
+    void aRepeatGetsTheJobsStateAtAnyTime() {
+        ObjectNode job = SimulatedCluster.job(1, 1);
+        assertEquals(201, cluster.submit(job));
+        assertEquals(200, cluster.submit(job));
+        runUntilDone("j-000001");
+        for (String node : List.of("n0", "n1", "n2")) {
+            Response again = cluster.ask(node, "POST", "/api/jobs", job);
+            assertEquals(200, again.status());
+            assertEquals("done", SimulatedCluster.stage(again));
+        }
+        assertEquals(1, cluster.starts().size());
+    }
+
+    @Test
+    void anAcceptedIdIsNeverRefusedWhateverTheRepeatLooksLike() {
+        cluster.submit(SimulatedCluster.job(1, 1));
+        assertEquals(
+                200,
+                cluster.ask(
+                                "n1",
+                                "POST",
+                                "/api/jobs",
+                                SimulatedCluster.job(1, 1).put("cpus", -1))
+                        .status());
+        assertEquals(
+                200,
+                cluster.ask(
+                                "n2",
+                                "POST",
+                                "/api/jobs",
+                                SimulatedCluster.job(1, 1).put("crew", "nobody"))
+                        .status());
+    }
+
+    @Test
+    void aLostAnswerOfTheStateServiceIsSettledBeforeTheUserHears() {
+        int[] lost = new int[1];
+        cluster.net.weather((from, to, call) ->
+                call.target().equals("/txn") && new String(call.body()).contains("job/j-000001") && lost[0]++ == 0
+                        ? Fate.ANSWER_LOST
+                        : Fate.DELIVERED);
+        assertEquals(200, cluster.submit(SimulatedCluster.job(1, 1)));
+        runUntilDone("j-000001");
+    }
+
+    @Test
+    void acceptedJobsAreKnownOnEveryNodeAtOnce() {
+        cluster.submit(SimulatedCluster.job(1, 1));
+        for (String node : List.of("n0", "n1", "n2")) {
+            assertEquals(
+                    200,
+                    cluster.ask(node, "GET", "/api/jobs/j-000001", (JsonNode) null)
+                            .status());
+        }
+    }
+
+    @Test
+    void nobodyElsesJobIsInvented() {
+        assertEquals("404", cluster.poll("j-999999"));
+        assertEquals("404", cluster.poll("job-1"));
+        Response abort = cluster.ask("n0", "POST", "/api/jobs/j-999999/abort", (JsonNode) null);
+        assertEquals(404, abort.status());
+    }
+
+    @Test
+    void aCancelledJobStaysCancelledAndADoneOneDone() {
+        cluster.submit(SimulatedCluster.job(1, 1));
+        runUntilDone("j-000001");
+        assertEquals(
+                "done", SimulatedCluster.stage(cluster.ask("n1", "POST", "/api/jobs/j-000001/abort", (JsonNode) null)));
+        cluster.submit(SimulatedCluster.job(2, 1));
+        assertEquals(
+                "cancelled",
+                SimulatedCluster.stage(cluster.ask("n1", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
+        assertEquals(
+                "cancelled",
+                SimulatedCluster.stage(cluster.ask("n2", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
+        assertEquals(200, cluster.submit(SimulatedCluster.job(2, 1)));
+        cluster.loop.run(60);
+        assertEquals("cancelled", cluster.poll("j-000002"));
+        assertEquals(1, cluster.starts().size());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "nameId, \"job-1\"",
+        "nameId, 7",
+        "parts, 0",
+        "parts, 100001",
+        "parts, 1.5",
+        "parts, \"3\"",
+        "cpus, 0",
+        "cpus, -4",
+        "cpus, 1e999",
+        "memGb, 0",
+        "memGb, null",
+        "accelerators, -1",
+        "shape, \"cube\"",
+        "shape, null",
+        "rank, \"urgent\"",
+        "builds, \"t8\"",
+        "builds, [8]",
+        "grove, 4",
+        "samePlace, \"yes\"",
+        "scatter, null",
+        "windfall, 1",
+        "expectS, 0",
+        "markEveryS, -1",
+        "markS, -1",
+        "dueS, 0",
+        "bundle, null",
+        "crew, \"\"",
+    })
+    void aMalformedJobIsRefused(String field, String value) {
+        String body = new String(org.spruceridge.net.Json.bytes(SimulatedCluster.job(5, 1)), StandardCharsets.UTF_8);
+        String broken = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
+        Response r = cluster.ask("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
+        assertEquals(400, r.status(), broken);
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"", "{", "[]", "7", "null", "{} {}", "{\"nameId\":\"j-1\",\"nameId\":\"j-1\"}"})
+    void whatIsNoObjectIsRefused(String body) {
+        Response r = cluster.ask("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
+        assertEquals(400, r.status());
+    }
+
+    @Test
+    void whatCanNeverRunIsRefused() {
+        assertEquals(422, cluster.submit(SimulatedCluster.job(1, 1).put("crew", "nobody")));
+        assertEquals(422, cluster.submit(SimulatedCluster.job(2, 1).put("cpus", 9.0)));
+        assertEquals(422, cluster.submit(SimulatedCluster.job(3, 1).put("cpus", 20.0)));
+        assertEquals(422, cluster.submit(SimulatedCluster.job(4, 1).put("grove", "z9")));
+        ObjectNode other = SimulatedCluster.job(5, 1);
+        other.putArray("builds").add("t9");
+        assertEquals(422, cluster.submit(other));
+        ObjectNode largerThanItsTeam = SimulatedCluster.job(6, 100);
+        assertEquals(201, cluster.submit(largerThanItsTeam), "an array may exceed its team's limit as a whole");
+    }
+
+    @Test
+    void wrongPathsAndMethodsAreToldApart() {
+        assertEquals(404, cluster.ask("n0", "GET", "/nothing", (JsonNode) null).status());
+        assertEquals(
+                405, cluster.ask("n0", "DELETE", "/api/jobs", (JsonNode) null).status());
+        assertEquals(405, cluster.ask("n0", "GET", "/hello", (JsonNode) null).status());
+        assertEquals(400, cluster.ask("n0", "POST", "/hello", (JsonNode) null).status());
+        assertEquals(200, cluster.ask("n0", "GET", "/healthz", (JsonNode) null).status());
+    }
+
+    @Test
+    void aNodeTellsHowLongThingsTake() throws Exception {
+        cluster.submit(SimulatedCluster.job(1, 1));
+        runUntilDone("j-000001");
+        Response r = cluster.ask("n0", "GET", "/metrics", (JsonNode) null);
+        JsonNode users = org.spruceridge.net.Json.object(r.body()).path("users");
+        assertTrue(users.path("count").asLong() > 0);
+        assertTrue(users.path("maxMs").asDouble() >= users.path("p50Ms").asDouble());
+    }
+
+    @Test
+    void aNodeThatAloneLostTheStateServiceIsUnhealthy() {
+        cluster.net.weather(
+                (from, to, call) -> from.equals("n1") && to.host().startsWith("10.2.0.1") ? Fate.LOST : Fate.DELIVERED);
+        cluster.loop.run(8);
+        assertEquals(503, cluster.ask("n1", "GET", "/healthz", (JsonNode) null).status());
+        assertEquals(200, cluster.ask("n2", "GET", "/healthz", (JsonNode) null).status());
+        cluster.net.clear();
+        cluster.state.outage(10);
+        cluster.loop.run(6);
+        assertEquals(200, cluster.ask("n2", "GET", "/healthz", (JsonNode) null).status(), "an outage is common to all");
+    }
+}
--- a/src/test/java/org/spruceridge/sim/Rules.java
+++ b/src/test/java/org/spruceridge/sim/RuleChecker.java
@@ -12,10 +12,10 @@
 import org.spruceridge.net.Durations;
 
 /**
- * The protocol's rules over one world. It keeps its own book of what was submitted, what runs where and what users were
- * told, and fails the story at the moment at which a rule breaks.
+ * The protocol's rules over one cluster. It keeps its own book of what was submitted, what runs where and what users were
+ * told, and fails the scenario at the moment at which a rule breaks.
  */
-final class Rules {
+final class RuleChecker {
     /** Workers drop answers after this time: a start that comes later was sent too late, or lay about. */
     private static final double IN_FLIGHT_S = 4;
 
@@ -37,7 +37,7 @@
 
     private record Place(String machine, String zone) {}
 
-    Rules(LongSupplier clock, double teamCpus, double cancelS) {
+    RuleChecker(LongSupplier clock, double teamCpus, double cancelS) {
         this.clock = clock;
         this.teamCpus = teamCpus;
         this.cancelS = cancelS;
--- a/src/test/java/org/spruceridge/sim/RulesTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Durations;
 
-/** Each clause of the stand-ins' rules fails on a world that breaks it, and on no other. */
-final class RulesTest {
+/** Each clause of the stand-ins' rules fails on a simulated cluster that breaks it, and on no other. */
+final class RuleCheckerTest {
     private static final String JOB = "j-000001";
     private static final String TASK = "j-000001/0";
 
     private double nowS;
-    private final Rules rules = new Rules(() -> Durations.nanos(nowS), 16, 30);
+    private final RuleChecker rules = new RuleChecker(() -> Durations.nanos(nowS), 16, 30);
 
     private void accepted(ObjectNode job) {
         rules.submits(job);
@@ -35,7 +35,7 @@
 
     @Test
     void anOrdinaryDayBreaksNone() {
-        accepted(World.job(1, 2));
+        accepted(SimulatedCluster.job(1, 2));
         rules.starts(TASK, "m1", "z1", true);
         rules.starts("j-000001/1", "m2", "z2", false);
         rules.leaves(TASK, "m1");
@@ -47,7 +47,7 @@
         rules.answered(JOB, 200, "done");
         rules.answered(JOB, 503, "");
         rules.answered(JOB, 200, "done");
-        accepted(World.job(2, 1));
+        accepted(SimulatedCluster.job(2, 1));
         rules.starts("j-000002/0", "m1", "z1", true);
         cancelled("j-000002");
         nowS = 29;
@@ -60,14 +60,14 @@
 
     @Test
     void aTaskOnTwoMachines() {
-        accepted(World.job(1, 1));
+        accepted(SimulatedCluster.job(1, 1));
         rules.starts(TASK, "m1", "z1", true);
         breaks("ran_twice", () -> rules.starts(TASK, "m2", "z1", true));
     }
 
     @Test
     void moreThanTheTeamsLimit() {
-        accepted(World.job(1, 5));
+        accepted(SimulatedCluster.job(1, 5));
         for (int i = 0; i < 4; i++) {
             rules.starts(JOB + "/" + i, "m" + i, "z1", true);
         }
@@ -76,18 +76,18 @@
 
     @Test
     void aTaskInAPlaceThatItsJobDoesNotAllow() {
-        accepted(World.job(1, 2).put("windfall", false));
+        accepted(SimulatedCluster.job(1, 2).put("windfall", false));
         breaks("wrong_place", () -> rules.starts(TASK, "m1", "z1", true));
-        accepted(World.job(2, 2).put("grove", "z1"));
+        accepted(SimulatedCluster.job(2, 2).put("grove", "z1"));
         breaks("wrong_place", () -> rules.starts("j-000002/0", "m1", "z2", true));
-        accepted(World.job(3, 2).put("samePlace", true));
+        accepted(SimulatedCluster.job(3, 2).put("samePlace", true));
         rules.starts("j-000003/0", "m1", "z1", true);
         breaks("wrong_place", () -> rules.starts("j-000003/1", "m2", "z2", true));
     }
 
     @Test
     void tooManyTasksInOneZone() {
-        accepted(World.job(1, 3).put("scatter", true));
+        accepted(SimulatedCluster.job(1, 3).put("scatter", true));
         rules.starts(JOB + "/0", "m1", "z1", true);
         rules.starts(JOB + "/1", "m1", "z1", true);
         breaks("wrong_place", () -> rules.starts(JOB + "/2", "m1", "z1", true));
@@ -95,7 +95,7 @@
 
     @Test
     void aCancelledTaskThatStays() {
-        accepted(World.job(1, 1));
+        accepted(SimulatedCluster.job(1, 1));
         rules.starts(TASK, "m1", "z1", true);
         cancelled(JOB);
         nowS = 31;
@@ -104,7 +104,7 @@
 
     @Test
     void aStartAfterTheCancellation() {
-        accepted(World.job(1, 1));
+        accepted(SimulatedCluster.job(1, 1));
         cancelled(JOB);
         nowS = 5;
         breaks("ran_cancelled", () -> rules.starts(TASK, "m1", "z1", true));
@@ -112,7 +112,7 @@
 
     @Test
     void anAcceptedJobThatIsNotKnown() {
-        accepted(World.job(1, 1));
+        accepted(SimulatedCluster.job(1, 1));
         for (int status : new int[] {404, 400, 422}) {
             breaks("forgotten", () -> rules.answered(JOB, status, ""));
         }
@@ -125,14 +125,14 @@
 
     @Test
     void doneBeforeItsTasksAre() {
-        accepted(World.job(1, 2));
+        accepted(SimulatedCluster.job(1, 2));
         rules.completes(TASK);
         breaks("not_done", () -> rules.answered(JOB, 200, "done"));
     }
 
     @Test
     void anEndThatIsTakenBackOrWasNotAskedFor() {
-        accepted(World.job(1, 1));
+        accepted(SimulatedCluster.job(1, 1));
         breaks("went_back", () -> rules.answered(JOB, 200, "cancelled"));
         rules.asksToCancel(JOB);
         rules.answered(JOB, 200, "cancelled");
@@ -141,7 +141,7 @@
 
     @Test
     void aJobThatWaitsBesideRoomThatFits() {
-        accepted(World.job(1, 5));
+        accepted(SimulatedCluster.job(1, 5));
         assertEquals(List.of(JOB), rules.waiting());
         for (int i = 0; i < 4; i++) {
             rules.starts(JOB + "/" + i, "m" + i / 2, "z1", true);
@@ -163,7 +163,7 @@
 
     @Test
     void aJobLeftWaitingOrRunningInTheEnd() {
-        accepted(World.job(1, 1));
+        accepted(SimulatedCluster.job(1, 1));
         breaks("left waiting", rules::over);
         rules.starts(TASK, "m1", "z1", true);
         rules.completes(TASK);
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -20,7 +20,7 @@
     /** What each machine has. */
     static final double CPUS = 8;
 
-    private final World world;
+    private final SimulatedCluster cluster;
     private final Map<String, List<String>> claims = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
     private final Limit calls;
@@ -30,9 +30,9 @@
 
     private record Host(String zone, boolean spot, long rentedAt, SimWorker[] worker, String[] stage) {}
 
-    SimCloud(World world) {
-        this.world = world;
-        this.calls = new Limit("calls of the cloud", World.CLOUD_RPS, 2, world.loop::nanos);
+    SimCloud(SimulatedCluster cluster) {
+        this.cluster = cluster;
+        this.calls = new Limit("calls of the cloud", SimulatedCluster.CLOUD_RPS, 2, cluster.loop::nanos);
     }
 
     /** The most machines that can be rented at one time. */
@@ -66,7 +66,7 @@
     public void die(SimWorker worker) {
         worker.kill();
         Host host = hosts.get(worker.name());
-        world.loop.after(Durations.nanos(30), () -> host.stage[0] = "failed");
+        cluster.loop.after(Durations.nanos(30), () -> host.stage[0] = "failed");
     }
 
     @Override
@@ -117,11 +117,11 @@
 
     private String boot(String zone, boolean spot) {
         String name = String.format("i-%06d", count++);
-        Host host = new Host(zone, spot, world.loop.nanos(), new SimWorker[1], new String[] {"booting"});
+        Host host = new Host(zone, spot, cluster.loop.nanos(), new SimWorker[1], new String[] {"booting"});
         hosts.put(name, host);
-        world.loop.after(Durations.nanos(World.BOOT_S), () -> {
+        cluster.loop.after(Durations.nanos(SimulatedCluster.BOOT_S), () -> {
             if (hosts.containsKey(name)) {
-                host.worker[0] = new SimWorker(world, name, zone, spot);
+                host.worker[0] = new SimWorker(cluster, name, zone, spot);
                 host.stage[0] = "running";
             }
         });
@@ -138,7 +138,7 @@
                 .put("grove", h.zone)
                 .put("windfall", h.spot)
                 .put("stage", h.stage[0])
-                .put("heldS", Durations.seconds(world.loop.nanos() - h.rentedAt)));
+                .put("heldS", Durations.seconds(cluster.loop.nanos() - h.rentedAt)));
         return out;
     }
 
@@ -153,7 +153,7 @@
                 .put("fetchGbPerS", 1.0)
                 .put("rate", 1.0)
                 .put("lowPrice", 0.3)
-                .put("startupS", World.BOOT_S);
+                .put("startupS", SimulatedCluster.BOOT_S);
         type.putArray("groves").add("z1").add("z2");
         return out;
     }
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -67,7 +67,7 @@
     }
 
     private boolean refused(String from, Address to) {
-        return to.equals(World.STATE) && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
+        return to.equals(SimulatedCluster.STATE) && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
     }
 
     /** No message is lost or held any more, and no node refused. */
@@ -141,7 +141,7 @@
                 }
                 case COPIED_LATE -> {
                     loop.after(LATENCY, arrive);
-                    loop.after(Durations.nanos(random.nextDouble(2, 1.5 * World.LEASE_S)), arrive);
+                    loop.after(Durations.nanos(random.nextDouble(2, 1.5 * SimulatedCluster.LEASE_S)), arrive);
                 }
                 case LATE -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrive);
                 case REFUSED -> back.accept(new HttpAnswer(503, new byte[0]));
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -48,8 +48,8 @@
         this.loop = loop;
         this.txnOps = txnOps;
         this.pageSize = pageSize;
-        this.requests = new Limit("requests", World.STATE_RPS, 1, loop::nanos);
-        this.writes = new Limit("writes", World.STATE_WRITE_RPS, 1, loop::nanos);
+        this.requests = new Limit("requests", SimulatedCluster.STATE_RPS, 1, loop::nanos);
+        this.writes = new Limit("writes", SimulatedCluster.STATE_WRITE_RPS, 1, loop::nanos);
         expire();
     }
 
@@ -175,7 +175,7 @@
             throw new BadMessageException("too many");
         }
         for (JsonNode op : ops) {
-            if (Json.bytes(Json.object().set("v", op.path("v"))).length > World.VALUE_KB * 1024) {
+            if (Json.bytes(Json.object().set("v", op.path("v"))).length > SimulatedCluster.VALUE_KB * 1024) {
                 throw new BadMessageException("too large");
             }
         }
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -18,7 +18,7 @@
 
 /** A worker, written from its published protocol. */
 public final class SimWorker {
-    private final World world;
+    private final SimulatedCluster cluster;
     private final SimLoop.Process process;
     private final HttpClient http;
     private final String name;
@@ -57,16 +57,16 @@
 
     private Behaviour behaviour = Behaviour.COMPLETES;
 
-    SimWorker(World world, String name, String zone, boolean spot) {
-        this.world = world;
-        this.process = new SimLoop.Process(world.loop);
-        this.http = world.net.client(name, process);
+    SimWorker(SimulatedCluster cluster, String name, String zone, boolean spot) {
+        this.cluster = cluster;
+        this.process = new SimLoop.Process(cluster.loop);
+        this.http = cluster.net.client(name, process);
         this.name = name;
         this.zone = zone;
         this.spot = spot;
-        this.nodes = world.nodeNames();
-        this.leaseFrom = world.loop.nanos();
-        world.net.serve(address(), this::direct);
+        this.nodes = cluster.nodeNames();
+        this.leaseFrom = cluster.loop.nanos();
+        cluster.net.serve(address(), this::direct);
         report();
         checkLease();
     }
@@ -106,11 +106,11 @@
 
     /** The machine is off and on again at once: its tasks are gone, and so is all that its worker knew. */
     public void restart() {
-        tasks.values().forEach(t -> world.ended(t.part, name));
+        tasks.values().forEach(t -> cluster.ended(t.part, name));
         tasks.clear();
         session++;
         token = 0;
-        leaseFrom = world.loop.nanos();
+        leaseFrom = cluster.loop.nanos();
     }
 
     /** Tasks that are on the machine now. */
@@ -148,30 +148,30 @@
 
     void kill() {
         process.kill();
-        world.net.remove(address());
-        tasks.values().forEach(t -> world.ended(t.part, name));
+        cluster.net.remove(address());
+        tasks.values().forEach(t -> cluster.ended(t.part, name));
         tasks.clear();
     }
 
     private void checkLease() {
-        if (world.loop.nanos() - leaseFrom > Durations.nanos(World.LEASE_S)) {
+        if (cluster.loop.nanos() - leaseFrom > Durations.nanos(SimulatedCluster.LEASE_S)) {
             session++;
-            leaseFrom = world.loop.nanos();
-            tasks.values().forEach(t -> world.ended(t.part, name));
+            leaseFrom = cluster.loop.nanos();
+            tasks.values().forEach(t -> cluster.ended(t.part, name));
             tasks.clear();
         }
         process.after(Durations.millis(50), this::checkLease);
     }
 
     private void report() {
-        process.after(Durations.nanos(World.REPORT_S), this::report);
+        process.after(Durations.nanos(SimulatedCluster.REPORT_S), this::report);
         if (!frozen) {
             send();
         }
     }
 
     private void soon() {
-        long wait = lastSent + Durations.millis(500) - world.loop.nanos();
+        long wait = lastSent + Durations.millis(500) - cluster.loop.nanos();
         process.after(Math.max(0, wait), this::send);
     }
 
@@ -181,10 +181,10 @@
         }
         waiting = true;
         sequence++;
-        long sentAt = world.loop.nanos();
+        long sentAt = cluster.loop.nanos();
         lastSent = sentAt;
         long sentIn = session;
-        Address to = World.address(nodes.get(node));
+        Address to = SimulatedCluster.address(nodes.get(node));
         http.call(to, HttpCall.post("/hello", Json.bytes(body())), Durations.nanos(4), answer -> {
             waiting = false;
             answered(answer, sentAt, sentIn);
@@ -283,9 +283,9 @@
 
     private void start(Task task, String key) {
         tasks.put(key, task);
-        world.started(task.part, this, zone, spot);
+        cluster.started(task.part, this, zone, spot);
         soon();
-        process.after(Durations.nanos(world.runS(task.part)), () -> complete(task, key));
+        process.after(Durations.nanos(cluster.runS(task.part)), () -> complete(task, key));
     }
 
     private void complete(Task task, String key) {
@@ -299,9 +299,9 @@
     private void end(Task task, String cause) {
         task.stage = "ended";
         task.cause = cause;
-        world.ended(task.part, name);
+        cluster.ended(task.part, name);
         if (cause.equals("done")) {
-            world.completed(task.part);
+            cluster.completed(task.part);
         }
         soon();
     }
--- a/src/test/java/org/spruceridge/sim/World.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -27,9 +27,9 @@
 
 /**
  * A small deployment on simulated time: nodes as they are, everything around them from these stand-ins. It keeps
- * book by {@link Rules}, which fails the story at the moment at which one breaks.
+ * book by {@link RuleChecker}, which fails the scenario at the moment at which one breaks.
  */
-public final class World {
+public final class SimulatedCluster {
     public static final double REPORT_S = 2;
     public static final double LEASE_S = 14;
     public static final double CANCEL_S = 30;
@@ -49,7 +49,7 @@
     public final SimCloud cloud;
     private final List<String> names = new ArrayList<>();
     private final Map<String, Running> nodes = new TreeMap<>();
-    private final Rules rules = new Rules(loop::nanos, TEAM_CPUS, CANCEL_S);
+    private final RuleChecker rules = new RuleChecker(loop::nanos, TEAM_CPUS, CANCEL_S);
     private final List<String> starts = new ArrayList<>();
     private final Set<String> ready = new HashSet<>();
     private final Set<String> cutPeers = new HashSet<>();
@@ -57,12 +57,12 @@
 
     private record Running(Node node, SimLoop.Process process, Link link) {}
 
-    public World(int nodeCount) {
+    public SimulatedCluster(int nodeCount) {
         this(nodeCount, 12, 1000);
     }
 
     /** A small page size makes listings come in several pages. */
-    public World(int nodeCount, int txnOps, int pageSize) {
+    public SimulatedCluster(int nodeCount, int txnOps, int pageSize) {
         this.state = new SimState(loop, txnOps, pageSize);
         this.cloud = new SimCloud(this);
         net.serve(STATE, state);
