--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -48,6 +48,7 @@
 
     private record Ended(JobRecord.Stage stage, int tasks) {}
 
+    /** {@code catalogue} gives the machine types once they are known, {@code progress} how far a job has come. */
     public JobsEndpoint(
             Loop loop,
             StateClient state,
--- /dev/null
+++ b/src/main/java/org/spruceridge/api/package-info.java
@@ -0,0 +1,2 @@
+/** The users' requests: submissions, polls and cancellations. */
+package org.spruceridge.api;
--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -25,7 +25,6 @@
 import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
 import org.spruceridge.cluster.Resources;
-import org.spruceridge.config.CancellationTimes;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.CancellationScope;
@@ -38,8 +37,6 @@
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
     /** A deleted machine costs at least this long, so an idle one is not returned before. */
     private static final double LEAST_PAID_S = 60;
-    /** Beyond a lease's drift: late timers, on both sides. */
-    private static final double LEASE_MARGIN_S = 1;
 
     /** While requests wait, what to rent is worked out only this often, as a share of a lease. */
     private static final double MOST_DELAY_OF_LEASE = 0.1;
@@ -58,7 +55,7 @@
     private final BooleanSupplier leads;
     private final Supplier<Plan> lastPlan;
     private final Runnable changed;
-    private final CancellationTimes times;
+    private final FailureDetector failureDetector;
     private final WarmCapacity warmCapacity;
     private final Map<MachineKind, Long> refusedUntil = new HashMap<>();
     private final Map<String, Claim> claims = new LinkedHashMap<>();
@@ -67,11 +64,11 @@
     private long claimCount;
     private long lastTick;
     private long lastPlanned = Long.MIN_VALUE / 2;
-    private long behindUntil = Long.MIN_VALUE;
 
     /** A rental request that is on its way. */
     private record Claim(MachineKind offer, int count, long askedAt) {}
 
+    /** {@code leads} tells whether the lease of the leader still holds; {@code changed} asks for a scheduling cycle. */
     public Autoscaler(
             Loop loop,
             CancellationScope scope,
@@ -95,11 +92,12 @@
         this.leads = leads;
         this.lastPlan = lastPlan;
         this.changed = changed;
-        this.times = CancellationTimes.of(settings.workers());
+        this.failureDetector = new FailureDetector(loop, cluster, settings, policy);
         this.warmCapacity = new WarmCapacity(settings, loop.nanos());
         this.lastTick = loop.nanos();
     }
 
+    /** Begins to follow the cloud's lists and to rent and return machines. */
     public void start() {
         refreshCatalogue();
         refreshList();
@@ -131,14 +129,10 @@
         lastTick = now;
         if (leads.getAsBoolean()) {
             endLeases();
-            deleteDisobedient();
-            if (now >= behindUntil) {
-                deleteLost();
-            }
+            deleteFailed();
+            double plannedAgoS = secondsSince(lastPlanned, now);
             if (!loop.busy()
-                    || now - lastPlanned
-                            > Durations.nanos(
-                                    MOST_DELAY_OF_LEASE * settings.workers().leaseS())) {
+                    || plannedAgoS > MOST_DELAY_OF_LEASE * settings.workers().leaseS()) {
                 lastPlanned = now;
                 rentAndReturn();
             }
@@ -148,7 +142,7 @@
 
     /** This node does not keep up: what it has not heard yet may well have been said. */
     public void fallsBehind() {
-        behindUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
+        failureDetector.fallsBehind();
     }
 
     private void takeList(ImmutableList<HostInfo> list) {
@@ -184,20 +178,14 @@
         }
     }
 
-    /** A machine that nobody can have answered for a whole lease has killed its tasks. */
     private void endLeases() {
-        long lease = Durations.nanos(settings.workers().leaseS() * (1 + 2 * Durations.DRIFT) + LEASE_MARGIN_S);
-        long now = loop.nanos();
-        for (Machine m : ImmutableList.copyOf(cluster.machines())) {
-            boolean open = m.bindings().stream().anyMatch(b -> b.stage() != Binding.Stage.RELEASING);
-            if (open && now - m.lastAnswered() > lease) {
-                LOG.info(
-                        "machine {} has not reported for a lease: its {} tasks are gone",
-                        m.name(),
-                        m.bindings().size());
-                m.endSession();
-                releaseAll(m);
-            }
+        for (Machine m : failureDetector.withExpiredLeases()) {
+            LOG.info(
+                    "machine {} has not reported for a lease: its {} tasks are gone",
+                    m.name(),
+                    m.bindings().size());
+            m.endSession();
+            releaseAll(m);
         }
     }
 
@@ -211,78 +199,18 @@
         }
     }
 
-    /**
-     * Deletes machines on which the stop of a cancelled task has gone unproven for too long: a machine that hangs or
-     * cannot be reached keeps the task, and only its end is sure to come in time.
-     */
-    private void deleteDisobedient() {
-        long now = loop.nanos();
-        List<Machine> overdue = cluster.machines().stream()
-                .filter(m -> m.bindings().stream().anyMatch(b -> stopOverdue(b, now)))
-                .toList();
-        if (!overdue.isEmpty()) {
-            delete(overdue, "cancelled tasks that do not end");
-        }
+    /** Deletes machines that have to be given up; the deletion proves that their tasks are gone. */
+    private void deleteFailed() {
+        deleteAll(failureDetector.withOverdueStops(), "cancelled tasks that do not end");
+        deleteAll(failureDetector.lost(), "lost or never up");
     }
 
-    private boolean stopOverdue(Binding b, long now) {
-        Job job = b.job();
-        return job.cancelled()
-                && b.stage() != Binding.Stage.PROPOSED
-                && !b.gone()
-                && secondsSince(job.cancelledAt(), now) > times.patienceS()
-                && secondsSince(job.cancellationHeardAt(), now) > times.proofS();
-    }
-
-    /**
-     * Deletes machines that fell silent, that are heard but not reached, or that never came up; the deletion proves
-     * that their tasks are gone.
-     */
-    private void deleteLost() {
-        long now = loop.nanos();
-        double silentS = policy.fleet().silentOfLease() * settings.workers().leaseS();
-        Map<String, int[]> heardOfZone = new HashMap<>();
-        for (Machine m : cluster.machines()) {
-            if (m.hasReported()) {
-                int[] counts = heardOfZone.computeIfAbsent(m.zone(), z -> new int[2]);
-                counts[0]++;
-                counts[1] += outOfTouchS(m, now) < silentS ? 1 : 0;
-            }
-        }
-        List<Machine> lost = new ArrayList<>();
-        for (Machine m : cluster.machines()) {
-            double silentForS = outOfTouchS(m, now);
-            if (!m.hasReported()) {
-                double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-                boolean stuck = secondsSince(m.rentedAt(), now) > policy.fleet().stuckOfBoot() * bootS;
-                if (stuck
-                        && secondsSince(m.knownSince(), now)
-                                > settings.workers().leaseS()) {
-                    lost.add(m);
-                }
-            } else if (silentForS > (m.fenced() ? silentS : settings.workers().leaseS())) {
-                // One that this leader has not heard at all may still be looking for it, with all the others.
-                // Where most machines of a zone are silent it is rather the network, and they may be back.
-                int[] counts = heardOfZone.get(m.zone());
-                boolean alone = counts[1] * 2 > counts[0];
-                if (alone || silentForS > 4 * settings.workers().leaseS()) {
-                    lost.add(m);
-                }
-            }
-        }
-        if (!lost.isEmpty()) {
-            delete(lost, "lost or never up");
+    private void deleteAll(List<Machine> machines, String why) {
+        if (!machines.isEmpty()) {
+            delete(machines, why);
         }
     }
 
-    /** How long the machine has not been heard, or has been heard without doing as it was told. */
-    private static double outOfTouchS(Machine m, long now) {
-        double silentS = secondsSince(m.lastHeard(), now);
-        return m.unreachableSince() == Machine.NEVER
-                ? silentS
-                : Math.max(silentS, secondsSince(m.unreachableSince(), now));
-    }
-
     private static double secondsSince(long moment, long now) {
         return (now - moment) / 1e9;
     }
@@ -423,9 +351,7 @@
                 idle.add(m);
             }
         }
-        if (!idle.isEmpty()) {
-            delete(idle, "idle or of no use");
-        }
+        deleteAll(idle, "idle or of no use");
     }
 
     /** Its reach came into doubt a moment ago, and it has been asked for a sign. */
--- /dev/null
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -0,0 +1,154 @@
+package org.spruceridge.autoscaling;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Cluster;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineType;
+import org.spruceridge.config.CancellationTimes;
+import org.spruceridge.config.Policy;
+import org.spruceridge.config.Settings;
+import org.spruceridge.net.Durations;
+import org.spruceridge.net.Loop;
+
+/** Finds the machines whose leases have run out, and those that have to be given up. It changes nothing itself. */
+final class FailureDetector {
+    /** Beyond a lease's drift: late timers, on both sides. */
+    private static final double LEASE_MARGIN_S = 1;
+
+    /** After this many leases a machine is given up even if most of its zone is silent too. */
+    private static final double LEASES_OF_A_CUT_ZONE = 4;
+
+    private final Loop loop;
+    private final Cluster cluster;
+    private final Settings settings;
+    private final Policy policy;
+    private final CancellationTimes times;
+    private long behindUntil = Long.MIN_VALUE;
+
+    /** How many machines of a zone there are, and how many of them are in touch. */
+    private static final class ZoneCount {
+        private int machines;
+        private int inTouch;
+
+        boolean mostInTouch() {
+            return inTouch * 2 > machines;
+        }
+    }
+
+    FailureDetector(Loop loop, Cluster cluster, Settings settings, Policy policy) {
+        this.loop = loop;
+        this.cluster = cluster;
+        this.settings = settings;
+        this.policy = policy;
+        this.times = CancellationTimes.of(settings.workers());
+    }
+
+    /** This node does not keep up: what it has not heard yet may well have been said. */
+    void fallsBehind() {
+        behindUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
+    }
+
+    /** Machines that nobody can have answered for a whole lease: they have killed their tasks. */
+    List<Machine> withExpiredLeases() {
+        long lease = Durations.nanos(settings.workers().leaseS() * (1 + 2 * Durations.DRIFT) + LEASE_MARGIN_S);
+        long now = loop.nanos();
+        List<Machine> expired = new ArrayList<>();
+        for (Machine m : cluster.machines()) {
+            if (now - m.lastAnswered() > lease && hasOpenBinding(m)) {
+                expired.add(m);
+            }
+        }
+        return expired;
+    }
+
+    private static boolean hasOpenBinding(Machine m) {
+        return m.bindings().stream().anyMatch(b -> b.stage() != Binding.Stage.RELEASING);
+    }
+
+    /**
+     * Machines on which the stop of a cancelled task has gone unproven for too long: a machine that hangs or cannot be
+     * reached keeps the task, and only its deletion is sure to come in time.
+     */
+    List<Machine> withOverdueStops() {
+        long now = loop.nanos();
+        return cluster.machines().stream()
+                .filter(m -> m.bindings().stream().anyMatch(b -> stopOverdue(b, now)))
+                .toList();
+    }
+
+    private boolean stopOverdue(Binding b, long now) {
+        Job job = b.job();
+        return job.cancelled()
+                && b.stage() != Binding.Stage.PROPOSED
+                && !b.gone()
+                && secondsSince(job.cancelledAt(), now) > times.patienceS()
+                && secondsSince(job.cancellationHeardAt(), now) > times.proofS();
+    }
+
+    /**
+     * Machines that fell silent, that are heard but not reached, or that never came up; none while this node does not
+     * keep up with the reports that come.
+     */
+    List<Machine> lost() {
+        long now = loop.nanos();
+        List<Machine> lost = new ArrayList<>();
+        if (now < behindUntil) {
+            return lost;
+        }
+        Map<String, ZoneCount> zones = zones(now);
+        for (Machine m : cluster.machines()) {
+            if (m.hasReported() ? silentAlone(m, zones.get(m.zone()), now) : neverCameUp(m, now)) {
+                lost.add(m);
+            }
+        }
+        return lost;
+    }
+
+    private Map<String, ZoneCount> zones(long now) {
+        Map<String, ZoneCount> zones = new HashMap<>();
+        for (Machine m : cluster.machines()) {
+            if (m.hasReported()) {
+                ZoneCount count = zones.computeIfAbsent(m.zone(), z -> new ZoneCount());
+                count.machines++;
+                count.inTouch += outOfTouchS(m, now) < silentS() ? 1 : 0;
+            }
+        }
+        return zones;
+    }
+
+    private double silentS() {
+        return policy.fleet().silentOfLease() * settings.workers().leaseS();
+    }
+
+    private boolean neverCameUp(Machine m, long now) {
+        double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
+        return secondsSince(m.rentedAt(), now) > policy.fleet().stuckOfBoot() * bootS
+                && secondsSince(m.knownSince(), now) > settings.workers().leaseS();
+    }
+
+    /** Where most machines of a zone are silent it is rather the network, and they may be back. */
+    private boolean silentAlone(Machine m, ZoneCount zone, long now) {
+        double leaseS = settings.workers().leaseS();
+        double silentForS = outOfTouchS(m, now);
+        // One that this leader has not heard at all may still be looking for it, with all the others.
+        boolean silent = silentForS > (m.fenced() ? silentS() : leaseS);
+        return silent && (zone.mostInTouch() || silentForS > LEASES_OF_A_CUT_ZONE * leaseS);
+    }
+
+    /** How long the machine has not been heard, or has been heard without doing as it was told. */
+    private static double outOfTouchS(Machine m, long now) {
+        double silentS = secondsSince(m.lastHeard(), now);
+        return m.unreachableSince() == Machine.NEVER
+                ? silentS
+                : Math.max(silentS, secondsSince(m.unreachableSince(), now));
+    }
+
+    private static double secondsSince(long moment, long now) {
+        return (now - moment) / 1e9;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/autoscaling/package-info.java
@@ -0,0 +1,2 @@
+/** Which machines to rent and which to give back. */
+package org.spruceridge.autoscaling;
--- a/src/main/java/org/spruceridge/cli/Main.java
+++ b/src/main/java/org/spruceridge/cli/Main.java
@@ -7,6 +7,7 @@
 
     private Main() {}
 
+    /** Runs the command that the arguments name and exits with its code. */
     public static void main(String[] args) {
         LogLevel.apply(System.getenv("LOG_LEVEL"));
         System.exit(Commands.program().execute(args));
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -36,6 +36,7 @@
     private final RateLimiter limiter;
     private final RateLimitedWarnings warnings;
 
+    /** Calls go to {@code address}, within the limits of {@code limiter}. */
     public CloudClient(HttpClient http, Address address, RateLimiter limiter, RateLimitedWarnings warnings) {
         this.http = http;
         this.address = address;
--- /dev/null
+++ b/src/main/java/org/spruceridge/cloud/package-info.java
@@ -0,0 +1,2 @@
+/** Client and messages of the cloud's machine API. */
+package org.spruceridge.cloud;
--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -49,6 +49,7 @@
         ENDED
     }
 
+    /** A binding that begins at {@code now}, on the steady clock in nanoseconds. */
     public Binding(Job job, int index, long attempt, Machine machine, Stage stage, long now) {
         this.task = new TaskId(job.id(), index);
         this.job = job;
@@ -58,26 +59,32 @@
         this.boundAt = now;
     }
 
+    /** The task that is bound. */
     public TaskId task() {
         return task;
     }
 
+    /** The number of the attempt, which grows over all terms. */
     public long attempt() {
         return attempt;
     }
 
+    /** The machine that the task is bound to. */
     public Machine machine() {
         return machine;
     }
 
+    /** The job of the task. */
     public Job job() {
         return job;
     }
 
+    /** How far the record of this binding has come. */
     public Stage stage() {
         return stage;
     }
 
+    /** Moves on to the next stage of the record. */
     public void stage(Stage next) {
         stage = next;
     }
@@ -91,14 +98,17 @@
         gone = true;
     }
 
+    /** Whether and how the task is to be stopped; that of a cancelled job always at once. */
     public Halt halt() {
         return job.cancelled() ? Halt.AT_ONCE : halt;
     }
 
+    /** Decides that the task is to be stopped. */
     public void halt(Halt why) {
         halt = why;
     }
 
+    /** Where the last authoritative report had the task. */
     public Phase phase() {
         return phase;
     }
@@ -139,6 +149,7 @@
         return stopPushed;
     }
 
+    /** Takes note that a stop was sent directly, or that it has to be sent again. */
     public void stopPushed(boolean value) {
         stopPushed = value;
     }
@@ -148,6 +159,7 @@
         pushed = true;
     }
 
+    /** When the binding was proposed, on the steady clock in nanoseconds. */
     public long boundAt() {
         return boundAt;
     }
--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The picture of one term: jobs, machines, and the bindings between them. */
+/** The cluster state as one term's leader knows it: jobs, machines, and the bindings between them. */
 public final class Cluster {
     private static final int GONE_KEPT = 5000;
 
@@ -19,14 +19,17 @@
     private final Map<String, Resources> teamUse = new HashMap<>();
     private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
+    /** All jobs that are open, or of which tasks are still bound. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
 
+    /** The job with this id, or null. */
     public Job job(String id) {
         return jobs.get(id);
     }
 
+    /** Adds a job. */
     public void add(Job job) {
         jobs.put(job.id(), job);
     }
@@ -38,19 +41,22 @@
         }
     }
 
+    /** All machines that are rented, as far as is known. */
     public Collection<Machine> machines() {
         return machines.values();
     }
 
+    /** The machine with this name, or null. */
     public Machine machine(String name) {
         return machines.get(name);
     }
 
+    /** Adds a machine. */
     public void add(Machine machine) {
         machines.put(machine.name(), machine);
     }
 
-    /** Takes a machine that is gone out of the picture; its name is not used again. */
+    /** Takes a machine that is gone out of the cluster state; its name is not used again. */
     public void remove(Machine machine) {
         machines.remove(machine.name(), machine);
         gone.add(machine.name());
@@ -64,14 +70,17 @@
         return gone.contains(name);
     }
 
+    /** The machine types by name; empty until they are known. */
     public ImmutableMap<String, MachineType> types() {
         return types;
     }
 
+    /** Takes over the machine types of the cloud. */
     public void types(ImmutableMap<String, MachineType> catalogue) {
         types = catalogue;
     }
 
+    /** The type of a machine, if it is known. */
     public Optional<MachineType> typeOf(Machine machine) {
         return Optional.ofNullable(types.get(machine.type()));
     }
@@ -86,6 +95,7 @@
         return teamUse.getOrDefault(team, Resources.NONE);
     }
 
+    /** Adds a binding to its job, its machine and the use of its team. */
     public void bind(Binding binding) {
         binding.job().bind(binding);
         binding.machine().bind(binding);
@@ -102,6 +112,7 @@
         }
     }
 
+    /** Removes a binding; does nothing if it was removed before. */
     public void unbind(Binding binding, long now) {
         if (binding.machine().binding(binding.task()) != binding) {
             return;
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -29,22 +29,27 @@
         this.submittedMs = submittedMs;
     }
 
+    /** The id that the user chose. */
     public String id() {
         return spec.id();
     }
 
+    /** What the user submitted. */
     public JobSpec spec() {
         return spec;
     }
 
+    /** The revision at which the record and the marker of the job were written. */
     public long stamp() {
         return stamp;
     }
 
+    /** When it was accepted, in milliseconds of the epoch. */
     public long submittedMs() {
         return submittedMs;
     }
 
+    /** True once a user has cancelled it. */
     public boolean cancelled() {
         return cancelledAt != Machine.NEVER;
     }
@@ -70,23 +75,28 @@
         return done;
     }
 
+    /** How many tasks have ended on record. */
     public int doneCount() {
         return done.cardinality();
     }
 
+    /** Takes note that the end of a task is on record. */
     public void markDone(int index) {
         done.set(index);
         taken.set(index);
     }
 
+    /** True if the end of this task is on record. */
     public boolean isDone(int index) {
         return done.get(index);
     }
 
+    /** All bindings of its tasks. */
     public Collection<Binding> bindings() {
         return bindings.values();
     }
 
+    /** The binding of a task, or null. */
     public Binding binding(int index) {
         return bindings.get(index);
     }
@@ -148,6 +158,7 @@
         return notBefore;
     }
 
+    /** Places no task of the job before this moment. */
     public void notBefore(long moment) {
         notBefore = moment;
     }
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -48,34 +48,42 @@
         this.idleSince = now;
     }
 
+    /** The name that the cloud gave it. */
     public String name() {
         return name;
     }
 
+    /** Where its worker takes direct commands; empty if not known. */
     public String address() {
         return address;
     }
 
+    /** Its type, zone, and whether it is a spot machine. */
     public MachineKind kind() {
         return kind;
     }
 
+    /** The name of its type. */
     public String type() {
         return kind.type();
     }
 
+    /** The zone that it is in. */
     public String zone() {
         return kind.zone();
     }
 
+    /** True if the cloud may take it back. */
     public boolean spot() {
         return kind.spot();
     }
 
+    /** All that is bound to it. */
     public Collection<Binding> bindings() {
         return bindings.values();
     }
 
+    /** The binding of a task to this machine, or null. */
     public Binding binding(TaskId task) {
         return bindings.get(task);
     }
@@ -107,6 +115,7 @@
         return used;
     }
 
+    /** The session of its worker that was heard last. */
     public long session() {
         return session;
     }
@@ -167,6 +176,7 @@
         return startUncertain;
     }
 
+    /** Takes note that a direct start was not answered. */
     public void markStartUncertain() {
         startUncertain = true;
     }
@@ -190,7 +200,10 @@
         return since;
     }
 
-    /** Nothing more is placed here: it is taken for faulty, about to be taken away, perhaps out of reach, or a late start may come. */
+    /**
+     * Nothing more is placed here: it is taken for faulty, about to be taken away, perhaps out of reach, or a late start
+     * may come.
+     */
     public boolean unschedulable() {
         return suspectedFaulty || reclaimAnnounced() || startUncertain || suspectedUnreachable();
     }
@@ -205,6 +218,7 @@
         return fenced;
     }
 
+    /** Takes note that its worker showed this term's token. */
     public void fence() {
         fenced = true;
     }
@@ -214,6 +228,7 @@
         return lastHeard;
     }
 
+    /** True once its worker has reported, in this term or as its bindings tell. */
     public boolean hasReported() {
         return hasReported;
     }
@@ -239,14 +254,17 @@
         return reclaimAt;
     }
 
+    /** Takes note of when the cloud will take it away. */
     public void reclaimAt(long moment) {
         reclaimAt = moment;
     }
 
+    /** True if the cloud has announced that it takes the machine away. */
     public boolean reclaimAnnounced() {
         return reclaimAt != Long.MAX_VALUE;
     }
 
+    /** Since when this leader has known it, on the steady clock in nanoseconds. */
     public long knownSince() {
         return knownSince;
     }
@@ -256,6 +274,7 @@
         return rentedAt;
     }
 
+    /** Corrects when it was rented. */
     public void rentedAt(long moment) {
         rentedAt = moment;
     }
@@ -265,6 +284,7 @@
         return returning;
     }
 
+    /** Begins to give it back. */
     public void returning(boolean value) {
         returning = value;
     }
@@ -279,6 +299,7 @@
         return suspectedFaulty;
     }
 
+    /** Begins or ceases to suspect it of failing the tasks that it is given. */
     public void suspectedFaulty(boolean value) {
         suspectedFaulty = value;
     }
@@ -288,10 +309,12 @@
         return idleSince;
     }
 
+    /** When a task was last stopped on it for another; {@code Long.MIN_VALUE} if never. */
     public long lastPreemption() {
         return lastPreemption;
     }
 
+    /** Takes note that a task is stopped on it for another. */
     public void lastPreemption(long moment) {
         lastPreemption = moment;
     }
--- a/src/main/java/org/spruceridge/cluster/Resources.java
+++ b/src/main/java/org/spruceridge/cluster/Resources.java
@@ -6,10 +6,12 @@
     /** Amounts are decimal numbers; sums of them may be off in the last places. */
     private static final double SLACK = 1e-6;
 
+    /** The sum, by each resource. */
     public Resources plus(Resources other) {
         return new Resources(cpus + other.cpus, gpus + other.gpus, memGb + other.memGb);
     }
 
+    /** The difference, by each resource. */
     public Resources minus(Resources other) {
         return new Resources(cpus - other.cpus, gpus - other.gpus, memGb - other.memGb);
     }
--- /dev/null
+++ b/src/main/java/org/spruceridge/cluster/package-info.java
@@ -0,0 +1,2 @@
+/** The cluster state in memory: jobs, machines, and the bindings between them. */
+package org.spruceridge.cluster;
--- a/src/main/java/org/spruceridge/config/CancellationTimes.java
+++ b/src/main/java/org/spruceridge/config/CancellationTimes.java
@@ -16,6 +16,7 @@
     /** An order that is given is carried out, and its proof heard, within this many report periods or not at all. */
     private static final double PROOF_OF_REPORT = 1.5;
 
+    /** The times that follow from the workers' settings. */
     public static CancellationTimes of(Settings.Workers workers) {
         return new CancellationTimes(workers.cancelS(), workers.leaseS(), workers.reportS());
     }
--- a/src/main/java/org/spruceridge/config/SettingsException.java
+++ b/src/main/java/org/spruceridge/config/SettingsException.java
@@ -4,6 +4,7 @@
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
+    /** The message names the field and what is wrong with it. */
     public SettingsException(String message) {
         super(message);
     }
--- a/src/main/java/org/spruceridge/leader/CommandSender.java
+++ b/src/main/java/org/spruceridge/leader/CommandSender.java
@@ -40,6 +40,7 @@
     private final Set<Machine> busy = new HashSet<>();
     private final Set<Machine> again = new HashSet<>();
 
+    /** {@code leads} tells whether commands may still be sent; {@code changed} hears of each answer. */
     public CommandSender(
             Loop loop,
             CancellationScope scope,
--- a/src/main/java/org/spruceridge/leader/Election.java
+++ b/src/main/java/org/spruceridge/leader/Election.java
@@ -37,8 +37,10 @@
 
     /** Hears of this node's terms. */
     public interface Listener {
+        /** This node leads from now on. */
         void won(LeaderTerm leaderTerm);
 
+        /** It no longer leads. */
         void lost();
     }
 
@@ -61,6 +63,7 @@
     private long permit;
     private long validUntil;
 
+    /** The listener hears of each term that this node wins or loses. */
     public Election(
             Loop loop,
             StateClient state,
@@ -83,10 +86,12 @@
         this.scope = new CancellationScope(loop);
     }
 
+    /** Reads the leader key and follows it from then on. */
     public void start() {
         read();
     }
 
+    /** Ends it, and gives up the leader key if this node holds it. */
     public void stop() {
         watch.cancel();
         scope.close();
--- a/src/main/java/org/spruceridge/leader/JobWatcher.java
+++ b/src/main/java/org/spruceridge/leader/JobWatcher.java
@@ -64,7 +64,7 @@
         this.maxStaleness = Durations.nanos(times.maxStalenessS());
     }
 
-    /** Every cancellation that was confirmed before this moment is in the picture. */
+    /** Every cancellation that was confirmed before this moment is in the cluster state. */
     public void refreshed(long upTo) {
         refreshedUpTo = Math.max(refreshedUpTo, upTo);
     }
@@ -97,6 +97,7 @@
         }));
     }
 
+    /** Ends the watch. */
     public void stop() {
         watch.cancel();
     }
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -44,7 +44,7 @@
     private final ReportHandler reportHandler;
     private final JobWatcher watch;
     private final Takeover takeover;
-    private final SchedulingLoop rounds;
+    private final SchedulingLoop schedulingLoop;
     private final CommandSender commandSender;
     private final Autoscaler autoscaler;
     private final LeaderTerm term;
@@ -52,6 +52,31 @@
     private final Response nothingToDo;
     private boolean ready;
 
+    /** Acts on what became of the leader's writes. */
+    private final class WriteListener implements RecordWriter.Listener {
+        private final Consumer<String> resign;
+
+        WriteListener(Consumer<String> resign) {
+            this.resign = resign;
+        }
+
+        @Override
+        public void committed(ImmutableSet<Machine> bound) {
+            bound.forEach(commandSender::push);
+            schedulingLoop.request();
+        }
+
+        @Override
+        public void cancelled(Job job) {
+            watch.cancelled(job);
+        }
+
+        @Override
+        public void broken(String why) {
+            resign.accept(why);
+        }
+    }
+
     /** {@code leads} tells whether the grant still holds; {@code resign} gives the lead up with a reason. */
     public Leader(
             Loop loop,
@@ -70,26 +95,10 @@
         this.nothingToDo = Order.answer(term.term(), List.of());
         this.scope = new CancellationScope(loop);
         this.idleRound = Durations.nanos(settings.workers().reportS() * IDLE_ROUND_OF_REPORT);
-        RecordWriter.Listener events = new RecordWriter.Listener() {
-            @Override
-            public void committed(ImmutableSet<Machine> bound) {
-                bound.forEach(commandSender::push);
-                rounds.request();
-            }
-
-            @Override
-            public void cancelled(Job job) {
-                watch.cancelled(job);
-            }
-
-            @Override
-            public void broken(String why) {
-                resign.accept(why);
-            }
-        };
-        this.recordWriter = new RecordWriter(loop, scope, state, cluster, term, settings, latencies, events);
+        this.recordWriter =
+                new RecordWriter(loop, scope, state, cluster, term, settings, latencies, new WriteListener(resign));
         this.reportHandler = new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, this::available);
-        this.rounds = new SchedulingLoop(
+        this.schedulingLoop = new SchedulingLoop(
                 loop,
                 scope,
                 cluster,
@@ -103,8 +112,8 @@
                 term,
                 latencies,
                 this::push);
-        this.commandSender =
-                new CommandSender(loop, scope, workers, reportHandler, settings, term, leads, () -> rounds.request());
+        this.commandSender = new CommandSender(
+                loop, scope, workers, reportHandler, settings, term, leads, () -> schedulingLoop.request());
         this.watch = new JobWatcher(
                 loop,
                 scope,
@@ -114,7 +123,7 @@
                 warnings,
                 CancellationTimes.of(settings.workers()),
                 commandSender::push,
-                () -> rounds.request());
+                () -> schedulingLoop.request());
         this.takeover = new Takeover(loop, scope, state, cluster, recordWriter.records(), term, warnings);
         this.autoscaler = new Autoscaler(
                 loop,
@@ -126,10 +135,11 @@
                 policy,
                 term.term(),
                 leads,
-                rounds::lastPlan,
-                rounds::request);
+                schedulingLoop::lastPlan,
+                schedulingLoop::request);
     }
 
+    /** Takes over from the records, and then begins to schedule. */
     public void start() {
         takeover.start(new Takeover.Listener() {
             @Override
@@ -167,6 +177,7 @@
         }
     }
 
+    /** Ends all duties of the term. */
     public void stop() {
         watch.stop();
         scope.close();
@@ -177,6 +188,7 @@
         return loop.nanos() - term.since();
     }
 
+    /** The number of the term, which is the token of its commands. */
     public long term() {
         return term.term();
     }
@@ -193,13 +205,13 @@
         }
     }
 
-    /** The picture of this term, to be read only. */
+    /** This term's cluster state, to be read only. */
     public Cluster cluster() {
         return cluster;
     }
 
     /**
-     * Takes a report; before the picture is complete it is only greeted, and told to stop what belongs to no open job:
+     * Takes a report; before the takeover is complete it is only acknowledged, and told to stop what belongs to no open job:
      * the answer renews its lease. Empty if it is not to be answered.
      */
     public Optional<Response> report(Report report) {
@@ -218,7 +230,7 @@
         if (machine.suspectedUnreachable()) {
             commandSender.probe(machine);
         }
-        rounds.request();
+        schedulingLoop.request();
     }
 
     private void push(Machine machine) {
@@ -226,7 +238,7 @@
     }
 
     private void tick() {
-        rounds.request();
+        schedulingLoop.request();
         scope.after(idleRound, this::tick);
     }
 }
--- a/src/main/java/org/spruceridge/leader/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/leader/LeaderWarmUp.java
@@ -30,6 +30,7 @@
     private boolean started;
     private int steps;
 
+    /** Steps run on {@code loop}; settings and policy say how large a leader's records and limits are. */
     public LeaderWarmUp(Loop loop, Settings settings, Policy policy) {
         this.loop = loop;
         this.scope = new CancellationScope(loop);
--- a/src/main/java/org/spruceridge/leader/RecordWriter.java
+++ b/src/main/java/org/spruceridge/leader/RecordWriter.java
@@ -66,6 +66,7 @@
     private boolean waitsForTurn;
     private long writes;
 
+    /** Writes within the limits of {@code settings}; the listener hears what became of the writes. */
     public RecordWriter(
             Loop loop,
             CancellationScope scope,
@@ -90,7 +91,7 @@
         return records;
     }
 
-    /** Puts a proposed binding, already part of the picture, on record. */
+    /** Puts a proposed binding, already part of the cluster state, on record. */
     public void bind(Binding binding) {
         waiting.put(binding, Write.BIND);
         pump();
@@ -277,7 +278,7 @@
         pump();
     }
 
-    /** A cancelled job leaves the picture with its last binding. */
+    /** A cancelled job leaves the cluster state with its last binding. */
     private void settle(Job job) {
         cluster.removeIfOver(job, job.cancelled());
     }
--- a/src/main/java/org/spruceridge/leader/ReportHandler.java
+++ b/src/main/java/org/spruceridge/leader/ReportHandler.java
@@ -23,7 +23,7 @@
 import org.spruceridge.worker.Report.Cause;
 import org.spruceridge.worker.Report.TaskReport;
 
-/** Takes reports into the picture and answers them with orders. */
+/** Takes reports into the cluster state and answers them with orders. */
 public final class ReportHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
     /** Jobs that must fail on a machine before the machine is taken for faulty. */
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Stops for all that the report lists of jobs that are not open. Only open jobs are in the picture yet. */
+    /** Stops for all that the report lists of jobs that are not open. Only open jobs are in the cluster state yet. */
     public List<Order> stopUnknownTasks(Report report) {
         return report.tasks().stream()
                 .filter(t -> t.state() != Report.TaskState.EXITED
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Takes a report into the picture. Only one that is newer than all before it and carries this term's token counts:
+     * Takes a report into the cluster state. Only one that is newer than all before it and carries this term's token counts:
      * orders of earlier leaders can no longer reach that worker, so what the report lacks is not there.
      */
     public List<Order> handle(Report report) {
@@ -98,7 +98,7 @@
         return unreachable || (machine.returning() && machine.unreachableSince() != Machine.NEVER);
     }
 
-    /** Takes the report into the picture that came with the answer to a push. */
+    /** Takes the report into the cluster state that came with the answer to a push. */
     public void apply(Report report) {
         apply(report, false);
     }
@@ -181,6 +181,7 @@
             }
             case SAVING -> b.phase(Binding.Phase.SAVING, now);
             case EXITED -> exited(b, seen.cause(), now);
+            default -> throw new IllegalStateException("no such state: " + seen.state());
         }
     }
 
--- a/src/main/java/org/spruceridge/leader/Takeover.java
+++ b/src/main/java/org/spruceridge/leader/Takeover.java
@@ -30,7 +30,7 @@
 import org.spruceridge.state.StateClient;
 
 /**
- * Builds the picture of a new term from the records. All reads are sent after the election, so no older leader can
+ * Builds the cluster state of a new term from the records. All reads are sent after the election, so no older leader can
  * change what they find: only users' submissions and cancellations can, and those the watch brings.
  */
 public final class Takeover {
@@ -45,7 +45,7 @@
     private final RateLimitedWarnings warnings;
     private final Map<String, Long> endedMs = new HashMap<>();
 
-    /** Hears how far the picture has come. */
+    /** Hears how far the takeover has come. */
     public interface Listener {
         /** The open jobs are known as of this moment: a task of any other job has no business on a machine. */
         void jobsKnown(long asOf);
@@ -56,6 +56,7 @@
 
     private record Recorded(PageIndex.Page<Machine> page, BindingsRecord.OnMachine record) {}
 
+    /** Fills {@code cluster} and {@code records} with what {@code state} holds. */
     public Takeover(
             Loop loop,
             CancellationScope scope,
--- a/src/main/java/org/spruceridge/net/CancellationScope.java
+++ b/src/main/java/org/spruceridge/net/CancellationScope.java
@@ -10,6 +10,7 @@
     private final Set<Timer> timers = new HashSet<>();
     private boolean closed;
 
+    /** Timers run on this loop. */
     public CancellationScope(Loop loop) {
         this.loop = loop;
     }
@@ -33,10 +34,12 @@
         };
     }
 
+    /** True once it has been closed. */
     public boolean closed() {
         return closed;
     }
 
+    /** Cancels all that is pending. */
     public void close() {
         closed = true;
         for (Timer timer : Set.copyOf(timers)) {
--- a/src/main/java/org/spruceridge/net/ConnectionLimiter.java
+++ b/src/main/java/org/spruceridge/net/ConnectionLimiter.java
@@ -21,6 +21,7 @@
     private BooleanSupplier closeIdle = () -> false;
     private int open;
 
+    /** {@code max} is the most sockets that the machine allows this process. */
     public ConnectionLimiter(int max) {
         this.max = max;
     }
--- a/src/main/java/org/spruceridge/net/Durations.java
+++ b/src/main/java/org/spruceridge/net/Durations.java
@@ -7,14 +7,17 @@
 
     private Durations() {}
 
+    /** Seconds as nanoseconds. */
     public static long nanos(double seconds) {
         return (long) (seconds * 1e9);
     }
 
+    /** Nanoseconds as seconds. */
     public static double seconds(long nanos) {
         return nanos / 1e9;
     }
 
+    /** Milliseconds as nanoseconds. */
     public static long millis(double millis) {
         return (long) (millis * 1e6);
     }
--- a/src/main/java/org/spruceridge/net/HttpAnswer.java
+++ b/src/main/java/org/spruceridge/net/HttpAnswer.java
@@ -5,10 +5,12 @@
     private static final HttpAnswer SILENCE = new HttpAnswer(0, new byte[0], true);
     private static final HttpAnswer UNSENT = new HttpAnswer(0, new byte[0], false);
 
+    /** An answer that came. */
     public HttpAnswer(int status, byte[] body) {
         this(status, body, true);
     }
 
+    /** No answer came: the request may have been carried out. */
     public static HttpAnswer silence() {
         return SILENCE;
     }
@@ -18,6 +20,7 @@
         return UNSENT;
     }
 
+    /** True if an answer came. */
     public boolean answered() {
         return status != 0;
     }
--- a/src/main/java/org/spruceridge/net/HttpCall.java
+++ b/src/main/java/org/spruceridge/net/HttpCall.java
@@ -4,10 +4,12 @@
 public record HttpCall(String method, String target, byte[] body) {
     private static final byte[] NOTHING = {};
 
+    /** A GET without a body. */
     public static HttpCall get(String target) {
         return new HttpCall("GET", target, NOTHING);
     }
 
+    /** A POST with a JSON body. */
     public static HttpCall post(String target, byte[] body) {
         return new HttpCall("POST", target, body);
     }
--- a/src/main/java/org/spruceridge/net/Json.java
+++ b/src/main/java/org/spruceridge/net/Json.java
@@ -55,6 +55,7 @@
         }
     }
 
+    /** The tree as UTF-8. */
     public static byte[] bytes(JsonNode node) {
         try (ByteArrayBuilder bytes = new ByteArrayBuilder()) {
             try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
@@ -66,14 +67,17 @@
         }
     }
 
+    /** An empty object. */
     public static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
+    /** An empty list. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
+    /** A field that holds a text. */
     public static String text(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isTextual()) {
@@ -96,10 +100,12 @@
         throw new BadMessageException(name + " is not Base64");
     }
 
+    /** A field that holds a text, or null if it is absent or null. */
     public static String textOrNull(JsonNode node, String name) throws BadMessageException {
         return node.hasNonNull(name) ? text(node, name) : null;
     }
 
+    /** A field that holds a whole number of at least 0. */
     public static long whole(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isIntegralNumber() || !child.canConvertToLong() || child.longValue() < 0) {
@@ -108,6 +114,7 @@
         return child.longValue();
     }
 
+    /** A field that holds a finite number. */
     public static double number(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isNumber() || !Double.isFinite(child.doubleValue())) {
@@ -116,6 +123,7 @@
         return child.doubleValue();
     }
 
+    /** A field that holds true or false. */
     public static boolean flag(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isBoolean()) {
@@ -124,6 +132,7 @@
         return child.booleanValue();
     }
 
+    /** A field that holds a list. */
     public static JsonNode list(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isArray()) {
--- a/src/main/java/org/spruceridge/net/Latencies.java
+++ b/src/main/java/org/spruceridge/net/Latencies.java
@@ -32,6 +32,7 @@
     private final CancellationScope scope;
     private final Map<Kind, Histogram> histograms = new EnumMap<>(Kind.class);
 
+    /** The log line is written by a timer of this loop. */
     public Latencies(Loop loop) {
         this.scope = new CancellationScope(loop);
         for (Kind kind : Kind.values()) {
@@ -39,14 +40,17 @@
         }
     }
 
+    /** Begins to log once in a while. */
     public void start() {
         scope.after(EVERY, this::log);
     }
 
+    /** Ceases to log. */
     public void stop() {
         scope.close();
     }
 
+    /** Counts one duration in. */
     public void record(Kind kind, long nanos) {
         histograms.get(kind).recordValue(Math.min(LONGEST_MICROS, Math.max(0, nanos / 1000)));
     }
--- a/src/main/java/org/spruceridge/net/NettyHttpClient.java
+++ b/src/main/java/org/spruceridge/net/NettyHttpClient.java
@@ -54,6 +54,7 @@
     /** All idle connections, the one used least lately first. */
     private final Set<Connection> idleByUse = new LinkedHashSet<>();
 
+    /** All connections count against {@code connectionLimiter}. */
     public NettyHttpClient(NettyLoop loop, ConnectionLimiter connectionLimiter) {
         this.loop = loop;
         this.connectionLimiter = connectionLimiter;
--- a/src/main/java/org/spruceridge/net/RateLimitedWarnings.java
+++ b/src/main/java/org/spruceridge/net/RateLimitedWarnings.java
@@ -13,6 +13,7 @@
     private final Loop loop;
     private final Map<String, Kind> kinds = new HashMap<>();
 
+    /** Time is that of the loop. */
     public RateLimitedWarnings(Loop loop) {
         this.loop = loop;
     }
--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -36,6 +36,7 @@
     private Cancellable wakeUp;
     private long taken;
 
+    /** The rates are those of requests, of changes, and of users' changes, a second. */
     public RateLimiter(Loop loop, double requestsPerS, double changesPerS, double usersChangesPerS) {
         this.loop = loop;
         this.requests = new Allowance(requestsPerS, 1, loop.nanos());
--- a/src/main/java/org/spruceridge/net/Response.java
+++ b/src/main/java/org/spruceridge/net/Response.java
@@ -4,6 +4,7 @@
 
 /** An answer to a request; {@code retryAfterS} of 0 sends no such header. */
 public record Response(int status, byte[] body, int retryAfterS) {
+    /** An answer with a JSON body. */
     public static Response of(int status, JsonNode body) {
         return new Response(status, Json.bytes(body), 0);
     }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -79,6 +79,7 @@
     private long staysUntil = Long.MIN_VALUE;
     private Runnable whenReady = () -> {};
 
+    /** Nothing begins before {@link #start}. */
     public Node(
             Loop loop, HttpClient http, PeerTransport link, RandomGenerator random, Settings settings, Policy policy) {
         this.loop = loop;
@@ -134,6 +135,7 @@
         }
     }
 
+    /** Ends all duties. */
     public void stop() {
         scope.close();
         warmUp.stop();
--- /dev/null
+++ b/src/main/java/org/spruceridge/node/package-info.java
@@ -0,0 +1,2 @@
+/** One controller node: its duties, and the leader that it becomes. */
+package org.spruceridge.node;
--- a/src/main/java/org/spruceridge/peer/Heartbeat.java
+++ b/src/main/java/org/spruceridge/peer/Heartbeat.java
@@ -30,6 +30,7 @@
         public static final Progress NONE = new Progress(0, 0);
     }
 
+    /** The heartbeat as MessagePack. */
     public byte[] write() {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packArrayHeader(FIELDS);
@@ -58,6 +59,7 @@
         }
     }
 
+    /** Reads what {@link #write} wrote; fields that follow are ignored. */
     public static Heartbeat read(byte[] frame) throws BadMessageException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
             if (in.unpackArrayHeader() < FIELDS) {
--- a/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
+++ b/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
@@ -40,6 +40,7 @@
     private final Map<Address, Channel> out = new HashMap<>();
     private Consumer<byte[]> incoming = frame -> {};
 
+    /** One connection is kept to each of {@code others}. */
     public NettyPeerTransport(EventLoopGroup group, Address listen, List<Address> others) {
         this.group = group;
         this.listen = listen;
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -47,11 +47,13 @@
         this.cancelled = cancelled;
     }
 
+    /** Begins to send heartbeats and to take those of others. */
     public void start() {
         link.start(this::take);
         send();
     }
 
+    /** Ceases to send heartbeats. */
     public void stop() {
         scope.close();
     }
--- /dev/null
+++ b/src/main/java/org/spruceridge/peer/package-info.java
@@ -0,0 +1,2 @@
+/** Heartbeats between the controller nodes. */
+package org.spruceridge.peer;
--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -120,6 +120,7 @@
         }
     }
 
+    /** Reads a page. */
     public static List<OnMachine> read(JsonNode value) throws BadMessageException {
         return PackedValue.read(value, in -> {
             List<OnMachine> machines = new ArrayList<>();
--- a/src/main/java/org/spruceridge/record/CatalogueRecord.java
+++ b/src/main/java/org/spruceridge/record/CatalogueRecord.java
@@ -16,6 +16,7 @@
  */
 public record CatalogueRecord(ImmutableMap<String, MachineType> types) {
 
+    /** Reads the record. */
     public static CatalogueRecord read(JsonNode value) throws BadMessageException {
         ImmutableMap.Builder<String, MachineType> out = ImmutableMap.builder();
         for (JsonNode item : Json.list(value, "types")) {
@@ -38,6 +39,7 @@
         return new CatalogueRecord(out.buildKeepingLast());
     }
 
+    /** The record as JSON. */
     public ObjectNode write() {
         ObjectNode out = Json.object();
         ArrayNode list = out.putArray("types");
--- a/src/main/java/org/spruceridge/record/FinishedRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedRecord.java
@@ -28,6 +28,7 @@
         return ENTRY_BYTES + job.length() + (tasks + 7) / 8;
     }
 
+    /** A page with these chunks; {@code write} names the transaction. */
     public static ObjectNode write(String write, Collection<Chunk> chunks) {
         return PackedValue.write(write, out -> {
             out.packArrayHeader(chunks.size());
@@ -41,6 +42,7 @@
         });
     }
 
+    /** Reads a page. */
     public static List<Chunk> read(JsonNode value) throws BadMessageException {
         return PackedValue.read(value, in -> {
             List<Chunk> chunks = new ArrayList<>();
--- a/src/main/java/org/spruceridge/record/JobRecord.java
+++ b/src/main/java/org/spruceridge/record/JobRecord.java
@@ -29,10 +29,12 @@
         return new JobRecord(spec, nowMs, Stage.OPEN, 0);
     }
 
+    /** The record once the job has ended. */
     public JobRecord ended(Stage end, long nowMs) {
         return new JobRecord(spec, submittedMs, end, nowMs);
     }
 
+    /** Reads the record. */
     public static JobRecord read(JsonNode value) throws BadMessageException {
         Stage stage =
                 switch (Json.text(value, "stage")) {
@@ -48,6 +50,7 @@
                 value.path("ended_at").asLong());
     }
 
+    /** The record as JSON. */
     public ObjectNode write() {
         ObjectNode out = Json.object().put("stage", stage.text).put("at", submittedMs);
         if (stage != Stage.OPEN) {
--- a/src/main/java/org/spruceridge/record/LeaderRecord.java
+++ b/src/main/java/org/spruceridge/record/LeaderRecord.java
@@ -7,10 +7,12 @@
 
 /** Who leads: a node, which of its lives, and its term. */
 public record LeaderRecord(String hostName, String incarnation, long term) {
+    /** Reads the record. */
     public static LeaderRecord read(JsonNode value) throws BadMessageException {
         return new LeaderRecord(Json.text(value, "host"), Json.text(value, "incarnation"), Json.whole(value, "term"));
     }
 
+    /** The record as JSON. */
     public ObjectNode write() {
         return Json.object()
                 .put("host", hostName)
--- a/src/main/java/org/spruceridge/record/PackedValue.java
+++ b/src/main/java/org/spruceridge/record/PackedValue.java
@@ -25,11 +25,13 @@
 
     /** Writes a part of a page. */
     public interface Writer {
+        /** Adds the content. */
         void write(MessageBufferPacker out) throws IOException;
     }
 
     /** Reads what was written. */
     public interface Reader<T> {
+        /** Takes the content. */
         T read(MessageUnpacker in) throws IOException;
     }
 
@@ -38,6 +40,7 @@
         return Math.max(256, (int) ((valueKb * 1024 - FRAME_BYTES) * 3 / 4));
     }
 
+    /** A value that names the transaction which writes it. */
     public static ObjectNode write(String write, Writer writer) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             writer.write(out);
@@ -49,6 +52,7 @@
         }
     }
 
+    /** Reads what a {@link Writer} wrote. */
     public static <T> T read(JsonNode value, Reader<T> reader) throws BadMessageException {
         byte[] bytes = Json.bytes(value, BYTES);
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
--- a/src/main/java/org/spruceridge/record/SpecMessage.java
+++ b/src/main/java/org/spruceridge/record/SpecMessage.java
@@ -31,6 +31,7 @@
         return id.isTextual() && isId(id.textValue()) ? Optional.of(id.textValue()) : Optional.empty();
     }
 
+    /** Reads and checks a submission. */
     public static JobSpec read(JsonNode body) throws BadMessageException {
         String id = Json.text(body, "nameId");
         if (!isId(id)) {
@@ -66,6 +67,7 @@
                 deadline);
     }
 
+    /** The job as it was submitted. */
     public static ObjectNode write(JobSpec spec) {
         ObjectNode out = Json.object()
                 .put("nameId", spec.id())
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -20,6 +20,7 @@
     /** One entry of the matrix. */
     public record Entry(Candidate candidate, MachineGroup group, double score, double urgency) {}
 
+    /** {@code beginWithinS} is the time, in seconds, within which each job should have begun. */
     public PriorityMatrix(Weights weights, Estimates estimates, double beginWithinS) {
         this.estimates = estimates;
         ImmutableList<Term> terms = ImmutableList.of(
--- a/src/main/java/org/spruceridge/state/Result.java
+++ b/src/main/java/org/spruceridge/state/Result.java
@@ -13,14 +13,17 @@
         UNAVAILABLE
     }
 
+    /** The request was carried out. */
     public static <T> Result<T> ok(T value) {
         return new Result<>(Kind.OK, value);
     }
 
+    /** The request was not carried out, for this reason. */
     public static <T> Result<T> failed(Kind kind) {
         return new Result<>(kind, null);
     }
 
+    /** True if the request was carried out. */
     public boolean isOk() {
         return kind == Kind.OK;
     }
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -40,6 +40,7 @@
     private long lastServed;
     private boolean everServed;
 
+    /** Requests go to {@code address}, within the limits of {@code limiter}. */
     public StateClient(
             Loop loop,
             HttpClient http,
@@ -66,6 +67,7 @@
         return everServed;
     }
 
+    /** Reads one key. */
     public void get(String key, Priority rank, Consumer<Result<Entry>> done) {
         send(rank, 0, HttpCall.get("/store/" + key), PATIENCE, answer -> done.accept(readEntry(key, answer)));
     }
@@ -106,6 +108,7 @@
         });
     }
 
+    /** Commits a transaction. */
     public void commit(Transaction txn, Priority rank, Consumer<TxnResult> done) {
         send(rank, txn.changeCount(), HttpCall.post("/txn", txn.body()), PATIENCE, judged(done));
     }
--- a/src/main/java/org/spruceridge/state/Transaction.java
+++ b/src/main/java/org/spruceridge/state/Transaction.java
@@ -23,6 +23,7 @@
         this.body = Json.bytes(toJson());
     }
 
+    /** A transaction without guards and changes yet. */
     public static Builder builder() {
         return new Builder();
     }
@@ -31,10 +32,12 @@
         return body;
     }
 
+    /** How many changes it makes. */
     public int changeCount() {
         return ops.size();
     }
 
+    /** How many guards it has, those of changed keys included. */
     public int guardCount() {
         return guards.size();
     }
@@ -74,6 +77,7 @@
             return this;
         }
 
+        /** Sets a key. */
         public Builder set(String key, long lastStamp, JsonNode value) {
             return set(key, lastStamp, value, 0);
         }
@@ -85,12 +89,14 @@
             return this;
         }
 
+        /** Removes a key. */
         public Builder drop(String key, long lastStamp) {
             guard(key, lastStamp);
             ops.add(new Op(key, null, 0));
             return this;
         }
 
+        /** The transaction. */
         public Transaction build() {
             return new Transaction(ImmutableMap.copyOf(guards), ops.build());
         }
--- a/src/main/java/org/spruceridge/state/TxnResult.java
+++ b/src/main/java/org/spruceridge/state/TxnResult.java
@@ -19,10 +19,12 @@
         UNKNOWN
     }
 
+    /** A result without revision or failed keys. */
     public static TxnResult of(Kind kind) {
         return new TxnResult(kind, 0, ImmutableList.of());
     }
 
+    /** True if the changes were made. */
     public boolean committed() {
         return kind == Kind.COMMITTED;
     }
--- /dev/null
+++ b/src/main/java/org/spruceridge/state/package-info.java
@@ -0,0 +1,2 @@
+/** Client and messages of the state service. */
+package org.spruceridge.state;
--- a/src/main/java/org/spruceridge/worker/Order.java
+++ b/src/main/java/org/spruceridge/worker/Order.java
@@ -22,14 +22,17 @@
         }
     }
 
+    /** Starts a task. */
     public static Order start(TaskId task, long attempt) {
         return new Order(Verb.START, task, attempt, 0);
     }
 
+    /** Stops a task; with {@code graceS} of 0 at once, else after it has saved if it can. */
     public static Order stop(TaskId task, long attempt, double graceS) {
         return new Order(Verb.STOP, task, attempt, graceS);
     }
 
+    /** Removes an exited task from the reports. */
     public static Order forget(TaskId task, long attempt) {
         return new Order(Verb.FORGET, task, attempt, 0);
     }
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -17,6 +17,7 @@
     private final HttpClient http;
     private final RateLimitedWarnings warnings;
 
+    /** Direct commands are sent through {@code http}. */
     public WorkerClient(HttpClient http, RateLimitedWarnings warnings) {
         this.http = http;
         this.warnings = warnings;
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -29,7 +29,7 @@
 
 /**
  * The matching by columns of equal machines against the document's walk over every pair of a task and a machine, on
- * random small pictures without room to hold.
+ * random small cluster states without room to hold.
  */
 final class PlainWalkTest {
     private static final long NOW = 1_000_000_000_000L;
