--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -32,7 +32,7 @@
 import org.spruceridge.net.Loop;
 import org.spruceridge.schedule.Plan;
 
-/** Keeps the machines: rents what the rounds lack, returns what idles, and finds out which are gone. */
+/** Keeps the machines: rents what the cycles lack, returns what idles, and finds out which are gone. */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
     /** A deleted machine costs at least this long, so an idle one is not returned before. */
@@ -246,7 +246,7 @@
             planner.addFreed(m, freedWithinBoot(m, now));
         }
         plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count));
-        here.forEach(planner::add); // standing by may count on room that the round left free
+        here.forEach(planner::add); // standing by may count on room that the cycle left free
         standingBy.forEach(wanted -> planner.place(wanted.example(), wanted.tasks()));
         planner.wanted().forEach(this::rent);
         returnIdle(planner.kept(), now);
--- a/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
@@ -45,12 +45,12 @@
         }
     }
 
-    /** Resources on a machine that is there. */
+    /** Capacity on a machine that is there. */
     void add(Machine machine) {
         addIfUseful(machine.kind(), cluster.free(machine), machine);
     }
 
-    /** Resources that will have fallen free on a machine by the time a new one would be up. */
+    /** Capacity that will have fallen free on a machine by the time a new one would be up. */
     void addFreed(Machine machine, Resources freed) {
         addIfUseful(machine.kind(), freed, machine);
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Resources on a machine that was asked for. */
+    /** Capacity on a machine that was asked for. */
     void add(MachineKind offer) {
         MachineType type = cluster.types().get(offer.type());
         if (type != null) {
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -12,7 +12,7 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Resources kept free for classes whose tasks should start sooner than a machine boots: as much as the class has lately
+ * Capacity kept free for classes whose tasks should start sooner than a machine boots: as much as the class has lately
  * had unfinished at one time.
  */
 final class WarmCapacity {
@@ -23,7 +23,7 @@
     private final long since;
     private final Map<String, Peak> peaks = new HashMap<>();
 
-    /** Resources to be kept free for so many tasks like those of a job. */
+    /** Capacity to be kept free for so many tasks like those of a job. */
     record Wanted(JobSpec example, int tasks) {}
 
     WarmCapacity(Settings settings, long now) {
--- a/src/main/java/org/spruceridge/config/Policy.java
+++ b/src/main/java/org/spruceridge/config/Policy.java
@@ -12,7 +12,7 @@
  * The operators' own settings: the weights of the document's terms and the ratios by which everything else follows
  * from the platform's figures.
  */
-public record Policy(Weights weights, Scheduling rounds, Stops stops, Leading leading, FleetRatios fleet) {
+public record Policy(Weights weights, Scheduling scheduling, Stops stops, Leading leading, FleetRatios fleet) {
 
     /** The document's weights, and those of our own terms. */
     public record Weights(
@@ -24,10 +24,11 @@
             double thrift,
             double packing) {}
 
-    /** How far apart rounds are, against the workers' report period, the least remaining time that the scores assume, and
+    /** How far apart cycles are, against the workers' report period, the least remaining time that the scores assume, and
      * when each job should have begun.
      */
-    public record Scheduling(double spacingOfReport, double remainingFloorS, double heldShare, double beginWithinS) {}
+    public record Scheduling(
+            double spacingOfReport, double remainingFloorS, double reservedShare, double beginWithinS) {}
 
     /** How often a running task of one machine may be stopped for a waiting one. */
     public record Stops(double perMachineS) {}
@@ -82,15 +83,15 @@
                     f.atLeastZeroOr("thrift", weights.thrift),
                     f.atLeastZeroOr("packing", weights.packing));
         }
-        Scheduling rounds = d.rounds;
+        Scheduling scheduling = d.scheduling;
         if (top.has("rounds")) {
             Fields f = top.object("rounds");
             f.onlyThese(ImmutableSet.of("spacing_of_report", "remaining_floor_s", "held_share", "begin_within_s"));
-            rounds = new Scheduling(
-                    f.positiveOr("spacing_of_report", rounds.spacingOfReport),
-                    f.positiveOr("remaining_floor_s", rounds.remainingFloorS),
-                    f.atLeastZeroOr("held_share", rounds.heldShare),
-                    f.positiveOr("begin_within_s", rounds.beginWithinS));
+            scheduling = new Scheduling(
+                    f.positiveOr("spacing_of_report", scheduling.spacingOfReport),
+                    f.positiveOr("remaining_floor_s", scheduling.remainingFloorS),
+                    f.atLeastZeroOr("held_share", scheduling.reservedShare),
+                    f.positiveOr("begin_within_s", scheduling.beginWithinS));
         }
         Stops stops = d.stops;
         if (top.has("stops")) {
@@ -121,7 +122,7 @@
                     f.positiveOr("stuck_of_boot", fleet.stuckOfBoot),
                     f.positiveOr("silent_of_lease", fleet.silentOfLease));
         }
-        return new Policy(weights, rounds, stops, leading, fleet);
+        return new Policy(weights, scheduling, stops, leading, fleet);
     }
 
     private static String firstLine(String text) {
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -35,7 +35,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
     /** SchedulingLoop run at least this often, in report periods: time alone changes scores and silences machines. */
-    private static final double IDLE_ROUND_OF_REPORT = 1.0;
+    private static final double IDLE_CYCLE_OF_REPORT = 1.0;
 
     private final Loop loop;
     private final CancellationScope scope;
@@ -48,7 +48,7 @@
     private final CommandSender commandSender;
     private final Autoscaler autoscaler;
     private final LeaderTerm term;
-    private final long idleRound;
+    private final long idleCycle;
     private final Response nothingToDo;
     private boolean ready;
 
@@ -94,7 +94,7 @@
         this.term = term;
         this.nothingToDo = Order.answer(term.term(), List.of());
         this.scope = new CancellationScope(loop);
-        this.idleRound = Durations.nanos(settings.workers().reportS() * IDLE_ROUND_OF_REPORT);
+        this.idleCycle = Durations.nanos(settings.workers().reportS() * IDLE_CYCLE_OF_REPORT);
         this.recordWriter =
                 new RecordWriter(loop, scope, state, cluster, term, settings, latencies, new WriteListener(resign));
         this.reportHandler = new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, this::available);
@@ -239,6 +239,6 @@
 
     private void tick() {
         schedulingLoop.request();
-        scope.after(idleRound, this::tick);
+        scope.after(idleCycle, this::tick);
     }
 }
--- a/src/main/java/org/spruceridge/leader/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/leader/SchedulingLoop.java
@@ -15,14 +15,14 @@
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.schedule.Plan;
 
-/** Runs a round after each event, with at least a set time between two, and carries out what it decides. */
+/** Runs a cycle after each event, with at least a set time between two, and carries out what it decides. */
 public final class SchedulingLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
-    /** SchedulingLoop take at most one part in this many of the processor: workers' reports come before decisions. */
+    /** Cycles take at most one part in this many of the processor: workers' reports come before decisions. */
     private static final long COSTS_APART = 4;
 
-    /** While requests wait, a round is put off for at most this share of a lease: workers' reports come first. */
+    /** While requests wait, a cycle is put off for at most this share of a lease: workers' reports come first. */
     private static final double MOST_DELAY_OF_LEASE = 0.1;
 
     private static final long LOOK_AGAIN = Durations.millis(20);
@@ -65,7 +65,7 @@
         this.latencies = latencies;
         this.push = push;
         this.spacing = Durations.nanos(
-                policy.rounds().spacingOfReport() * settings.workers().reportS());
+                policy.scheduling().spacingOfReport() * settings.workers().reportS());
         this.mostDelay =
                 Durations.nanos(MOST_DELAY_OF_LEASE * settings.workers().leaseS());
         this.lastRun = loop.nanos() - spacing;
@@ -100,7 +100,7 @@
         Plan plan = matching.plan(cluster, now, loop.wallMillis());
         lastPlan = plan;
         lastCost = loop.nanos() - now;
-        latencies.record(Latencies.Kind.ROUNDS, lastCost);
+        latencies.record(Latencies.Kind.SCHEDULING_CYCLES, lastCost);
         for (Plan.Placement p : plan.placements()) {
             Binding b = new Binding(p.job(), p.index(), nextAttempt(), p.machine(), Binding.Stage.PROPOSED, now);
             cluster.bind(b);
@@ -114,7 +114,7 @@
         }
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "round: {} placed, {} stopped, {} jobs left waiting for room, {} groups, {} us",
+                    "cycle: {} placed, {} stopped, {} jobs left waiting for room, {} groups, {} us",
                     plan.placements().size(),
                     plan.stops().size(),
                     plan.unplaced().size(),
--- a/src/main/java/org/spruceridge/leader/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/leader/WarmUpLeader.java
@@ -70,7 +70,7 @@
     private final StateClient state;
     private final RecordWriter recordWriter;
     private final ReportHandler reportHandler;
-    private final SchedulingLoop rounds;
+    private final SchedulingLoop schedulingLoop;
     private long jobs;
     private long sequence;
     private int steps;
@@ -88,7 +88,7 @@
                 new RecordWriter(loop, scope, state, cluster, term, settings, latencies, new RecordWriter.Listener() {
                     @Override
                     public void committed(ImmutableSet<Machine> bound) {
-                        requestRound();
+                        requestCycle();
                     }
 
                     @Override
@@ -102,16 +102,16 @@
                     }
                 });
         this.reportHandler =
-                new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, machine -> requestRound());
+                new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, machine -> requestCycle());
         Matching matching = new Matching(
                 settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
-        this.rounds = new SchedulingLoop(
+        this.schedulingLoop = new SchedulingLoop(
                 loop, scope, cluster, recordWriter, matching, settings, policy, term, latencies, machine -> {});
         addMachines();
     }
 
-    private void requestRound() {
-        rounds.request();
+    private void requestCycle() {
+        schedulingLoop.request();
     }
 
     private void addMachines() {
--- a/src/main/java/org/spruceridge/leader/WriteBatch.java
+++ b/src/main/java/org/spruceridge/leader/WriteBatch.java
@@ -26,7 +26,7 @@
 final class WriteBatch {
     /** The record of a job's end and its marker. */
     private static final int OPS_OF_AN_END = 2;
-    /** Resources in the body for the records of ended jobs, beside the pages. */
+    /** Room in the body for the records of ended jobs, beside the pages. */
     private static final int MOST_ENDS_BYTES = 10 << 10;
 
     private final RecordPages records;
--- a/src/main/java/org/spruceridge/net/Latencies.java
+++ b/src/main/java/org/spruceridge/net/Latencies.java
@@ -18,8 +18,8 @@
         REPORTS,
         /** From a call of the state service to its answer, the wait for a turn not counted. */
         STATE,
-        /** One placement round. */
-        ROUNDS,
+        /** One placement cycle. */
+        SCHEDULING_CYCLES,
         /** From a binding's proposal to its record. */
         COMMITS
     }
--- a/src/main/java/org/spruceridge/record/Keys.java
+++ b/src/main/java/org/spruceridge/record/Keys.java
@@ -7,9 +7,9 @@
     public static final String CATALOGUE = "catalogue";
     public static final String JOBS = "job/";
     public static final String OPEN = "open/";
-    /** PageIndex of finished tasks of unfinished jobs. */
+    /** Pages of finished tasks of unfinished jobs. */
     public static final String FINISHED = "parts/";
-    /** PageIndex of bindings. */
+    /** Pages of bindings. */
     public static final String BINDINGS = "bound/";
 
     private Keys() {}
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -7,9 +7,9 @@
 import org.spruceridge.cluster.Machine;
 
 /**
- * What a round decided.
+ * What a cycle decided.
  *
- * @param columns how many machine groups the matrix had, which is what a round costs
+ * @param columns how many machine groups the matrix had, which is what a cycle costs
  * @param unplaced tasks of each job for which only room was lacking, the most urgent job first
  */
 public record Plan(
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -34,7 +34,8 @@
     SchedulingCycle(CycleState state, PriorityMatrix matrix, Estimates estimates, Policy policy, long wallMs) {
         this.state = state;
         this.matrix = matrix;
-        this.reservations = new Reservations(state, estimates, policy.rounds().heldShare());
+        this.reservations =
+                new Reservations(state, estimates, policy.scheduling().reservedShare());
         this.preemption = new Preemption(state, policy.stops().perMachineS());
         this.waitingJobs = state.waitingJobs(wallMs);
         this.groups = state.groups();
