--- a/src/main/java/org/spruceridge/leader/CommandSender.java
+++ b/src/main/java/org/spruceridge/leader/CommandSender.java
@@ -10,7 +10,6 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.Address;
-import org.spruceridge.config.Settings;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
@@ -41,23 +40,15 @@
     private final Set<Machine> again = new HashSet<>();
 
     /** {@code leads} tells whether commands may still be sent; {@code changed} hears of each answer. */
-    public CommandSender(
-            Loop loop,
-            CancellationScope scope,
-            WorkerClient workers,
-            ReportHandler reportHandler,
-            Settings settings,
-            LeaderTerm term,
-            BooleanSupplier leads,
-            Runnable changed) {
-        this.loop = loop;
-        this.scope = scope;
+    public CommandSender(LeaderContext context, WorkerClient workers, ReportHandler reportHandler, Runnable changed) {
+        this.loop = context.loop();
+        this.scope = context.scope();
         this.workers = workers;
         this.reportHandler = reportHandler;
-        this.leads = leads;
+        this.leads = context.leads();
         this.changed = changed;
-        this.term = term.term();
-        this.patience = Durations.nanos(settings.workers().leaseS() / 4);
+        this.term = context.term().term();
+        this.patience = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
     /** Asks a machine for a sign that our words reach it. */
--- a/src/main/java/org/spruceridge/leader/JobWatcher.java
+++ b/src/main/java/org/spruceridge/leader/JobWatcher.java
@@ -43,21 +43,18 @@
 
     /** {@code push} is told of machines on which something has to be stopped. */
     public JobWatcher(
-            Loop loop,
-            CancellationScope scope,
+            LeaderContext context,
             StateClient state,
-            Cluster cluster,
             RecordWriter recordWriter,
-            RateLimitedWarnings warnings,
-            CancellationTimes times,
             Consumer<Machine> push,
             Runnable changed) {
-        this.loop = loop;
-        this.scope = scope;
+        CancellationTimes times = CancellationTimes.of(context.settings().workers());
+        this.loop = context.loop();
+        this.scope = context.scope();
         this.state = state;
-        this.cluster = cluster;
+        this.cluster = context.cluster();
         this.recordWriter = recordWriter;
-        this.warnings = warnings;
+        this.warnings = context.warnings();
         this.push = push;
         this.changed = changed;
         this.watchS = times.watchS();
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -4,7 +4,6 @@
 import com.google.common.collect.ImmutableSet;
 import java.util.List;
 import java.util.Optional;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -14,14 +13,10 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.MachineType;
-import org.spruceridge.config.CancellationTimes;
-import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
-import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.Response;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.schedule.Matching;
@@ -37,9 +32,10 @@
     /** SchedulingLoop run at least this often, in report periods: time alone changes scores and silences machines. */
     private static final double IDLE_CYCLE_OF_REPORT = 1.0;
 
+    private final LeaderContext context;
     private final Loop loop;
     private final CancellationScope scope;
-    private final Cluster cluster = new Cluster();
+    private final Cluster cluster;
     private final RecordWriter recordWriter;
     private final ReportHandler reportHandler;
     private final JobWatcher watch;
@@ -77,54 +73,31 @@
         }
     }
 
-    /** {@code leads} tells whether the grant still holds; {@code resign} gives the lead up with a reason. */
+    /** {@code resign} gives the lead up, with a reason. */
     public Leader(
-            Loop loop,
+            LeaderContext context,
             StateClient state,
             CloudClient cloud,
             WorkerClient workers,
-            Settings settings,
-            Policy policy,
-            RateLimitedWarnings warnings,
-            Latencies latencies,
-            LeaderTerm term,
-            BooleanSupplier leads,
             Consumer<String> resign) {
-        this.loop = loop;
-        this.term = term;
+        this.context = context;
+        this.loop = context.loop();
+        this.scope = context.scope();
+        this.cluster = context.cluster();
+        this.term = context.term();
+        Settings settings = context.settings();
         this.nothingToDo = Order.answer(term.term(), List.of());
-        this.scope = new CancellationScope(loop);
         this.idleCycle = Durations.nanos(settings.workers().reportS() * IDLE_CYCLE_OF_REPORT);
-        this.recordWriter =
-                new RecordWriter(loop, scope, state, cluster, term, settings, latencies, new WriteListener(resign));
-        this.reportHandler = new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, this::available);
-        this.schedulingLoop = new SchedulingLoop(
-                loop,
-                scope,
-                cluster,
-                recordWriter,
-                new Matching(
-                        settings,
-                        policy,
-                        BindingsRecord.mostBindings(settings.state().recordKb())),
+        this.recordWriter = new RecordWriter(context, state, new WriteListener(resign));
+        this.reportHandler = new ReportHandler(context, recordWriter, this::available);
+        Matching matching = new Matching(
                 settings,
-                policy,
-                term,
-                latencies,
-                this::push);
-        this.commandSender = new CommandSender(
-                loop, scope, workers, reportHandler, settings, term, leads, () -> schedulingLoop.request());
-        this.watch = new JobWatcher(
-                loop,
-                scope,
-                state,
-                cluster,
-                recordWriter,
-                warnings,
-                CancellationTimes.of(settings.workers()),
-                commandSender::push,
-                () -> schedulingLoop.request());
-        this.takeover = new Takeover(loop, scope, state, cluster, recordWriter.records(), term, warnings);
+                context.policy(),
+                BindingsRecord.mostBindings(settings.state().recordKb()));
+        this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, this::push);
+        this.commandSender = new CommandSender(context, workers, reportHandler, () -> schedulingLoop.request());
+        this.watch = new JobWatcher(context, state, recordWriter, commandSender::push, () -> schedulingLoop.request());
+        this.takeover = new Takeover(context, state, recordWriter.records());
         this.autoscaler = new Autoscaler(
                 loop,
                 scope,
@@ -132,9 +105,9 @@
                 cluster,
                 recordWriter,
                 settings,
-                policy,
+                context.policy(),
                 term.term(),
-                leads,
+                context.leads(),
                 schedulingLoop::lastPlan,
                 schedulingLoop::request);
     }
@@ -158,7 +131,7 @@
                         ledFor() / 1_000_000);
                 watch.start(revision);
                 autoscaler.start();
-                new StatusLogger(scope, cluster, recordWriter, term).start();
+                new StatusLogger(context, recordWriter).start();
                 tick();
             }
         });
--- a/src/main/java/org/spruceridge/leader/RecordWriter.java
+++ b/src/main/java/org/spruceridge/leader/RecordWriter.java
@@ -11,7 +11,6 @@
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
-import org.spruceridge.config.Settings;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
@@ -67,23 +66,15 @@
     private long writes;
 
     /** Writes within the limits of {@code settings}; the listener hears what became of the writes. */
-    public RecordWriter(
-            Loop loop,
-            CancellationScope scope,
-            StateClient state,
-            Cluster cluster,
-            LeaderTerm term,
-            Settings settings,
-            Latencies latencies,
-            Listener listener) {
-        this.loop = loop;
-        this.scope = scope;
+    public RecordWriter(LeaderContext context, StateClient state, Listener listener) {
+        this.loop = context.loop();
+        this.scope = context.scope();
         this.state = state;
-        this.cluster = cluster;
-        this.term = term;
+        this.cluster = context.cluster();
+        this.term = context.term();
         this.listener = listener;
-        this.latencies = latencies;
-        this.records = new RecordPages(settings.state());
+        this.latencies = context.latencies();
+        this.records = new RecordPages(context.settings().state());
     }
 
     /** What is kept on which page. */
--- a/src/main/java/org/spruceridge/leader/ReportHandler.java
+++ b/src/main/java/org/spruceridge/leader/ReportHandler.java
@@ -38,20 +38,13 @@
     private final Consumer<Machine> available;
 
     /** {@code available} is told of machines that have room anew: that begin to report, or that a task has left. */
-    public ReportHandler(
-            Loop loop,
-            Cluster cluster,
-            RecordWriter recordWriter,
-            LeaderTerm term,
-            Settings settings,
-            RateLimitedWarnings warnings,
-            Consumer<Machine> available) {
-        this.loop = loop;
-        this.cluster = cluster;
+    public ReportHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> available) {
+        this.loop = context.loop();
+        this.cluster = context.cluster();
         this.recordWriter = recordWriter;
-        this.term = term.term();
-        this.settings = settings;
-        this.warnings = warnings;
+        this.term = context.term().term();
+        this.settings = context.settings();
+        this.warnings = context.warnings();
         this.available = available;
     }
 
--- a/src/main/java/org/spruceridge/leader/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/leader/SchedulingLoop.java
@@ -6,8 +6,6 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Machine;
-import org.spruceridge.config.Policy;
-import org.spruceridge.config.Settings;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
@@ -45,30 +43,20 @@
     private long attempts;
 
     /** {@code push} is told of machines on which something has to be stopped. */
-    public SchedulingLoop(
-            Loop loop,
-            CancellationScope scope,
-            Cluster cluster,
-            RecordWriter recordWriter,
-            Matching matching,
-            Settings settings,
-            Policy policy,
-            LeaderTerm term,
-            Latencies latencies,
-            Consumer<Machine> push) {
-        this.loop = loop;
-        this.scope = scope;
-        this.cluster = cluster;
+    public SchedulingLoop(LeaderContext context, RecordWriter recordWriter, Matching matching, Consumer<Machine> push) {
+        this.loop = context.loop();
+        this.scope = context.scope();
+        this.cluster = context.cluster();
         this.recordWriter = recordWriter;
         this.matching = matching;
-        this.term = term;
-        this.latencies = latencies;
+        this.term = context.term();
+        this.latencies = context.latencies();
         this.push = push;
-        this.spacing = Durations.nanos(
-                policy.scheduling().spacingOfReport() * settings.workers().reportS());
-        this.mostDelay =
-                Durations.nanos(MOST_DELAY_OF_LEASE * settings.workers().leaseS());
-        this.lastRun = loop.nanos() - spacing;
+        this.spacing = Durations.nanos(context.policy().scheduling().spacingOfReport()
+                * context.settings().workers().reportS());
+        this.mostDelay = Durations.nanos(
+                MOST_DELAY_OF_LEASE * context.settings().workers().leaseS());
+        this.lastRun = context.loop().nanos() - spacing;
     }
 
     /** Something happened that a new plan could use. */
--- a/src/main/java/org/spruceridge/leader/StatusLogger.java
+++ b/src/main/java/org/spruceridge/leader/StatusLogger.java
@@ -19,11 +19,11 @@
     private final RecordWriter recordWriter;
     private final long term;
 
-    StatusLogger(CancellationScope scope, Cluster cluster, RecordWriter recordWriter, LeaderTerm term) {
-        this.scope = scope;
-        this.cluster = cluster;
+    StatusLogger(LeaderContext context, RecordWriter recordWriter) {
+        this.scope = context.scope();
+        this.cluster = context.cluster();
         this.recordWriter = recordWriter;
-        this.term = term.term();
+        this.term = context.term().term();
     }
 
     void start() {
--- a/src/main/java/org/spruceridge/leader/Takeover.java
+++ b/src/main/java/org/spruceridge/leader/Takeover.java
@@ -57,21 +57,14 @@
     private record Recorded(PageIndex.Page<Machine> page, BindingsRecord.OnMachine record) {}
 
     /** Fills {@code cluster} and {@code records} with what {@code state} holds. */
-    public Takeover(
-            Loop loop,
-            CancellationScope scope,
-            StateClient state,
-            Cluster cluster,
-            RecordPages records,
-            LeaderTerm term,
-            RateLimitedWarnings warnings) {
-        this.loop = loop;
-        this.scope = scope;
+    public Takeover(LeaderContext context, StateClient state, RecordPages records) {
+        this.loop = context.loop();
+        this.scope = context.scope();
         this.state = state;
-        this.cluster = cluster;
+        this.cluster = context.cluster();
         this.records = records;
-        this.term = term;
-        this.warnings = warnings;
+        this.term = context.term();
+        this.warnings = context.warnings();
     }
 
     /** Reads everything, the open jobs first. */
--- a/src/main/java/org/spruceridge/leader/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/leader/WarmUpLeader.java
@@ -21,7 +21,6 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Latencies;
@@ -59,14 +58,11 @@
     private static final double PLENTY = 1e6;
 
     private final ManualLoop loop = new ManualLoop();
-    private final CancellationScope scope = new CancellationScope(loop);
     private final Settings settings;
-    private final Cluster cluster = new Cluster();
+    private final LeaderContext context;
+    private final Cluster cluster;
     private final List<Machine> machines = new ArrayList<>();
     private final Map<Long, Integer> reportsOfAttempt = new HashMap<>();
-    private final LeaderTerm term = new LeaderTerm(TERM, 1, 0);
-    private final RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
-    private final Latencies latencies = new Latencies(loop);
     private final StateClient state;
     private final RecordWriter recordWriter;
     private final ReportHandler reportHandler;
@@ -77,36 +73,42 @@
 
     WarmUpLeader(Settings settings, Policy policy) {
         this.settings = settings;
+        this.context = LeaderContext.begin(
+                loop,
+                settings,
+                policy,
+                new LeaderTerm(TERM, 1, 0),
+                () -> true,
+                new RateLimitedWarnings(loop),
+                new Latencies(loop));
+        this.cluster = context.cluster();
         this.state = new StateClient(
                 loop,
                 new AcceptingState(loop, this::recorded),
                 settings.stateAddress(),
                 new RateLimiter(loop, PLENTY, PLENTY, PLENTY),
-                warnings,
-                latencies);
-        this.recordWriter =
-                new RecordWriter(loop, scope, state, cluster, term, settings, latencies, new RecordWriter.Listener() {
-                    @Override
-                    public void committed(ImmutableSet<Machine> bound) {
-                        requestCycle();
-                    }
+                context.warnings(),
+                context.latencies());
+        this.recordWriter = new RecordWriter(context, state, new RecordWriter.Listener() {
+            @Override
+            public void committed(ImmutableSet<Machine> bound) {
+                requestCycle();
+            }
 
-                    @Override
-                    public void cancelled(Job job) {
-                        throw new IllegalStateException("nobody cancels " + job.id());
-                    }
+            @Override
+            public void cancelled(Job job) {
+                throw new IllegalStateException("nobody cancels " + job.id());
+            }
 
-                    @Override
-                    public void broken(String why) {
-                        throw new IllegalStateException(why);
-                    }
-                });
-        this.reportHandler =
-                new ReportHandler(loop, cluster, recordWriter, term, settings, warnings, machine -> requestCycle());
+            @Override
+            public void broken(String why) {
+                throw new IllegalStateException(why);
+            }
+        });
+        this.reportHandler = new ReportHandler(context, recordWriter, machine -> requestCycle());
         Matching matching = new Matching(
                 settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
-        this.schedulingLoop = new SchedulingLoop(
-                loop, scope, cluster, recordWriter, matching, settings, policy, term, latencies, machine -> {});
+        this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {});
         addMachines();
     }
 
@@ -199,8 +201,7 @@
     }
 
     private void takeOver() {
-        Cluster other = new Cluster();
-        Takeover takeover = new Takeover(loop, scope, state, other, new RecordPages(settings.state()), term, warnings);
+        Takeover takeover = new Takeover(context.with(new Cluster()), state, new RecordPages(settings.state()));
         takeover.start(new Takeover.Listener() {
             @Override
             public void jobsKnown(long asOf) {}
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -16,6 +16,7 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.leader.Election;
 import org.spruceridge.leader.Leader;
+import org.spruceridge.leader.LeaderContext;
 import org.spruceridge.leader.LeaderTerm;
 import org.spruceridge.leader.LeaderWarmUp;
 import org.spruceridge.net.BadMessageException;
@@ -158,18 +159,8 @@
     public void won(LeaderTerm term) {
         warmUp.stop();
         shareLimits(true);
-        leader = new Leader(
-                loop,
-                state,
-                cloud,
-                workers,
-                settings,
-                policy,
-                warnings,
-                latencies,
-                term,
-                election::leads,
-                election::resign);
+        LeaderContext context = LeaderContext.begin(loop, settings, policy, term, election::leads, warnings, latencies);
+        leader = new Leader(context, state, cloud, workers, election::resign);
         catalogue.types().ifPresent(leader::types);
         leader.start();
     }
--- a/src/test/java/org/spruceridge/leader/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/leader/RecordWriterTest.java
@@ -17,6 +17,7 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.config.Address;
+import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
@@ -82,15 +83,17 @@
                 throw new AssertionError(why);
             }
         };
-        return new RecordWriter(
+        LeaderContext context = new LeaderContext(
                 loop,
                 new CancellationScope(loop),
-                state,
+                SETTINGS,
+                Policy.defaults(),
                 cluster,
                 new LeaderTerm(9, 1, 0),
-                SETTINGS,
-                latencies,
-                nothing);
+                () -> true,
+                warnings,
+                latencies);
+        return new RecordWriter(context, state, nothing);
     }
 
     private Job job() {
