--- /dev/null
+++ b/src/test/java/org/spruceridge/sim/Fixtures.java
@@ -0,0 +1,72 @@
+package org.spruceridge.sim;
+
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableMap;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import org.spruceridge.cluster.JobPriority;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Resources;
+import org.spruceridge.config.Address;
+import org.spruceridge.config.Settings;
+
+/** Settings and jobs for tests that need only a few of their fields to be something in particular. */
+public final class Fixtures {
+    private static final Address HERE = new Address("10.0.0.1", 1);
+
+    private Fixtures() {}
+
+    /** Settings of a lone node in zone a, of two zones. */
+    public static Settings settings(
+            ImmutableMap<String, Settings.Team> teams,
+            Settings.Workers workers,
+            Settings.State state,
+            Settings.Cloud cloud,
+            Settings.Resources resources) {
+        return new Settings(
+                "n0",
+                "a",
+                HERE,
+                HERE,
+                ImmutableList.of(),
+                HERE,
+                HERE,
+                ImmutableList.of("a", "b"),
+                teams,
+                ImmutableList.of(),
+                workers,
+                state,
+                cloud,
+                resources,
+                0);
+    }
+
+    /** An array job of the team red that may run anywhere. */
+    public static JobSpec spec(
+            String id,
+            JobPriority priority,
+            int tasks,
+            Resources task,
+            double estimateS,
+            double checkpointS,
+            OptionalDouble deadlineS) {
+        return new JobSpec(
+                id,
+                "c",
+                "red",
+                priority,
+                tasks,
+                task,
+                Optional.empty(),
+                Optional.empty(),
+                false,
+                false,
+                true,
+                "img",
+                1,
+                estimateS,
+                checkpointS,
+                checkpointS > 0 ? 3 : 0,
+                deadlineS);
+    }
+}
