--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -38,9 +38,6 @@
     /** A deleted machine costs at least this long, so an idle one is not returned before. */
     private static final double LEAST_PAID_S = 60;
 
-    /** While requests wait, what to rent is worked out only this often, as a share of a lease. */
-    private static final double MOST_DELAY_OF_LEASE = 0.1;
-
     private static final long CATALOGUE_EVERY = Durations.nanos(60);
     private static final long RETRY = Durations.nanos(2);
 
@@ -130,9 +127,9 @@
         if (leads.getAsBoolean()) {
             endLeases();
             deleteFailed();
-            double plannedAgoS = secondsSince(lastPlanned, now);
-            if (!loop.busy()
-                    || plannedAgoS > MOST_DELAY_OF_LEASE * settings.workers().leaseS()) {
+            // While requests wait, what to rent is worked out less often: workers' reports come first.
+            double plannedAgoS = Durations.secondsSince(lastPlanned, now);
+            if (!loop.busy() || plannedAgoS > settings.workers().mostDecisionDelayS()) {
                 lastPlanned = now;
                 rentAndReturn();
             }
@@ -211,10 +208,6 @@
         }
     }
 
-    private static double secondsSince(long moment, long now) {
-        return (now - moment) / 1e9;
-    }
-
     private void rentAndReturn() {
         Plan plan = lastPlan.get();
         if (plan == null || cluster.types().isEmpty()) {
@@ -254,12 +247,10 @@
 
     /** The least of each resource that any task to be placed takes. */
     private static Resources smallestTask(Plan plan, List<WarmCapacity.Wanted> standingBy) {
-        return Stream.concat(
-                        plan.unplaced().keySet().stream().map(Job::spec),
-                        standingBy.stream().map(WarmCapacity.Wanted::example))
-                .map(JobSpec::task)
-                .reduce(Resources::least)
-                .orElse(Resources.NONE);
+        Stream<JobSpec> specs = Stream.concat(
+                plan.unplaced().keySet().stream().map(Job::spec),
+                standingBy.stream().map(WarmCapacity.Wanted::example));
+        return Resources.leastOf(specs.map(JobSpec::task));
     }
 
     /** What the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
@@ -278,8 +269,9 @@
 
     private boolean comingSoon(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-        return secondsSince(m.rentedAt(), now) < 2 * bootS
-                || secondsSince(m.knownSince(), now) < 2 * settings.workers().reportS();
+        return Durations.secondsSince(m.rentedAt(), now) < 2 * bootS
+                || Durations.secondsSince(m.knownSince(), now)
+                        < 2 * settings.workers().reportS();
     }
 
     private void rent(MachineKind offer, int count) {
@@ -344,8 +336,9 @@
                 continue;
             }
             double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-            boolean idleLong = secondsSince(m.idleSince(), now) > policy.fleet().idleOfBoot() * bootS * cheapness(m)
-                    && secondsSince(m.rentedAt(), now) > LEAST_PAID_S;
+            boolean idleLong =
+                    Durations.secondsSince(m.idleSince(), now) > policy.fleet().idleOfBoot() * bootS * cheapness(m)
+                            && Durations.secondsSince(m.rentedAt(), now) > LEAST_PAID_S;
             boolean useless = m.unschedulable() && !(m.suspectedUnreachable() && beingAsked(m, now));
             if (useless || (idleLong && !kept.contains(m) && !warmCapacity.learning(cluster, now))) {
                 idle.add(m);
@@ -356,7 +349,8 @@
 
     /** Its reach came into doubt a moment ago, and it has been asked for a sign. */
     private boolean beingAsked(Machine m, long now) {
-        return secondsSince(m.unreachableSince(), now) < settings.workers().leaseS() / 2;
+        return Durations.secondsSince(m.unreachableSince(), now)
+                < settings.workers().leaseS() / 2;
     }
 
     /** The lowest price of a machine's type against its own: the dearer it is, the sooner it is given back. */
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -86,8 +86,8 @@
         return job.cancelled()
                 && b.stage() != Binding.Stage.PROPOSED
                 && !b.gone()
-                && secondsSince(job.cancelledAt(), now) > times.patienceS()
-                && secondsSince(job.cancellationHeardAt(), now) > times.proofS();
+                && Durations.secondsSince(job.cancelledAt(), now) > times.patienceS()
+                && Durations.secondsSince(job.cancellationHeardAt(), now) > times.proofS();
     }
 
     /**
@@ -127,8 +127,9 @@
 
     private boolean neverCameUp(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-        return secondsSince(m.rentedAt(), now) > policy.fleet().stuckOfBoot() * bootS
-                && secondsSince(m.knownSince(), now) > settings.workers().leaseS();
+        return Durations.secondsSince(m.rentedAt(), now) > policy.fleet().stuckOfBoot() * bootS
+                && Durations.secondsSince(m.knownSince(), now)
+                        > settings.workers().leaseS();
     }
 
     /** Where most machines of a zone are silent it is rather the network, and they may be back. */
@@ -142,13 +143,9 @@
 
     /** How long the machine has not been heard, or has been heard without doing as it was told. */
     private static double outOfTouchS(Machine m, long now) {
-        double silentS = secondsSince(m.lastHeard(), now);
+        double silentS = Durations.secondsSince(m.lastHeard(), now);
         return m.unreachableSince() == Machine.NEVER
                 ? silentS
-                : Math.max(silentS, secondsSince(m.unreachableSince(), now));
-    }
-
-    private static double secondsSince(long moment, long now) {
-        return (now - moment) / 1e9;
+                : Math.max(silentS, Durations.secondsSince(m.unreachableSince(), now));
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
@@ -18,7 +18,7 @@
 
 /**
  * Packs tasks that found no room into machines that are coming, and then into machines yet to be rented, the cheapest
- * that fits and can be had. It only computes; what it asks for is the fleet's to rent.
+ * that fits and can be had. It only computes; what it asks for is the autoscaler's to rent.
  */
 final class ScaleUpPlanner {
     private static final int MOST_NEW = 100;
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -52,9 +52,8 @@
         link.listen();
         CountDownLatch ready = new CountDownLatch(1);
         loop.execute(() -> node.start(ready::countDown));
-        // Until it knows the leader it could only turn workers away, who would all be back a second later and keep it
-        // from
-        // finding out. A refused connection costs nothing, and they go on to the next node.
+        // Until it knows the leader it could only turn workers away. They would all be back a second later, and keep it
+        // from finding out. A refused connection costs nothing, and they go on to the next node.
         ready.await(Durations.nanos(settings.workers().leaseS() * LISTEN_OF_LEASE), TimeUnit.NANOSECONDS);
         server.start(settings.serveOn());
         loop.join();
--- a/src/main/java/org/spruceridge/cluster/Resources.java
+++ b/src/main/java/org/spruceridge/cluster/Resources.java
@@ -1,5 +1,7 @@
 package org.spruceridge.cluster;
 
+import java.util.stream.Stream;
+
 /** CPUs, GPUs and memory, as an amount that a machine has or a task takes. */
 public record Resources(double cpus, double gpus, double memGb) {
     public static final Resources NONE = new Resources(0, 0, 0);
@@ -31,6 +33,11 @@
         return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memGb, other.memGb));
     }
 
+    /** The least of each resource among several amounts; none if there are none. */
+    public static Resources leastOf(Stream<Resources> amounts) {
+        return amounts.reduce(Resources::least).orElse(NONE);
+    }
+
     /** How many tasks of the given size go in. */
     public int holds(Resources task) {
         double n = Integer.MAX_VALUE;
--- a/src/main/java/org/spruceridge/config/Settings.java
+++ b/src/main/java/org/spruceridge/config/Settings.java
@@ -39,7 +39,14 @@
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
     /** The periods that workers keep, in seconds. */
-    public record Workers(double reportS, double leaseS, double cancelS) {}
+    public record Workers(double reportS, double leaseS, double cancelS) {
+        private static final double DECISION_DELAY_OF_LEASE = 0.1;
+
+        /** For how long a leader puts decisions off at most while requests wait. */
+        public double mostDecisionDelayS() {
+            return DECISION_DELAY_OF_LEASE * leaseS;
+        }
+    }
 
     /** The limits of the state service. */
     public record State(double rps, double writeRps, double valueKb, int txnOps) {
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -29,7 +29,7 @@
 public final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-    /** SchedulingLoop run at least this often, in report periods: time alone changes scores and silences machines. */
+    /** Cycles run at least this often, in report periods: time alone changes scores and silences machines. */
     private static final double IDLE_CYCLE_OF_REPORT = 1.0;
 
     private final LeaderContext context;
@@ -171,7 +171,7 @@
         autoscaler.fallsBehind();
     }
 
-    /** Takes over what is known of the machine types, unless the fleet has asked the cloud itself by now. */
+    /** Takes over what is known of the machine types, unless the autoscaler has asked the cloud itself by now. */
     public void types(ImmutableMap<String, MachineType> types) {
         if (cluster.types().isEmpty()) {
             cluster.types(types);
--- a/src/main/java/org/spruceridge/leader/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/leader/SchedulingLoop.java
@@ -20,9 +20,6 @@
     /** Cycles take at most one part in this many of the processor: workers' reports come before decisions. */
     private static final long COSTS_APART = 4;
 
-    /** While requests wait, a cycle is put off for at most this share of a lease: workers' reports come first. */
-    private static final double MOST_DELAY_OF_LEASE = 0.1;
-
     private static final long LOOK_AGAIN = Durations.millis(20);
 
     private final Loop loop;
@@ -31,11 +28,11 @@
     private final RecordWriter recordWriter;
     private final Matching matching;
     private final long spacing;
+    private final long mostDelay;
     private final LeaderTerm term;
     private final Latencies latencies;
     private final Consumer<Machine> push;
     private Plan lastPlan;
-    private final long mostDelay;
     private long dueAt;
     private boolean due;
     private long lastRun;
@@ -54,8 +51,7 @@
         this.push = push;
         this.spacing = Durations.nanos(context.policy().scheduling().spacingOfReport()
                 * context.settings().workers().reportS());
-        this.mostDelay = Durations.nanos(
-                MOST_DELAY_OF_LEASE * context.settings().workers().leaseS());
+        this.mostDelay = Durations.nanos(context.settings().workers().mostDecisionDelayS());
         this.lastRun = context.loop().nanos() - spacing;
     }
 
@@ -68,6 +64,7 @@
         }
     }
 
+    /** While requests wait, a cycle is put off: workers' reports come first. */
     private void runUnlessBusy() {
         if (loop.busy() && loop.nanos() - dueAt < mostDelay) {
             scope.after(LOOK_AGAIN, this::runUnlessBusy);
--- a/src/main/java/org/spruceridge/net/Durations.java
+++ b/src/main/java/org/spruceridge/net/Durations.java
@@ -17,6 +17,11 @@
         return nanos / 1e9;
     }
 
+    /** Seconds from one moment of the steady clock to another. */
+    public static double secondsSince(long moment, long now) {
+        return seconds(now - moment);
+    }
+
     /** Milliseconds as nanoseconds. */
     public static long millis(double millis) {
         return (long) (millis * 1e6);
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -78,9 +78,9 @@
                 .channel(NioServerSocketChannel.class)
                 // After a restart of all nodes the whole fleet connects within a moment.
                 .option(ChannelOption.SO_BACKLOG, connectionLimiter.mostInbound())
-                // All that wait are accepted at once: by Netty's default of 16 for each turn of the loop, a busy
-                // leader's
-                // turns of a tenth of a second left the workers that look for it waiting until they had given up.
+                // All that wait are accepted at once. At Netty's default of 16 a turn, and turns of a tenth of a
+                // second,
+                // workers that look for a busy leader waited in the backlog until they had given up.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(connectionLimiter.mostInbound()))
--- a/src/main/java/org/spruceridge/net/ManualLoop.java
+++ b/src/main/java/org/spruceridge/net/ManualLoop.java
@@ -29,7 +29,17 @@
         return () -> tasks.remove(task);
     }
 
-    /** Lets this much time pass and runs what falls due. */
+    /** Tasks that are still to run. */
+    public int pending() {
+        return tasks.size();
+    }
+
+    /** Time passes while a task runs; what falls due meanwhile runs late. */
+    public void pass(long nanos) {
+        now += nanos;
+    }
+
+    /** Lets this much time pass and runs what falls due, in order. */
     public void advance(long nanos) {
         long end = now + nanos;
         while (!tasks.isEmpty() && tasks.peek().at <= end) {
@@ -37,6 +47,6 @@
             now = Math.max(now, task.at);
             task.work.run();
         }
-        now = end;
+        now = Math.max(now, end);
     }
 }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -78,7 +78,6 @@
     private Leader leader;
     private long lastReport;
     private long staysUntil = Long.MIN_VALUE;
-    private Runnable whenReady = () -> {};
 
     /** Nothing begins before {@link #start}. */
     public Node(
@@ -114,11 +113,10 @@
 
     /**
      * Begins all duties. {@code ready} runs once, when this node knows where workers belong: it knows the leader, or
-     * leads and has taken over.
+     * leads and has read which jobs are open.
      */
     public void start(Runnable ready) {
-        whenReady = ready;
-        lookWhetherReady();
+        lookWhetherReady(ready);
         election.start();
         latencies.start();
         peers.start();
@@ -126,13 +124,13 @@
         pulse();
     }
 
-    private void lookWhetherReady() {
+    private void lookWhetherReady(Runnable ready) {
         boolean knowsLeader =
                 steward().filter(name -> !name.equals(settings.hostName())).isPresent();
         if (leader == null ? knowsLeader : leader.upToDate()) {
-            whenReady.run();
+            ready.run();
         } else {
-            scope.after(LOOK_WHETHER_READY, this::lookWhetherReady);
+            scope.after(LOOK_WHETHER_READY, () -> lookWhetherReady(ready));
         }
     }
 
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -16,6 +16,7 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Settings;
 import org.spruceridge.config.Settings.Team;
+import org.spruceridge.net.Durations;
 
 /**
  * The working copy of one scheduling cycle: what is free on each machine, what each team uses and which zones each job
@@ -60,7 +61,7 @@
     }
 
     private boolean usable(Machine machine) {
-        double silentS = (now - machine.lastHeard()) / 1e9;
+        double silentS = Durations.secondsSince(machine.lastHeard(), now);
         return machine.fenced()
                 && !machine.returning()
                 && !machine.unschedulable()
@@ -112,7 +113,7 @@
             int kindIndex = capacity.kindIndex();
             double share = dearest > 0 ? prices[kindIndex] / dearest : 1;
             MachineGroup group = new MachineGroup(kinds.get(kindIndex), share, capacity.fullness());
-            groups.computeIfAbsent(group, g -> new GroupCapacity(g, kindIndex)).add(capacity);
+            groups.computeIfAbsent(group, g -> new GroupCapacity(kindIndex)).add(capacity);
         }
         return groups;
     }
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -6,19 +6,14 @@
 
 /** The machines of one group that still have room for some waiting task in this cycle. */
 final class GroupCapacity {
-    private final MachineGroup group;
     private final int kindIndex;
     private final List<MachineCapacity> open = new ArrayList<>();
 
-    GroupCapacity(MachineGroup group, int kindIndex) {
-        this.group = group;
+    /** {@code kindIndex} numbers the machines' kind within the cycle. */
+    GroupCapacity(int kindIndex) {
         this.kindIndex = kindIndex;
     }
 
-    MachineGroup group() {
-        return group;
-    }
-
     int kindIndex() {
         return kindIndex;
     }
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -9,6 +9,7 @@
 import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.Resources;
+import org.spruceridge.net.Durations;
 import org.spruceridge.schedule.PreemptionSite.Victim;
 
 /** Chooses running tasks to stop for waiting ones of a higher rank that would otherwise miss their deadline. */
@@ -37,11 +38,11 @@
 
     /** Only machines that can be of use to one of the jobs are looked at for each of them. */
     private void findSites(Collection<WaitingJob> pressing) {
-        smallestTask = pressing.iterator().next().job().spec().task();
+        smallestTask = Resources.leastOf(
+                pressing.stream().map(waiting -> waiting.job().spec().task()));
         for (WaitingJob waiting : pressing) {
-            JobSpec spec = waiting.job().spec();
-            smallestTask = smallestTask.least(spec.task());
-            highestRank = spec.rank().outranks(highestRank) ? spec.rank() : highestRank;
+            JobPriority rank = waiting.job().spec().rank();
+            highestRank = rank.outranks(highestRank) ? rank : highestRank;
         }
         for (MachineCapacity capacity : state.machines()) {
             PreemptionSite site = new PreemptionSite(capacity, mayStopOn(capacity.machine()), state.now());
@@ -53,7 +54,7 @@
 
     private boolean mayStopOn(Machine machine) {
         return machine.lastPreemption() == Long.MIN_VALUE
-                || (state.now() - machine.lastPreemption()) / 1e9 >= perMachineS;
+                || Durations.secondsSince(machine.lastPreemption(), state.now()) >= perMachineS;
     }
 
     private void makeRoom(WaitingJob waiting) {
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -41,17 +41,9 @@
                 .collect(ImmutableList.toImmutableList());
     }
 
-    /** All entries; {@code eligible} is the Minimal requirements heuristic, a filter before any score. */
-    public List<Entry> entries(
-            ImmutableList<Candidate> candidates,
-            ImmutableList<MachineGroup> groups,
-            BiPredicate<Candidate, MachineGroup> eligible) {
-        return entries(candidates, groups, eligible, (candidate, group) -> true);
-    }
-
     /**
      * The entries of groups that have room for the candidate now and, whether or not there is room, the best entry of
-     * each candidate.
+     * each candidate. {@code eligible} is the Minimal requirements heuristic, a filter before any score.
      */
     public List<Entry> entries(
             ImmutableList<Candidate> candidates,
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -64,10 +64,8 @@
 
     /** At most what any waiting task takes, by each resource: where this does not fit, none does. */
     private Resources smallestTask() {
-        return waitingJobs.keySet().stream()
-                .map(job -> job.spec().task())
-                .reduce(Resources::least)
-                .orElseThrow();
+        return Resources.leastOf(
+                waitingJobs.keySet().stream().map(job -> job.spec().task()));
     }
 
     private List<Entry> entries() {
--- a/src/test/java/org/spruceridge/docs/DocumentationTest.java
+++ b/src/test/java/org/spruceridge/docs/DocumentationTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
@@ -27,21 +27,12 @@
                         .filter(line -> line.startsWith("|"))
                         .toList());
         String sources = testSources();
-        Set<String> missing = new TreeSet<>();
-        int named = 0;
-        for (String name : (Iterable<String>) names(METHOD, tables)::iterator) {
-            named++;
-            if (!sources.contains("void " + name + "(")) {
-                missing.add(name);
-            }
-        }
-        for (String name : (Iterable<String>) names(TEST_CLASS, tables)::iterator) {
-            if (!sources.contains("class " + name + " ")) {
-                missing.add(name);
-            }
-        }
-        assertEquals(Set.of(), missing);
-        assertTrue(named > 50, "names found: " + named);
+        Set<String> named = names(METHOD, tables).collect(Collectors.toSet());
+        Stream<String> missing = Stream.concat(
+                named.stream().filter(name -> !sources.contains("void " + name + "(")),
+                names(TEST_CLASS, tables).filter(name -> !sources.contains("class " + name + " ")));
+        assertEquals(Set.of(), missing.collect(Collectors.toSet()));
+        assertTrue(named.size() > 50, "names found: " + named.size());
     }
 
     private static Stream<String> names(Pattern pattern, String text) {
--- a/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
+++ b/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
@@ -97,7 +97,7 @@
         Candidate longer = new Candidate(job(2, 80, OptionalDouble.empty()), 0, 20, Double.POSITIVE_INFINITY);
         List<PriorityMatrix.Entry> entries = new PriorityMatrix(
                         Policy.defaults().weights(), new Estimates(10), 240)
-                .entries(ImmutableList.of(pressing, longer), ImmutableList.of(COLUMN), (c, m) -> true);
+                .entries(ImmutableList.of(pressing, longer), ImmutableList.of(COLUMN), (c, m) -> true, (c, m) -> true);
         // 15 * (1 - 0.5) * 0.5 + 40 * 0 + 8 * (1 - 40 / 80) + 5 * 40 / (40 + 40) = 3.75 + 4 + 2.5
         // and, of ours, 2 * (1 - 1) for the one price there is + 3 * 0.5 for a machine half full.
         assertEquals(11.75, entries.get(0).score(), 1e-9);
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -1,36 +1,33 @@
 package org.spruceridge.sim;
 
-import java.util.Comparator;
-import java.util.PriorityQueue;
 import org.spruceridge.net.Cancellable;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
+import org.spruceridge.net.ManualLoop;
 
 /** Simulated time: tasks run in the order of their moments, and time passes only between them. */
 public final class SimLoop implements Loop {
-    private final PriorityQueue<Task> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
-    private long now = Durations.nanos(1000);
-    private long order;
+    private final ManualLoop time = new ManualLoop();
     private boolean busy;
 
-    private record Task(long at, long order, Runnable work) {}
+    /** Begins some time after the clock's zero, as clocks do. */
+    public SimLoop() {
+        time.pass(Durations.nanos(1000));
+    }
 
     @Override
     public long nanos() {
-        return now;
+        return time.nanos();
     }
 
     @Override
     public long wallMillis() {
-        return 1_700_000_000_000L + now / 1_000_000;
+        return 1_700_000_000_000L + time.wallMillis();
     }
 
     @Override
     public Cancellable after(long delayNanos, Runnable work) {
-        Task task = new Task(now + Math.max(0, delayNanos), order++, work);
-        queue.add(task);
-        return () -> queue.remove(task);
+        return time.after(delayNanos, work);
     }
 
     @Override
@@ -45,23 +42,17 @@
 
     /** Tasks that are still to run. */
     public int pending() {
-        return queue.size();
+        return time.pending();
     }
 
     /** Time passes within a task, as when it costs much processor. */
     public void pass(double seconds) {
-        now += Durations.nanos(seconds);
+        time.pass(Durations.nanos(seconds));
     }
 
     /** Lets time pass. */
     public void run(double seconds) {
-        long end = now + Durations.nanos(seconds);
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            Task task = queue.remove();
-            now = Math.max(now, task.at());
-            task.work().run();
-        }
-        now = Math.max(now, end);
+        time.advance(Durations.nanos(seconds));
     }
 
     /** This loop as one process has it: from its end on nothing of it runs, and while it stands still all waits. */
