--- /dev/null
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -0,0 +1,266 @@
+package org.spruceridge.wire;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.google.common.collect.ImmutableList;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import org.spruceridge.cloud.CloudClient;
+import org.spruceridge.cloud.HostInfo;
+import org.spruceridge.cloud.Rental;
+import org.spruceridge.cluster.MachineKind;
+import org.spruceridge.cluster.MachineType;
+import org.spruceridge.cluster.Resources;
+import org.spruceridge.cluster.TaskId;
+import org.spruceridge.config.Address;
+import org.spruceridge.net.Cancellable;
+import org.spruceridge.net.HttpAnswer;
+import org.spruceridge.net.HttpCall;
+import org.spruceridge.net.HttpClient;
+import org.spruceridge.net.Json;
+import org.spruceridge.net.Latencies;
+import org.spruceridge.net.ManualLoop;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter;
+import org.spruceridge.net.RateLimiter.Priority;
+import org.spruceridge.net.Response;
+import org.spruceridge.state.Change;
+import org.spruceridge.state.Changes;
+import org.spruceridge.state.Entry;
+import org.spruceridge.state.Listing;
+import org.spruceridge.state.Result;
+import org.spruceridge.state.StateClient;
+import org.spruceridge.state.Transaction;
+import org.spruceridge.state.TxnResult;
+import org.spruceridge.worker.Order;
+import org.spruceridge.worker.Push;
+import org.spruceridge.worker.Report;
+import org.spruceridge.worker.WorkerClient;
+
+/**
+ * The requests to the state service, the cloud and the workers, byte by byte, and what their answers are read as. The
+ * names on the wire are those of the protocol, whatever the code calls them.
+ */
+final class WireFormsTest {
+    private static final Address SERVICE = new Address("10.0.0.9", 2379);
+    private static final double UNLIMITED = 1e6;
+
+    private final ManualLoop loop = new ManualLoop();
+    private final RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
+    private final RateLimiter limiter = new RateLimiter(loop, UNLIMITED, UNLIMITED, UNLIMITED);
+    private final FixedAnswer http = new FixedAnswer();
+    private final StateClient state = new StateClient(loop, http, SERVICE, limiter, warnings, new Latencies(loop));
+    private final CloudClient cloud = new CloudClient(http, SERVICE, limiter, warnings);
+
+    /** Notes each request as a line of text, and gives the same answer to all. */
+    private static final class FixedAnswer implements HttpClient {
+        private final List<String> requests = new ArrayList<>();
+        private int status = 200;
+        private String body = "{}";
+
+        @Override
+        public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done) {
+            String text = call.method() + " " + call.target() + " " + new String(call.body(), StandardCharsets.UTF_8);
+            requests.add(text.strip());
+            done.accept(new HttpAnswer(status, body.getBytes(StandardCharsets.UTF_8)));
+            return () -> {};
+        }
+
+        void answer(int newStatus, String newBody) {
+            status = newStatus;
+            body = newBody;
+        }
+    }
+
+    private void assertRequest(String expected) {
+        loop.advance(1);
+        assertEquals(List.of(expected), http.requests);
+    }
+
+    private static <T> Consumer<T> expect(T expected) {
+        return actual -> assertEquals(expected, actual);
+    }
+
+    private static String text(Response response) {
+        return response.status() + " " + new String(response.body(), StandardCharsets.UTF_8);
+    }
+
+    private static Transaction transaction() {
+        return Transaction.builder()
+                .guard("term", 4)
+                .set("leader", 0, Json.object().put("a", 1), 77)
+                .set("job/j-1", 3, Json.object().put("b", 2))
+                .drop("open/j-1", 3)
+                .build();
+    }
+
+    @Test
+    void aKeyIsRead() {
+        http.answer(200, "{\"v\":{\"a\":1},\"stamp\":5,\"ring\":9}");
+        state.get(
+                "leader",
+                Priority.RENEWAL,
+                expect(Result.ok(new Entry("leader", Json.object().put("a", 1), 5))));
+        assertRequest("GET /store/leader");
+    }
+
+    @Test
+    void keysAreListed() {
+        http.answer(200, "{\"entries\":[{\"k\":\"open/j-1\",\"v\":{},\"stamp\":5}],\"truncated\":false,\"ring\":9}");
+        Entry entry = new Entry("open/j-1", Json.object(), 5);
+        state.list(
+                "open/",
+                Priority.RENEWAL,
+                expect(Result.ok(new Listing(ImmutableList.of(entry), 9, http.body.length()))));
+        assertRequest("GET /store?starts=open/&limit=500");
+    }
+
+    @Test
+    void aTransactionIsCommitted() {
+        http.answer(200, "{\"ring\":12}");
+        state.commit(
+                transaction(),
+                Priority.RENEWAL,
+                expect(new TxnResult(TxnResult.Kind.COMMITTED, 12, ImmutableList.of())));
+        assertRequest("POST /txn {\"guards\":[{\"k\":\"term\",\"stamp\":4},{\"k\":\"leader\",\"stamp\":0},"
+                + "{\"k\":\"job/j-1\",\"stamp\":3},{\"k\":\"open/j-1\",\"stamp\":3}],"
+                + "\"then\":[{\"set\":\"leader\",\"v\":{\"a\":1},\"permit\":77},"
+                + "{\"set\":\"job/j-1\",\"v\":{\"b\":2}},{\"drop\":\"open/j-1\"}]}");
+    }
+
+    @Test
+    void aTransactionIsRefusedOrFails() {
+        http.answer(409, "{\"failed\":[\"leader\",\"term\"]}");
+        state.commit(
+                transaction(),
+                Priority.RENEWAL,
+                expect(new TxnResult(TxnResult.Kind.CONFLICT, 0, ImmutableList.of("leader", "term"))));
+        http.answer(400, "{\"error\":\"no such lease\"}");
+        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.NO_GRANT)));
+        http.answer(400, "{\"error\":\"too large\"}");
+        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.REJECTED)));
+        http.answer(429, "{}");
+        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.REFUSED)));
+        http.answer(500, "{}");
+        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.UNKNOWN)));
+        loop.advance(1);
+        assertEquals(5, http.requests.size());
+    }
+
+    @Test
+    void aLeaseIsTakenRenewedAndEnded() {
+        http.answer(200, "{\"permit\":77}");
+        state.grant(11_000, expect(Result.ok(77L)));
+        assertRequest("POST /grants {\"ttlMs\":11000}");
+        state.renew(77, 1000, expect(Result.ok(loop.nanos())));
+        state.endGrant(77);
+        loop.advance(1);
+        assertEquals(List.of("POST /grants/77/renew", "DELETE /grants/77"), http.requests.subList(1, 3));
+        http.answer(404, "{}");
+        state.renew(77, 1000, expect(Result.failed(Result.Kind.MISSING)));
+        loop.advance(1);
+    }
+
+    @Test
+    void changesAreFollowed() {
+        http.answer(
+                200,
+                "{\"log\":[{\"set\":\"open/j-1\",\"v\":{\"a\":1},\"stamp\":6},{\"drop\":\"open/j-2\",\"stamp\":7}],"
+                        + "\"ring\":8}");
+        ImmutableList<Change> changes =
+                ImmutableList.of(new Change("open/j-1", Json.object().put("a", 1), 6), new Change("open/j-2", null, 7));
+        state.follow("open/", 5, 2.5, expect(Result.ok(new Changes(changes, 8))));
+        assertRequest("GET /follow?starts=open/&from=5&blockMs=2500");
+        http.answer(410, "{}");
+        state.follow("open/", 5, 2.5, expect(Result.failed(Result.Kind.TOO_OLD)));
+        loop.advance(1);
+    }
+
+    @Test
+    void machineTypesAreRead() {
+        http.answer(
+                200,
+                "{\"builds\":[{\"name\":\"t4\",\"cpus\":4,\"accelerators\":1,\"memGb\":16,\"fetchGbPerS\":0.5,"
+                        + "\"rate\":0.2,\"lowPrice\":0.06,\"startupS\":20,\"groves\":[\"a\",\"b\"]}]}");
+        MachineType type =
+                new MachineType("t4", new Resources(4, 1, 16), 0.5, 0.2, 0.06, 20, ImmutableList.of("a", "b"));
+        cloud.catalogue(types -> assertEquals(
+                ImmutableList.of(type), types.orElseThrow().values().asList()));
+        assertRequest("GET /flavors");
+    }
+
+    @Test
+    void machinesAreRentedAndDeleted() {
+        http.answer(200, "{\"hosts\":[\"i-1\",\"i-2\"]}");
+        cloud.rent("3-1", "t4", "a", true, 2, expect(new Rental(Rental.Kind.RENTED, ImmutableList.of("i-1", "i-2"))));
+        assertRequest(
+                "POST /hosts {\"claim\":\"3-1\",\"build\":\"t4\",\"grove\":\"a\",\"windfall\":true,\"howMany\":2}");
+        http.answer(503, "{\"error\":\"no capacity\"}");
+        cloud.rent("3-2", "t4", "a", true, 2, expect(new Rental(Rental.Kind.NO_CAPACITY, ImmutableList.of())));
+        http.answer(503, "{\"error\":\"busy\"}");
+        cloud.rent("3-3", "t4", "a", true, 2, expect(new Rental(Rental.Kind.REFUSED, ImmutableList.of())));
+        http.answer(200, "{}");
+        cloud.delete(List.of("i-1", "i-2"), expect(true));
+        loop.advance(1);
+        assertEquals("POST /hosts/delete {\"hosts\":[\"i-1\",\"i-2\"]}", http.requests.get(3));
+    }
+
+    @Test
+    void machinesAreListed() {
+        http.answer(
+                200,
+                "{\"hosts\":[{\"nameId\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
+                        + "\"windfall\":true,\"stage\":\"booting\",\"heldS\":3.5}],\"truncated\":false}");
+        HostInfo host = new HostInfo("i-1", "10.0.0.1:9000", "t4", "a", true, HostInfo.Stage.BOOTING, 3.5);
+        cloud.machines(expect(Optional.of(ImmutableList.of(host))));
+        assertRequest("GET /hosts?limit=500");
+    }
+
+    @Test
+    void commandsAnswerAReport() {
+        TaskId task = new TaskId("j-1", 3);
+        List<Order> orders = List.of(Order.start(task, 8), Order.stop(task, 7, 1.5), Order.forget(task, 6));
+        String expected = "{\"warrant\":9,\"orders\":[{\"verb\":\"start\",\"part\":\"j-1/3\",\"try\":8},"
+                + "{\"verb\":\"halt\",\"part\":\"j-1/3\",\"try\":7,\"leewayS\":1.5},"
+                + "{\"verb\":\"forget\",\"part\":\"j-1/3\",\"try\":6}]";
+        assertEquals("200 " + expected + "}", text(Order.answer(9, orders)));
+        WorkerClient workers = new WorkerClient(http, warnings);
+        http.answer(400, "{}");
+        workers.push(SERVICE, 9, 2, orders, 1000, expect(new Push(Push.Kind.REFUSED, Optional.empty())));
+        assertRequest("POST /do " + expected + ",\"watch\":2}");
+    }
+
+    @Test
+    void aWorkerIsSentToTheLeader() {
+        assertEquals("421 {\"steward\":\"ranger-1\"}", text(Order.elsewhere("ranger-1")));
+    }
+
+    @Test
+    void aReportHasTheNamesOfTheProtocol() {
+        MachineKind kind = new MachineKind("t4", "a", true);
+        Report.TaskReport running =
+                new Report.TaskReport(new TaskId("j-1", 3), 8, Report.TaskState.RUNNING, Report.Cause.NONE);
+        Report.TaskReport exited =
+                new Report.TaskReport(new TaskId("j-1", 4), 7, Report.TaskState.EXITED, Report.Cause.NO_ROOM);
+        Report report = new Report(
+                "i-1", "10.0.0.1:9000", kind, 2, 5, 9, OptionalDouble.of(4.5), ImmutableList.of(running, exited));
+        assertEquals(
+                "{\"host\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\",\"windfall\":true,"
+                        + "\"watch\":2,\"tally\":5,\"warrant\":9,\"warningS\":4.5,\"parts\":["
+                        + "{\"part\":\"j-1/3\",\"try\":8,\"stage\":\"running\"},"
+                        + "{\"part\":\"j-1/4\",\"try\":7,\"stage\":\"ended\",\"cause\":\"no_room\"}]}",
+                new String(Json.bytes(report.toJson()), StandardCharsets.UTF_8));
+    }
+
+    @Test
+    void aRefusalSaysWhyAndWhenToComeBack() {
+        Response response = Response.later(2, "too busy");
+        assertEquals("503 {\"error\":\"too busy\"}", text(response));
+        assertEquals(2, response.retryAfterS());
+    }
+}
