--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -13,6 +13,7 @@
 import org.spruceridge.cloud.CloudClient;
 import org.spruceridge.cloud.HostInfo;
 import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.BindingReleaser;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.JobSpec;
--- a/src/main/java/org/spruceridge/autoscaling/MachineReturns.java
+++ b/src/main/java/org/spruceridge/autoscaling/MachineReturns.java
@@ -10,6 +10,7 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.cloud.CloudClient;
 import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.BindingReleaser;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.net.Durations;
--- a/src/main/java/org/spruceridge/autoscaling/BindingReleaser.java
+++ b/src/main/java/org/spruceridge/cluster/BindingReleaser.java
@@ -1,6 +1,4 @@
-package org.spruceridge.autoscaling;
-
-import org.spruceridge.cluster.Binding;
+package org.spruceridge.cluster;
 
 /** Where proof about machines goes on record. */
 public interface BindingReleaser {
--- a/src/main/java/org/spruceridge/leader/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.dispatch;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -13,6 +13,8 @@
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
+import org.spruceridge.reconciliation.ReportHandler;
+import org.spruceridge.term.LeaderContext;
 import org.spruceridge.worker.Order;
 import org.spruceridge.worker.Push;
 import org.spruceridge.worker.WorkerClient;
--- a/src/main/java/org/spruceridge/leader/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.dispatch;
 
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -10,8 +10,11 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
+import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.schedule.Plan;
+import org.spruceridge.term.LeaderContext;
+import org.spruceridge.term.LeaderTerm;
 
 /** Runs a cycle after each event, with at least a set time between two, and carries out what it decides. */
 public final class SchedulingLoop {
--- a/src/main/java/org/spruceridge/leader/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.election;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
@@ -23,6 +23,7 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TxnResult;
+import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterLevel;
 import org.spruceridge.upgrade.LevelRecord;
 
--- a/src/main/java/org/spruceridge/leader/Takeover.java
+++ b/src/main/java/org/spruceridge/failover/Takeover.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.failover;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,6 +17,8 @@
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter.Priority;
+import org.spruceridge.persistence.PageIndex;
+import org.spruceridge.persistence.RecordPages;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.FinishedRecord;
 import org.spruceridge.record.JobRecord;
@@ -25,6 +27,8 @@
 import org.spruceridge.state.Listing;
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.term.LeaderContext;
+import org.spruceridge.term.LeaderTerm;
 
 /**
  * Builds the cluster state of a new term from the records. All reads are sent after the election, so no older leader can
--- a/src/main/java/org/spruceridge/leader/StatusLogger.java
+++ b/src/main/java/org/spruceridge/leader/StatusLogger.java
@@ -8,6 +8,8 @@
 import org.spruceridge.cluster.MachineType;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
+import org.spruceridge.persistence.RecordWriter;
+import org.spruceridge.term.LeaderContext;
 
 /** Says in one log line, once in a while, how the cluster stands: for whoever is on call. */
 final class StatusLogger {
--- a/src/main/java/org/spruceridge/leader/PageIndex.java
+++ b/src/main/java/org/spruceridge/persistence/PageIndex.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.persistence;
 
 import com.google.common.collect.Iterables;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
  * Which item is kept on which page, a page being one record that holds many items. A page's stamp stands for those of
  * all its items.
  */
-final class PageIndex<T> {
+public final class PageIndex<T> {
     private final String prefix;
     private final int capacity;
     private final ToIntFunction<Collection<T>> bytes;
@@ -25,7 +25,7 @@
     private int lastNumber;
 
     /** One record. */
-    static final class Page<T> {
+    public static final class Page<T> {
         private final String key;
         private final Set<T> items = new LinkedHashSet<>();
         private long stamp;
@@ -61,7 +61,7 @@
     }
 
     /** Takes over a page that is on record. */
-    Page<T> recorded(String key, long stamp) {
+    public Page<T> recorded(String key, long stamp) {
         Page<T> page = new Page<>(key, stamp);
         pages.add(page);
         lastNumber = Math.max(lastNumber, Integer.parseInt(key.substring(prefix.length())));
@@ -77,7 +77,8 @@
         return places.get(item);
     }
 
-    void put(T item, Page<T> page) {
+    /** Puts an item on a page, and takes it off the one that it was on. */
+    public void put(T item, Page<T> page) {
         if (places.get(item) == page) {
             return;
         }
--- a/src/main/java/org/spruceridge/leader/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.persistence;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.BitSet;
@@ -9,7 +9,7 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.config.Settings;
-import org.spruceridge.leader.PageIndex.Page;
+import org.spruceridge.persistence.PageIndex.Page;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.FinishedRecord;
 import org.spruceridge.record.Keys;
@@ -17,7 +17,7 @@
 import org.spruceridge.upgrade.FeatureLevel;
 
 /** The pages that this leader keeps: the bindings of machines, and the finished tasks of unfinished jobs. */
-final class RecordPages {
+public final class RecordPages {
     private static final int BODY_BYTES = 48 << 10;
     /** What a transaction of a few ends changes beside the pages. */
     private static final int CHANGES_OF_ENDS = 4;
@@ -34,10 +34,10 @@
     private FeatureLevel level;
 
     /** A run of a job's tasks whose ends are kept together, by the first of them. */
-    record Chunk(Job job, int first) {}
+    public record Chunk(Job job, int first) {}
 
     /** Pages in the forms of a cluster feature level, within the limits of the state service. */
-    RecordPages(Settings.State limits, FeatureLevel level) {
+    public RecordPages(Settings.State limits, FeatureLevel level) {
         this.txnOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
         this.baseChunkSize = FinishedRecord.chunkSize(limits.recordKbOfNow());
@@ -49,11 +49,13 @@
         this.finished = new PageIndex<>(Keys.FINISHED, capacity, this::bytes);
     }
 
-    PageIndex<Machine> bindings() {
+    /** The pages of bindings, by machine. */
+    public PageIndex<Machine> bindings() {
         return bindings;
     }
 
-    PageIndex<Chunk> finished() {
+    /** The pages of finished tasks, by chunk. */
+    public PageIndex<Chunk> finished() {
         return finished;
     }
 
@@ -81,12 +83,12 @@
     }
 
     /** The size of chunks in records of the base level. */
-    int baseChunkSize() {
+    public int baseChunkSize() {
         return baseChunkSize;
     }
 
     /** Takes over tasks, counted from {@code first}, whose ends a page holds. */
-    void takeFinished(Job job, int first, BitSet tasks, Page<Chunk> page) {
+    public void takeFinished(Job job, int first, BitSet tasks, Page<Chunk> page) {
         for (int i = tasks.nextSetBit(0); i >= 0; i = tasks.nextSetBit(i + 1)) {
             job.markDone(first + i);
             finished.put(chunkOf(job, first + i), page);
--- a/src/main/java/org/spruceridge/leader/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.persistence;
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableSet;
@@ -6,8 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.spruceridge.autoscaling.BindingReleaser;
 import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.BindingReleaser;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
@@ -20,6 +20,8 @@
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.TxnResult;
+import org.spruceridge.term.LeaderContext;
+import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /**
@@ -82,18 +84,18 @@
     }
 
     /** What is kept on which page. */
-    RecordPages records() {
+    public RecordPages records() {
         return records;
     }
 
     /** The takeover is complete: pages that an earlier version has left too large are split, bit by bit. */
-    void takenOver() {
+    public void takenOver() {
         records.findOversized();
         pump();
     }
 
     /** The cluster feature level is that of this version: records may have its forms from now on. */
-    void levelRaised() {
+    public void levelRaised() {
         levelRaised = true;
         pump();
     }
--- a/src/main/java/org/spruceridge/leader/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.persistence;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -13,14 +13,15 @@
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
-import org.spruceridge.leader.PageIndex.Page;
-import org.spruceridge.leader.RecordPages.Chunk;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.RateLimiter.Priority;
+import org.spruceridge.persistence.PageIndex.Page;
+import org.spruceridge.persistence.RecordPages.Chunk;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.record.PackedValue;
 import org.spruceridge.state.Transaction;
+import org.spruceridge.term.LeaderTerm;
 
 /** The making of one transaction, within the limits that the state service sets. */
 final class WriteBatch {
--- a/src/main/java/org/spruceridge/leader/CancellationSource.java
+++ b/src/main/java/org/spruceridge/reconciliation/CancellationSource.java
@@ -1,7 +1,7 @@
-package org.spruceridge.leader;
+package org.spruceridge.reconciliation;
 
 /** How a leader came to know that a job was cancelled. */
-enum CancellationSource {
+public enum CancellationSource {
     /** A change of the watched open entries. */
     WATCH("the watch of open jobs"),
     /** A listing of the open entries that lacks the job. */
--- a/src/main/java/org/spruceridge/leader/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.reconciliation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
@@ -19,12 +19,14 @@
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter.Priority;
+import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.Change;
 import org.spruceridge.state.Entry;
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.term.LeaderContext;
 
 /** Learns of accepted and cancelled jobs by watching the open entries of unfinished jobs. */
 public final class JobWatcher {
@@ -105,7 +107,7 @@
     }
 
     /** Marks a job as cancelled by its user: what waits is withdrawn, what runs is stopped. */
-    void cancelled(Job job, CancellationSource source) {
+    public void cancelled(Job job, CancellationSource source) {
         if (!job.cancelled()) {
             job.cancel(refreshedUpTo, loop.nanos());
             recordWriter.withdraw(job);
@@ -133,7 +135,7 @@
     }
 
     /** How long ago the view of cancellations was complete, in seconds; infinite if it never was. */
-    double viewAgeS() {
+    public double viewAgeS() {
         return refreshedUpTo == Long.MIN_VALUE
                 ? Double.POSITIVE_INFINITY
                 : Durations.secondsSince(refreshedUpTo, loop.nanos());
--- a/src/main/java/org/spruceridge/leader/ReportHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/ReportHandler.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.reconciliation;
 
 import com.google.common.collect.ImmutableList;
 import java.util.ArrayList;
@@ -19,6 +19,8 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.persistence.RecordWriter;
+import org.spruceridge.term.LeaderContext;
 import org.spruceridge.worker.Order;
 import org.spruceridge.worker.Report;
 import org.spruceridge.worker.Report.Cause;
@@ -324,7 +326,7 @@
     }
 
     /** The order that a binding calls for as things stand, or null. */
-    Order due(Binding b) {
+    public Order due(Binding b) {
         return switch (b.phase()) {
             case ABSENT -> b.stage() == Binding.Stage.COMMITTED && !mustNotStart(b)
                     ? Order.start(b.task(), b.attempt())
--- a/src/main/java/org/spruceridge/leader/LeaderContext.java
+++ b/src/main/java/org/spruceridge/term/LeaderContext.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.term;
 
 import java.util.function.BooleanSupplier;
 import org.spruceridge.cluster.Cluster;
@@ -52,7 +52,7 @@
     }
 
     /** The same with another cluster state. */
-    LeaderContext with(Cluster other) {
+    public LeaderContext with(Cluster other) {
         return new LeaderContext(loop, scope, settings, policy, other, term, leads, warnings, latencies, metrics);
     }
 }
--- a/src/main/java/org/spruceridge/leader/LeaderMetrics.java
+++ b/src/main/java/org/spruceridge/term/LeaderMetrics.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.term;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.base.CaseFormat;
@@ -17,7 +17,7 @@
     }
 
     /** A takeover was completed, so many nanoseconds after the election. */
-    void takenOver(long nanos) {
+    public void takenOver(long nanos) {
         takeovers++;
         lastTakeover = nanos;
         longestTakeover = Math.max(longestTakeover, nanos);
--- a/src/main/java/org/spruceridge/leader/LeaderTerm.java
+++ b/src/main/java/org/spruceridge/term/LeaderTerm.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.term;
 
 import org.spruceridge.upgrade.FeatureLevel;
 import org.spruceridge.upgrade.LevelRecord;
--- a/src/main/java/org/spruceridge/leader/ReportOutcome.java
+++ b/src/main/java/org/spruceridge/term/ReportOutcome.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.term;
 
 /** What became of a worker's report. Only the first three renew the worker's lease. */
 public enum ReportOutcome {
--- a/src/main/java/org/spruceridge/leader/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.warmup;
 
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
--- a/src/test/java/org/spruceridge/leader/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,6 +17,7 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 import org.spruceridge.record.FinishedRecord;
+import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /** The finished tasks of the largest job keep their page, and fit it, as the level rises and the limits fall. */
--- a/src/test/java/org/spruceridge/leader/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -29,6 +29,9 @@
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.term.LeaderContext;
+import org.spruceridge.term.LeaderMetrics;
+import org.spruceridge.term.LeaderTerm;
 
 /** How long writes wait for their record at the size of a fleet, when changes are short. */
 final class RecordWriterTest {
--- a/src/test/java/org/spruceridge/leader/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.persistence;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -27,6 +27,7 @@
 import org.spruceridge.net.Json;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.sim.Fixtures;
+import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /** What goes into a transaction, and that it stays within the state service's limits at the size of a fleet. */
--- a/src/test/java/org/spruceridge/leader/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
@@ -1,4 +1,4 @@
-package org.spruceridge.leader;
+package org.spruceridge.warmup;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
