--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -19,14 +19,14 @@
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.net.Response;
-import org.spruceridge.peer.Heartbeat.Progress;
+import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.record.SpecMessage;
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.Transaction;
-import org.spruceridge.state.TxnResult;
+import org.spruceridge.state.TransactionResult;
 import org.spruceridge.upgrade.ClusterLevel;
 import org.spruceridge.upgrade.FeatureLevel;
 
@@ -198,7 +198,7 @@
     }
 
     /** Commits; an unknown outcome is settled by the same transaction again, while the user still waits. */
-    private void settle(Transaction txn, long until, Consumer<Response> answer, Consumer<TxnResult> settled) {
+    private void settle(Transaction txn, long until, Consumer<Response> answer, Consumer<TransactionResult> settled) {
         state.commit(txn, Priority.SUBMISSIONS, result -> {
             switch (result.kind()) {
                 case COMMITTED, CONFLICT -> settled.accept(result);
--- a/src/main/java/org/spruceridge/cli/RehearseCommand.java
+++ b/src/main/java/org/spruceridge/cli/RehearseCommand.java
@@ -26,7 +26,7 @@
 import org.spruceridge.net.NettyLoop;
 import org.spruceridge.node.Node;
 import org.spruceridge.peer.NettyPeerTransport;
-import org.spruceridge.worker.Report;
+import org.spruceridge.worker.WorkerHeartbeat;
 import picocli.CommandLine.Model.CommandSpec;
 
 /**
@@ -117,7 +117,7 @@
 
     private static JsonNode report() {
         MachineKind kind = new MachineKind("any", "here", false);
-        return new Report("i-000001", "127.0.0.1:1", kind, 1, 1, 0, OptionalDouble.empty(), ImmutableList.of())
+        return new WorkerHeartbeat("i-000001", "127.0.0.1:1", kind, 1, 1, 0, OptionalDouble.empty(), ImmutableList.of())
                 .toJson();
     }
 
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -13,11 +13,11 @@
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
-import org.spruceridge.reconciliation.ReportHandler;
+import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.term.LeaderContext;
-import org.spruceridge.worker.Order;
-import org.spruceridge.worker.Push;
+import org.spruceridge.worker.CommandResult;
 import org.spruceridge.worker.WorkerClient;
+import org.spruceridge.worker.WorkerCommand;
 
 /**
  * Sends starts and stops to workers without waiting for their next report.
@@ -33,7 +33,7 @@
     private final Loop loop;
     private final CancellationScope scope;
     private final WorkerClient workers;
-    private final ReportHandler reportHandler;
+    private final HeartbeatHandler reportHandler;
     private final BooleanSupplier leads;
     private final Runnable changed;
     private final long term;
@@ -42,7 +42,8 @@
     private final Set<Machine> again = new HashSet<>();
 
     /** {@code leads} tells whether commands may still be sent; {@code changed} hears of each answer. */
-    public CommandSender(LeaderContext context, WorkerClient workers, ReportHandler reportHandler, Runnable changed) {
+    public CommandSender(
+            LeaderContext context, WorkerClient workers, HeartbeatHandler reportHandler, Runnable changed) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.workers = workers;
@@ -69,14 +70,15 @@
             again.add(m);
             return;
         }
-        List<Order> orders = new ArrayList<>();
+        List<WorkerCommand> orders = new ArrayList<>();
         List<Binding> starts = new ArrayList<>();
         List<Binding> stops = new ArrayList<>();
         for (Binding b : m.bindings()) {
-            Order order = reportHandler.due(b);
+            WorkerCommand order = reportHandler.due(b);
             // Only the first start is pushed: what that did not bring about is left to the answers to reports.
-            boolean start = order != null && order.verb() == Order.Verb.START && !b.pushed() && !m.startUncertain();
-            boolean stop = order != null && order.verb() == Order.Verb.STOP && !b.stopPushed();
+            boolean start =
+                    order != null && order.verb() == WorkerCommand.Verb.START && !b.pushed() && !m.startUncertain();
+            boolean stop = order != null && order.verb() == WorkerCommand.Verb.STOP && !b.stopPushed();
             if (start) {
                 starts.add(b);
                 b.startPushed();
@@ -96,7 +98,7 @@
         send(m, orders, starts, stops);
     }
 
-    private void send(Machine m, List<Order> orders, List<Binding> starts, List<Binding> stops) {
+    private void send(Machine m, List<WorkerCommand> orders, List<Binding> starts, List<Binding> stops) {
         Address address;
         try {
             address = Address.parse(m.address());
@@ -108,7 +110,7 @@
         starts.forEach(b -> m.unresolved().add(b.attempt()));
         workers.push(address, term, session, orders, patience, scope.guard(push -> {
             busy.remove(m);
-            if (push.kind() == Push.Kind.UNKNOWN) {
+            if (push.kind() == CommandResult.Kind.UNKNOWN) {
                 if (!starts.isEmpty() && m.session() == session) {
                     LOG.info("machine {} did not answer a push: it gets no more work", m.name());
                     m.markStartUncertain();
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -22,7 +22,7 @@
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.Transaction;
-import org.spruceridge.state.TxnResult;
+import org.spruceridge.state.TransactionResult;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterLevel;
 import org.spruceridge.upgrade.LevelRecord;
@@ -218,7 +218,7 @@
         }
         Transaction txn = Transaction.builder().drop(Keys.LEADER, stamp).build();
         state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
-            if (result.kind() != TxnResult.Kind.COMMITTED) {
+            if (result.kind() != TransactionResult.Kind.COMMITTED) {
                 again();
             }
         }));
@@ -269,9 +269,9 @@
 
     private void attempt(Transaction txn, LeaderRecord record, LevelRecord onRecord) {
         state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
-            if (result.kind() == TxnResult.Kind.COMMITTED) {
+            if (result.kind() == TransactionResult.Kind.COMMITTED) {
                 win(record, result.revision(), onRecord);
-            } else if (result.kind() == TxnResult.Kind.UNKNOWN && loop.nanos() < validUntil) {
+            } else if (result.kind() == TransactionResult.Kind.UNKNOWN && loop.nanos() < validUntil) {
                 scope.after(RETRY, () -> attempt(txn, record, onRecord));
             } else {
                 // Lost, refused, or unknown for too long: what the leader key says decides.
--- a/src/main/java/org/spruceridge/failover/Takeover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -34,7 +34,7 @@
  * Builds the cluster state of a new term from the records. All reads are sent after the election, so no older leader can
  * change what they find: only users' submissions and cancellations can, and those the watch brings.
  */
-public final class Takeover {
+public final class Failover {
     private static final long RETRY = Durations.millis(200);
     /** Ended jobs are read so many at a time: enough for a slow state service, few enough to let renewals in. */
     private static final int MOST_READ_AT_ONCE = 16;
@@ -67,7 +67,7 @@
     private record Recorded(PageIndex.Page<Machine> page, BindingsRecord.OnMachine record) {}
 
     /** Fills {@code cluster} and {@code records} with what {@code state} holds. */
-    public Takeover(LeaderContext context, StateClient state, RecordPages records) {
+    public Failover(LeaderContext context, StateClient state, RecordPages records) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.state = state;
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -18,26 +18,26 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.dispatch.CommandSender;
 import org.spruceridge.dispatch.SchedulingLoop;
-import org.spruceridge.failover.Takeover;
+import org.spruceridge.failover.Failover;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.Response;
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.reconciliation.CancellationSource;
+import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.reconciliation.JobWatcher;
-import org.spruceridge.reconciliation.ReportHandler;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.term.HeartbeatOutcome;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.term.ReportOutcome;
 import org.spruceridge.upgrade.ClusterLevel;
 import org.spruceridge.upgrade.LevelRaiser;
-import org.spruceridge.worker.Order;
-import org.spruceridge.worker.Report;
 import org.spruceridge.worker.WorkerClient;
+import org.spruceridge.worker.WorkerCommand;
+import org.spruceridge.worker.WorkerHeartbeat;
 
 /** All that a node does while it leads: one object for each term, stopped with it. */
 public final class Leader {
@@ -51,9 +51,9 @@
     private final CancellationScope scope;
     private final Cluster cluster;
     private final RecordWriter recordWriter;
-    private final ReportHandler reportHandler;
+    private final HeartbeatHandler reportHandler;
     private final JobWatcher watch;
-    private final Takeover takeover;
+    private final Failover takeover;
     private final SchedulingLoop schedulingLoop;
     private final CommandSender commandSender;
     private final Autoscaler autoscaler;
@@ -106,10 +106,10 @@
         this.cluster = context.cluster();
         this.term = context.term();
         Settings settings = context.settings();
-        this.nothingToDo = Order.answer(term.term(), List.of());
+        this.nothingToDo = WorkerCommand.answer(term.term(), List.of());
         this.idleCycle = Durations.nanos(settings.workers().reportS() * IDLE_CYCLE_OF_REPORT);
         this.recordWriter = new RecordWriter(context, state, new WriteListener(resign));
-        this.reportHandler = new ReportHandler(context, recordWriter, this::available);
+        this.reportHandler = new HeartbeatHandler(context, recordWriter, this::available);
         Matching matching = new Matching(
                 settings,
                 context.policy(),
@@ -117,7 +117,7 @@
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, this::push, resign);
         this.commandSender = new CommandSender(context, workers, reportHandler, () -> schedulingLoop.request());
         this.watch = new JobWatcher(context, state, recordWriter, commandSender::push, () -> schedulingLoop.request());
-        this.takeover = new Takeover(context, state, recordWriter.records());
+        this.takeover = new Failover(context, state, recordWriter.records());
         this.levelRaiser = new LevelRaiser(
                 scope,
                 state,
@@ -142,9 +142,9 @@
 
     /** Takes over from the records, and then begins to schedule. */
     public void start() {
-        takeover.start(new Takeover.Listener() {
+        takeover.start(new Failover.Listener() {
             @Override
-            public void read(Takeover.Step step) {
+            public void read(Failover.Step step) {
                 LOG.info("term {}: takeover: {}, after {} ms", term.term(), step.what(), step.nanos() / 1_000_000);
             }
 
@@ -224,23 +224,24 @@
      * Takes a report; before the takeover is complete it is only acknowledged, and told to stop what belongs to no open job:
      * the answer renews its lease. Empty if it is not to be answered.
      */
-    public Optional<Response> report(Report report) {
+    public Optional<Response> report(WorkerHeartbeat report) {
         if (!ready) {
             return answered(report, reportHandler.handleInTakeover(report));
         }
         if (reportHandler.ignores(report)) {
-            context.metrics().count(ReportOutcome.GIVEN_UP);
+            context.metrics().count(HeartbeatOutcome.GIVEN_UP);
             LOG.debug("term {}: {} is not answered: its lease is to run out", term.term(), report.machine());
             return Optional.empty();
         }
         return answered(report, reportHandler.handle(report));
     }
 
-    private Optional<Response> answered(Report report, List<Order> orders) {
-        long stops = orders.stream().filter(o -> o.verb() == Order.Verb.STOP).count();
-        ReportOutcome outcome = !ready
-                ? ReportOutcome.ANSWERED_IN_TAKEOVER
-                : stops > 0 ? ReportOutcome.ANSWERED_WITH_STOPS : ReportOutcome.ANSWERED;
+    private Optional<Response> answered(WorkerHeartbeat report, List<WorkerCommand> orders) {
+        long stops =
+                orders.stream().filter(o -> o.verb() == WorkerCommand.Verb.STOP).count();
+        HeartbeatOutcome outcome = !ready
+                ? HeartbeatOutcome.ANSWERED_IN_TAKEOVER
+                : stops > 0 ? HeartbeatOutcome.ANSWERED_WITH_STOPS : HeartbeatOutcome.ANSWERED;
         context.metrics().count(outcome);
         if (LOG.isDebugEnabled()) {
             LOG.debug(
@@ -264,8 +265,8 @@
         }
     }
 
-    private Response answer(List<Order> orders) {
-        return orders.isEmpty() ? nothingToDo : Order.answer(term.term(), orders);
+    private Response answer(List<WorkerCommand> orders) {
+        return orders.isEmpty() ? nothingToDo : WorkerCommand.answer(term.term(), orders);
     }
 
     private void available(Machine machine) {
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -31,22 +31,22 @@
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.net.RequestHandler;
 import org.spruceridge.net.Response;
-import org.spruceridge.peer.Heartbeat;
 import org.spruceridge.peer.MemberVersion;
+import org.spruceridge.peer.PeerHeartbeat;
 import org.spruceridge.peer.PeerMonitor;
 import org.spruceridge.peer.PeerTransport;
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.term.HeartbeatOutcome;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.term.ReportOutcome;
 import org.spruceridge.upgrade.ClusterLevel;
 import org.spruceridge.upgrade.FeatureLevel;
 import org.spruceridge.warmup.LeaderWarmUp;
-import org.spruceridge.worker.Order;
-import org.spruceridge.worker.Report;
 import org.spruceridge.worker.WorkerClient;
+import org.spruceridge.worker.WorkerCommand;
+import org.spruceridge.worker.WorkerHeartbeat;
 
 /** One controller node: its duties, and what it does while it leads. Clocks, randomness and network come in. */
 public final class Node implements Election.Listener {
@@ -223,26 +223,26 @@
     private Response report(byte[] body) {
         lastReport = loop.nanos();
         if (!election.leads() || leader == null) {
-            return refuse(ReportOutcome.NO_LEADER);
+            return refuse(HeartbeatOutcome.NO_LEADER);
         }
         if (!leader.upToDate()) {
-            return refuse(ReportOutcome.STALE_VIEW);
+            return refuse(HeartbeatOutcome.STALE_VIEW);
         }
         try {
-            return report(Report.read(body));
+            return report(WorkerHeartbeat.read(body));
         } catch (BadMessageException e) {
-            leaderMetrics.count(ReportOutcome.UNREADABLE);
+            leaderMetrics.count(HeartbeatOutcome.UNREADABLE);
             warnings.warn("unreadable report", e.getMessage());
             return Response.error(400, e.getMessage());
         }
     }
 
     /** Sends a worker to the node that leads, if one is known; {@code why} is counted if not. */
-    private Response refuse(ReportOutcome why) {
+    private Response refuse(HeartbeatOutcome why) {
         Optional<Response> redirect = leaderForWorkers()
                 .filter(name -> !name.equals(settings.hostName()))
-                .map(name -> elsewhere.computeIfAbsent(name, Order::elsewhere));
-        leaderMetrics.count(redirect.isPresent() ? ReportOutcome.REDIRECTED : why);
+                .map(name -> elsewhere.computeIfAbsent(name, WorkerCommand::elsewhere));
+        leaderMetrics.count(redirect.isPresent() ? HeartbeatOutcome.REDIRECTED : why);
         return redirect.orElse(nobodyLeads);
     }
 
@@ -254,9 +254,9 @@
         }
     }
 
-    private Response report(Report report) {
+    private Response report(WorkerHeartbeat report) {
         if (report.token() > leader.term()) {
-            leaderMetrics.count(ReportOutcome.NEWER_TERM);
+            leaderMetrics.count(HeartbeatOutcome.NEWER_TERM);
             return Response.error(503, "a newer leader was seen");
         }
         return leader.report(report).orElseGet(() -> Response.error(503, "given up"));
@@ -308,18 +308,18 @@
         return state.sinceServed() < CUT_OFF;
     }
 
-    private Heartbeat heartbeat() {
-        ImmutableMap.Builder<String, Heartbeat.Progress> progress = ImmutableMap.builder();
+    private PeerHeartbeat heartbeat() {
+        ImmutableMap.Builder<String, PeerHeartbeat.Progress> progress = ImmutableMap.builder();
         long term = 0;
         if (leader != null && election.leads()) {
             term = leader.term();
             for (Job job : leader.cluster().jobs()) {
                 if (!job.cancelled()) {
-                    progress.put(job.id(), new Heartbeat.Progress(job.doneCount(), job.running()));
+                    progress.put(job.id(), new PeerHeartbeat.Progress(job.doneCount(), job.running()));
                 }
             }
         }
-        return new Heartbeat(
+        return new PeerHeartbeat(
                 settings.hostName(),
                 state.everServed() && stateServes(),
                 workersReach(),
@@ -336,10 +336,12 @@
         }
     }
 
-    private Heartbeat.Progress progress(String id) {
+    private PeerHeartbeat.Progress progress(String id) {
         if (leader != null) {
             Job job = leader.cluster().job(id);
-            return job == null ? Heartbeat.Progress.NONE : new Heartbeat.Progress(job.doneCount(), job.running());
+            return job == null
+                    ? PeerHeartbeat.Progress.NONE
+                    : new PeerHeartbeat.Progress(job.doneCount(), job.running());
         }
         return peers.progress(id);
     }
--- a/src/main/java/org/spruceridge/peer/Heartbeat.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
@@ -16,7 +16,7 @@
  * stopped sooner than the state service tells the leader. One rule rests on it after all, and that on what was heard and
  * never on what was not: a cluster feature level is raised once all members have announced that they support it.
  */
-public record Heartbeat(
+public record PeerHeartbeat(
         String hostName,
         boolean stateServes,
         boolean workersReach,
@@ -67,7 +67,7 @@
     }
 
     /** Reads what {@link #write} wrote; fields that follow are ignored. */
-    public static Heartbeat read(byte[] frame) throws BadMessageException {
+    public static PeerHeartbeat read(byte[] frame) throws BadMessageException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
             int fields = in.unpackArrayHeader();
             if (fields < FIELDS_OF_0_1) {
@@ -90,7 +90,8 @@
             }
             MemberVersion version =
                     fields < FIELDS ? MemberVersion.SILENT : new MemberVersion(in.unpackInt(), in.unpackString());
-            return new Heartbeat(host, serves, reached, term, progress.buildKeepingLast(), cancelled.build(), version);
+            return new PeerHeartbeat(
+                    host, serves, reached, term, progress.buildKeepingLast(), cancelled.build(), version);
         } catch (IOException | MessagePackException e) {
             throw new BadMessageException("not a heartbeat: " + e.getClass().getSimpleName());
         }
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -16,7 +16,7 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimitedWarnings;
-import org.spruceridge.peer.Heartbeat.Progress;
+import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /** Sends this node's heartbeat and keeps what the others' last said. */
@@ -28,20 +28,20 @@
     private final CancellationScope scope;
     private final PeerTransport link;
     private final RateLimitedWarnings warnings;
-    private final Supplier<Heartbeat> own;
+    private final Supplier<PeerHeartbeat> own;
     private final Consumer<String> cancelled;
     private final Map<String, Heard> heard = new HashMap<>();
-    private Heartbeat leader =
-            new Heartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of(), MemberVersion.SILENT);
+    private PeerHeartbeat leader =
+            new PeerHeartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of(), MemberVersion.SILENT);
 
-    private record Heard(Heartbeat heartbeat, long at) {}
+    private record Heard(PeerHeartbeat heartbeat, long at) {}
 
     /** {@code cancelled} is told of each job that another node lately told a user to be cancelled, again and again. */
     public PeerMonitor(
             Loop loop,
             PeerTransport link,
             RateLimitedWarnings warnings,
-            Supplier<Heartbeat> own,
+            Supplier<PeerHeartbeat> own,
             Consumer<String> cancelled) {
         this.loop = loop;
         this.scope = new CancellationScope(loop);
@@ -64,7 +64,7 @@
 
     /** True if another node lately said that the state service serves it. */
     public boolean anyServed() {
-        return anyFresh(Heartbeat::stateServes);
+        return anyFresh(PeerHeartbeat::stateServes);
     }
 
     /** True if another node was heard lately. */
@@ -78,8 +78,8 @@
         return heard.values().stream()
                 .filter(h -> now - h.at < FRESH && h.heartbeat.term() > 0)
                 .map(Heard::heartbeat)
-                .max(Comparator.comparingLong(Heartbeat::term))
-                .map(Heartbeat::hostName);
+                .max(Comparator.comparingLong(PeerHeartbeat::term))
+                .map(PeerHeartbeat::hostName);
     }
 
     /** The version that each node announced when it was last heard. */
@@ -105,10 +105,10 @@
 
     /** True if workers lately reached another node. */
     public boolean anyReached() {
-        return anyFresh(Heartbeat::workersReach);
+        return anyFresh(PeerHeartbeat::workersReach);
     }
 
-    private boolean anyFresh(Predicate<Heartbeat> says) {
+    private boolean anyFresh(Predicate<PeerHeartbeat> says) {
         long now = loop.nanos();
         return heard.values().stream().anyMatch(h -> says.test(h.heartbeat) && now - h.at < FRESH);
     }
@@ -125,7 +125,7 @@
 
     private void take(byte[] frame) {
         try {
-            Heartbeat heartbeat = Heartbeat.read(frame);
+            PeerHeartbeat heartbeat = PeerHeartbeat.read(frame);
             heard.put(heartbeat.hostName(), new Heard(heartbeat, loop.nanos()));
             if (heartbeat.term() >= leader.term() && heartbeat.term() > 0) {
                 leader = heartbeat;
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -19,7 +19,7 @@
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
-import org.spruceridge.state.TxnResult;
+import org.spruceridge.state.TransactionResult;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
@@ -202,7 +202,7 @@
         state.commit(batch.transaction(), batch.rank(), scope.guard(result -> judge(batch, result, retry)));
     }
 
-    private void judge(WriteBatch batch, TxnResult result, long retry) {
+    private void judge(WriteBatch batch, TransactionResult result, long retry) {
         switch (result.kind()) {
             case COMMITTED -> committed(batch, result.revision());
             case CONFLICT -> {
@@ -213,7 +213,7 @@
                 }
             }
             case UNKNOWN, REFUSED -> {
-                if (result.kind() == TxnResult.Kind.UNKNOWN) {
+                if (result.kind() == TransactionResult.Kind.UNKNOWN) {
                     batch.becomesUnknown();
                 }
                 scope.after(retry, () -> sendAgain(batch, Math.min(LAST_RETRY, retry * 2)));
--- a/src/main/java/org/spruceridge/reconciliation/ReportHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -21,14 +21,14 @@
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.term.LeaderContext;
-import org.spruceridge.worker.Order;
-import org.spruceridge.worker.Report;
-import org.spruceridge.worker.Report.Cause;
-import org.spruceridge.worker.Report.TaskReport;
+import org.spruceridge.worker.WorkerCommand;
+import org.spruceridge.worker.WorkerHeartbeat;
+import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
+import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /** Takes reports into the cluster state and answers them with orders. */
-public final class ReportHandler {
-    private static final Logger LOG = LoggerFactory.getLogger(ReportHandler.class);
+public final class HeartbeatHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     /** Jobs that must fail on a machine before the machine is taken for faulty. */
     private static final int FAULTY_JOBS = 2;
     /** For how long an early end of a replica counts, against the longest time for which a service is held back. */
@@ -47,7 +47,7 @@
     private final Map<String, Long> answeredInTakeover = new HashMap<>();
 
     /** {@code available} is told of machines that have room anew: that begin to report, or that a task has left. */
-    public ReportHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> available) {
+    public HeartbeatHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> available) {
         this.loop = context.loop();
         this.cluster = context.cluster();
         this.recordWriter = recordWriter;
@@ -58,7 +58,7 @@
     }
 
     /** Takes note that a machine reported and is handed this term's token; its tasks are not looked at. */
-    private void acknowledge(Report report) {
+    private void acknowledge(WorkerHeartbeat report) {
         Machine machine = cluster.machine(report.machine());
         if (machine != null) {
             machine.answered(loop.nanos(), report.token() == term);
@@ -70,14 +70,14 @@
      * it and carries this term's token: orders of earlier leaders can no longer reach that worker, so what the report lacks
      * is not there.
      */
-    public List<Order> handle(Report report) {
-        Optional<List<Order>> orders = apply(report, true);
+    public List<WorkerCommand> handle(WorkerHeartbeat report) {
+        Optional<List<WorkerCommand>> orders = apply(report, true);
         acknowledge(report);
         return orders.orElseGet(() -> stopsOfEndedJobs(report));
     }
 
     /** Answers a report while the takeover is under way: only jobs are known yet, and of those all that are open. */
-    public List<Order> handleInTakeover(Report report) {
+    public List<WorkerCommand> handleInTakeover(WorkerHeartbeat report) {
         answeredInTakeover.put(report.machine(), loop.nanos());
         return stopsOfEndedJobs(report);
     }
@@ -97,11 +97,11 @@
      * The answer to a report renews the worker's lease even if nothing is taken from it. So it stops all that the report
      * lists of jobs that are not open. That needs no fresh report: a stop names an attempt, and an ended job stays ended.
      */
-    private List<Order> stopsOfEndedJobs(Report report) {
+    private List<WorkerCommand> stopsOfEndedJobs(WorkerHeartbeat report) {
         return report.tasks().stream()
-                .filter(t ->
-                        t.state() != Report.TaskState.EXITED && !isOpen(t.task().job()))
-                .map(t -> Order.stop(t.task(), t.attempt(), 0))
+                .filter(t -> t.state() != WorkerHeartbeat.TaskState.EXITED
+                        && !isOpen(t.task().job()))
+                .map(t -> WorkerCommand.stop(t.task(), t.attempt(), 0))
                 .toList();
     }
 
@@ -114,7 +114,7 @@
      * True if answering this machine would only put off the proof that its tasks are gone: it is being given back and
      * does not do as it is told, or it has long been answered and does not show this term's token.
      */
-    public boolean ignores(Report report) {
+    public boolean ignores(WorkerHeartbeat report) {
         Machine machine = cluster.machine(report.machine());
         if (machine == null || machine.bindings().isEmpty()) {
             return false;
@@ -127,12 +127,12 @@
     }
 
     /** Takes the report into the cluster state that came with the answer to a push. */
-    public void apply(Report report) {
+    public void apply(WorkerHeartbeat report) {
         apply(report, false);
     }
 
     /** The orders that follow from the report, or nothing if it is not taken into the cluster state. */
-    private Optional<List<Order>> apply(Report report, boolean byItself) {
+    private Optional<List<WorkerCommand>> apply(WorkerHeartbeat report, boolean byItself) {
         // A report with another token may be a copy of any age, of a machine that is gone: it tells nothing. The answer
         // brings this term's token, and the next report with it. A machine that was given back stays so.
         if (report.token() != term || cluster.isGone(report.machine())) {
@@ -150,9 +150,9 @@
                 report.noticeS().isPresent()
                         ? now + Durations.nanos(report.noticeS().getAsDouble())
                         : Long.MAX_VALUE);
-        Map<TaskId, TaskReport> listed = new HashMap<>();
-        List<TaskReport> unbound = new ArrayList<>();
-        for (TaskReport task : report.tasks()) {
+        Map<TaskId, TaskStatus> listed = new HashMap<>();
+        List<TaskStatus> unbound = new ArrayList<>();
+        for (TaskStatus task : report.tasks()) {
             Binding b = machine.binding(task.task());
             if (b != null && b.attempt() == task.attempt()) {
                 listed.put(task.task(), task);
@@ -173,7 +173,7 @@
         return Optional.of(orders(machine, unbound, now));
     }
 
-    private Machine machine(Report report) {
+    private Machine machine(WorkerHeartbeat report) {
         Machine machine = cluster.machine(report.machine());
         if (machine == null) {
             long now = loop.nanos();
@@ -184,7 +184,7 @@
         return machine;
     }
 
-    private void reconcile(Binding b, TaskReport seen, long now) {
+    private void reconcile(Binding b, TaskStatus seen, long now) {
         if (seen == null) {
             b.phase(Binding.Phase.ABSENT, now);
             if (b.stage() == Binding.Stage.ORPHANED) {
@@ -213,7 +213,7 @@
         }
     }
 
-    private void exited(Binding b, Cause cause, long now) {
+    private void exited(Binding b, ExitCause cause, long now) {
         if (b.phase() == Binding.Phase.ENDED) {
             return; // its release is on the way
         }
@@ -226,7 +226,7 @@
             case DONE, ERROR -> {
                 if (job.spec().isService()) {
                     replicaEnded(job, machine, ranS, now);
-                } else if (cause == Cause.ERROR) {
+                } else if (cause == ExitCause.ERROR) {
                     failed(job, machine, now);
                 } else {
                     machine.failedJobs().clear();
@@ -239,7 +239,7 @@
             }
             default -> {}
         }
-        boolean completed = cause == Cause.DONE && !job.spec().isService();
+        boolean completed = cause == ExitCause.DONE && !job.spec().isService();
         if (b.stage() == Binding.Stage.ORPHANED && !completed) {
             letGo(b, now);
         } else {
@@ -301,22 +301,22 @@
                 || b.machine().suspectedUnreachable();
     }
 
-    private List<Order> orders(Machine machine, List<TaskReport> unbound, long now) {
-        List<Order> orders = new ArrayList<>();
-        for (TaskReport task : unbound) {
-            if (task.state() == Report.TaskState.EXITED) {
+    private List<WorkerCommand> orders(Machine machine, List<TaskStatus> unbound, long now) {
+        List<WorkerCommand> orders = new ArrayList<>();
+        for (TaskStatus task : unbound) {
+            if (task.state() == WorkerHeartbeat.TaskState.EXITED) {
                 if (machine.unresolved().contains(task.attempt())) {
                     continue; // while the worker knows the attempt, a late start of it does nothing
                 }
-                orders.add(Order.forget(task.task(), task.attempt()));
+                orders.add(WorkerCommand.forget(task.task(), task.attempt()));
             } else {
                 addOrphan(machine, task, now);
-                orders.add(Order.stop(task.task(), task.attempt(), 0));
+                orders.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
             }
         }
         for (Binding b : machine.bindings()) {
             stopBeforeReclaim(b, now);
-            Order due = due(b);
+            WorkerCommand due = due(b);
             if (due != null) {
                 b.ordered(now);
                 orders.add(due);
@@ -326,17 +326,17 @@
     }
 
     /** The order that a binding calls for as things stand, or null. */
-    public Order due(Binding b) {
+    public WorkerCommand due(Binding b) {
         return switch (b.phase()) {
             case ABSENT -> b.stage() == Binding.Stage.COMMITTED && !mustNotStart(b)
-                    ? Order.start(b.task(), b.attempt())
+                    ? WorkerCommand.start(b.task(), b.attempt())
                     : null;
             case FETCHING, RUNNING -> switch (b.halt()) {
                 case NO -> null;
-                case SAVING -> Order.stop(b.task(), b.attempt(), graceS(b, loop.nanos()));
-                case AT_ONCE -> Order.stop(b.task(), b.attempt(), 0);
+                case SAVING -> WorkerCommand.stop(b.task(), b.attempt(), graceS(b, loop.nanos()));
+                case AT_ONCE -> WorkerCommand.stop(b.task(), b.attempt(), 0);
             };
-            case SAVING -> b.halt() == Binding.Halt.AT_ONCE ? Order.stop(b.task(), b.attempt(), 0) : null;
+            case SAVING -> b.halt() == Binding.Halt.AT_ONCE ? WorkerCommand.stop(b.task(), b.attempt(), 0) : null;
             case ENDED -> null; // forgotten once its end is on record
         };
     }
@@ -347,7 +347,7 @@
     }
 
     /** A running task that no record knows: it should not be. It is counted where it is, and stopped. */
-    private void addOrphan(Machine machine, TaskReport task, long now) {
+    private void addOrphan(Machine machine, TaskStatus task, long now) {
         warnings.warn("task without a binding", task.task() + "#" + task.attempt() + " on " + machine.name());
         Job job = cluster.job(task.task().job());
         if (job == null
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -127,7 +127,7 @@
     }
 
     /** Commits a transaction. */
-    public void commit(Transaction txn, Priority rank, Consumer<TxnResult> done) {
+    public void commit(Transaction txn, Priority rank, Consumer<TransactionResult> done) {
         send(rank, txn.changeCount(), HttpCall.post("/txn", txn.body()), PATIENCE, judged(done));
     }
 
@@ -135,7 +135,8 @@
      * Commits a transaction that is made only when its turn comes, of at most so many changes, so that it carries all
      * that has gathered by then. With null nothing is sent, and {@code done} is not called.
      */
-    public void commitAtTurn(Priority rank, int mostChanges, Supplier<Transaction> make, Consumer<TxnResult> done) {
+    public void commitAtTurn(
+            Priority rank, int mostChanges, Supplier<Transaction> make, Consumer<TransactionResult> done) {
         boolean taken = limiter.submit(rank, mostChanges, () -> {
             Transaction txn = make.get();
             if (txn == null) {
@@ -145,14 +146,14 @@
             return txn.changeCount();
         });
         if (!taken) {
-            done.accept(TxnResult.of(TxnResult.Kind.REFUSED));
+            done.accept(TransactionResult.of(TransactionResult.Kind.REFUSED));
         }
     }
 
-    private Consumer<HttpAnswer> judged(Consumer<TxnResult> done) {
+    private Consumer<HttpAnswer> judged(Consumer<TransactionResult> done) {
         return answer -> {
-            TxnResult result = readTxn(answer);
-            if (result.kind() == TxnResult.Kind.REJECTED) {
+            TransactionResult result = readTxn(answer);
+            if (result.kind() == TransactionResult.Kind.REJECTED) {
                 LOG.error("the state service calls a transaction malformed: {}", new String(answer.body()));
             }
             done.accept(result);
@@ -280,29 +281,30 @@
         }
     }
 
-    private TxnResult readTxn(HttpAnswer answer) {
+    private TransactionResult readTxn(HttpAnswer answer) {
         try {
             switch (answer.status()) {
                 case 200:
-                    return new TxnResult(
-                            TxnResult.Kind.COMMITTED,
+                    return new TransactionResult(
+                            TransactionResult.Kind.COMMITTED,
                             Json.whole(Json.object(answer.body()), "ring"),
                             ImmutableList.of());
                 case 409:
                     ImmutableList.Builder<String> failed = ImmutableList.builder();
                     Json.list(Json.object(answer.body()), "failed").forEach(k -> failed.add(k.asText()));
-                    return new TxnResult(TxnResult.Kind.CONFLICT, 0, failed.build());
+                    return new TransactionResult(TransactionResult.Kind.CONFLICT, 0, failed.build());
                 case 400:
                     boolean noGrant = new String(answer.body()).contains("no such lease");
-                    return TxnResult.of(noGrant ? TxnResult.Kind.NO_GRANT : TxnResult.Kind.REJECTED);
+                    return TransactionResult.of(
+                            noGrant ? TransactionResult.Kind.NO_GRANT : TransactionResult.Kind.REJECTED);
                 case TOO_MANY_REQUESTS, 503:
-                    return TxnResult.of(TxnResult.Kind.REFUSED);
+                    return TransactionResult.of(TransactionResult.Kind.REFUSED);
                 default:
-                    return TxnResult.of(TxnResult.Kind.UNKNOWN);
+                    return TransactionResult.of(TransactionResult.Kind.UNKNOWN);
             }
         } catch (BadMessageException e) {
             unreadable(e);
-            return TxnResult.of(TxnResult.Kind.UNKNOWN);
+            return TransactionResult.of(TransactionResult.Kind.UNKNOWN);
         }
     }
 
--- a/src/main/java/org/spruceridge/state/TxnResult.java
+++ b/src/main/java/org/spruceridge/state/TransactionResult.java
@@ -3,11 +3,11 @@
 import com.google.common.collect.ImmutableList;
 
 /** What came of a transaction. */
-public record TxnResult(Kind kind, long revision, ImmutableList<String> failed) {
+public record TransactionResult(Kind kind, long revision, ImmutableList<String> failed) {
     /** How it ended. */
     public enum Kind {
         COMMITTED,
-        /** A guard did not hold; {@link TxnResult#failed} names its keys. */
+        /** A guard did not hold; {@link TransactionResult#failed} names its keys. */
         CONFLICT,
         /** The grant that a key should hang on is gone. */
         NO_GRANT,
@@ -20,8 +20,8 @@
     }
 
     /** A result without revision or failed keys. */
-    public static TxnResult of(Kind kind) {
-        return new TxnResult(kind, 0, ImmutableList.of());
+    public static TransactionResult of(Kind kind) {
+        return new TransactionResult(kind, 0, ImmutableList.of());
     }
 
     /** True if the changes were made. */
--- a/src/main/java/org/spruceridge/term/ReportOutcome.java
+++ b/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
@@ -1,7 +1,7 @@
 package org.spruceridge.term;
 
 /** What became of a worker's report. Only the first three renew the worker's lease. */
-public enum ReportOutcome {
+public enum HeartbeatOutcome {
     /** Answered, with no stop among the orders. */
     ANSWERED,
     /** Answered with at least one stop. */
--- a/src/main/java/org/spruceridge/term/LeaderMetrics.java
+++ b/src/main/java/org/spruceridge/term/LeaderMetrics.java
@@ -6,13 +6,13 @@
 
 /** Counts what became of reports, and times takeovers, over all terms of this process. */
 public final class LeaderMetrics {
-    private final long[] reports = new long[ReportOutcome.values().length];
+    private final long[] reports = new long[HeartbeatOutcome.values().length];
     private long takeovers;
     private long lastTakeover;
     private long longestTakeover;
 
     /** Counts a report. */
-    public void count(ReportOutcome outcome) {
+    public void count(HeartbeatOutcome outcome) {
         reports[outcome.ordinal()]++;
     }
 
@@ -26,7 +26,7 @@
     /** Adds reports by outcome, and takeovers. */
     public void writeTo(ObjectNode out) {
         ObjectNode answers = out.putObject("reportOutcomes");
-        for (ReportOutcome outcome : ReportOutcome.values()) {
+        for (HeartbeatOutcome outcome : HeartbeatOutcome.values()) {
             String name = CaseFormat.UPPER_UNDERSCORE.to(CaseFormat.LOWER_CAMEL, outcome.name());
             answers.put(name, reports[outcome.ordinal()]);
         }
--- a/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
+++ b/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
@@ -8,7 +8,7 @@
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.Transaction;
-import org.spruceridge.state.TxnResult;
+import org.spruceridge.state.TransactionResult;
 
 /**
  * A leader's duty: raises the cluster feature level once every member of the settings has announced that it supports
@@ -65,7 +65,7 @@
                 .set(Keys.FEATURE_LEVEL, onRecord.stamp(), FeatureLevel.SUPPORTED.write())
                 .build();
         state.commit(txn, Priority.DECISIONS, scope.guard(result -> {
-            if (result.kind() == TxnResult.Kind.COMMITTED) {
+            if (result.kind() == TransactionResult.Kind.COMMITTED) {
                 onRecord = new LevelRecord(FeatureLevel.SUPPORTED, result.revision());
                 level.raised(FeatureLevel.SUPPORTED);
                 raised.run();
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
@@ -22,7 +22,7 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.dispatch.SchedulingLoop;
-import org.spruceridge.failover.Takeover;
+import org.spruceridge.failover.Failover;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Json;
@@ -32,7 +32,7 @@
 import org.spruceridge.net.RateLimiter;
 import org.spruceridge.persistence.RecordPages;
 import org.spruceridge.persistence.RecordWriter;
-import org.spruceridge.reconciliation.ReportHandler;
+import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
@@ -44,11 +44,11 @@
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
-import org.spruceridge.worker.Order;
-import org.spruceridge.worker.Report;
-import org.spruceridge.worker.Report.Cause;
-import org.spruceridge.worker.Report.TaskReport;
-import org.spruceridge.worker.Report.TaskState;
+import org.spruceridge.worker.WorkerCommand;
+import org.spruceridge.worker.WorkerHeartbeat;
+import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
+import org.spruceridge.worker.WorkerHeartbeat.TaskState;
+import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
  * A leader of a small cluster that exists only in here, on virtual time and with a state service within the process. Each
@@ -75,7 +75,7 @@
     private final Map<Long, Integer> reportsOfAttempt = new HashMap<>();
     private final StateClient state;
     private final RecordWriter recordWriter;
-    private final ReportHandler reportHandler;
+    private final HeartbeatHandler reportHandler;
     private final SchedulingLoop schedulingLoop;
     private long jobs;
     private long sequence;
@@ -116,7 +116,7 @@
                 throw new IllegalStateException(why);
             }
         });
-        this.reportHandler = new ReportHandler(context, recordWriter, machine -> requestCycle());
+        this.reportHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
         Matching matching = new Matching(
                 settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {});
@@ -187,16 +187,16 @@
 
     /** Takes a report from its bytes and makes the bytes of its answer. */
     private void report(Machine machine) {
-        ImmutableList.Builder<TaskReport> tasks = ImmutableList.builder();
+        ImmutableList.Builder<TaskStatus> tasks = ImmutableList.builder();
         for (Binding b : machine.bindings()) {
             int seen = b.stage() == Binding.Stage.PROPOSED ? 0 : reportsOfAttempt.merge(b.attempt(), 1, Integer::sum);
             if (seen > 2) {
-                tasks.add(new TaskReport(b.task(), b.attempt(), TaskState.EXITED, Cause.DONE));
+                tasks.add(new TaskStatus(b.task(), b.attempt(), TaskState.EXITED, ExitCause.DONE));
             } else if (seen > 1) {
-                tasks.add(new TaskReport(b.task(), b.attempt(), TaskState.RUNNING, Cause.NONE));
+                tasks.add(new TaskStatus(b.task(), b.attempt(), TaskState.RUNNING, ExitCause.NONE));
             }
         }
-        Report report = new Report(
+        WorkerHeartbeat report = new WorkerHeartbeat(
                 machine.name(),
                 machine.address(),
                 machine.kind(),
@@ -206,16 +206,16 @@
                 OptionalDouble.empty(),
                 tasks.build());
         try {
-            Order.answer(TERM, reportHandler.handle(Report.read(Json.bytes(report.toJson()))));
+            WorkerCommand.answer(TERM, reportHandler.handle(WorkerHeartbeat.read(Json.bytes(report.toJson()))));
         } catch (BadMessageException e) {
             throw new IllegalStateException("our own report cannot be read", e);
         }
     }
 
     private void takeOver() {
-        Takeover takeover = new Takeover(
+        Failover takeover = new Failover(
                 context.with(new Cluster()), state, new RecordPages(settings.state(), FeatureLevel.SUPPORTED));
-        takeover.start(new Takeover.Listener() {
+        takeover.start(new Failover.Listener() {
             @Override
             public void jobsKnown(long asOf) {}
 
--- a/src/main/java/org/spruceridge/worker/Push.java
+++ b/src/main/java/org/spruceridge/worker/CommandResult.java
@@ -7,7 +7,7 @@
  *
  * @param report what the worker says is there after the orders, or instead of them
  */
-public record Push(Kind kind, Optional<Report> report) {
+public record CommandResult(Kind kind, Optional<WorkerHeartbeat> report) {
     /** How it ended. */
     public enum Kind {
         EXECUTED,
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -24,27 +24,35 @@
     }
 
     /** Sends orders for one session of a worker, under a token. */
-    public void push(Address worker, long token, long session, List<Order> orders, long patience, Consumer<Push> done) {
-        ObjectNode body = Order.body(token, orders).put("watch", session);
+    public void push(
+            Address worker,
+            long token,
+            long session,
+            List<WorkerCommand> orders,
+            long patience,
+            Consumer<CommandResult> done) {
+        ObjectNode body = WorkerCommand.body(token, orders).put("watch", session);
         http.call(worker, HttpCall.post("/do", Json.bytes(body)), patience, answer -> done.accept(read(answer)));
     }
 
-    private Push read(HttpAnswer answer) {
+    private CommandResult read(HttpAnswer answer) {
         try {
             switch (answer.status()) {
                 case 200:
-                    return new Push(Push.Kind.EXECUTED, Optional.of(Report.read(answer.body())));
+                    return new CommandResult(
+                            CommandResult.Kind.EXECUTED, Optional.of(WorkerHeartbeat.read(answer.body())));
                 case 409:
-                    return new Push(Push.Kind.REFUSED, Optional.of(Report.read(answer.body())));
+                    return new CommandResult(
+                            CommandResult.Kind.REFUSED, Optional.of(WorkerHeartbeat.read(answer.body())));
                 case 400:
-                    return new Push(Push.Kind.REFUSED, Optional.empty());
+                    return new CommandResult(CommandResult.Kind.REFUSED, Optional.empty());
                 default:
-                    Push.Kind kind = answer.sent() ? Push.Kind.UNKNOWN : Push.Kind.UNSENT;
-                    return new Push(kind, Optional.empty());
+                    CommandResult.Kind kind = answer.sent() ? CommandResult.Kind.UNKNOWN : CommandResult.Kind.UNSENT;
+                    return new CommandResult(kind, Optional.empty());
             }
         } catch (BadMessageException e) {
             warnings.warn("unreadable answer of a worker", e.getMessage());
-            return new Push(Push.Kind.UNKNOWN, Optional.empty());
+            return new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty());
         }
     }
 }
--- a/src/main/java/org/spruceridge/worker/Order.java
+++ b/src/main/java/org/spruceridge/worker/WorkerCommand.java
@@ -8,7 +8,7 @@
 import org.spruceridge.net.Response;
 
 /** A command to a worker. */
-public record Order(Verb verb, TaskId task, long attempt, double graceS) {
+public record WorkerCommand(Verb verb, TaskId task, long attempt, double graceS) {
     /** What the worker is to do. */
     public enum Verb {
         START("start"),
@@ -23,30 +23,30 @@
     }
 
     /** Starts a task. */
-    public static Order start(TaskId task, long attempt) {
-        return new Order(Verb.START, task, attempt, 0);
+    public static WorkerCommand start(TaskId task, long attempt) {
+        return new WorkerCommand(Verb.START, task, attempt, 0);
     }
 
     /** Stops a task; with {@code graceS} of 0 at once, else after it has saved if it can. */
-    public static Order stop(TaskId task, long attempt, double graceS) {
-        return new Order(Verb.STOP, task, attempt, graceS);
+    public static WorkerCommand stop(TaskId task, long attempt, double graceS) {
+        return new WorkerCommand(Verb.STOP, task, attempt, graceS);
     }
 
     /** Removes an exited task from the reports. */
-    public static Order forget(TaskId task, long attempt) {
-        return new Order(Verb.FORGET, task, attempt, 0);
+    public static WorkerCommand forget(TaskId task, long attempt) {
+        return new WorkerCommand(Verb.FORGET, task, attempt, 0);
     }
 
     /** The answer to a report: the token and the commands. */
-    public static Response answer(long token, List<Order> orders) {
+    public static Response answer(long token, List<WorkerCommand> orders) {
         return Response.of(200, body(token, orders));
     }
 
     /** The token and the commands, as they go to a worker. */
-    static ObjectNode body(long token, List<Order> orders) {
+    static ObjectNode body(long token, List<WorkerCommand> orders) {
         ObjectNode body = Json.object().put("warrant", token);
         ArrayNode list = body.putArray("orders");
-        for (Order order : orders) {
+        for (WorkerCommand order : orders) {
             ObjectNode node = list.addObject()
                     .put("verb", order.verb.wire)
                     .put("part", order.task.toString())
--- a/src/main/java/org/spruceridge/worker/Report.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
@@ -13,7 +13,7 @@
 import org.spruceridge.net.Json;
 
 /** A worker's report. */
-public record Report(
+public record WorkerHeartbeat(
         String machine,
         String address,
         MachineKind kind,
@@ -21,7 +21,7 @@
         long sequence,
         long token,
         OptionalDouble noticeS,
-        ImmutableList<TaskReport> tasks) {
+        ImmutableList<TaskStatus> tasks) {
 
     /** Where a task stands on its machine. */
     public enum TaskState {
@@ -38,7 +38,7 @@
     }
 
     /** Why a task exited. */
-    public enum Cause {
+    public enum ExitCause {
         NONE(null),
         DONE("done"),
         STOPPED("stopped"),
@@ -49,18 +49,18 @@
 
         private final String wire;
 
-        Cause(String wire) {
+        ExitCause(String wire) {
             this.wire = wire;
         }
     }
 
     /** One task of a report. */
-    public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause) {}
+    public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause) {}
 
     /** Reads it token by token: reports are by far the most of what a leader is sent. */
-    public static Report read(byte[] body) throws BadMessageException {
+    public static WorkerHeartbeat read(byte[] body) throws BadMessageException {
         try (JsonParser in = Json.parser(body)) {
-            Report report = new Draft(in).read();
+            WorkerHeartbeat report = new Draft(in).read();
             if (in.nextToken() != null) {
                 throw new BadMessageException("something follows the report");
             }
@@ -83,7 +83,7 @@
                 .put("warrant", token);
         noticeS.ifPresent(seconds -> out.put("warningS", seconds));
         ArrayNode parts = out.putArray("parts");
-        for (TaskReport task : tasks) {
+        for (TaskStatus task : tasks) {
             ObjectNode part = parts.addObject()
                     .put("part", task.task.toString())
                     .put("try", task.attempt)
@@ -107,13 +107,13 @@
         private long sequence = -1;
         private long token = -1;
         private OptionalDouble noticeS = OptionalDouble.empty();
-        private ImmutableList<TaskReport> tasks;
+        private ImmutableList<TaskStatus> tasks;
 
         Draft(JsonParser in) {
             this.in = in;
         }
 
-        Report read() throws IOException, BadMessageException {
+        WorkerHeartbeat read() throws IOException, BadMessageException {
             expect(in.nextToken() == JsonToken.START_OBJECT, "not an object");
             for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
                 in.nextToken();
@@ -134,25 +134,25 @@
             expect(in.currentToken() == JsonToken.END_OBJECT, "not an object");
             boolean whole = machine != null && address != null && type != null && zone != null && spot != null;
             expect(whole && session >= 0 && sequence >= 0 && token >= 0 && tasks != null, "a field is missing");
-            return new Report(
+            return new WorkerHeartbeat(
                     machine, address, new MachineKind(type, zone, spot), session, sequence, token, noticeS, tasks);
         }
 
-        private ImmutableList<TaskReport> tasks() throws IOException, BadMessageException {
+        private ImmutableList<TaskStatus> tasks() throws IOException, BadMessageException {
             expect(in.currentToken() == JsonToken.START_ARRAY, "parts is not a list");
-            ImmutableList.Builder<TaskReport> out = ImmutableList.builder();
+            ImmutableList.Builder<TaskStatus> out = ImmutableList.builder();
             while (in.nextToken() != JsonToken.END_ARRAY) {
                 out.add(task());
             }
             return out.build();
         }
 
-        private TaskReport task() throws IOException, BadMessageException {
+        private TaskStatus task() throws IOException, BadMessageException {
             expect(in.currentToken() == JsonToken.START_OBJECT, "a task is not an object");
             TaskId task = null;
             long attempt = -1;
             TaskState state = null;
-            Cause cause = null;
+            ExitCause cause = null;
             for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
                 in.nextToken();
                 switch (field) {
@@ -165,7 +165,7 @@
             }
             expect(task != null && attempt >= 0 && state != null, "a field of a task is missing");
             expect(state != TaskState.EXITED || cause != null, "an exited task has no cause");
-            return new TaskReport(task, attempt, state, state == TaskState.EXITED ? cause : Cause.NONE);
+            return new TaskStatus(task, attempt, state, state == TaskState.EXITED ? cause : ExitCause.NONE);
         }
 
         private String text(String field) throws IOException, BadMessageException {
@@ -210,13 +210,13 @@
         throw new BadMessageException("unknown state of a task");
     }
 
-    private static Cause cause(String text) {
-        for (Cause cause : Cause.values()) {
+    private static ExitCause cause(String text) {
+        for (ExitCause cause : ExitCause.values()) {
             if (text.equals(cause.wire)) {
                 return cause;
             }
         }
-        return Cause.ERROR;
+        return ExitCause.ERROR;
     }
 
     private static TaskId taskId(String text) throws BadMessageException {
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -24,7 +24,7 @@
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
-import org.spruceridge.failover.Takeover;
+import org.spruceridge.failover.Failover;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
@@ -32,7 +32,7 @@
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter;
 import org.spruceridge.persistence.RecordWriter;
-import org.spruceridge.reconciliation.ReportHandler;
+import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
@@ -44,10 +44,10 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.worker.Report;
-import org.spruceridge.worker.Report.Cause;
-import org.spruceridge.worker.Report.TaskReport;
-import org.spruceridge.worker.Report.TaskState;
+import org.spruceridge.worker.WorkerHeartbeat;
+import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
+import org.spruceridge.worker.WorkerHeartbeat.TaskState;
+import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
  * A leader of 4,000 machines and 40,000 tasks under small limits of the state service: all is bound, a burst of ends is
@@ -88,7 +88,7 @@
         private final Cluster cluster;
         private final StateClient client;
         private final RecordWriter recordWriter;
-        private final ReportHandler reportHandler;
+        private final HeartbeatHandler reportHandler;
         private final SchedulingLoop schedulingLoop;
 
         Term(long number) {
@@ -115,7 +115,7 @@
                     context.warnings(),
                     context.latencies());
             recordWriter = new RecordWriter(context, client, new Listener());
-            reportHandler = new ReportHandler(context, recordWriter, machine -> requestCycle());
+            reportHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
             schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {
                 throw new AssertionError(why);
             });
@@ -187,16 +187,16 @@
     /** Each machine reports all its tasks as running but the first, which has ended. */
     private void burstOfEnds(Term term) {
         for (Machine machine : List.copyOf(term.cluster.machines())) {
-            List<TaskReport> tasks = new ArrayList<>();
+            List<TaskStatus> tasks = new ArrayList<>();
             for (Binding b : machine.bindings()) {
                 boolean ends = tasks.isEmpty();
-                tasks.add(new TaskReport(
+                tasks.add(new TaskStatus(
                         b.task(),
                         b.attempt(),
                         ends ? TaskState.EXITED : TaskState.RUNNING,
-                        ends ? Cause.DONE : Cause.NONE));
+                        ends ? ExitCause.DONE : ExitCause.NONE));
             }
-            term.reportHandler.handle(new Report(
+            term.reportHandler.handle(new WorkerHeartbeat(
                     machine.name(),
                     "",
                     machine.kind(),
@@ -252,7 +252,7 @@
 
         Term second = new Term(2);
         boolean[] ready = new boolean[1];
-        new Takeover(second.context, second.client, second.recordWriter.records()).start(new Takeover.Listener() {
+        new Failover(second.context, second.client, second.recordWriter.records()).start(new Failover.Listener() {
             @Override
             public void jobsKnown(long asOf) {}
 
--- a/src/test/java/org/spruceridge/peer/HeartbeatTest.java
+++ b/src/test/java/org/spruceridge/peer/PeerHeartbeatTest.java
@@ -9,12 +9,12 @@
 import org.spruceridge.sim.Fixtures;
 
 /** What goes between nodes comes out as it went in, and nothing else is taken for it. */
-final class HeartbeatTest {
-    private final Heartbeat heartbeat = Fixtures.heartbeat();
+final class PeerHeartbeatTest {
+    private final PeerHeartbeat heartbeat = Fixtures.heartbeat();
 
     @Test
     void aHeartbeatIsReadAsItWasWritten() throws BadMessageException {
-        assertEquals(heartbeat, Heartbeat.read(heartbeat.write()));
+        assertEquals(heartbeat, PeerHeartbeat.read(heartbeat.write()));
     }
 
     @Test
@@ -22,8 +22,8 @@
         byte[] whole = heartbeat.write();
         for (int length = 0; length < whole.length; length++) {
             byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(BadMessageException.class, () -> Heartbeat.read(part));
+            assertThrows(BadMessageException.class, () -> PeerHeartbeat.read(part));
         }
-        assertThrows(BadMessageException.class, () -> Heartbeat.read("GET / HTTP/1.1".getBytes()));
+        assertThrows(BadMessageException.class, () -> PeerHeartbeat.read("GET / HTTP/1.1".getBytes()));
     }
 }
--- a/src/test/java/org/spruceridge/scenario/TakeoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -9,7 +9,7 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /** Takeovers that take long: workers are answered meanwhile. */
-final class TakeoverScenarioTest {
+final class FailoverScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     /**
--- a/src/test/java/org/spruceridge/sim/Fixtures.java
+++ b/src/test/java/org/spruceridge/sim/Fixtures.java
@@ -11,8 +11,8 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Address;
 import org.spruceridge.config.Settings;
-import org.spruceridge.peer.Heartbeat;
 import org.spruceridge.peer.MemberVersion;
+import org.spruceridge.peer.PeerHeartbeat;
 
 /** Settings and jobs for tests that need only a few of their fields to be something in particular. */
 public final class Fixtures {
@@ -21,13 +21,13 @@
     private Fixtures() {}
 
     /** A heartbeat of a leader of term 7, with one job under way and one cancelled. */
-    public static Heartbeat heartbeat() {
-        return new Heartbeat(
+    public static PeerHeartbeat heartbeat() {
+        return new PeerHeartbeat(
                 "n0",
                 true,
                 false,
                 7,
-                ImmutableMap.of("j-000001", new Heartbeat.Progress(3, 4)),
+                ImmutableMap.of("j-000001", new PeerHeartbeat.Progress(3, 4)),
                 ImmutableList.of("j-000002"),
                 new MemberVersion(2, "0.2.0"));
     }
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -30,7 +30,7 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
-import org.spruceridge.peer.Heartbeat;
+import org.spruceridge.peer.PeerHeartbeat;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.CatalogueRecord;
 import org.spruceridge.record.FinishedRecord;
@@ -202,7 +202,7 @@
         byte[] theirs = java.util.Arrays.copyOf(ours, ours.length - "0.2.0".length() - 2);
         theirs[0] = (byte) 0x96;
         assertEquals(
-                FeatureLevel.BASE.number(), Heartbeat.read(theirs).version().supports());
+                FeatureLevel.BASE.number(), PeerHeartbeat.read(theirs).version().supports());
     }
 
     @Test
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -36,11 +36,11 @@
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.Transaction;
-import org.spruceridge.state.TxnResult;
-import org.spruceridge.worker.Order;
-import org.spruceridge.worker.Push;
-import org.spruceridge.worker.Report;
+import org.spruceridge.state.TransactionResult;
+import org.spruceridge.worker.CommandResult;
 import org.spruceridge.worker.WorkerClient;
+import org.spruceridge.worker.WorkerCommand;
+import org.spruceridge.worker.WorkerHeartbeat;
 
 /**
  * The requests to the state service, the cloud and the workers, byte by byte, and what their answers are read as. The
@@ -126,7 +126,7 @@
         state.commit(
                 transaction(),
                 Priority.RENEWAL,
-                expect(new TxnResult(TxnResult.Kind.COMMITTED, 12, ImmutableList.of())));
+                expect(new TransactionResult(TransactionResult.Kind.COMMITTED, 12, ImmutableList.of())));
         assertRequest("POST /txn {\"guards\":[{\"k\":\"term\",\"stamp\":4},{\"k\":\"leader\",\"stamp\":0},"
                 + "{\"k\":\"job/j-1\",\"stamp\":3},{\"k\":\"open/j-1\",\"stamp\":3}],"
                 + "\"then\":[{\"set\":\"leader\",\"v\":{\"a\":1},\"permit\":77},"
@@ -139,15 +139,15 @@
         state.commit(
                 transaction(),
                 Priority.RENEWAL,
-                expect(new TxnResult(TxnResult.Kind.CONFLICT, 0, ImmutableList.of("leader", "term"))));
+                expect(new TransactionResult(TransactionResult.Kind.CONFLICT, 0, ImmutableList.of("leader", "term"))));
         http.answer(400, "{\"error\":\"no such lease\"}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.NO_GRANT)));
+        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.NO_GRANT)));
         http.answer(400, "{\"error\":\"too large\"}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.REJECTED)));
+        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REJECTED)));
         http.answer(429, "{}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.REFUSED)));
+        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REFUSED)));
         http.answer(500, "{}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TxnResult.of(TxnResult.Kind.UNKNOWN)));
+        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.UNKNOWN)));
         loop.advance(1);
         assertEquals(5, http.requests.size());
     }
@@ -224,30 +224,32 @@
     @Test
     void commandsAnswerAReport() {
         TaskId task = new TaskId("j-1", 3);
-        List<Order> orders = List.of(Order.start(task, 8), Order.stop(task, 7, 1.5), Order.forget(task, 6));
+        List<WorkerCommand> orders =
+                List.of(WorkerCommand.start(task, 8), WorkerCommand.stop(task, 7, 1.5), WorkerCommand.forget(task, 6));
         String expected = "{\"warrant\":9,\"orders\":[{\"verb\":\"start\",\"part\":\"j-1/3\",\"try\":8},"
                 + "{\"verb\":\"halt\",\"part\":\"j-1/3\",\"try\":7,\"leewayS\":1.5},"
                 + "{\"verb\":\"forget\",\"part\":\"j-1/3\",\"try\":6}]";
-        assertEquals("200 " + expected + "}", text(Order.answer(9, orders)));
+        assertEquals("200 " + expected + "}", text(WorkerCommand.answer(9, orders)));
         WorkerClient workers = new WorkerClient(http, warnings);
         http.answer(400, "{}");
-        workers.push(SERVICE, 9, 2, orders, 1000, expect(new Push(Push.Kind.REFUSED, Optional.empty())));
+        workers.push(
+                SERVICE, 9, 2, orders, 1000, expect(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty())));
         assertRequest("POST /do " + expected + ",\"watch\":2}");
     }
 
     @Test
     void aWorkerIsSentToTheLeader() {
-        assertEquals("421 {\"steward\":\"ranger-1\"}", text(Order.elsewhere("ranger-1")));
+        assertEquals("421 {\"steward\":\"ranger-1\"}", text(WorkerCommand.elsewhere("ranger-1")));
     }
 
     @Test
     void aReportHasTheNamesOfTheProtocol() {
         MachineKind kind = new MachineKind("t4", "a", true);
-        Report.TaskReport running =
-                new Report.TaskReport(new TaskId("j-1", 3), 8, Report.TaskState.RUNNING, Report.Cause.NONE);
-        Report.TaskReport exited =
-                new Report.TaskReport(new TaskId("j-1", 4), 7, Report.TaskState.EXITED, Report.Cause.NO_ROOM);
-        Report report = new Report(
+        WorkerHeartbeat.TaskStatus running = new WorkerHeartbeat.TaskStatus(
+                new TaskId("j-1", 3), 8, WorkerHeartbeat.TaskState.RUNNING, WorkerHeartbeat.ExitCause.NONE);
+        WorkerHeartbeat.TaskStatus exited = new WorkerHeartbeat.TaskStatus(
+                new TaskId("j-1", 4), 7, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.NO_ROOM);
+        WorkerHeartbeat report = new WorkerHeartbeat(
                 "i-1", "10.0.0.1:9000", kind, 2, 5, 9, OptionalDouble.of(4.5), ImmutableList.of(running, exited));
         assertEquals(
                 "{\"host\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\",\"windfall\":true,"
--- a/src/test/java/org/spruceridge/worker/ReportTest.java
+++ b/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
@@ -14,12 +14,12 @@
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
-import org.spruceridge.worker.Report.Cause;
-import org.spruceridge.worker.Report.TaskReport;
-import org.spruceridge.worker.Report.TaskState;
+import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
+import org.spruceridge.worker.WorkerHeartbeat.TaskState;
+import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /** Reports are read token by token, and as strictly as trees of them were. */
-final class ReportTest {
+final class WorkerHeartbeatTest {
     private static ObjectNode whole() {
         ObjectNode report = Json.object()
                 .put("host", "i-000231")
@@ -44,14 +44,16 @@
     private static void refused(ObjectNode report) {
         byte[] body = Json.bytes(report);
         assertThrows(
-                BadMessageException.class, () -> Report.read(body), () -> new String(body, StandardCharsets.UTF_8));
+                BadMessageException.class,
+                () -> WorkerHeartbeat.read(body),
+                () -> new String(body, StandardCharsets.UTF_8));
     }
 
     @Test
     void aWholeReportIsReadWhateverElseItHolds() throws BadMessageException {
         ObjectNode report = whole();
         report.putObject("news").putArray("of").add(1).addObject().put("any", "kind");
-        Report expected = new Report(
+        WorkerHeartbeat expected = new WorkerHeartbeat(
                 "i-000231",
                 "10.1.0.232:9000",
                 new MachineKind("g8", "a", true),
@@ -60,12 +62,12 @@
                 41,
                 OptionalDouble.empty(),
                 ImmutableList.of(
-                        new TaskReport(new TaskId("j-000412", 3), 2, TaskState.RUNNING, Cause.NONE),
-                        new TaskReport(new TaskId("j-000398", 0), 1, TaskState.EXITED, Cause.DONE)));
-        assertEquals(expected, Report.read(Json.bytes(report)));
+                        new TaskStatus(new TaskId("j-000412", 3), 2, TaskState.RUNNING, ExitCause.NONE),
+                        new TaskStatus(new TaskId("j-000398", 0), 1, TaskState.EXITED, ExitCause.DONE)));
+        assertEquals(expected, WorkerHeartbeat.read(Json.bytes(report)));
         assertEquals(
                 OptionalDouble.of(9.5),
-                Report.read(Json.bytes(report.put("warningS", 9.5))).noticeS());
+                WorkerHeartbeat.read(Json.bytes(report.put("warningS", 9.5))).noticeS());
     }
 
     @ParameterizedTest
@@ -104,12 +106,12 @@
     @ValueSource(strings = {"", "null", "[]", "{", "{\"host\":", "{}{}", "{\"parts\":[1]}", "{\"parts\":[[]]}"})
     void whatIsNoReportIsRefused(String text) {
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
-        assertThrows(BadMessageException.class, () -> Report.read(body));
+        assertThrows(BadMessageException.class, () -> WorkerHeartbeat.read(body));
     }
 
     @Test
     void nothingMayFollowAReport() {
         byte[] body = (new String(Json.bytes(whole()), StandardCharsets.UTF_8) + "{}").getBytes(StandardCharsets.UTF_8);
-        assertThrows(BadMessageException.class, () -> Report.read(body));
+        assertThrows(BadMessageException.class, () -> WorkerHeartbeat.read(body));
     }
 }
