--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -35,7 +35,7 @@
     private static final int RETRY_AFTER_S = 1;
     private static final int ENDED_KEPT = 20_000;
     /** Users wait 5 s for an answer; within this time an unknown outcome is still asked after. */
-    private static final long PATIENCE = Durations.millis(3500);
+    private static final long REQUEST_TIMEOUT = Durations.millis(3500);
 
     private final Loop loop;
     private final StateClient state;
@@ -136,7 +136,7 @@
     /** POST /api/jobs/{id}/abort. */
     public void abort(String id, Consumer<Response> answer) {
         if (SpecMessage.isId(id)) {
-            abort(id, loop.nanos() + PATIENCE, answer);
+            abort(id, loop.nanos() + REQUEST_TIMEOUT, answer);
         } else {
             answer.accept(unknownJob());
         }
@@ -152,7 +152,7 @@
                 .set(Keys.job(spec.id()), 0, record.write())
                 .set(Keys.open(spec.id()), 0, record.write())
                 .build();
-        settle(txn, loop.nanos() + PATIENCE, answer, result -> {
+        settle(txn, loop.nanos() + REQUEST_TIMEOUT, answer, result -> {
             if (result.committed()) {
                 answer.accept(Response.of(201, brief(spec.id(), "pending")));
             } else {
@@ -178,10 +178,10 @@
                 return;
             }
             JobRecord cancelled = record.get().ended(JobRecord.Stage.CANCELLED, loop.wallMillis());
-            long stamp = found.value().stamp(); // the open entry was written with the record
+            long modRevision = found.value().modRevision(); // the open entry was written with the record
             Transaction txn = Transaction.builder()
-                    .set(Keys.job(id), stamp, cancelled.write(valueBytes))
-                    .drop(Keys.open(id), stamp)
+                    .set(Keys.job(id), modRevision, cancelled.write(valueBytes))
+                    .drop(Keys.open(id), modRevision)
                     .build();
             settle(txn, until, answer, result -> {
                 if (result.committed()) {
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -21,7 +21,7 @@
     private static final String REPORTS = "/hello";
 
     private final JobsEndpoint jobs;
-    private final Function<byte[], Response> reports;
+    private final Function<byte[], Response> heartbeats;
     private final Runnable reportsMissed;
     private final BooleanSupplier healthy;
     private final Supplier<ObjectNode> metrics;
@@ -31,14 +31,14 @@
     /** {@code reportsMissed} is told when a report could not be taken in time. */
     public Router(
             JobsEndpoint jobs,
-            Function<byte[], Response> reports,
+            Function<byte[], Response> heartbeats,
             Runnable reportsMissed,
             BooleanSupplier healthy,
             Supplier<ObjectNode> metrics,
             Loop loop,
             Latencies latencies) {
         this.jobs = jobs;
-        this.reports = reports;
+        this.heartbeats = heartbeats;
         this.reportsMissed = reportsMissed;
         this.healthy = healthy;
         this.metrics = metrics;
@@ -68,7 +68,7 @@
         String path = request.path();
         if (path.equals(REPORTS)) {
             only("POST", request, answer, () -> timed(Latencies.Kind.REPORTS, answer)
-                    .accept(reports.apply(request.body())));
+                    .accept(heartbeats.apply(request.body())));
         } else if (path.equals(HEALTH)) {
             only("GET", request, answer, () -> answer.accept(health()));
         } else if (path.equals("/metrics")) {
--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -109,7 +109,7 @@
 
     private void tick() {
         long now = loop.nanos();
-        if (now - lastTick > Durations.nanos(settings.workers().reportS())) {
+        if (now - lastTick > Durations.nanos(settings.workers().heartbeatIntervalS())) {
             fallsBehind();
         }
         lastTick = now;
@@ -123,7 +123,7 @@
                 rentAndReturn();
             }
         }
-        scope.after(Durations.nanos(settings.workers().reportS() / 3), this::tick);
+        scope.after(Durations.nanos(settings.workers().heartbeatIntervalS() / 3), this::tick);
     }
 
     /** This node does not keep up: what it has not heard yet may well have been said. */
@@ -150,7 +150,7 @@
                 cluster.add(machine);
             }
             if (machine != null) {
-                machine.rentedAt(Math.min(machine.rentedAt(), now - Durations.nanos(host.ageS())));
+                machine.launchedAt(Math.min(machine.launchedAt(), now - Durations.nanos(host.ageS())));
             }
         }
         returns.unlist(failed);
@@ -162,7 +162,7 @@
                     "machine {} has not reported for a lease: its {} tasks are gone",
                     m.name(),
                     m.bindings().size());
-            m.endSession();
+            m.endIncarnation();
             returns.releaseAll(m);
         }
     }
@@ -170,7 +170,7 @@
     /** Deletes machines that have to be given up; the deletion proves that their tasks are gone. */
     private void deleteFailed() {
         List<Machine> overdue = failureDetector.withOverdueStops();
-        overdue.stream().filter(m -> !m.returning()).forEach(this::logOverdue);
+        overdue.stream().filter(m -> !m.terminating()).forEach(this::logOverdue);
         returns.delete(overdue, "cancelled tasks that do not end");
         returns.delete(failureDetector.lost(), "lost or never up");
     }
@@ -186,7 +186,7 @@
                         b.phase(),
                         Durations.secondsSince(b.job().cancelledAt(), now),
                         Durations.secondsSince(b.job().cancellationHeardAt(), now),
-                        Durations.secondsSince(m.lastHeard(), now)));
+                        Durations.secondsSince(m.lastHeartbeat(), now)));
     }
 
     /** How long ago the job of the oldest stop that is not proven was cancelled, in seconds; 0 if there is none. */
@@ -204,7 +204,7 @@
         ScaleUpPlanner planner = new ScaleUpPlanner(cluster, rentals::available, smallestTask(plan, standingBy));
         List<Machine> here = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (m.returning() || m.unschedulable()) {
+            if (m.terminating() || m.unschedulable()) {
                 continue;
             }
             if (m.hasReported()) {
@@ -253,21 +253,21 @@
 
     private boolean comingSoon(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-        return Durations.secondsSince(m.rentedAt(), now) < 2 * bootS
+        return Durations.secondsSince(m.launchedAt(), now) < 2 * bootS
                 || Durations.secondsSince(m.knownSince(), now)
-                        < 2 * settings.workers().reportS();
+                        < 2 * settings.workers().heartbeatIntervalS();
     }
 
     private void returnIdle(Set<Machine> kept, long now) {
         List<Machine> idle = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (m.returning() || !m.hasReported() || !(m.bindings().isEmpty() || lateStartMayHarm(m))) {
+            if (m.terminating() || !m.hasReported() || !(m.bindings().isEmpty() || lateStartMayHarm(m))) {
                 continue;
             }
             double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
             boolean idleLong =
                     Durations.secondsSince(m.idleSince(), now) > policy.fleet().idleOfBoot() * bootS * cheapness(m)
-                            && Durations.secondsSince(m.rentedAt(), now) > LEAST_PAID_S;
+                            && Durations.secondsSince(m.launchedAt(), now) > LEAST_PAID_S;
             boolean useless = m.unschedulable() && !(m.suspectedUnreachable() && beingAsked(m, now));
             if (useless || (idleLong && !kept.contains(m) && !warmCapacity.learning(cluster, now))) {
                 idle.add(m);
@@ -295,6 +295,6 @@
                 && m.bindings().stream()
                         .anyMatch(b -> b.job().cancelled()
                                 && b.phase() == Binding.Phase.ABSENT
-                                && m.unresolved().contains(b.attempt()));
+                                && m.unresolvedStarts().contains(b.attempt()));
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -37,7 +37,7 @@
     private static final class ZoneCount {
         private int machines;
         private int inTouch;
-        private long lastHeard = Long.MIN_VALUE;
+        private long lastHeartbeat = Long.MIN_VALUE;
     }
 
     FailureDetector(Loop loop, Cluster cluster, Settings settings, Policy policy) {
@@ -59,7 +59,7 @@
         long now = loop.nanos();
         List<Machine> expired = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (now - m.lastAnswered() > lease && hasOpenBinding(m)) {
+            if (now - m.lastLeaseRenewal() > lease && hasOpenBinding(m)) {
                 expired.add(m);
             }
         }
@@ -99,7 +99,7 @@
     private boolean stopOverdue(Binding b, long now) {
         Job job = b.job();
         return stopUnproven(b)
-                && Durations.secondsSince(job.cancelledAt(), now) > times.patienceS()
+                && Durations.secondsSince(job.cancelledAt(), now) > times.unprovenStopTimeoutS()
                 && Durations.secondsSince(job.cancellationHeardAt(), now) > times.proofS();
     }
 
@@ -129,7 +129,7 @@
                 ZoneCount count = zones.computeIfAbsent(m.zone(), z -> new ZoneCount());
                 count.machines++;
                 count.inTouch += outOfTouchS(m, now) < silentS() ? 1 : 0;
-                count.lastHeard = Math.max(count.lastHeard, m.lastHeard());
+                count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lastHeartbeat());
             }
         }
         return zones;
@@ -141,7 +141,7 @@
 
     private boolean neverCameUp(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-        return Durations.secondsSince(m.rentedAt(), now) > policy.fleet().stuckOfBoot() * bootS
+        return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().stuckOfBoot() * bootS
                 && Durations.secondsSince(m.knownSince(), now)
                         > settings.workers().leaseS();
     }
@@ -160,14 +160,14 @@
      * first are silent for long enough while most others are not yet.
      */
     private boolean inTouch(ZoneCount zone, long now) {
-        double quietS = Durations.secondsSince(zone.lastHeard, now);
+        double quietS = Durations.secondsSince(zone.lastHeartbeat, now);
         return zone.inTouch * 2 > zone.machines
-                && quietS < CUT_OF_REPORT * settings.workers().reportS();
+                && quietS < CUT_OF_REPORT * settings.workers().heartbeatIntervalS();
     }
 
     /** How long the machine has not been heard, or has been heard without doing as it was told. */
     private static double outOfTouchS(Machine m, long now) {
-        double silentS = Durations.secondsSince(m.lastHeard(), now);
+        double silentS = Durations.secondsSince(m.lastHeartbeat(), now);
         return m.unreachableSince() == Machine.NEVER
                 ? silentS
                 : Math.max(silentS, Durations.secondsSince(m.unreachableSince(), now));
--- a/src/main/java/org/spruceridge/autoscaling/MachineReturns.java
+++ b/src/main/java/org/spruceridge/autoscaling/MachineReturns.java
@@ -46,7 +46,7 @@
         }
         List<Machine> fresh = new ArrayList<>();
         for (Machine m : machines) {
-            m.returning(true);
+            m.terminating(true);
             if (deleting.add(m.name())) {
                 fresh.add(m);
             }
--- a/src/main/java/org/spruceridge/autoscaling/RentalRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/RentalRequests.java
@@ -96,7 +96,7 @@
         for (String id : rental.machines()) {
             if (cluster.machine(id) == null && !cluster.isGone(id)) {
                 Machine m = new Machine(id, "", offer, now, now);
-                m.rentedAt(claim.askedAt);
+                m.launchedAt(claim.askedAt);
                 cluster.add(m);
             }
         }
--- a/src/main/java/org/spruceridge/cli/RehearseCommand.java
+++ b/src/main/java/org/spruceridge/cli/RehearseCommand.java
@@ -34,7 +34,7 @@
  * that a start needs.
  */
 final class RehearseCommand implements Callable<Integer> {
-    private static final long PATIENCE = TimeUnit.SECONDS.toNanos(1);
+    private static final long REQUEST_TIMEOUT = TimeUnit.SECONDS.toNanos(1);
 
     static CommandSpec describe() {
         CommandSpec spec = Commands.describe("rehearse", "Loads what a start needs, and ends.", new RehearseCommand());
@@ -53,16 +53,16 @@
         NettyHttpClient client = new NettyHttpClient(loop, connectionLimiter);
         Node node = new Node(loop, client, link, new SplittableRandom(1), settings, Policy.defaults());
         link.listen();
-        new HttpServer(loop, connectionLimiter, PATIENCE, node.handler()).start(settings.serveOn());
+        new HttpServer(loop, connectionLimiter, REQUEST_TIMEOUT, node.handler()).start(settings.serveOn());
         loop.execute(() -> node.start(() -> {}));
         List<HttpCall> calls = List.of(
                 HttpCall.get("/healthz"),
-                HttpCall.post("/hello", Json.bytes(report())),
+                HttpCall.post("/hello", Json.bytes(heartbeat())),
                 HttpCall.post("/api/jobs", Json.bytes(job())),
                 HttpCall.get("/api/jobs/j-000001"));
         CountDownLatch answered = new CountDownLatch(calls.size());
         for (HttpCall call : calls) {
-            loop.execute(() -> client.call(settings.serveOn(), call, PATIENCE, answer -> answered.countDown()));
+            loop.execute(() -> client.call(settings.serveOn(), call, REQUEST_TIMEOUT, answer -> answered.countDown()));
         }
         answered.await();
         TimeUnit.MILLISECONDS.sleep(1500); // heartbeats, retries
@@ -115,7 +115,7 @@
         }
     }
 
-    private static JsonNode report() {
+    private static JsonNode heartbeat() {
         MachineKind kind = new MachineKind("any", "here", false);
         return new WorkerHeartbeat("i-000001", "127.0.0.1:1", kind, 1, 1, 0, OptionalDouble.empty(), ImmutableList.of())
                 .toJson();
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -29,7 +29,7 @@
     public static final int MOST_DELETED = 100;
 
     private static final int PAGE = 500;
-    private static final long PATIENCE = Durations.nanos(5);
+    private static final long REQUEST_TIMEOUT = Durations.nanos(5);
 
     private final HttpClient http;
     private final Address address;
@@ -170,8 +170,8 @@
         }
     }
 
-    private void send(Priority rank, HttpCall call, Consumer<HttpAnswer> done) {
-        if (!limiter.submit(rank, 0, () -> http.call(address, call, PATIENCE, done))) {
+    private void send(Priority priority, HttpCall call, Consumer<HttpAnswer> done) {
+        if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT, done))) {
             done.accept(new HttpAnswer(429, new byte[0]));
         }
     }
--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -18,12 +18,12 @@
     }
 
     /** Why the task is to be stopped, if it is. */
-    public enum Halt {
-        NO,
+    public enum StopMode {
+        NONE,
         /** Let it save if it can. */
-        SAVING,
+        CHECKPOINT,
         /** At once: nobody has any use for what it does. */
-        AT_ONCE
+        IMMEDIATE
     }
 
     private final TaskId task;
@@ -31,12 +31,12 @@
     private final Machine machine;
     private final Job job;
     private Stage stage;
-    private Halt halt = Halt.NO;
+    private StopMode stopMode = StopMode.NONE;
     private Phase phase = Phase.ABSENT;
     private boolean pushed;
     private boolean stopPushed;
     private boolean gone;
-    private long orderedAt = Machine.NEVER;
+    private long commandSentAt = Machine.NEVER;
     private long runningSince;
     private final long boundAt;
 
@@ -45,7 +45,7 @@
         ABSENT,
         FETCHING,
         RUNNING,
-        SAVING,
+        CHECKPOINTING,
         ENDED
     }
 
@@ -99,18 +99,18 @@
     }
 
     /** Whether and how the task is to be stopped; that of a cancelled job always at once. */
-    public Halt halt() {
-        return job.cancelled() ? Halt.AT_ONCE : halt;
+    public StopMode stopMode() {
+        return job.cancelled() ? StopMode.IMMEDIATE : stopMode;
     }
 
     /** Decides that the task is to be stopped. */
-    public void halt(Halt why) {
-        halt = why;
+    public void stopMode(StopMode why) {
+        stopMode = why;
     }
 
     /** True if it can be expected to end: a replica of a service does so only when it is stopped. */
     public boolean ends() {
-        return !job.spec().isService() || halt() != Halt.NO;
+        return !job.spec().isService() || stopMode() != StopMode.NONE;
     }
 
     /** Where the last authoritative report had the task. */
@@ -124,24 +124,24 @@
             runningSince = now;
         }
         if (seen != phase) {
-            orderedAt = Machine.NEVER;
+            commandSentAt = Machine.NEVER;
         }
         phase = seen;
     }
 
     /** Seconds that the task has been seen running. */
     public double elapsedS(long now) {
-        return phase == Phase.RUNNING || phase == Phase.SAVING ? (now - runningSince) / 1e9 : 0;
+        return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? (now - runningSince) / 1e9 : 0;
     }
 
     /** Since when the worker has had an order for this task that it has not carried out. */
-    public long orderedAt() {
-        return orderedAt;
+    public long commandSentAt() {
+        return commandSentAt;
     }
 
     /** An order is on its way; the first that is not carried out counts. */
-    public void ordered(long now) {
-        orderedAt = Math.min(orderedAt, now);
+    public void commandSent(long now) {
+        commandSentAt = Math.min(commandSentAt, now);
     }
 
     /** A start was sent straight to the worker. */
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -12,7 +12,7 @@
     private static final int MACHINES_TO_DOUBT = 3;
 
     private final JobSpec spec;
-    private final long stamp;
+    private final long modRevision;
     private final long submittedMs;
     private final BitSet done = new BitSet();
     private final BitSet taken = new BitSet();
@@ -20,15 +20,15 @@
     private final Set<String> faultyOn = new HashSet<>();
     private long cancelledAt = Machine.NEVER;
     private long cancellationHeardAt = Machine.NEVER;
-    private long notBefore = Long.MIN_VALUE;
+    private long retryAfter = Long.MIN_VALUE;
     private long incompleteSince = Machine.NEVER;
     private int earlyExits;
     private long lastEarlyExit = Long.MIN_VALUE / 2;
 
-    /** {@code stamp} is that of the job's record and of its open entry, which are written together. */
-    public Job(JobSpec spec, long stamp, long submittedMs) {
+    /** {@code modRevision} is that of the job's record and of its open entry, which are written together. */
+    public Job(JobSpec spec, long modRevision, long submittedMs) {
         this.spec = spec;
-        this.stamp = stamp;
+        this.modRevision = modRevision;
         this.submittedMs = submittedMs;
     }
 
@@ -43,8 +43,8 @@
     }
 
     /** The revision at which the record and the open entry of the job were written. */
-    public long stamp() {
-        return stamp;
+    public long modRevision() {
+        return modRevision;
     }
 
     /** When it was accepted, in milliseconds of the epoch. */
@@ -167,7 +167,7 @@
     public int running() {
         int n = 0;
         for (Binding b : bindings.values()) {
-            if (b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.SAVING) {
+            if (b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.CHECKPOINTING) {
                 n++;
             }
         }
@@ -188,13 +188,13 @@
     }
 
     /** No task of the job is placed before this moment, after errors. */
-    public long notBefore() {
-        return notBefore;
+    public long retryAfter() {
+        return retryAfter;
     }
 
     /** Places no task of the job before this moment. */
-    public void notBefore(long moment) {
-        notBefore = moment;
+    public void retryAfter(long moment) {
+        retryAfter = moment;
     }
 
     /** The moment, in milliseconds of the epoch, at which the job should be complete; infinite if it need not be. */
--- a/src/main/java/org/spruceridge/cluster/JobSpec.java
+++ b/src/main/java/org/spruceridge/cluster/JobSpec.java
@@ -10,7 +10,7 @@
         String jobClass,
         String team,
         JobKind kind,
-        JobPriority rank,
+        JobPriority priority,
         int tasks,
         Resources task,
         Optional<ImmutableSet<String>> types,
@@ -21,8 +21,8 @@
         String image,
         double imageGb,
         double estimateS,
-        double checkpointS,
-        double saveS,
+        double checkpointIntervalS,
+        double checkpointDurationS,
         OptionalDouble deadlineS) {
 
     /** True if its tasks are replicas of a service, which run until the job is cancelled. */
@@ -31,8 +31,8 @@
     }
 
     /** True if a stopped task can go on from where it was. */
-    public boolean saves() {
-        return checkpointS > 0;
+    public boolean canCheckpoint() {
+        return checkpointIntervalS > 0;
     }
 
     /** The most tasks that may be in one zone at a time. */
@@ -47,7 +47,7 @@
                 jobClass,
                 team,
                 kind,
-                rank,
+                priority,
                 tasks,
                 task,
                 allowed,
@@ -58,8 +58,8 @@
                 image,
                 imageGb,
                 estimateS,
-                checkpointS,
-                saveS,
+                checkpointIntervalS,
+                checkpointDurationS,
                 deadlineS);
     }
 
@@ -70,7 +70,7 @@
                 otherClass,
                 team,
                 kind,
-                rank,
+                priority,
                 tasks,
                 task,
                 types,
@@ -81,8 +81,8 @@
                 otherImage,
                 imageGb,
                 estimateS,
-                checkpointS,
-                saveS,
+                checkpointIntervalS,
+                checkpointDurationS,
                 deadlineS);
     }
 
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -18,24 +18,24 @@
     private String address;
     private Resources used = Resources.NONE;
     private int replicas;
-    private long session;
+    private long incarnation;
     private long sequence;
-    private long leastSession;
+    private long lowestIncarnation;
     private boolean fenced;
-    private long lastHeard;
-    private long lastAnswered;
+    private long lastHeartbeat;
+    private long lastLeaseRenewal;
     private boolean hasReported;
     private long reclaimAt = Long.MAX_VALUE;
     private long knownSince;
-    private boolean returning;
+    private boolean terminating;
     private boolean suspectedFaulty;
-    private final Set<Long> unresolved = new HashSet<>();
+    private final Set<Long> unresolvedStarts = new HashSet<>();
     private boolean startUncertain;
     private long suspectedSince = NEVER;
-    private long tokenSentAt = NEVER;
+    private long fencingTokenSentAt = NEVER;
     private long idleSince;
     private long lastPreemption = Long.MIN_VALUE;
-    private long rentedAt;
+    private long launchedAt;
 
     /** {@code answeredAt} is the last moment at which any entitled node can have answered a report of it. */
     public Machine(String name, String address, MachineKind kind, long now, long answeredAt) {
@@ -43,9 +43,9 @@
         this.address = address;
         this.kind = kind;
         this.knownSince = now;
-        this.rentedAt = now;
-        this.lastHeard = now;
-        this.lastAnswered = answeredAt;
+        this.launchedAt = now;
+        this.lastHeartbeat = now;
+        this.lastLeaseRenewal = answeredAt;
         this.idleSince = now;
     }
 
@@ -125,14 +125,15 @@
     }
 
     /** The session of its worker that was heard last. */
-    public long session() {
-        return session;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** True if (session, sequence) is newer than all that was heard, and not of a session known to be over. */
-    public boolean isNews(long reportSession, long reportSequence) {
-        return reportSession >= leastSession
-                && (reportSession > session || (reportSession == session && reportSequence > sequence));
+    public boolean isNews(long heartbeatIncarnation, long heartbeatSequence) {
+        return heartbeatIncarnation >= lowestIncarnation
+                && (heartbeatIncarnation > incarnation
+                        || (heartbeatIncarnation == incarnation && heartbeatSequence > sequence));
     }
 
     /** It was up before this term, as its bindings tell: it is waited for like one that was heard. */
@@ -144,40 +145,41 @@
      * Takes note of a report, sent by itself or with the answer to a push. The latter says nothing about whether the
      * worker reaches a controller, on which its lease depends.
      */
-    public void heard(long reportSession, long reportSequence, String reportAddress, boolean byItself, long now) {
+    public void recordHeartbeat(
+            long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, boolean byItself, long now) {
         if (!hasReported) {
             idleSince = now;
         }
-        if (reportSession > session) {
+        if (heartbeatIncarnation > incarnation) {
             voidPushes();
             // The session began at some moment before now, and its lease with it. If the last answer to an earlier
             // session counted, tasks that were pushed to this one would be taken for gone while they run.
-            lastAnswered = Math.max(lastAnswered, now);
+            lastLeaseRenewal = Math.max(lastLeaseRenewal, now);
             // Its lease ran out: perhaps our answers do not reach it. It has to show that something does.
-            if (session > 0 && suspectedSince == NEVER) {
+            if (incarnation > 0 && suspectedSince == NEVER) {
                 suspectedSince = now;
             }
         }
-        session = reportSession;
-        sequence = reportSequence;
-        address = reportAddress;
+        incarnation = heartbeatIncarnation;
+        sequence = heartbeatSequence;
+        address = heartbeatAddress;
         if (byItself) {
-            lastHeard = now;
+            lastHeartbeat = now;
         }
         hasReported = true;
     }
 
     /** The lease of the session ran out: what it may still have sent changes nothing. */
-    public void endSession() {
-        leastSession = session + 1;
+    public void endIncarnation() {
+        lowestIncarnation = incarnation + 1;
         fenced = false;
-        tokenSentAt = NEVER;
+        fencingTokenSentAt = NEVER;
         voidPushes();
     }
 
     /** Attempts whose start was sent straight to the worker and may still be on its way. */
-    public Set<Long> unresolved() {
-        return unresolved;
+    public Set<Long> unresolvedStarts() {
+        return unresolvedStarts;
     }
 
     /** A push of this session was not answered: a start may come late. */
@@ -191,7 +193,7 @@
     }
 
     /** An order of ours was carried out or answered. */
-    public void reached() {
+    public void recordAcknowledgement() {
         suspectedSince = NEVER;
     }
 
@@ -204,7 +206,7 @@
     public long unreachableSince() {
         long since = suspectedSince;
         for (Binding b : bindings.values()) {
-            since = Math.min(since, b.orderedAt());
+            since = Math.min(since, b.commandSentAt());
         }
         return since;
     }
@@ -218,7 +220,7 @@
     }
 
     private void voidPushes() {
-        unresolved.clear();
+        unresolvedStarts.clear();
         startUncertain = false;
     }
 
@@ -233,8 +235,8 @@
     }
 
     /** When it last sent a report that was news. */
-    public long lastHeard() {
-        return lastHeard;
+    public long lastHeartbeat() {
+        return lastHeartbeat;
     }
 
     /** True once its worker has reported, in this term or as its bindings tell. */
@@ -243,24 +245,24 @@
     }
 
     /** The last moment at which a lease of its worker can have begun anew. */
-    public long lastAnswered() {
-        return lastAnswered;
+    public long lastLeaseRenewal() {
+        return lastLeaseRenewal;
     }
 
     /** Its report is answered; {@code known} if it showed this term's token. */
-    public void answered(long now, boolean known) {
-        lastAnswered = now;
-        tokenSentAt = known ? NEVER : Math.min(tokenSentAt, now);
+    public void recordLeaseRenewal(long now, boolean known) {
+        lastLeaseRenewal = now;
+        fencingTokenSentAt = known ? NEVER : Math.min(fencingTokenSentAt, now);
     }
 
     /** A report of it was answered at this moment, before the takeover made it known here. */
-    public void answeredInTakeover(long at) {
-        lastAnswered = Math.max(lastAnswered, at);
+    public void leaseRenewedDuringFailover(long at) {
+        lastLeaseRenewal = Math.max(lastLeaseRenewal, at);
     }
 
     /** When it was first handed this term's token that it has not shown since; {@link #NEVER} if it has. */
-    public long tokenSentAt() {
-        return tokenSentAt;
+    public long fencingTokenSentAt() {
+        return fencingTokenSentAt;
     }
 
     /** When the cloud will take the machine away; Long.MAX_VALUE if no notice was given. */
@@ -284,23 +286,23 @@
     }
 
     /** When it was rented, as far as is known. */
-    public long rentedAt() {
-        return rentedAt;
+    public long launchedAt() {
+        return launchedAt;
     }
 
     /** Corrects when it was rented. */
-    public void rentedAt(long moment) {
-        rentedAt = moment;
+    public void launchedAt(long moment) {
+        launchedAt = moment;
     }
 
     /** The machine is being given back: nothing is placed on it any more. */
-    public boolean returning() {
-        return returning;
+    public boolean terminating() {
+        return terminating;
     }
 
     /** Begins to give it back. */
-    public void returning(boolean value) {
-        returning = value;
+    public void terminating(boolean value) {
+        terminating = value;
     }
 
     /** Jobs that failed on this machine since a task last completed on it. */
--- a/src/main/java/org/spruceridge/config/CancellationTimes.java
+++ b/src/main/java/org/spruceridge/config/CancellationTimes.java
@@ -6,7 +6,7 @@
  * What of {@code cancel_s} each step may take, from the moment at which a user is told of a cancellation to the last at
  * which a task of the job can be on a machine. docs/safety.md has the sums; each must stay below {@code cancel_s}.
  */
-public record CancellationTimes(double cancelS, double leaseS, double reportS) {
+public record CancellationTimes(double cancelS, double leaseS, double heartbeatIntervalS) {
     /** What is left for late timers, and for the cloud where a machine has to go. */
     private static final double MARGIN = 0.1;
 
@@ -18,7 +18,7 @@
 
     /** The times that follow from the workers' settings. */
     public static CancellationTimes of(Settings.Workers workers) {
-        return new CancellationTimes(workers.cancelS(), workers.leaseS(), workers.reportS());
+        return new CancellationTimes(workers.cancelS(), workers.leaseS(), workers.heartbeatIntervalS());
     }
 
     /** How long a worker's tasks may outlive the last report of it that was answered. */
@@ -40,12 +40,12 @@
     }
 
     /** After this time a machine on which a stop is not proven is given back, whatever else is on it. */
-    public double patienceS() {
+    public double unprovenStopTimeoutS() {
         return cancelS / 2;
     }
 
     /** But not before a leader that has just heard of the cancellation has had time to order the stop. */
     public double proofS() {
-        return PROOF_OF_REPORT * reportS;
+        return PROOF_OF_REPORT * heartbeatIntervalS;
     }
 }
--- a/src/main/java/org/spruceridge/config/Policy.java
+++ b/src/main/java/org/spruceridge/config/Policy.java
@@ -20,9 +20,9 @@
             double overhead,
             double waiting,
             double aging,
-            double patience,
+            double starvation,
             double availability,
-            double thrift,
+            double spotPreference,
             double packing) {}
 
     /** How far apart cycles are, against the workers' report period, the least remaining time that the scores assume, and
@@ -81,9 +81,9 @@
                     f.atLeastZeroOr("overhead", weights.overhead),
                     f.atLeastZeroOr("wait", weights.waiting),
                     f.atLeastZeroOr("aging", weights.aging),
-                    f.atLeastZeroOr("patience", weights.patience),
+                    f.atLeastZeroOr("patience", weights.starvation),
                     f.atLeastZeroOr("availability", weights.availability),
-                    f.atLeastZeroOr("thrift", weights.thrift),
+                    f.atLeastZeroOr("thrift", weights.spotPreference),
                     f.atLeastZeroOr("packing", weights.packing));
         }
         Scheduling scheduling = d.scheduling;
--- a/src/main/java/org/spruceridge/config/Settings.java
+++ b/src/main/java/org/spruceridge/config/Settings.java
@@ -39,7 +39,7 @@
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
     /** The periods that workers keep, in seconds. */
-    public record Workers(double reportS, double leaseS, double cancelS) {
+    public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {
         private static final double DECISION_DELAY_OF_LEASE = 0.1;
 
         /** For how long a leader puts decisions off at most while requests wait. */
@@ -147,7 +147,7 @@
         }
         Workers periods =
                 new Workers(workers.positive("report_s"), workers.positive("lease_s"), workers.positive("cancel_s"));
-        if (periods.leaseS() <= periods.reportS()) {
+        if (periods.leaseS() <= periods.heartbeatIntervalS()) {
             throw workers.complaint("lease_s", "must be above report_s");
         }
         if (periods.cancelS() <= periods.leaseS()) {
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -33,25 +33,25 @@
     private final Loop loop;
     private final CancellationScope scope;
     private final WorkerClient workers;
-    private final HeartbeatHandler reportHandler;
+    private final HeartbeatHandler heartbeatHandler;
     private final BooleanSupplier leads;
     private final Runnable changed;
     private final long term;
-    private final long patience;
+    private final long timeout;
     private final Set<Machine> busy = new HashSet<>();
-    private final Set<Machine> again = new HashSet<>();
+    private final Set<Machine> pushPending = new HashSet<>();
 
     /** {@code leads} tells whether commands may still be sent; {@code changed} hears of each answer. */
     public CommandSender(
-            LeaderContext context, WorkerClient workers, HeartbeatHandler reportHandler, Runnable changed) {
+            LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable changed) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.workers = workers;
-        this.reportHandler = reportHandler;
+        this.heartbeatHandler = heartbeatHandler;
         this.leads = context.leads();
         this.changed = changed;
         this.term = context.term().term();
-        this.patience = Durations.nanos(context.settings().workers().leaseS() / 4);
+        this.timeout = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
     /** Asks a machine for a sign that our words reach it. */
@@ -67,18 +67,18 @@
             return; // the answers to its reports will do
         }
         if (busy.contains(m)) {
-            again.add(m);
+            pushPending.add(m);
             return;
         }
-        List<WorkerCommand> orders = new ArrayList<>();
+        List<WorkerCommand> commands = new ArrayList<>();
         List<Binding> starts = new ArrayList<>();
         List<Binding> stops = new ArrayList<>();
         for (Binding b : m.bindings()) {
-            WorkerCommand order = reportHandler.due(b);
+            WorkerCommand command = heartbeatHandler.due(b);
             // Only the first start is pushed: what that did not bring about is left to the answers to reports.
             boolean start =
-                    order != null && order.verb() == WorkerCommand.Verb.START && !b.pushed() && !m.startUncertain();
-            boolean stop = order != null && order.verb() == WorkerCommand.Verb.STOP && !b.stopPushed();
+                    command != null && command.verb() == WorkerCommand.Verb.START && !b.pushed() && !m.startUncertain();
+            boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !b.stopPushed();
             if (start) {
                 starts.add(b);
                 b.startPushed();
@@ -88,17 +88,17 @@
                 b.stopPushed(true);
             }
             if (start || stop) {
-                orders.add(order);
-                b.ordered(loop.nanos());
+                commands.add(command);
+                b.commandSent(loop.nanos());
             }
         }
-        if (orders.isEmpty()) {
+        if (commands.isEmpty()) {
             return;
         }
-        send(m, orders, starts, stops);
+        send(m, commands, starts, stops);
     }
 
-    private void send(Machine m, List<WorkerCommand> orders, List<Binding> starts, List<Binding> stops) {
+    private void send(Machine m, List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
         Address address;
         try {
             address = Address.parse(m.address());
@@ -106,30 +106,30 @@
             return; // the answers to its reports will do
         }
         busy.add(m);
-        long session = m.session();
-        starts.forEach(b -> m.unresolved().add(b.attempt()));
-        workers.push(address, term, session, orders, patience, scope.guard(push -> {
+        long incarnation = m.incarnation();
+        starts.forEach(b -> m.unresolvedStarts().add(b.attempt()));
+        workers.push(address, term, incarnation, commands, timeout, scope.guard(push -> {
             busy.remove(m);
             if (push.kind() == CommandResult.Kind.UNKNOWN) {
-                if (!starts.isEmpty() && m.session() == session) {
+                if (!starts.isEmpty() && m.incarnation() == incarnation) {
                     LOG.info("machine {} did not answer a push: it gets no more work", m.name());
                     m.markStartUncertain();
                 }
             } else {
-                starts.forEach(b -> m.unresolved().remove(b.attempt()));
+                starts.forEach(b -> m.unresolvedStarts().remove(b.attempt()));
             }
-            if (push.report().isEmpty() && !stops.isEmpty()) {
+            if (push.heartbeat().isEmpty() && !stops.isEmpty()) {
                 // The answers to its reports repeat a stop; a machine that cannot report is told again from here.
                 stops.forEach(b -> b.stopPushed(false));
-                scope.after(patience, () -> push(m));
+                scope.after(timeout, () -> push(m));
             }
-            if (push.report().isPresent()) {
-                m.reached();
-            } else if (m.suspectedUnreachable() && !m.returning()) {
-                scope.after(patience, () -> probe(m));
+            if (push.heartbeat().isPresent()) {
+                m.recordAcknowledgement();
+            } else if (m.suspectedUnreachable() && !m.terminating()) {
+                scope.after(timeout, () -> probe(m));
             }
-            push.report().ifPresent(reportHandler::apply);
-            if (again.remove(m)) {
+            push.heartbeat().ifPresent(heartbeatHandler::apply);
+            if (pushPending.remove(m)) {
                 push(m);
             }
             changed.run();
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -65,7 +65,7 @@
         this.latencies = context.latencies();
         this.push = push;
         this.spacing = Durations.nanos(context.policy().scheduling().spacingOfReport()
-                * context.settings().workers().reportS());
+                * context.settings().workers().heartbeatIntervalS());
         this.mostDelay = Durations.nanos(context.settings().workers().mostDecisionDelayS());
         this.lastRun = context.loop().nanos() - spacing;
     }
@@ -116,13 +116,13 @@
             recordWriter.bind(b);
         }
         for (Binding b : plan.stops()) {
-            b.halt(Binding.Halt.SAVING);
+            b.stopMode(Binding.StopMode.CHECKPOINT);
             b.machine().lastPreemption(now);
             LOG.info("stopping {} to make room for work of a higher rank", b);
             push.accept(b.machine());
         }
         for (Binding b : plan.moves()) {
-            b.halt(Binding.Halt.SAVING);
+            b.stopMode(Binding.StopMode.CHECKPOINT);
             LOG.info("stopping {} to move it: its machine is about to be taken away", b);
             push.accept(b.machine());
         }
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -62,9 +62,9 @@
     private Optional<LeaderRecord> known = Optional.empty();
     private final boolean others;
     private boolean campaigning;
-    private long restUntil = Long.MIN_VALUE;
+    private long campaignBackoffUntil = Long.MIN_VALUE;
     private LeaderTerm leaderTerm;
-    private long permit;
+    private long leaseId;
     private long validUntil;
 
     /** The listener hears of each term that this node wins or loses. */
@@ -103,7 +103,7 @@
         scope.close();
         if (leaderTerm != null) {
             leaderTerm = null;
-            state.endGrant(permit);
+            state.revokeLease(leaseId);
         }
     }
 
@@ -121,9 +121,9 @@
     public void resign(String why) {
         if (leaderTerm != null) {
             LOG.warn("term {}: giving up the lead: {}", leaderTerm.term(), why);
-            state.endGrant(permit);
-            lose("it was given up");
-            restUntil = loop.nanos() + ttl; // others first
+            state.revokeLease(leaseId);
+            stepDown("it was given up");
+            campaignBackoffUntil = loop.nanos() + ttl; // others first
             scope.after(ttl, this::read);
         }
     }
@@ -132,7 +132,7 @@
         watch.cancel();
         state.list(Keys.LEADER, Priority.RENEWAL, scope.guard(listing -> {
             if (!listing.isOk()) {
-                again();
+                scheduleRetry();
                 return;
             }
             Optional<Entry> entry = listing.value().entries().stream()
@@ -141,32 +141,32 @@
             long revision = listing.value().revision();
             judge(
                     entry.map(Entry::value).map(this::parse),
-                    entry.map(Entry::stamp).orElse(0L),
+                    entry.map(Entry::modRevision).orElse(0L),
                     revision);
-            follow(revision);
+            watch(revision);
         }));
     }
 
-    private void again() {
+    private void scheduleRetry() {
         scope.after(RETRY + random.nextLong(RETRY), this::read);
     }
 
-    private void follow(long from) {
+    private void watch(long from) {
         watch.cancel();
-        watch = state.follow(Keys.LEADER, from, WATCH_S, scope.guard(result -> {
+        watch = state.watch(Keys.LEADER, from, WATCH_S, scope.guard(result -> {
             if (!result.isOk()) {
-                again();
+                scheduleRetry();
                 return;
             }
             for (Change change : result.value().changes()) {
                 if (change.key().equals(Keys.LEADER)) {
                     judge(
                             change.dropped() ? Optional.empty() : Optional.of(parse(change.value())),
-                            change.dropped() ? 0 : change.stamp(),
-                            change.stamp());
+                            change.dropped() ? 0 : change.modRevision(),
+                            change.modRevision());
                 }
             }
-            follow(result.value().revision());
+            watch(result.value().revision());
         }));
     }
 
@@ -180,8 +180,8 @@
     }
 
     /** Acts on what the leader key held as of a revision. */
-    private void judge(Optional<LeaderRecord> record, long stamp, long revision) {
-        if (leaderTerm != null && revision <= leaderTerm.leaderStamp()) {
+    private void judge(Optional<LeaderRecord> record, long modRevision, long revision) {
+        if (leaderTerm != null && revision <= leaderTerm.leaderRevision()) {
             return; // older than our win
         }
         if (!known.equals(record)) {
@@ -196,15 +196,16 @@
             if (thisIncarnation && record.get().term() == leaderTerm.term()) {
                 return;
             }
-            lose("the leader key names " + record.map(LeaderRecord::hostName).orElse("nobody"));
+            stepDown(
+                    "the leader key names " + record.map(LeaderRecord::hostName).orElse("nobody"));
         }
         if (record.isEmpty()) {
             campaign(0);
         } else if (thisIncarnation) {
             // A campaign whose outcome was unknown has been carried out; its grant is not to be relied on.
-            campaign(stamp);
+            campaign(modRevision);
         } else if (mine) {
-            release(stamp);
+            release(modRevision);
         }
     }
 
@@ -212,56 +213,56 @@
      * Our host name under another incarnation: that process is dead, for a host runs one at a time, so nobody need wait for
      * the end of its grant. Nodes that have been up all the time come first: they are faster than one that has just begun.
      */
-    private void release(long stamp) {
+    private void release(long modRevision) {
         if (others) {
-            restUntil = Math.max(restUntil, loop.nanos() + renewEvery);
+            campaignBackoffUntil = Math.max(campaignBackoffUntil, loop.nanos() + renewEvery);
         }
-        Transaction txn = Transaction.builder().drop(Keys.LEADER, stamp).build();
+        Transaction txn = Transaction.builder().drop(Keys.LEADER, modRevision).build();
         state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
             if (result.kind() != TransactionResult.Kind.COMMITTED) {
-                again();
+                scheduleRetry();
             }
         }));
         scope.after(renewEvery, this::read);
     }
 
-    private void campaign(long leaderStamp) {
-        if (campaigning || loop.nanos() < restUntil) {
+    private void campaign(long leaderRevision) {
+        if (campaigning || loop.nanos() < campaignBackoffUntil) {
             return;
         }
         campaigning = true;
         long asked = loop.nanos();
-        state.grant(ttl / 1_000_000, scope.guard(granted -> {
-            if (!granted.isOk()) {
-                giveUpCampaign();
+        state.createLease(ttl / 1_000_000, scope.guard(created -> {
+            if (!created.isOk()) {
+                abandonCampaign();
                 return;
             }
-            permit = granted.value();
+            leaseId = created.value();
             validUntil = validity(asked);
             level.read(Priority.RENEWAL, scope.guard(found -> {
                 if (found.isOk()) {
-                    campaign(leaderStamp, found.value());
+                    campaign(leaderRevision, found.value());
                 } else {
-                    giveUpCampaign(); // what the others write could be misread here
+                    abandonCampaign(); // what the others write could be misread here
                 }
             }));
         }));
     }
 
     /** Goes on with a campaign once the cluster feature level is known to be supported. */
-    private void campaign(long leaderStamp, LevelRecord onRecord) {
+    private void campaign(long leaderRevision, LevelRecord onRecord) {
         state.get(Keys.TERM, Priority.RENEWAL, scope.guard(term -> {
             if (term.kind() == Result.Kind.UNAVAILABLE) {
-                giveUpCampaign();
+                abandonCampaign();
                 return;
             }
-            long stamp = term.isOk() ? term.value().stamp() : 0;
+            long modRevision = term.isOk() ? term.value().modRevision() : 0;
             long next = term.isOk() ? term.value().value().path("term").asLong() + 1 : 1;
             LeaderRecord record = new LeaderRecord(hostName, incarnation, next);
             Transaction txn = Transaction.builder()
-                    .guard(Keys.FEATURE_LEVEL, onRecord.stamp())
-                    .set(Keys.LEADER, leaderStamp, record.write(), permit)
-                    .set(Keys.TERM, stamp, Json.object().put("term", next))
+                    .guard(Keys.FEATURE_LEVEL, onRecord.modRevision())
+                    .set(Keys.LEADER, leaderRevision, record.write(), leaseId)
+                    .set(Keys.TERM, modRevision, Json.object().put("term", next))
                     .build();
             attempt(txn, record, onRecord);
         }));
@@ -275,46 +276,46 @@
                 scope.after(RETRY, () -> attempt(txn, record, onRecord));
             } else {
                 // Lost, refused, or unknown for too long: what the leader key says decides.
-                giveUpCampaign();
+                abandonCampaign();
             }
         }));
     }
 
-    private void giveUpCampaign() {
+    private void abandonCampaign() {
         campaigning = false;
-        if (permit != 0) {
-            state.endGrant(permit);
-            permit = 0;
+        if (leaseId != 0) {
+            state.revokeLease(leaseId);
+            leaseId = 0;
         }
-        again();
+        scheduleRetry();
     }
 
-    private void win(LeaderRecord record, long stamp, LevelRecord onRecord) {
+    private void win(LeaderRecord record, long modRevision, LevelRecord onRecord) {
         campaigning = false;
         known = Optional.of(record);
-        leaderTerm = new LeaderTerm(record.term(), stamp, loop.nanos(), onRecord);
+        leaderTerm = new LeaderTerm(record.term(), modRevision, loop.nanos(), onRecord);
         LOG.info("term {}: this node leads", record.term());
-        scope.after(renewEvery, () -> renew(record.term()));
+        scope.after(renewEvery, () -> renewLease(record.term()));
         listener.won(leaderTerm);
     }
 
-    private void renew(long term) {
+    private void renewLease(long term) {
         if (leaderTerm == null || leaderTerm.term() != term) {
             return;
         }
-        state.renew(permit, renewEvery, scope.guard(result -> {
+        state.renewLease(leaseId, renewEvery, scope.guard(result -> {
             if (leaderTerm == null || leaderTerm.term() != term) {
                 return;
             }
             if (result.kind() == Result.Kind.MISSING) {
-                lose("its grant has ended");
+                stepDown("its grant has ended");
                 read();
                 return;
             }
             if (result.isOk()) {
                 validUntil = validity(result.value());
             }
-            scope.after(result.isOk() ? renewEvery : renewEvery / 4, () -> renew(term));
+            scope.after(result.isOk() ? renewEvery : renewEvery / 4, () -> renewLease(term));
         }));
     }
 
@@ -322,14 +323,14 @@
         return sentAt + (long) (ttl * (1 - Durations.DRIFT - SAFETY));
     }
 
-    private void lose(String why) {
+    private void stepDown(String why) {
         LOG.info(
                 "term {}: this node no longer leads after {} s: {}",
                 leaderTerm.term(),
                 Durations.secondsSince(leaderTerm.since(), loop.nanos()),
                 why);
         leaderTerm = null;
-        permit = 0;
+        leaseId = 0;
         listener.lost();
     }
 }
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -122,7 +122,7 @@
         for (Entry e : open.entries()) {
             try {
                 JobRecord record = JobRecord.read(e.value());
-                cluster.add(new Job(record.spec(), e.stamp(), record.submittedMs()));
+                cluster.add(new Job(record.spec(), e.modRevision(), record.submittedMs()));
             } catch (BadMessageException bad) {
                 warnings.warn("unreadable job record", e.key() + ": " + bad.getMessage());
             }
@@ -132,7 +132,7 @@
     private void addFinished(Listing finished) {
         for (Entry e : finished.entries()) {
             try {
-                PageIndex.Page<RecordPages.Chunk> page = records.finished().recorded(e.key(), e.stamp());
+                PageIndex.Page<RecordPages.Chunk> page = records.finished().recorded(e.key(), e.modRevision());
                 for (FinishedRecord.Chunk chunk : FinishedRecord.read(e.value(), records.baseChunkSize())) {
                     Job job = cluster.job(chunk.job());
                     if (job != null) { // else it has ended, and the next write of the page leaves it out
@@ -148,7 +148,7 @@
     private List<Recorded> readMachines(Listing pages) {
         List<Recorded> out = new ArrayList<>();
         for (Entry e : pages.entries()) {
-            PageIndex.Page<Machine> page = records.bindings().recorded(e.key(), e.stamp());
+            PageIndex.Page<Machine> page = records.bindings().recorded(e.key(), e.modRevision());
             try {
                 BindingsRecord.read(e.value()).forEach(m -> out.add(new Recorded(page, m)));
             } catch (BadMessageException bad) {
@@ -226,7 +226,7 @@
         try {
             JobRecord record = JobRecord.read(entry.value());
             long agoMs = Math.max(0, loop.wallMillis() - record.endedMs());
-            Job job = new Job(record.spec(), entry.stamp(), record.submittedMs());
+            Job job = new Job(record.spec(), entry.modRevision(), record.submittedMs());
             job.cancel(loop.nanos() - Durations.millis(agoMs), loop.nanos());
             endedJobs.add(job);
             cluster.add(job);
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -51,9 +51,9 @@
     private final CancellationScope scope;
     private final Cluster cluster;
     private final RecordWriter recordWriter;
-    private final HeartbeatHandler reportHandler;
+    private final HeartbeatHandler heartbeatHandler;
     private final JobWatcher watch;
-    private final Failover takeover;
+    private final Failover failover;
     private final SchedulingLoop schedulingLoop;
     private final CommandSender commandSender;
     private final Autoscaler autoscaler;
@@ -107,23 +107,23 @@
         this.term = context.term();
         Settings settings = context.settings();
         this.nothingToDo = WorkerCommand.answer(term.term(), List.of());
-        this.idleCycle = Durations.nanos(settings.workers().reportS() * IDLE_CYCLE_OF_REPORT);
+        this.idleCycle = Durations.nanos(settings.workers().heartbeatIntervalS() * IDLE_CYCLE_OF_REPORT);
         this.recordWriter = new RecordWriter(context, state, new WriteListener(resign));
-        this.reportHandler = new HeartbeatHandler(context, recordWriter, this::available);
+        this.heartbeatHandler = new HeartbeatHandler(context, recordWriter, this::available);
         Matching matching = new Matching(
                 settings,
                 context.policy(),
                 BindingsRecord.mostBindings(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, this::push, resign);
-        this.commandSender = new CommandSender(context, workers, reportHandler, () -> schedulingLoop.request());
+        this.commandSender = new CommandSender(context, workers, heartbeatHandler, () -> schedulingLoop.request());
         this.watch = new JobWatcher(context, state, recordWriter, commandSender::push, () -> schedulingLoop.request());
-        this.takeover = new Failover(context, state, recordWriter.records());
+        this.failover = new Failover(context, state, recordWriter.records());
         this.levelRaiser = new LevelRaiser(
                 scope,
                 state,
                 level,
                 term.level(),
-                term.leaderStamp(),
+                term.leaderRevision(),
                 everyMemberSupportsLevel,
                 recordWriter::levelRaised);
         this.autoscaler = new Autoscaler(
@@ -142,7 +142,7 @@
 
     /** Takes over from the records, and then begins to schedule. */
     public void start() {
-        takeover.start(new Failover.Listener() {
+        failover.start(new Failover.Listener() {
             @Override
             public void read(Failover.Step step) {
                 LOG.info("term {}: takeover: {}, after {} ms", term.term(), step.what(), step.nanos() / 1_000_000);
@@ -156,15 +156,15 @@
             @Override
             public void ready(long revision) {
                 ready = true;
-                reportHandler.takeoverCompleted();
-                context.metrics().takenOver(ledFor());
+                heartbeatHandler.failoverCompleted();
+                context.metrics().failoverCompleted(ledFor());
                 LOG.info(
                         "term {}: took over {} jobs and {} machines after {} ms",
                         term.term(),
                         cluster.jobs().size(),
                         cluster.machines().size(),
                         ledFor() / 1_000_000);
-                recordWriter.takenOver();
+                recordWriter.failoverCompleted();
                 watch.start(revision);
                 autoscaler.start();
                 levelRaiser.start();
@@ -224,36 +224,37 @@
      * Takes a report; before the takeover is complete it is only acknowledged, and told to stop what belongs to no open job:
      * the answer renews its lease. Empty if it is not to be answered.
      */
-    public Optional<Response> report(WorkerHeartbeat report) {
+    public Optional<Response> heartbeat(WorkerHeartbeat heartbeat) {
         if (!ready) {
-            return answered(report, reportHandler.handleInTakeover(report));
+            return answered(heartbeat, heartbeatHandler.handleDuringFailover(heartbeat));
         }
-        if (reportHandler.ignores(report)) {
+        if (heartbeatHandler.ignores(heartbeat)) {
             context.metrics().count(HeartbeatOutcome.GIVEN_UP);
-            LOG.debug("term {}: {} is not answered: its lease is to run out", term.term(), report.machine());
+            LOG.debug("term {}: {} is not answered: its lease is to run out", term.term(), heartbeat.machine());
             return Optional.empty();
         }
-        return answered(report, reportHandler.handle(report));
+        return answered(heartbeat, heartbeatHandler.handle(heartbeat));
     }
 
-    private Optional<Response> answered(WorkerHeartbeat report, List<WorkerCommand> orders) {
-        long stops =
-                orders.stream().filter(o -> o.verb() == WorkerCommand.Verb.STOP).count();
+    private Optional<Response> answered(WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
+        long stops = commands.stream()
+                .filter(o -> o.verb() == WorkerCommand.Verb.STOP)
+                .count();
         HeartbeatOutcome outcome = !ready
-                ? HeartbeatOutcome.ANSWERED_IN_TAKEOVER
+                ? HeartbeatOutcome.ANSWERED_DURING_FAILOVER
                 : stops > 0 ? HeartbeatOutcome.ANSWERED_WITH_STOPS : HeartbeatOutcome.ANSWERED;
         context.metrics().count(outcome);
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "term {}: {} with token {} and {} tasks: {}, {} stops",
                     term.term(),
-                    report.machine(),
-                    report.token(),
-                    report.tasks().size(),
+                    heartbeat.machine(),
+                    heartbeat.fencingToken(),
+                    heartbeat.tasks().size(),
                     outcome,
                     stops);
         }
-        return Optional.of(answer(orders));
+        return Optional.of(answer(commands));
     }
 
     /** Adds how old the view of cancellations is, and how long ago the oldest unproven stop's job was cancelled. */
@@ -265,8 +266,8 @@
         }
     }
 
-    private Response answer(List<WorkerCommand> orders) {
-        return orders.isEmpty() ? nothingToDo : WorkerCommand.answer(term.term(), orders);
+    private Response answer(List<WorkerCommand> commands) {
+        return commands.isEmpty() ? nothingToDo : WorkerCommand.answer(term.term(), commands);
     }
 
     private void available(Machine machine) {
--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -39,8 +39,8 @@
         this.requests = new Allowance(requestsPerS, 1, loop.nanos());
         this.changes = new Allowance(changesPerS, 1, loop.nanos());
         this.usersChanges = new Allowance(usersChangesPerS, 1, loop.nanos());
-        for (Priority rank : Priority.values()) {
-            queues.put(rank, new Queue());
+        for (Priority priority : Priority.values()) {
+            queues.put(priority, new Queue());
         }
     }
 
@@ -57,17 +57,17 @@
     }
 
     /** Runs the work when its turn comes; false if too much is waiting already, and then it never runs. */
-    public boolean submit(Priority rank, int changeCount, Runnable work) {
-        return submit(rank, changeCount, () -> {
+    public boolean submit(Priority priority, int changeCount, Runnable work) {
+        return submit(priority, changeCount, () -> {
             work.run();
             return changeCount;
         });
     }
 
     /** The same for work that tells only at its turn how many changes it makes, at most {@code mostChanges}. */
-    public boolean submit(Priority rank, int mostChanges, IntSupplier work) {
-        Queue queue = queues.get(rank);
-        if (queue.size() >= QUEUE_LIMIT || (rank == Priority.SUBMISSIONS && waitS(queue) > LONGEST_WAIT_S)) {
+    public boolean submit(Priority priority, int mostChanges, IntSupplier work) {
+        Queue queue = queues.get(priority);
+        if (queue.size() >= QUEUE_LIMIT || (priority == Priority.SUBMISSIONS && waitS(queue) > LONGEST_WAIT_S)) {
             return false;
         }
         (mostChanges > 0 ? queue.changing : queue.reading).add(new Waiting(++taken, mostChanges, work));
@@ -107,9 +107,9 @@
         long forRequest = requests.waitFor(1, now);
         long wait = Long.MAX_VALUE;
         boolean changesShort = false;
-        for (Priority rank : Priority.values()) {
-            Queue queue = queues.get(rank);
-            Allowance from = rank == Priority.SUBMISSIONS ? usersChanges : changes;
+        for (Priority priority : Priority.values()) {
+            Queue queue = queues.get(priority);
+            Allowance from = priority == Priority.SUBMISSIONS ? usersChanges : changes;
             boolean mayChange = !queue.changing.isEmpty();
             if (mayChange) {
                 long forChanges = from.waitFor(queue.changing.peek().mostChanges, now);
--- a/src/main/java/org/spruceridge/net/RequestQueue.java
+++ b/src/main/java/org/spruceridge/net/RequestQueue.java
@@ -53,16 +53,16 @@
     RequestQueue(Loop loop) {
         this.loop = loop;
         this.idleFrom = loop.nanos();
-        for (Priority rank : Priority.values()) {
-            queues.put(rank, new ArrayDeque<>());
+        for (Priority priority : Priority.values()) {
+            queues.put(priority, new ArrayDeque<>());
         }
     }
 
-    void add(Priority rank, Work work) {
+    void add(Priority priority, Work work) {
         long now = loop.nanos();
         spent = Math.max(0, spent - (now - idleFrom)); // as long as it was idle, it has caught up
         if (draining || spent > SLICE) {
-            queues.get(rank).add(new Waiting(work, now));
+            queues.get(priority).add(new Waiting(work, now));
             drainSoon();
         } else {
             work.run();
--- a/src/main/java/org/spruceridge/node/Catalogue.java
+++ b/src/main/java/org/spruceridge/node/Catalogue.java
@@ -106,9 +106,9 @@
             } catch (BadMessageException e) {
                 warnings.warn("unreadable catalogue record", e.getMessage());
             }
-            long stamp = found.isOk() ? found.value().stamp() : 0;
+            long modRevision = found.isOk() ? found.value().modRevision() : 0;
             Transaction txn = Transaction.builder()
-                    .set(Keys.CATALOGUE, stamp, now.write())
+                    .set(Keys.CATALOGUE, modRevision, now.write())
                     .build();
             state.commit(txn, Priority.DECISIONS, result -> {});
         }));
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -92,8 +92,8 @@
     private final Catalogue catalogue;
     private final Cancellations cancellations;
     private final LeaderWarmUp warmUp;
-    private final Map<String, Response> elsewhere = new HashMap<>();
-    private final Response nobodyLeads = Response.error(503, "no leader known");
+    private final Map<String, Response> redirects = new HashMap<>();
+    private final Response noLeaderResponse = Response.error(503, "no leader known");
     private Leader leader;
     private boolean ratesFell;
     private long lastReport;
@@ -125,7 +125,8 @@
                 loop, Durations.nanos(CancellationTimes.of(settings.workers()).maxStalenessS()));
         JobsEndpoint jobs = new JobsEndpoint(
                 loop, state, level, settings, catalogue::types, this::progress, warnings, cancellations);
-        this.router = new Router(jobs, this::report, this::reportMissed, this::healthy, this::metrics, loop, latencies);
+        this.router =
+                new Router(jobs, this::heartbeat, this::reportMissed, this::healthy, this::metrics, loop, latencies);
     }
 
     /** Takes the requests of users, workers and health checks. */
@@ -220,7 +221,7 @@
      * Answers a report. Who does not lead does not look into it: after the end of a leader its workers all ask the other
      * nodes again and again, and these have no more processor than they need for the next takeover.
      */
-    private Response report(byte[] body) {
+    private Response heartbeat(byte[] body) {
         lastReport = loop.nanos();
         if (!election.leads() || leader == null) {
             return refuse(HeartbeatOutcome.NO_LEADER);
@@ -229,7 +230,7 @@
             return refuse(HeartbeatOutcome.STALE_VIEW);
         }
         try {
-            return report(WorkerHeartbeat.read(body));
+            return heartbeat(WorkerHeartbeat.read(body));
         } catch (BadMessageException e) {
             leaderMetrics.count(HeartbeatOutcome.UNREADABLE);
             warnings.warn("unreadable report", e.getMessage());
@@ -241,9 +242,9 @@
     private Response refuse(HeartbeatOutcome why) {
         Optional<Response> redirect = leaderForWorkers()
                 .filter(name -> !name.equals(settings.hostName()))
-                .map(name -> elsewhere.computeIfAbsent(name, WorkerCommand::elsewhere));
+                .map(name -> redirects.computeIfAbsent(name, WorkerCommand::redirectToLeader));
         leaderMetrics.count(redirect.isPresent() ? HeartbeatOutcome.REDIRECTED : why);
-        return redirect.orElse(nobodyLeads);
+        return redirect.orElse(noLeaderResponse);
     }
 
     /** Nobody is silent while reports are let go unread here. */
@@ -254,12 +255,12 @@
         }
     }
 
-    private Response report(WorkerHeartbeat report) {
-        if (report.token() > leader.term()) {
+    private Response heartbeat(WorkerHeartbeat heartbeat) {
+        if (heartbeat.fencingToken() > leader.term()) {
             leaderMetrics.count(HeartbeatOutcome.NEWER_TERM);
             return Response.error(503, "a newer leader was seen");
         }
-        return leader.report(report).orElseGet(() -> Response.error(503, "given up"));
+        return leader.heartbeat(heartbeat).orElseGet(() -> Response.error(503, "given up"));
     }
 
     /** The state service refuses what was within its limits: it has those by now that the settings announce. */
@@ -351,7 +352,7 @@
     }
 
     private long quietNanos() {
-        return Durations.nanos(REACHED_OF_REPORT * settings.workers().reportS());
+        return Durations.nanos(REACHED_OF_REPORT * settings.workers().heartbeatIntervalS());
     }
 
     /**
--- a/src/main/java/org/spruceridge/persistence/PageIndex.java
+++ b/src/main/java/org/spruceridge/persistence/PageIndex.java
@@ -28,11 +28,11 @@
     public static final class Page<T> {
         private final String key;
         private final Set<T> items = new LinkedHashSet<>();
-        private long stamp;
+        private long modRevision;
 
-        private Page(String key, long stamp) {
+        private Page(String key, long modRevision) {
             this.key = key;
-            this.stamp = stamp;
+            this.modRevision = modRevision;
         }
 
         String key() {
@@ -44,12 +44,12 @@
         }
 
         /** 0 while it has never been written. */
-        long stamp() {
-            return stamp;
+        long modRevision() {
+            return modRevision;
         }
 
-        void stamp(long revision) {
-            stamp = revision;
+        void modRevision(long revision) {
+            modRevision = revision;
         }
     }
 
@@ -61,8 +61,8 @@
     }
 
     /** Takes over a page that is on record. */
-    public Page<T> recorded(String key, long stamp) {
-        Page<T> page = new Page<>(key, stamp);
+    public Page<T> recorded(String key, long modRevision) {
+        Page<T> page = new Page<>(key, modRevision);
         pages.add(page);
         lastNumber = Math.max(lastNumber, Integer.parseInt(key.substring(prefix.length())));
         return page;
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -89,7 +89,7 @@
     }
 
     /** The takeover is complete: pages that an earlier version has left too large are split, bit by bit. */
-    public void takenOver() {
+    public void failoverCompleted() {
         records.findOversized();
         pump();
     }
@@ -154,9 +154,9 @@
         }
         waitsForTurn = true;
         boolean decisionsOnly = waiting.values().stream().allMatch(w -> w == Write.BIND);
-        Priority rank = decisionsOnly ? Priority.DECISIONS : Priority.REPORTS;
+        Priority priority = decisionsOnly ? Priority.DECISIONS : Priority.REPORTS;
         state.commitAtTurn(
-                rank,
+                priority,
                 records.likelyChanges(),
                 () -> {
                     waitsForTurn = false;
@@ -199,7 +199,7 @@
     }
 
     private void sendAgain(WriteBatch batch, long retry) {
-        state.commit(batch.transaction(), batch.rank(), scope.guard(result -> judge(batch, result, retry)));
+        state.commit(batch.transaction(), batch.priority(), scope.guard(result -> judge(batch, result, retry)));
     }
 
     private void judge(WriteBatch batch, TransactionResult result, long retry) {
@@ -224,11 +224,11 @@
 
     /** An earlier copy of the transaction may be what made this one fail: its own keys tell. */
     private void probe(WriteBatch batch, ImmutableList<String> failed) {
-        state.get(batch.mark(), batch.rank(), scope.guard(result -> {
+        state.get(batch.mark(), batch.priority(), scope.guard(result -> {
             if (result.kind() == Result.Kind.UNAVAILABLE) {
                 scope.after(FIRST_RETRY, () -> probe(batch, failed));
             } else if (result.isOk() && batch.wrote(result.value().value())) {
-                committed(batch, result.value().stamp());
+                committed(batch, result.value().modRevision());
             } else {
                 conflict(batch, failed);
             }
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -57,7 +57,7 @@
         return released.isEmpty() && bound.isEmpty();
     }
 
-    Priority rank() {
+    Priority priority() {
         return released.isEmpty() ? Priority.DECISIONS : Priority.REPORTS;
     }
 
@@ -247,13 +247,13 @@
     }
 
     private Transaction build() {
-        Transaction.Builder txn = Transaction.builder().guard(Keys.LEADER, term.leaderStamp());
-        guardedJobs.forEach(job -> txn.guard(Keys.open(job.id()), job.stamp()));
-        bindings.forEach(p -> txn.set(p.key(), p.stamp(), records.bindingsPage(write, p, this::recorded)));
-        chunks.forEach(p -> txn.set(p.key(), p.stamp(), records.finishedPage(write, p, ending)));
+        Transaction.Builder txn = Transaction.builder().guard(Keys.LEADER, term.leaderRevision());
+        guardedJobs.forEach(job -> txn.guard(Keys.open(job.id()), job.modRevision()));
+        bindings.forEach(p -> txn.set(p.key(), p.modRevision(), records.bindingsPage(write, p, this::recorded)));
+        chunks.forEach(p -> txn.set(p.key(), p.modRevision(), records.finishedPage(write, p, ending)));
         finished.forEach((job, end) -> {
-            txn.set(Keys.job(job.id()), job.stamp(), end);
-            txn.drop(Keys.open(job.id()), job.stamp());
+            txn.set(Keys.job(job.id()), job.modRevision(), end);
+            txn.drop(Keys.open(job.id()), job.modRevision());
         });
         return txn.build();
     }
@@ -277,8 +277,8 @@
 
     /** It was carried out. */
     void written(long revision) {
-        bindings.forEach(p -> p.stamp(revision));
-        chunks.forEach(p -> p.stamp(revision));
+        bindings.forEach(p -> p.modRevision(revision));
+        chunks.forEach(p -> p.modRevision(revision));
     }
 
     /** It was not, and never will be. */
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -44,7 +44,7 @@
     private final RateLimitedWarnings warnings;
     private final Consumer<Machine> available;
     /** When machines were last answered that are not in the cluster state yet. */
-    private final Map<String, Long> answeredInTakeover = new HashMap<>();
+    private final Map<String, Long> leaseRenewedDuringFailover = new HashMap<>();
 
     /** {@code available} is told of machines that have room anew: that begin to report, or that a task has left. */
     public HeartbeatHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> available) {
@@ -58,10 +58,10 @@
     }
 
     /** Takes note that a machine reported and is handed this term's token; its tasks are not looked at. */
-    private void acknowledge(WorkerHeartbeat report) {
-        Machine machine = cluster.machine(report.machine());
+    private void acknowledge(WorkerHeartbeat heartbeat) {
+        Machine machine = cluster.machine(heartbeat.machine());
         if (machine != null) {
-            machine.answered(loop.nanos(), report.token() == term);
+            machine.recordLeaseRenewal(loop.nanos(), heartbeat.fencingToken() == term);
         }
     }
 
@@ -70,35 +70,35 @@
      * it and carries this term's token: orders of earlier leaders can no longer reach that worker, so what the report lacks
      * is not there.
      */
-    public List<WorkerCommand> handle(WorkerHeartbeat report) {
-        Optional<List<WorkerCommand>> orders = apply(report, true);
-        acknowledge(report);
-        return orders.orElseGet(() -> stopsOfEndedJobs(report));
+    public List<WorkerCommand> handle(WorkerHeartbeat heartbeat) {
+        Optional<List<WorkerCommand>> commands = apply(heartbeat, true);
+        acknowledge(heartbeat);
+        return commands.orElseGet(() -> stopsOfEndedJobs(heartbeat));
     }
 
     /** Answers a report while the takeover is under way: only jobs are known yet, and of those all that are open. */
-    public List<WorkerCommand> handleInTakeover(WorkerHeartbeat report) {
-        answeredInTakeover.put(report.machine(), loop.nanos());
-        return stopsOfEndedJobs(report);
+    public List<WorkerCommand> handleDuringFailover(WorkerHeartbeat heartbeat) {
+        leaseRenewedDuringFailover.put(heartbeat.machine(), loop.nanos());
+        return stopsOfEndedJobs(heartbeat);
     }
 
     /** The machines of the records are known from now on: of some the lease was renewed meanwhile. */
-    public void takeoverCompleted() {
-        answeredInTakeover.forEach((name, at) -> {
+    public void failoverCompleted() {
+        leaseRenewedDuringFailover.forEach((name, at) -> {
             Machine machine = cluster.machine(name);
             if (machine != null) {
-                machine.answeredInTakeover(at);
+                machine.leaseRenewedDuringFailover(at);
             }
         });
-        answeredInTakeover.clear();
+        leaseRenewedDuringFailover.clear();
     }
 
     /**
      * The answer to a report renews the worker's lease even if nothing is taken from it. So it stops all that the report
      * lists of jobs that are not open. That needs no fresh report: a stop names an attempt, and an ended job stays ended.
      */
-    private List<WorkerCommand> stopsOfEndedJobs(WorkerHeartbeat report) {
-        return report.tasks().stream()
+    private List<WorkerCommand> stopsOfEndedJobs(WorkerHeartbeat heartbeat) {
+        return heartbeat.tasks().stream()
                 .filter(t -> t.state() != WorkerHeartbeat.TaskState.EXITED
                         && !isOpen(t.task().job()))
                 .map(t -> WorkerCommand.stop(t.task(), t.attempt(), 0))
@@ -114,45 +114,45 @@
      * True if answering this machine would only put off the proof that its tasks are gone: it is being given back and
      * does not do as it is told, or it has long been answered and does not show this term's token.
      */
-    public boolean ignores(WorkerHeartbeat report) {
-        Machine machine = cluster.machine(report.machine());
+    public boolean ignores(WorkerHeartbeat heartbeat) {
+        Machine machine = cluster.machine(heartbeat.machine());
         if (machine == null || machine.bindings().isEmpty()) {
             return false;
         }
         // Not sooner: right after a takeover answers may come too late for the workers, and then it is not they who are
         // at fault.
-        long patience = Durations.nanos(settings.workers().leaseS());
-        boolean unreachable = report.token() != term && loop.nanos() - machine.tokenSentAt() > patience;
-        return unreachable || (machine.returning() && machine.unreachableSince() != Machine.NEVER);
+        long timeout = Durations.nanos(settings.workers().leaseS());
+        boolean unreachable = heartbeat.fencingToken() != term && loop.nanos() - machine.fencingTokenSentAt() > timeout;
+        return unreachable || (machine.terminating() && machine.unreachableSince() != Machine.NEVER);
     }
 
     /** Takes the report into the cluster state that came with the answer to a push. */
-    public void apply(WorkerHeartbeat report) {
-        apply(report, false);
+    public void apply(WorkerHeartbeat heartbeat) {
+        apply(heartbeat, false);
     }
 
     /** The orders that follow from the report, or nothing if it is not taken into the cluster state. */
-    private Optional<List<WorkerCommand>> apply(WorkerHeartbeat report, boolean byItself) {
+    private Optional<List<WorkerCommand>> apply(WorkerHeartbeat heartbeat, boolean byItself) {
         // A report with another token may be a copy of any age, of a machine that is gone: it tells nothing. The answer
         // brings this term's token, and the next report with it. A machine that was given back stays so.
-        if (report.token() != term || cluster.isGone(report.machine())) {
+        if (heartbeat.fencingToken() != term || cluster.isGone(heartbeat.machine())) {
             return Optional.empty();
         }
-        Machine machine = machine(report);
-        if (!machine.isNews(report.session(), report.sequence())) {
+        Machine machine = machine(heartbeat);
+        if (!machine.isNews(heartbeat.incarnation(), heartbeat.sequence())) {
             return Optional.empty();
         }
         long now = loop.nanos();
-        boolean fresh = !machine.fenced() || report.session() > machine.session();
-        machine.heard(report.session(), report.sequence(), report.address(), byItself, now);
+        boolean fresh = !machine.fenced() || heartbeat.incarnation() > machine.incarnation();
+        machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), byItself, now);
         machine.fence();
         machine.reclaimAt(
-                report.noticeS().isPresent()
-                        ? now + Durations.nanos(report.noticeS().getAsDouble())
+                heartbeat.noticeS().isPresent()
+                        ? now + Durations.nanos(heartbeat.noticeS().getAsDouble())
                         : Long.MAX_VALUE);
         Map<TaskId, TaskStatus> listed = new HashMap<>();
         List<TaskStatus> unbound = new ArrayList<>();
-        for (TaskStatus task : report.tasks()) {
+        for (TaskStatus task : heartbeat.tasks()) {
             Binding b = machine.binding(task.task());
             if (b != null && b.attempt() == task.attempt()) {
                 listed.put(task.task(), task);
@@ -164,20 +164,20 @@
             Binding.Phase before = b.phase();
             reconcile(b, listed.get(b.task()), now);
             if (b.phase() != before && b.phase() != Binding.Phase.ABSENT) {
-                machine.reached();
+                machine.recordAcknowledgement();
             }
         }
         if (fresh) {
             available.accept(machine);
         }
-        return Optional.of(orders(machine, unbound, now));
+        return Optional.of(commands(machine, unbound, now));
     }
 
-    private Machine machine(WorkerHeartbeat report) {
-        Machine machine = cluster.machine(report.machine());
+    private Machine machine(WorkerHeartbeat heartbeat) {
+        Machine machine = cluster.machine(heartbeat.machine());
         if (machine == null) {
             long now = loop.nanos();
-            machine = new Machine(report.machine(), report.address(), report.kind(), now, now);
+            machine = new Machine(heartbeat.machine(), heartbeat.address(), heartbeat.kind(), now, now);
             cluster.add(machine);
             LOG.info("machine {} ({} in {}) reports and was not known", machine.name(), machine.type(), machine.zone());
         }
@@ -207,7 +207,7 @@
                 }
                 b.phase(Binding.Phase.RUNNING, now);
             }
-            case SAVING -> b.phase(Binding.Phase.SAVING, now);
+            case CHECKPOINTING -> b.phase(Binding.Phase.CHECKPOINTING, now);
             case EXITED -> exited(b, seen.cause(), now);
             default -> throw new IllegalStateException("no such state: " + seen.state());
         }
@@ -235,7 +235,7 @@
             }
             case NO_ROOM, BUSY, UNKNOWN -> {
                 warnings.warn("start refused: " + cause, b.toString());
-                holdBack(job, now, settings.workers().reportS());
+                backOff(job, now, settings.workers().heartbeatIntervalS());
             }
             default -> {}
         }
@@ -264,9 +264,9 @@
             LOG.info("machine {} is taken for faulty: {} failed on it", machine.name(), machine.failedJobs());
         }
         if (job.suspectedFaulty()) {
-            double backoffS =
-                    settings.workers().reportS() * Math.pow(2, job.faultyOn().size());
-            holdBack(job, now, Math.min(backoffS, settings.workers().cancelS()));
+            double backoffS = settings.workers().heartbeatIntervalS()
+                    * Math.pow(2, job.faultyOn().size());
+            backOff(job, now, Math.min(backoffS, settings.workers().cancelS()));
         }
     }
 
@@ -284,45 +284,45 @@
                 now, Durations.nanos(EARLY_EXITS_OF_CANCEL * settings.workers().cancelS()));
         int beyond = job.earlyExits() - job.spec().tasks();
         if (beyond > 0) {
-            double backoffS = settings.workers().reportS() * Math.pow(2, Math.min(beyond, MOST_DOUBLINGS));
-            holdBack(job, now, Math.min(backoffS, settings.workers().cancelS()));
+            double backoffS = settings.workers().heartbeatIntervalS() * Math.pow(2, Math.min(beyond, MOST_DOUBLINGS));
+            backOff(job, now, Math.min(backoffS, settings.workers().cancelS()));
         }
     }
 
-    private static void holdBack(Job job, long now, double seconds) {
-        job.notBefore(Math.max(job.notBefore(), now + Durations.nanos(seconds)));
+    private static void backOff(Job job, long now, double seconds) {
+        job.retryAfter(Math.max(job.retryAfter(), now + Durations.nanos(seconds)));
     }
 
     private static boolean mustNotStart(Binding b) {
-        return b.halt() != Binding.Halt.NO
-                || b.machine().returning()
+        return b.stopMode() != Binding.StopMode.NONE
+                || b.machine().terminating()
                 || b.machine().reclaimAnnounced()
                 || b.machine().suspectedFaulty()
                 || b.machine().suspectedUnreachable();
     }
 
-    private List<WorkerCommand> orders(Machine machine, List<TaskStatus> unbound, long now) {
-        List<WorkerCommand> orders = new ArrayList<>();
+    private List<WorkerCommand> commands(Machine machine, List<TaskStatus> unbound, long now) {
+        List<WorkerCommand> commands = new ArrayList<>();
         for (TaskStatus task : unbound) {
             if (task.state() == WorkerHeartbeat.TaskState.EXITED) {
-                if (machine.unresolved().contains(task.attempt())) {
+                if (machine.unresolvedStarts().contains(task.attempt())) {
                     continue; // while the worker knows the attempt, a late start of it does nothing
                 }
-                orders.add(WorkerCommand.forget(task.task(), task.attempt()));
+                commands.add(WorkerCommand.forget(task.task(), task.attempt()));
             } else {
                 addOrphan(machine, task, now);
-                orders.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
+                commands.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
             }
         }
         for (Binding b : machine.bindings()) {
             stopBeforeReclaim(b, now);
             WorkerCommand due = due(b);
             if (due != null) {
-                b.ordered(now);
-                orders.add(due);
+                b.commandSent(now);
+                commands.add(due);
             }
         }
-        return orders;
+        return commands;
     }
 
     /** The order that a binding calls for as things stand, or null. */
@@ -331,19 +331,21 @@
             case ABSENT -> b.stage() == Binding.Stage.COMMITTED && !mustNotStart(b)
                     ? WorkerCommand.start(b.task(), b.attempt())
                     : null;
-            case FETCHING, RUNNING -> switch (b.halt()) {
-                case NO -> null;
-                case SAVING -> WorkerCommand.stop(b.task(), b.attempt(), graceS(b, loop.nanos()));
-                case AT_ONCE -> WorkerCommand.stop(b.task(), b.attempt(), 0);
+            case FETCHING, RUNNING -> switch (b.stopMode()) {
+                case NONE -> null;
+                case CHECKPOINT -> WorkerCommand.stop(b.task(), b.attempt(), graceS(b, loop.nanos()));
+                case IMMEDIATE -> WorkerCommand.stop(b.task(), b.attempt(), 0);
             };
-            case SAVING -> b.halt() == Binding.Halt.AT_ONCE ? WorkerCommand.stop(b.task(), b.attempt(), 0) : null;
+            case CHECKPOINTING -> b.stopMode() == Binding.StopMode.IMMEDIATE
+                    ? WorkerCommand.stop(b.task(), b.attempt(), 0)
+                    : null;
             case ENDED -> null; // forgotten once its end is on record
         };
     }
 
     /** A start sent straight to the worker is still unresolved: that the task is absent proves nothing yet. */
     private static boolean startMayCome(Binding b) {
-        return b.machine().unresolved().contains(b.attempt());
+        return b.machine().unresolvedStarts().contains(b.attempt());
     }
 
     /** A running task that no record knows: it should not be. It is counted where it is, and stopped. */
@@ -356,7 +358,7 @@
             return;
         }
         Binding b = new Binding(job, task.task().index(), task.attempt(), machine, Binding.Stage.ORPHANED, now);
-        b.halt(Binding.Halt.AT_ONCE);
+        b.stopMode(Binding.StopMode.IMMEDIATE);
         cluster.bind(b);
     }
 
@@ -364,20 +366,21 @@
     private void stopBeforeReclaim(Binding b, long now) {
         Machine machine = b.machine();
         boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.FETCHING;
-        if (!there || !machine.reclaimAnnounced() || b.halt() != Binding.Halt.NO) {
+        if (!there || !machine.reclaimAnnounced() || b.stopMode() != Binding.StopMode.NONE) {
             return;
         }
         JobSpec spec = b.job().spec();
         double leftS = Durations.seconds(machine.reclaimAt() - now);
         // The next chance to say so is a report away, at the latest one and a quarter periods.
-        double lastChanceS = 2.5 * settings.workers().reportS() + (spec.saves() ? 1.5 * spec.saveS() : 0);
+        double lastChanceS = 2.5 * settings.workers().heartbeatIntervalS()
+                + (spec.canCheckpoint() ? 1.5 * spec.checkpointDurationS() : 0);
         if (leftS <= lastChanceS) {
-            b.halt(Binding.Halt.SAVING);
+            b.stopMode(Binding.StopMode.CHECKPOINT);
         }
     }
 
     private double graceS(Binding b, long now) {
-        double wanted = 2 * b.job().spec().saveS() + 1;
+        double wanted = 2 * b.job().spec().checkpointDurationS() + 1;
         return b.machine().reclaimAnnounced()
                 ? Math.max(0, Math.min(wanted, Durations.seconds(b.machine().reclaimAt() - now)))
                 : wanted;
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -84,7 +84,7 @@
     /** Follows all changes after a revision. The answer tells of all that came before it was asked for. */
     public void start(long from) {
         long asked = loop.nanos();
-        watch = state.follow(Keys.OPEN, from, watchS, scope.guard(result -> {
+        watch = state.watch(Keys.OPEN, from, watchS, scope.guard(result -> {
             if (result.isOk()) {
                 result.value().changes().forEach(this::apply);
                 refreshed(asked);
@@ -146,7 +146,7 @@
         if (change.dropped()) {
             dropped(id, CancellationSource.WATCH);
         } else {
-            add(id, change.value(), change.stamp());
+            add(id, change.value(), change.modRevision());
         }
     }
 
@@ -157,13 +157,13 @@
         }
     }
 
-    private void add(String id, JsonNode value, long stamp) {
+    private void add(String id, JsonNode value, long modRevision) {
         if (cluster.job(id) != null) {
             return;
         }
         try {
             JobRecord record = JobRecord.read(value);
-            cluster.add(new Job(record.spec(), stamp, record.submittedMs()));
+            cluster.add(new Job(record.spec(), modRevision, record.submittedMs()));
         } catch (BadMessageException e) {
             warnings.warn("unreadable job record", id + ": " + e.getMessage());
         }
@@ -180,7 +180,7 @@
             for (Entry e : listing.value().entries()) {
                 String id = e.key().substring(Keys.OPEN.length());
                 open.add(id);
-                add(id, e.value(), e.stamp());
+                add(id, e.value(), e.modRevision());
             }
             List.copyOf(cluster.jobs()).stream()
                     .filter(job -> !open.contains(job.id()))
--- a/src/main/java/org/spruceridge/record/SpecMessage.java
+++ b/src/main/java/org/spruceridge/record/SpecMessage.java
@@ -53,7 +53,7 @@
                 name(body, "lot"),
                 name(body, "crew"),
                 kind,
-                rank(Json.text(body, "rank")),
+                priority(Json.text(body, "rank")),
                 (int) tasks,
                 new Resources(positive(body, "cpus"), notNegative(body, "accelerators"), positive(body, "memGb")),
                 types(body),
@@ -76,7 +76,7 @@
                 .put("lot", spec.jobClass())
                 .put("crew", spec.team())
                 .put("shape", spec.isService() ? SERVICE : ARRAY)
-                .put("rank", rank(spec.rank()))
+                .put("rank", priority(spec.priority()))
                 .put("parts", spec.tasks())
                 .put("cpus", spec.task().cpus())
                 .put("accelerators", spec.task().gpus())
@@ -87,8 +87,8 @@
                 .put("scatter", spec.spread())
                 .put("windfall", spec.spot())
                 .put("expectS", spec.estimateS())
-                .put("markEveryS", spec.checkpointS())
-                .put("markS", spec.saveS());
+                .put("markEveryS", spec.checkpointIntervalS())
+                .put("markS", spec.checkpointDurationS());
         spec.types().ifPresent(types -> types.forEach(out.putArray("builds")::add));
         spec.zone().ifPresent(zone -> out.put("grove", zone));
         spec.deadlineS().ifPresent(due -> out.put("dueS", due));
@@ -148,7 +148,7 @@
         return value;
     }
 
-    private static JobPriority rank(String text) throws BadMessageException {
+    private static JobPriority priority(String text) throws BadMessageException {
         return switch (text) {
             case "production" -> JobPriority.PRODUCTION;
             case "high" -> JobPriority.HIGH;
@@ -158,8 +158,8 @@
         };
     }
 
-    private static String rank(JobPriority rank) {
-        return switch (rank) {
+    private static String priority(JobPriority priority) {
+        return switch (priority) {
             case PRODUCTION -> "production";
             case HIGH -> "high";
             case NORMAL -> "normal";
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -63,11 +63,11 @@
     }
 
     private boolean usable(Machine machine) {
-        double silentS = Durations.secondsSince(machine.lastHeard(), now);
+        double silentS = Durations.secondsSince(machine.lastHeartbeat(), now);
         return machine.fenced()
-                && !machine.returning()
+                && !machine.terminating()
                 && !machine.unschedulable()
-                && silentS < SILENCE_OF_REPORT * settings.workers().reportS();
+                && silentS < SILENCE_OF_REPORT * settings.workers().heartbeatIntervalS();
     }
 
     /** All machines that may get work, in the cluster's order. */
@@ -83,7 +83,7 @@
     Map<Job, WaitingJob> waitingJobs(long wallMs) {
         Map<Job, WaitingJob> waiting = new LinkedHashMap<>();
         for (Job job : cluster.jobs()) {
-            if (job.waiting() > 0 && job.notBefore() <= now) {
+            if (job.waiting() > 0 && job.retryAfter() <= now) {
                 waiting.put(job, new WaitingJob(Candidate.waiting(job, now, wallMs), allowedKinds(job.spec())));
             }
         }
@@ -161,9 +161,9 @@
     List<Binding> leavingReplicas() {
         List<Binding> leaving = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.reclaimAnnounced() && !machine.returning()) {
+            if (machine.reclaimAnnounced() && !machine.terminating()) {
                 for (Binding b : machine.bindings()) {
-                    boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.SAVING;
+                    boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.CHECKPOINTING;
                     if (b.job().spec().isService() && there && !b.job().cancelled()) {
                         leaving.add(b);
                     }
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -41,8 +41,8 @@
         smallestTask = Resources.leastOf(
                 pressing.stream().map(waiting -> waiting.job().spec().task()));
         for (WaitingJob waiting : pressing) {
-            JobPriority rank = waiting.job().spec().rank();
-            highestRank = rank.outranks(highestRank) ? rank : highestRank;
+            JobPriority priority = waiting.job().spec().priority();
+            highestRank = priority.outranks(highestRank) ? priority : highestRank;
         }
         for (MachineCapacity capacity : state.machines()) {
             PreemptionSite site = new PreemptionSite(capacity, mayStopOn(capacity.machine()), state.now());
--- a/src/main/java/org/spruceridge/schedule/PreemptionSite.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionSite.java
@@ -30,7 +30,7 @@
     private static Resources expectedFree(MachineCapacity capacity) {
         Resources room = capacity.free();
         for (Binding b : capacity.machine().bindings()) {
-            boolean leaving = b.halt() != Binding.Halt.NO || b.phase() == Binding.Phase.ENDED;
+            boolean leaving = b.stopMode() != Binding.StopMode.NONE || b.phase() == Binding.Phase.ENDED;
             room = leaving && !b.gone() ? room.plus(b.job().spec().task()) : room;
         }
         return room;
@@ -40,7 +40,7 @@
         List<Victim> found = new ArrayList<>(capacity.machine().bindings().size());
         for (Binding b : capacity.machine().bindings()) {
             boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.FETCHING;
-            if (there && b.halt() == Binding.Halt.NO) {
+            if (there && b.stopMode() == Binding.StopMode.NONE) {
                 found.add(new Victim(this, b, lossS(b, now)));
             }
         }
@@ -54,7 +54,7 @@
         if (spec.isService()) {
             return Double.POSITIVE_INFINITY;
         }
-        return spec.saves() ? spec.saveS() : b.elapsedS(now);
+        return spec.canCheckpoint() ? spec.checkpointDurationS() : b.elapsedS(now);
     }
 
     MachineCapacity capacity() {
@@ -68,7 +68,7 @@
         }
         // By index, here and below: an iterator for each machine and job is most of what a cycle would allocate.
         for (int i = 0; i < victims.size(); i++) {
-            if (highestRank.outranks(victims.get(i).binding.job().spec().rank())) {
+            if (highestRank.outranks(victims.get(i).binding.job().spec().priority())) {
                 return true;
             }
         }
@@ -91,7 +91,7 @@
     Victim cheapestVictim(JobSpec spec) {
         for (int i = 0; i < victims.size(); i++) {
             JobSpec stopped = victims.get(i).binding.job().spec();
-            if (spec.rank().outranks(stopped.rank()) && fitsAfter(spec.task(), stopped.task())) {
+            if (spec.priority().outranks(stopped.priority()) && fitsAfter(spec.task(), stopped.task())) {
                 return victims.get(i);
             }
         }
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -28,9 +28,9 @@
                 new Term(new Overhead(), weights.overhead()),
                 new Term(new Wait(), weights.waiting()),
                 new Term(new Aging(), weights.aging()),
-                new Term(new StarvationPrevention(beginWithinS), weights.patience()),
+                new Term(new StarvationPrevention(beginWithinS), weights.starvation()),
                 new Term(new Availability(estimates.floorS()), weights.availability()),
-                new Term(new MachinePrice(), weights.thrift()),
+                new Term(new MachinePrice(), weights.spotPreference()),
                 new Term(new Packing(), weights.packing()));
         this.jobTerms = select(terms, false);
         this.machineTerms = select(terms, true);
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -94,7 +94,7 @@
     private ImmutableList<Binding> moves() {
         ImmutableList.Builder<Binding> moves = ImmutableList.builder();
         for (Binding leaving : state.leavingReplicas()) {
-            if (state.keepRoomFor(leaving) && leaving.halt() == Binding.Halt.NO) {
+            if (state.keepRoomFor(leaving) && leaving.stopMode() == Binding.StopMode.NONE) {
                 moves.add(leaving);
             }
         }
--- a/src/main/java/org/spruceridge/state/AcceptingState.java
+++ b/src/main/java/org/spruceridge/state/AcceptingState.java
@@ -43,7 +43,10 @@
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("entries");
         for (Entry entry : entries.apply(prefix)) {
-            list.addObject().put("k", entry.key()).put("stamp", entry.stamp()).set("v", entry.value());
+            list.addObject()
+                    .put("k", entry.key())
+                    .put("stamp", entry.modRevision())
+                    .set("v", entry.value());
         }
         return body.put("truncated", false).put("ring", revision);
     }
--- a/src/main/java/org/spruceridge/state/Entry.java
+++ b/src/main/java/org/spruceridge/state/Entry.java
@@ -3,4 +3,4 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** A key with its value and the revision of its last change. */
-public record Entry(String key, JsonNode value, long stamp) {}
+public record Entry(String key, JsonNode value, long modRevision) {}
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -28,7 +28,7 @@
     private static final int PAGE = 500;
     private static final int TOO_MANY_REQUESTS = 429;
     /** Responses usually take under 10 ms and occasionally a few hundred. */
-    private static final long PATIENCE = Durations.millis(1000);
+    private static final long REQUEST_TIMEOUT = Durations.millis(1000);
     /** A watch may answer this much after the time that it was asked to wait. */
     private static final long WATCH_SLACK = Durations.nanos(5);
 
@@ -75,19 +75,24 @@
     }
 
     /** Reads one key. */
-    public void get(String key, Priority rank, Consumer<Result<Entry>> done) {
-        send(rank, 0, HttpCall.get("/store/" + key), PATIENCE, answer -> done.accept(readEntry(key, answer)));
+    public void get(String key, Priority priority, Consumer<Result<Entry>> done) {
+        send(
+                priority,
+                0,
+                HttpCall.get("/store/" + key),
+                REQUEST_TIMEOUT,
+                answer -> done.accept(readEntry(key, answer)));
     }
 
     /** Reads all keys under a prefix, page by page. */
-    public void list(String prefix, Priority rank, Consumer<Result<Listing>> done) {
-        listPage(prefix, rank, "", new PartialListing(), done);
+    public void list(String prefix, Priority priority, Consumer<Result<Listing>> done) {
+        listPage(prefix, priority, "", new PartialListing(), done);
     }
 
     private void listPage(
-            String prefix, Priority rank, String from, PartialListing read, Consumer<Result<Listing>> done) {
+            String prefix, Priority priority, String from, PartialListing read, Consumer<Result<Listing>> done) {
         String target = "/store?starts=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&limit=" + PAGE;
-        send(rank, 0, HttpCall.get(target), PATIENCE, answer -> {
+        send(priority, 0, HttpCall.get(target), REQUEST_TIMEOUT, answer -> {
             if (answer.status() != 200) {
                 done.accept(Result.failed(Result.Kind.UNAVAILABLE));
                 return;
@@ -100,7 +105,7 @@
                 read.revision = Math.min(read.revision, Json.whole(body, "ring"));
                 read.bytes += answer.body().length;
                 if (body.path("truncated").asBoolean() && !read.entries.isEmpty()) {
-                    listPage(prefix, rank, read.lastKey(), read, done);
+                    listPage(prefix, priority, read.lastKey(), read, done);
                 } else {
                     done.accept(Result.ok(read.complete()));
                 }
@@ -127,8 +132,8 @@
     }
 
     /** Commits a transaction. */
-    public void commit(Transaction txn, Priority rank, Consumer<TransactionResult> done) {
-        send(rank, txn.changeCount(), HttpCall.post("/txn", txn.body()), PATIENCE, judged(done));
+    public void commit(Transaction txn, Priority priority, Consumer<TransactionResult> done) {
+        send(priority, txn.changeCount(), HttpCall.post("/txn", txn.body()), REQUEST_TIMEOUT, judged(done));
     }
 
     /**
@@ -136,13 +141,13 @@
      * that has gathered by then. With null nothing is sent, and {@code done} is not called.
      */
     public void commitAtTurn(
-            Priority rank, int mostChanges, Supplier<Transaction> make, Consumer<TransactionResult> done) {
-        boolean taken = limiter.submit(rank, mostChanges, () -> {
+            Priority priority, int mostChanges, Supplier<Transaction> make, Consumer<TransactionResult> done) {
+        boolean taken = limiter.submit(priority, mostChanges, () -> {
             Transaction txn = make.get();
             if (txn == null) {
                 return 0;
             }
-            http.call(address, HttpCall.post("/txn", txn.body()), PATIENCE, timed(served(judged(done))));
+            http.call(address, HttpCall.post("/txn", txn.body()), REQUEST_TIMEOUT, timed(served(judged(done))));
             return txn.changeCount();
         });
         if (!taken) {
@@ -161,9 +166,9 @@
     }
 
     /** Asks for a grant of this time to live. */
-    public void grant(long ttlMillis, Consumer<Result<Long>> done) {
+    public void createLease(long ttlMillis, Consumer<Result<Long>> done) {
         byte[] body = Json.bytes(Json.object().put("ttlMs", ttlMillis));
-        send(Priority.RENEWAL, 0, HttpCall.post("/grants", body), PATIENCE, answer -> {
+        send(Priority.RENEWAL, 0, HttpCall.post("/grants", body), REQUEST_TIMEOUT, answer -> {
             if (answer.status() != 200) {
                 done.accept(Result.failed(Result.Kind.UNAVAILABLE));
                 return;
@@ -178,12 +183,12 @@
     }
 
     /** Renews a grant; MISSING means that it has ended. The answer carries the moment at which the call was sent. */
-    public void renew(long permit, long patience, Consumer<Result<Long>> done) {
-        HttpCall call = HttpCall.post("/grants/" + permit + "/renew", new byte[0]);
+    public void renewLease(long leaseId, long timeout, Consumer<Result<Long>> done) {
+        HttpCall call = HttpCall.post("/grants/" + leaseId + "/renew", new byte[0]);
         long[] sent = new long[1];
         submit(Priority.RENEWAL, 0, done, () -> {
             sent[0] = loop.nanos();
-            http.call(address, call, patience, served(answer -> {
+            http.call(address, call, timeout, served(answer -> {
                 if (answer.status() == 200) {
                     done.accept(Result.ok(sent[0]));
                 } else {
@@ -194,12 +199,17 @@
     }
 
     /** Ends a grant, and with it the keys attached to it; nothing depends on whether it works. */
-    public void endGrant(long permit) {
-        send(Priority.RENEWAL, 0, new HttpCall("DELETE", "/grants/" + permit, new byte[0]), PATIENCE, answer -> {});
+    public void revokeLease(long leaseId) {
+        send(
+                Priority.RENEWAL,
+                0,
+                new HttpCall("DELETE", "/grants/" + leaseId, new byte[0]),
+                REQUEST_TIMEOUT,
+                answer -> {});
     }
 
     /** Waits for changes after a revision. */
-    public Cancellable follow(String prefix, long from, double blockS, Consumer<Result<Changes>> done) {
+    public Cancellable watch(String prefix, long from, double blockS, Consumer<Result<Changes>> done) {
         long blockMs = (long) (blockS * 1000);
         String target = "/follow?starts=" + prefix + "&from=" + from + "&blockMs=" + blockMs;
         CancelLater later = new CancelLater();
@@ -213,7 +223,7 @@
             }
         });
         if (!taken) {
-            loop.after(PATIENCE, () -> done.accept(Result.failed(Result.Kind.UNAVAILABLE)));
+            loop.after(REQUEST_TIMEOUT, () -> done.accept(Result.failed(Result.Kind.UNAVAILABLE)));
         }
         return later;
     }
@@ -231,15 +241,15 @@
         }
     }
 
-    private void send(Priority rank, int changes, HttpCall call, long patience, Consumer<HttpAnswer> done) {
-        boolean taken = limiter.submit(rank, changes, () -> http.call(address, call, patience, timed(served(done))));
+    private void send(Priority priority, int changes, HttpCall call, long timeout, Consumer<HttpAnswer> done) {
+        boolean taken = limiter.submit(priority, changes, () -> http.call(address, call, timeout, timed(served(done))));
         if (!taken) {
             done.accept(new HttpAnswer(429, new byte[0])); // as good as refused: it was never sent
         }
     }
 
-    private <T> void submit(Priority rank, int changes, Consumer<Result<T>> done, Runnable work) {
-        if (!limiter.submit(rank, changes, work)) {
+    private <T> void submit(Priority priority, int changes, Consumer<Result<T>> done, Runnable work) {
+        if (!limiter.submit(priority, changes, work)) {
             done.accept(Result.failed(Result.Kind.UNAVAILABLE));
         }
     }
@@ -296,7 +306,7 @@
                 case 400:
                     boolean noGrant = new String(answer.body()).contains("no such lease");
                     return TransactionResult.of(
-                            noGrant ? TransactionResult.Kind.NO_GRANT : TransactionResult.Kind.REJECTED);
+                            noGrant ? TransactionResult.Kind.LEASE_NOT_FOUND : TransactionResult.Kind.REJECTED);
                 case TOO_MANY_REQUESTS, 503:
                     return TransactionResult.of(TransactionResult.Kind.REFUSED);
                 default:
--- a/src/main/java/org/spruceridge/state/Transaction.java
+++ b/src/main/java/org/spruceridge/state/Transaction.java
@@ -15,7 +15,7 @@
     private final ImmutableList<Op> ops;
     private final byte[] body;
 
-    private record Op(String key, JsonNode value, long permit) {}
+    private record Op(String key, JsonNode value, long leaseId) {}
 
     private Transaction(ImmutableMap<String, Long> guards, ImmutableList<Op> ops) {
         this.guards = guards;
@@ -50,7 +50,7 @@
     private ObjectNode toJson() {
         ObjectNode out = Json.object();
         ArrayNode ifs = out.putArray("guards");
-        guards.forEach((key, stamp) -> ifs.addObject().put("k", key).put("stamp", stamp));
+        guards.forEach((key, modRevision) -> ifs.addObject().put("k", key).put("stamp", modRevision));
         ArrayNode then = out.putArray("then");
         for (Op op : ops) {
             if (op.value == null) {
@@ -58,8 +58,8 @@
             } else {
                 ObjectNode set = then.addObject().put("set", op.key);
                 set.set("v", op.value);
-                if (op.permit != 0) {
-                    set.put("permit", op.permit);
+                if (op.leaseId != 0) {
+                    set.put("permit", op.leaseId);
                 }
             }
         }
@@ -72,8 +72,8 @@
         private final ImmutableList.Builder<Op> ops = ImmutableList.builder();
 
         /** Requires that the key still has this stamp; 0 that it does not exist. */
-        public Builder guard(String key, long stamp) {
-            guards.put(key, stamp);
+        public Builder guard(String key, long modRevision) {
+            guards.put(key, modRevision);
             return this;
         }
 
@@ -83,9 +83,9 @@
         }
 
         /** Sets a key that vanishes with the grant. */
-        public Builder set(String key, long lastStamp, JsonNode value, long permit) {
+        public Builder set(String key, long lastStamp, JsonNode value, long leaseId) {
             guard(key, lastStamp);
-            ops.add(new Op(key, value, permit));
+            ops.add(new Op(key, value, leaseId));
             return this;
         }
 
--- a/src/main/java/org/spruceridge/state/TransactionResult.java
+++ b/src/main/java/org/spruceridge/state/TransactionResult.java
@@ -10,7 +10,7 @@
         /** A guard did not hold; {@link TransactionResult#failed} names its keys. */
         CONFLICT,
         /** The grant that a key should hang on is gone. */
-        NO_GRANT,
+        LEASE_NOT_FOUND,
         /** Certainly not carried out, and not to be sent again: the service calls it malformed. */
         REJECTED,
         /** Certainly not carried out, now. */
--- a/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
+++ b/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
@@ -7,7 +7,7 @@
     /** Answered with at least one stop. */
     ANSWERED_WITH_STOPS,
     /** Answered while the takeover was under way. */
-    ANSWERED_IN_TAKEOVER,
+    ANSWERED_DURING_FAILOVER,
     /** Sent to the node that leads. */
     REDIRECTED,
     /** Refused, for no leader is known. */
--- a/src/main/java/org/spruceridge/term/LeaderMetrics.java
+++ b/src/main/java/org/spruceridge/term/LeaderMetrics.java
@@ -6,21 +6,21 @@
 
 /** Counts what became of reports, and times takeovers, over all terms of this process. */
 public final class LeaderMetrics {
-    private final long[] reports = new long[HeartbeatOutcome.values().length];
-    private long takeovers;
-    private long lastTakeover;
-    private long longestTakeover;
+    private final long[] heartbeats = new long[HeartbeatOutcome.values().length];
+    private long failovers;
+    private long lastFailover;
+    private long longestFailover;
 
     /** Counts a report. */
     public void count(HeartbeatOutcome outcome) {
-        reports[outcome.ordinal()]++;
+        heartbeats[outcome.ordinal()]++;
     }
 
     /** A takeover was completed, so many nanoseconds after the election. */
-    public void takenOver(long nanos) {
-        takeovers++;
-        lastTakeover = nanos;
-        longestTakeover = Math.max(longestTakeover, nanos);
+    public void failoverCompleted(long nanos) {
+        failovers++;
+        lastFailover = nanos;
+        longestFailover = Math.max(longestFailover, nanos);
     }
 
     /** Adds reports by outcome, and takeovers. */
@@ -28,11 +28,11 @@
         ObjectNode answers = out.putObject("reportOutcomes");
         for (HeartbeatOutcome outcome : HeartbeatOutcome.values()) {
             String name = CaseFormat.UPPER_UNDERSCORE.to(CaseFormat.LOWER_CAMEL, outcome.name());
-            answers.put(name, reports[outcome.ordinal()]);
+            answers.put(name, heartbeats[outcome.ordinal()]);
         }
         out.putObject("takeovers")
-                .put("count", takeovers)
-                .put("lastS", Durations.seconds(lastTakeover))
-                .put("longestS", Durations.seconds(longestTakeover));
+                .put("count", failovers)
+                .put("lastS", Durations.seconds(lastFailover))
+                .put("longestS", Durations.seconds(longestFailover));
     }
 }
--- a/src/main/java/org/spruceridge/upgrade/ClusterLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/ClusterLevel.java
@@ -37,18 +37,18 @@
             if (found.kind() == Result.Kind.UNAVAILABLE) {
                 done.accept(Result.failed(Result.Kind.UNAVAILABLE));
             } else if (found.isOk()) {
-                done.accept(understand(found.value().value(), found.value().stamp()));
+                done.accept(understand(found.value().value(), found.value().modRevision()));
             } else {
                 done.accept(Result.ok(new LevelRecord(FeatureLevel.BASE, 0)));
             }
         });
     }
 
-    private Result<LevelRecord> understand(JsonNode value, long stamp) {
+    private Result<LevelRecord> understand(JsonNode value, long modRevision) {
         try {
             FeatureLevel level = FeatureLevel.read(value);
             raised(level);
-            return Result.ok(new LevelRecord(level, stamp));
+            return Result.ok(new LevelRecord(level, modRevision));
         } catch (BadMessageException e) {
             complain(e.getMessage());
             return Result.failed(Result.Kind.INVALID);
--- a/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
+++ b/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
@@ -22,7 +22,7 @@
     private final StateClient state;
     private final ClusterLevel level;
     private final BooleanSupplier everyMemberSupports;
-    private final long leaderStamp;
+    private final long leaderRevision;
     private final Runnable raised;
     private LevelRecord onRecord;
 
@@ -35,14 +35,14 @@
             StateClient state,
             ClusterLevel level,
             LevelRecord onRecord,
-            long leaderStamp,
+            long leaderRevision,
             BooleanSupplier everyMemberSupports,
             Runnable raised) {
         this.scope = scope;
         this.state = state;
         this.level = level;
         this.onRecord = onRecord;
-        this.leaderStamp = leaderStamp;
+        this.leaderRevision = leaderRevision;
         this.everyMemberSupports = everyMemberSupports;
         this.raised = raised;
     }
@@ -61,8 +61,8 @@
 
     private void raise() {
         Transaction txn = Transaction.builder()
-                .guard(Keys.LEADER, leaderStamp)
-                .set(Keys.FEATURE_LEVEL, onRecord.stamp(), FeatureLevel.SUPPORTED.write())
+                .guard(Keys.LEADER, leaderRevision)
+                .set(Keys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
                 .build();
         state.commit(txn, Priority.DECISIONS, scope.guard(result -> {
             if (result.kind() == TransactionResult.Kind.COMMITTED) {
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
@@ -58,9 +58,9 @@
 final class WarmUpLeader {
     private static final int MACHINES = 32;
     private static final int JOBS = 8;
-    private static final int TASKS_OF_A_JOB = 24;
-    private static final int REPORTS_A_STEP = 4;
-    private static final int STEPS_A_TAKEOVER = 8;
+    private static final int TASKS_PER_JOB = 24;
+    private static final int HEARTBEATS_PER_STEP = 4;
+    private static final int STEPS_PER_FAILOVER = 8;
     private static final long TERM = 1;
     private static final double CPUS = 4;
     private static final double MEMORY_GB = 16;
@@ -75,7 +75,7 @@
     private final Map<Long, Integer> reportsOfAttempt = new HashMap<>();
     private final StateClient state;
     private final RecordWriter recordWriter;
-    private final HeartbeatHandler reportHandler;
+    private final HeartbeatHandler heartbeatHandler;
     private final SchedulingLoop schedulingLoop;
     private long jobs;
     private long sequence;
@@ -116,7 +116,7 @@
                 throw new IllegalStateException(why);
             }
         });
-        this.reportHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
+        this.heartbeatHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
         Matching matching = new Matching(
                 settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {});
@@ -144,12 +144,12 @@
         while (cluster.jobs().size() < JOBS) {
             cluster.add(newJob());
         }
-        for (int i = 0; i < REPORTS_A_STEP; i++) {
-            report(machines.get((int) (sequence % MACHINES)));
+        for (int i = 0; i < HEARTBEATS_PER_STEP; i++) {
+            heartbeat(machines.get((int) (sequence % MACHINES)));
         }
-        loop.advance(Durations.nanos(settings.workers().reportS() * REPORTS_A_STEP / MACHINES));
-        if (++steps % STEPS_A_TAKEOVER == 0) {
-            takeOver();
+        loop.advance(Durations.nanos(settings.workers().heartbeatIntervalS() * HEARTBEATS_PER_STEP / MACHINES));
+        if (++steps % STEPS_PER_FAILOVER == 0) {
+            failOver();
         }
     }
 
@@ -169,7 +169,7 @@
                         (number % settings.teams().size())),
                 JobKind.ARRAY,
                 JobPriority.NORMAL,
-                TASKS_OF_A_JOB,
+                TASKS_PER_JOB,
                 new Resources(cpus, 0, cpus),
                 Optional.empty(),
                 Optional.empty(),
@@ -186,7 +186,7 @@
     }
 
     /** Takes a report from its bytes and makes the bytes of its answer. */
-    private void report(Machine machine) {
+    private void heartbeat(Machine machine) {
         ImmutableList.Builder<TaskStatus> tasks = ImmutableList.builder();
         for (Binding b : machine.bindings()) {
             int seen = b.stage() == Binding.Stage.PROPOSED ? 0 : reportsOfAttempt.merge(b.attempt(), 1, Integer::sum);
@@ -196,7 +196,7 @@
                 tasks.add(new TaskStatus(b.task(), b.attempt(), TaskState.RUNNING, ExitCause.NONE));
             }
         }
-        WorkerHeartbeat report = new WorkerHeartbeat(
+        WorkerHeartbeat heartbeat = new WorkerHeartbeat(
                 machine.name(),
                 machine.address(),
                 machine.kind(),
@@ -206,16 +206,16 @@
                 OptionalDouble.empty(),
                 tasks.build());
         try {
-            WorkerCommand.answer(TERM, reportHandler.handle(WorkerHeartbeat.read(Json.bytes(report.toJson()))));
+            WorkerCommand.answer(TERM, heartbeatHandler.handle(WorkerHeartbeat.read(Json.bytes(heartbeat.toJson()))));
         } catch (BadMessageException e) {
             throw new IllegalStateException("our own report cannot be read", e);
         }
     }
 
-    private void takeOver() {
-        Failover takeover = new Failover(
+    private void failOver() {
+        Failover failover = new Failover(
                 context.with(new Cluster()), state, new RecordPages(settings.state(), FeatureLevel.SUPPORTED));
-        takeover.start(new Failover.Listener() {
+        failover.start(new Failover.Listener() {
             @Override
             public void jobsKnown(long asOf) {}
 
@@ -231,7 +231,7 @@
         if (prefix.equals(Keys.OPEN)) {
             for (Job job : cluster.jobs()) {
                 JobRecord record = JobRecord.open(job.spec(), job.submittedMs());
-                entries.add(new Entry(Keys.open(job.id()), record.write(), job.stamp()));
+                entries.add(new Entry(Keys.open(job.id()), record.write(), job.modRevision()));
             }
         } else if (prefix.equals(Keys.BINDINGS)) {
             entries.add(new Entry(Keys.BINDINGS + 1, BindingsRecord.write("w1", machines, b -> true), 1));
--- a/src/main/java/org/spruceridge/worker/CommandResult.java
+++ b/src/main/java/org/spruceridge/worker/CommandResult.java
@@ -5,9 +5,9 @@
 /**
  * What came of orders sent straight to a worker.
  *
- * @param report what the worker says is there after the orders, or instead of them
+ * @param heartbeat what the worker says is there after the orders, or instead of them
  */
-public record CommandResult(Kind kind, Optional<WorkerHeartbeat> report) {
+public record CommandResult(Kind kind, Optional<WorkerHeartbeat> heartbeat) {
     /** How it ended. */
     public enum Kind {
         EXECUTED,
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -26,13 +26,13 @@
     /** Sends orders for one session of a worker, under a token. */
     public void push(
             Address worker,
-            long token,
-            long session,
-            List<WorkerCommand> orders,
-            long patience,
+            long fencingToken,
+            long incarnation,
+            List<WorkerCommand> commands,
+            long timeout,
             Consumer<CommandResult> done) {
-        ObjectNode body = WorkerCommand.body(token, orders).put("watch", session);
-        http.call(worker, HttpCall.post("/do", Json.bytes(body)), patience, answer -> done.accept(read(answer)));
+        ObjectNode body = WorkerCommand.body(fencingToken, commands).put("watch", incarnation);
+        http.call(worker, HttpCall.post("/do", Json.bytes(body)), timeout, answer -> done.accept(read(answer)));
     }
 
     private CommandResult read(HttpAnswer answer) {
--- a/src/main/java/org/spruceridge/worker/WorkerCommand.java
+++ b/src/main/java/org/spruceridge/worker/WorkerCommand.java
@@ -38,28 +38,28 @@
     }
 
     /** The answer to a report: the token and the commands. */
-    public static Response answer(long token, List<WorkerCommand> orders) {
-        return Response.of(200, body(token, orders));
+    public static Response answer(long fencingToken, List<WorkerCommand> commands) {
+        return Response.of(200, body(fencingToken, commands));
     }
 
     /** The token and the commands, as they go to a worker. */
-    static ObjectNode body(long token, List<WorkerCommand> orders) {
-        ObjectNode body = Json.object().put("warrant", token);
+    static ObjectNode body(long fencingToken, List<WorkerCommand> commands) {
+        ObjectNode body = Json.object().put("warrant", fencingToken);
         ArrayNode list = body.putArray("orders");
-        for (WorkerCommand order : orders) {
+        for (WorkerCommand command : commands) {
             ObjectNode node = list.addObject()
-                    .put("verb", order.verb.wire)
-                    .put("part", order.task.toString())
-                    .put("try", order.attempt);
-            if (order.verb == Verb.STOP) {
-                node.put("leewayS", order.graceS);
+                    .put("verb", command.verb.wire)
+                    .put("part", command.task.toString())
+                    .put("try", command.attempt);
+            if (command.verb == Verb.STOP) {
+                node.put("leewayS", command.graceS);
             }
         }
         return body;
     }
 
     /** Sends a worker to another node; with no name it tries the next one. */
-    public static Response elsewhere(String leader) {
+    public static Response redirectToLeader(String leader) {
         ObjectNode body = Json.object();
         if (leader != null) {
             body.put("steward", leader);
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
@@ -17,9 +17,9 @@
         String machine,
         String address,
         MachineKind kind,
-        long session,
+        long incarnation,
         long sequence,
-        long token,
+        long fencingToken,
         OptionalDouble noticeS,
         ImmutableList<TaskStatus> tasks) {
 
@@ -27,7 +27,7 @@
     public enum TaskState {
         FETCHING("fetching"),
         RUNNING("running"),
-        SAVING("saving"),
+        CHECKPOINTING("saving"),
         EXITED("ended");
 
         private final String wire;
@@ -60,11 +60,11 @@
     /** Reads it token by token: reports are by far the most of what a leader is sent. */
     public static WorkerHeartbeat read(byte[] body) throws BadMessageException {
         try (JsonParser in = Json.parser(body)) {
-            WorkerHeartbeat report = new Draft(in).read();
+            WorkerHeartbeat heartbeat = new Draft(in).read();
             if (in.nextToken() != null) {
                 throw new BadMessageException("something follows the report");
             }
-            return report;
+            return heartbeat;
         } catch (IOException e) {
             throw new BadMessageException("not JSON");
         }
@@ -78,9 +78,9 @@
                 .put("build", kind.type())
                 .put("grove", kind.zone())
                 .put("windfall", kind.spot())
-                .put("watch", session)
+                .put("watch", incarnation)
                 .put("tally", sequence)
-                .put("warrant", token);
+                .put("warrant", fencingToken);
         noticeS.ifPresent(seconds -> out.put("warningS", seconds));
         ArrayNode parts = out.putArray("parts");
         for (TaskStatus task : tasks) {
@@ -103,9 +103,9 @@
         private String type;
         private String zone;
         private Boolean spot;
-        private long session = -1;
+        private long incarnation = -1;
         private long sequence = -1;
-        private long token = -1;
+        private long fencingToken = -1;
         private OptionalDouble noticeS = OptionalDouble.empty();
         private ImmutableList<TaskStatus> tasks;
 
@@ -123,9 +123,9 @@
                     case "build" -> type = text(field);
                     case "grove" -> zone = text(field);
                     case "windfall" -> spot = flag(field);
-                    case "watch" -> session = whole(field);
+                    case "watch" -> incarnation = whole(field);
                     case "tally" -> sequence = whole(field);
-                    case "warrant" -> token = whole(field);
+                    case "warrant" -> fencingToken = whole(field);
                     case "warningS" -> noticeS = numberOrNull(field);
                     case "parts" -> tasks = tasks();
                     default -> in.skipChildren();
@@ -133,9 +133,18 @@
             }
             expect(in.currentToken() == JsonToken.END_OBJECT, "not an object");
             boolean whole = machine != null && address != null && type != null && zone != null && spot != null;
-            expect(whole && session >= 0 && sequence >= 0 && token >= 0 && tasks != null, "a field is missing");
+            expect(
+                    whole && incarnation >= 0 && sequence >= 0 && fencingToken >= 0 && tasks != null,
+                    "a field is missing");
             return new WorkerHeartbeat(
-                    machine, address, new MachineKind(type, zone, spot), session, sequence, token, noticeS, tasks);
+                    machine,
+                    address,
+                    new MachineKind(type, zone, spot),
+                    incarnation,
+                    sequence,
+                    fencingToken,
+                    noticeS,
+                    tasks);
         }
 
         private ImmutableList<TaskStatus> tasks() throws IOException, BadMessageException {
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -20,8 +20,8 @@
         "1, 5, 120",
         "2, 30, 32"
     })
-    void everyWayEndsInTime(double reportS, double leaseS, double cancelS) {
-        CancellationTimes t = CancellationTimes.of(new Settings.Workers(reportS, leaseS, cancelS));
+    void everyWayEndsInTime(double heartbeatIntervalS, double leaseS, double cancelS) {
+        CancellationTimes t = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
 
         // A machine that is out of reach: answered last by a leader that did not know, then a lease.
         assertTrue(t.maxStalenessS() + t.fullLeaseS() < cancelS);
@@ -33,12 +33,13 @@
 
     @ParameterizedTest
     @CsvSource({"3, 22, 42", "1.5, 12, 32", "5, 22, 42", "4, 22, 42"})
-    void withTheSettingsOfTheDeploymentsStopsAndDeletionsTooComeInTime(double reportS, double leaseS, double cancelS) {
-        CancellationTimes t = CancellationTimes.of(new Settings.Workers(reportS, leaseS, cancelS));
+    void withTheSettingsOfTheDeploymentsStopsAndDeletionsTooComeInTime(
+            double heartbeatIntervalS, double leaseS, double cancelS) {
+        CancellationTimes t = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
         // A machine that is reached: the stop goes with the answer to its next report, up to a quarter late.
-        assertTrue(t.maxStalenessS() + 1.25 * reportS < cancelS);
-        double looksEveryS = reportS / 3;
-        double decidedS = Math.max(t.patienceS(), t.maxStalenessS() + t.proofS()) + looksEveryS;
+        assertTrue(t.maxStalenessS() + 1.25 * heartbeatIntervalS < cancelS);
+        double looksEveryS = heartbeatIntervalS / 3;
+        double decidedS = Math.max(t.unprovenStopTimeoutS(), t.maxStalenessS() + t.proofS()) + looksEveryS;
         assertTrue(cancelS - decidedS > 0.1 * cancelS, "what is left for the cloud: " + (cancelS - decidedS));
     }
 }
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -56,8 +56,8 @@
 final class FleetSizeTest {
     private static final int MACHINES = 4000;
     private static final int JOBS = 200;
-    private static final int TASKS_OF_A_JOB = 200;
-    private static final int TASKS = JOBS * TASKS_OF_A_JOB;
+    private static final int TASKS_PER_JOB = 200;
+    private static final int TASKS = JOBS * TASKS_PER_JOB;
     private static final Address HERE = new Address("10.0.0.1", 1);
     private static final int TXN_OPS = 4;
     private static final double VALUE_KB = 2;
@@ -80,7 +80,7 @@
             SETTINGS,
             Policy.defaults(),
             BindingsRecord.mostBindings(SETTINGS.state().recordKb()));
-    private long leaderStamp;
+    private long leaderRevision;
 
     /** A leader of one term with all its parts but the network. */
     private final class Term {
@@ -88,7 +88,7 @@
         private final Cluster cluster;
         private final StateClient client;
         private final RecordWriter recordWriter;
-        private final HeartbeatHandler reportHandler;
+        private final HeartbeatHandler heartbeatHandler;
         private final SchedulingLoop schedulingLoop;
 
         Term(long number) {
@@ -96,7 +96,7 @@
                     loop,
                     SETTINGS,
                     Policy.defaults(),
-                    new LeaderTerm(number, leaderStamp, loop.nanos()),
+                    new LeaderTerm(number, leaderRevision, loop.nanos()),
                     () -> true,
                     new RateLimitedWarnings(loop),
                     new Latencies(loop),
@@ -115,7 +115,7 @@
                     context.warnings(),
                     context.latencies());
             recordWriter = new RecordWriter(context, client, new Listener());
-            reportHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
+            heartbeatHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
             schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {
                 throw new AssertionError(why);
             });
@@ -160,7 +160,7 @@
                     Fixtures.spec(
                             String.format("j-%06d", i),
                             JobPriority.NORMAL,
-                            TASKS_OF_A_JOB,
+                            TASKS_PER_JOB,
                             new Resources(0.4, 0, 1),
                             60,
                             0,
@@ -168,8 +168,8 @@
                     1,
                     loop.wallMillis());
             var record = JobRecord.open(draft.spec(), draft.submittedMs()).write();
-            long stamp = state.put(Keys.open(draft.id()), record);
-            term.cluster.add(new Job(draft.spec(), stamp, draft.submittedMs()));
+            long modRevision = state.put(Keys.open(draft.id()), record);
+            term.cluster.add(new Job(draft.spec(), modRevision, draft.submittedMs()));
         }
         for (int i = 0; i < MACHINES; i++) {
             Machine machine = new Machine(
@@ -178,7 +178,7 @@
                     new MachineKind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0),
                     loop.nanos(),
                     loop.nanos());
-            machine.heard(1, 1, "", true, loop.nanos());
+            machine.recordHeartbeat(1, 1, "", true, loop.nanos());
             machine.fence();
             term.cluster.add(machine);
         }
@@ -196,7 +196,7 @@
                         ends ? TaskState.EXITED : TaskState.RUNNING,
                         ends ? ExitCause.DONE : ExitCause.NONE));
             }
-            term.reportHandler.handle(new WorkerHeartbeat(
+            term.heartbeatHandler.handle(new WorkerHeartbeat(
                     machine.name(),
                     "",
                     machine.kind(),
@@ -221,7 +221,7 @@
     @Test
     void fourThousandMachinesAreServed() {
         state.lowerLimits(VALUE_KB, TXN_OPS, 100);
-        leaderStamp = state.put(Keys.LEADER, Json.object());
+        leaderRevision = state.put(Keys.LEADER, Json.object());
         long heapBefore = heap();
         Term first = new Term(1);
         addJobsAndMachines(first);
@@ -274,7 +274,7 @@
     /** The attempts of a term are numbers of 24 bits: before they are used up the leader gives the lead up. */
     @Test
     void aTermEndsBeforeItsAttemptsDo() {
-        leaderStamp = state.put(Keys.LEADER, Json.object());
+        leaderRevision = state.put(Keys.LEADER, Json.object());
         Term term = new Term(1);
         addJobsAndMachines(term);
         List<String> resigned = new ArrayList<>();
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -21,7 +21,7 @@
 
 /** That connections stay within the machine's sockets and that nobody is shut out, on loopback. */
 final class ConnectionLimiterTest {
-    private static final long PATIENCE = Durations.nanos(10);
+    private static final long REQUEST_TIMEOUT = Durations.nanos(10);
 
     private final NettyLoop loop = new NettyLoop();
     private final List<Socket> opened = new ArrayList<>();
@@ -81,13 +81,14 @@
     private int call(NettyHttpClient client, Address to)
             throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<Integer> status = new CompletableFuture<>();
-        loop.execute(() -> client.call(to, HttpCall.get("/"), PATIENCE, answer -> status.complete(answer.status())));
+        loop.execute(
+                () -> client.call(to, HttpCall.get("/"), REQUEST_TIMEOUT, answer -> status.complete(answer.status())));
         return status.get(10, TimeUnit.SECONDS);
     }
 
     @Test
     void pushesToMoreMachinesThanThereAreSocketsAllArrive() throws Exception {
-        serve(new ConnectionLimiter(10_000), PATIENCE);
+        serve(new ConnectionLimiter(10_000), REQUEST_TIMEOUT);
         ConnectionLimiter few = new ConnectionLimiter(40);
         NettyHttpClient client = new NettyHttpClient(loop, few);
         for (int round = 0; round < 2; round++) {
@@ -110,7 +111,8 @@
     @Test
     void anAnswerThatCameWhileTheLoopWasBusyIsTaken() throws Exception {
         NettyLoop other = new NettyLoop();
-        new HttpServer(other, new ConnectionLimiter(40), PATIENCE, new ServesAll()).start(new Address("0.0.0.0", port));
+        new HttpServer(other, new ConnectionLimiter(40), REQUEST_TIMEOUT, new ServesAll())
+                .start(new Address("0.0.0.0", port));
         NettyHttpClient client = new NettyHttpClient(loop, new ConnectionLimiter(40));
         Address server = new Address("127.0.0.1", port);
         assertEquals(200, call(client, server)); // its connection is kept
@@ -127,7 +129,7 @@
     @Test
     void allThatWaitAreAcceptedInOneTurn() throws Exception {
         ConnectionLimiter connectionLimiter = new ConnectionLimiter(10_000);
-        serve(connectionLimiter, PATIENCE);
+        serve(connectionLimiter, REQUEST_TIMEOUT);
         CountDownLatch connected = new CountDownLatch(1);
         CompletableFuture<Integer> open = new CompletableFuture<>();
         loop.execute(() -> {
@@ -179,7 +181,7 @@
 
     @Test
     void aFleetThatComesAndGoesShutsNobodyOut() throws Exception {
-        serve(new ConnectionLimiter(40), PATIENCE);
+        serve(new ConnectionLimiter(40), REQUEST_TIMEOUT);
         Socket user = connect();
         assertTrue(asks(user, "/api/jobs/j-1"));
         Socket first = connect();
--- a/src/test/java/org/spruceridge/net/RateLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/RateLimiterTest.java
@@ -22,8 +22,8 @@
         limiter.rates(10, 4, 2, 4);
     }
 
-    private boolean submit(Priority rank, int changes, String name) {
-        return limiter.submit(rank, changes, () -> ran.add(name));
+    private boolean submit(Priority priority, int changes, String name) {
+        return limiter.submit(priority, changes, () -> ran.add(name));
     }
 
     @Test
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -83,7 +83,7 @@
         cluster.net.weather(
                 (from, to, call) -> from.equals(old) && to.host().startsWith("10.2.0.1") ? Fate.LOST : Fate.DELIVERED);
         cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(old), 30);
-        Response answer = cluster.ask(old, "POST", "/hello", SimulatedCluster.report("i-000099", 7));
+        Response answer = cluster.ask(old, "POST", "/hello", SimulatedCluster.heartbeat("i-000099", 7));
         assertNotEquals(200, answer.status());
     }
 
@@ -260,7 +260,7 @@
         cluster.until(() -> cluster.leader() != null, 30);
         assertNotEquals(cut, cluster.leader());
         cluster.loop.run(4); // a watch from before the cut was still answered
-        Response answer = cluster.ask(cut, "POST", "/hello", SimulatedCluster.report("i-000099", 7));
+        Response answer = cluster.ask(cut, "POST", "/hello", SimulatedCluster.heartbeat("i-000099", 7));
         assertEquals(503, answer.status(), "it must not send workers to a leader of which it has no fresh word");
         assertEquals(503, cluster.ask(cut, "GET", "/healthz", (JsonNode) null).status());
         cluster.until(() -> cluster.poll("j-000001").equals("done"), 90);
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -25,7 +25,7 @@
         cluster.until(() -> cluster.running().size() == 1, 30);
         cluster.loop.run(3);
         BindingsRecord.OnMachine on = cluster.recorded().get(0);
-        ObjectNode stale = SimulatedCluster.report(on.name(), 1);
+        ObjectNode stale = SimulatedCluster.heartbeat(on.name(), 1);
         stale.put("warrant", cluster.state.value("leader").path("term").asLong());
         stale.withArray("parts")
                 .addObject()
--- a/src/test/java/org/spruceridge/scenario/MeetingScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MeetingScenarioTest.java
@@ -88,8 +88,8 @@
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.weather((from, to, call) -> random.nextInt(10) < 2 ? Fate.ANSWER_LOST : Fate.DELIVERED);
             for (int i = 1; i <= 12; i++) {
-                String rank = i % 3 == 0 ? "production" : i % 3 == 1 ? "best_effort" : "normal";
-                cluster.submit(SimulatedCluster.job(i, 3).put("rank", rank).put("expectS", 4.0 + i));
+                String priority = i % 3 == 0 ? "production" : i % 3 == 1 ? "best_effort" : "normal";
+                cluster.submit(SimulatedCluster.job(i, 3).put("rank", priority).put("expectS", 4.0 + i));
                 cluster.loop.run(1);
             }
             cluster.loop.run(30);
--- a/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
+++ b/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
@@ -75,7 +75,7 @@
     // s.
     @ParameterizedTest
     @CsvSource({"false, 120, 0", "false, 150, 0.5", "false, 200, 1", "true, 360, 0", "true, 540, 0.5", "true, 900, 1"})
-    void patience(boolean begun, double ageS, double expected) {
+    void starvation(boolean begun, double ageS, double expected) {
         Job job = job(1, 50, OptionalDouble.empty());
         if (begun) {
             job.markDone(0);
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -52,7 +52,7 @@
 
     private Machine machine(String name, String zone, boolean spot) {
         Machine m = new Machine(name, "", new MachineKind("t8", zone, spot), NOW, NOW);
-        m.heard(1, 1, "", true, NOW);
+        m.recordHeartbeat(1, 1, "", true, NOW);
         m.fence();
         cluster.add(m);
         return m;
@@ -60,7 +60,7 @@
 
     private final class JobMaker {
         private String team = "red";
-        private JobPriority rank = JobPriority.NORMAL;
+        private JobPriority priority = JobPriority.NORMAL;
         private int tasks = 1;
         private double cpus = 4;
         private Optional<ImmutableSet<String>> types = Optional.empty();
@@ -70,7 +70,7 @@
         private boolean spot = true;
         private double estimateS = 30;
         private JobKind kind = JobKind.ARRAY;
-        private double checkpointS;
+        private double checkpointIntervalS;
         private OptionalDouble deadlineS = OptionalDouble.empty();
 
         Job add() {
@@ -80,7 +80,7 @@
                             "c",
                             team,
                             kind,
-                            rank,
+                            priority,
                             tasks,
                             new Resources(cpus, 0, 1),
                             types,
@@ -91,7 +91,7 @@
                             "img",
                             1,
                             estimateS,
-                            checkpointS,
+                            checkpointIntervalS,
                             1,
                             deadlineS),
                     1,
@@ -264,7 +264,7 @@
     void onlyMachinesThatThisTermHeardAreUsed() {
         Machine unheard = new Machine("unheard", "", new MachineKind("t8", "a", false), NOW, NOW);
         cluster.add(unheard);
-        machine("returning", "a", false).returning(true);
+        machine("returning", "a", false).terminating(true);
         machine("faulty", "a", false).suspectedFaulty(true);
         machine("noticed", "a", true).reclaimAt(NOW + 1);
         job().add();
@@ -275,20 +275,20 @@
     void aPressingTaskStopsLowerWorkOncePerMachineAndMinute() {
         Machine m = machine("m", "a", false);
         JobMaker low = job();
-        low.rank = JobPriority.LOW;
+        low.priority = JobPriority.LOW;
         low.tasks = 2;
         Job victimJob = low.add();
         running(victimJob, 0, m);
         running(victimJob, 1, m);
         JobMaker high = job();
-        high.rank = JobPriority.HIGH;
+        high.priority = JobPriority.HIGH;
         high.tasks = 2;
         high.estimateS = 30;
         high.deadlineS = OptionalDouble.of(40);
         high.add();
         Plan plan = plan();
         assertEquals(1, plan.stops().size());
-        plan.stops().get(0).halt(Binding.Halt.SAVING);
+        plan.stops().get(0).stopMode(Binding.StopMode.CHECKPOINT);
         m.lastPreemption(NOW);
         assertEquals(0, plan().stops().size());
     }
@@ -297,7 +297,7 @@
     @Test
     void aStopCountsForAllTasksThatItMakesRoomFor() {
         JobMaker low = job();
-        low.rank = JobPriority.LOW;
+        low.priority = JobPriority.LOW;
         low.tasks = 3;
         low.cpus = 8;
         Job victims = low.add();
@@ -305,7 +305,7 @@
             running(victims, i, machine("m" + i, "a", false));
         }
         JobMaker high = job();
-        high.rank = JobPriority.HIGH;
+        high.priority = JobPriority.HIGH;
         high.tasks = 5;
         high.cpus = 2;
         high.estimateS = 30;
@@ -317,7 +317,7 @@
     private JobMaker service(int replicas, double cpus) {
         JobMaker service = job();
         service.kind = JobKind.SERVICE;
-        service.rank = JobPriority.PRODUCTION;
+        service.priority = JobPriority.PRODUCTION;
         service.tasks = replicas;
         service.cpus = cpus;
         service.estimateS = 0;
@@ -401,7 +401,7 @@
         Plan plan = plan();
         assertEquals(List.of(replica), plan.moves());
         assertEquals(List.of(), machines(plan));
-        replica.halt(Binding.Halt.SAVING);
+        replica.stopMode(Binding.StopMode.CHECKPOINT);
         Plan next = plan();
         assertEquals(List.of(), next.moves());
         assertEquals(List.of(), machines(next), "the room is kept until the replica is gone");
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -85,7 +85,7 @@
             String type = random.nextBoolean() ? "t4" : "t8";
             String zone = random.nextBoolean() ? "a" : "b";
             Machine m = new Machine("m" + i, "", new MachineKind(type, zone, random.nextBoolean()), NOW, NOW);
-            m.heard(1, 1, "", true, NOW);
+            m.recordHeartbeat(1, 1, "", true, NOW);
             m.fence();
             cluster.add(m);
             machines.add(m);
@@ -136,7 +136,7 @@
                 double score = 15 * (1 - urgency) * urgency
                         + 8 * (1 - remainingS / longestS)
                         + 5 * c.ageS() / (c.ageS() + remainingS)
-                        + Policy.defaults().weights().thrift() * (1 - price)
+                        + Policy.defaults().weights().spotPreference() * (1 - price)
                         + Policy.defaults().weights().packing() * fullness.get(m);
                 pairs.add(new Pair(job, m, Math.rint(score * 1e6) / 1e6));
             }
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -34,15 +34,15 @@
     private final Matching matching = new Matching(MatchingTest.SETTINGS, Policy.defaults(), 50);
     private int jobs;
 
-    private Job job(JobPriority rank, int tasks, double cpus, double estimateS, double deadlineS) {
+    private Job job(JobPriority priority, int tasks, double cpus, double estimateS, double deadlineS) {
         Job job = new Job(
                 Fixtures.spec(
                         String.format("j-%06d", ++jobs),
-                        rank,
+                        priority,
                         tasks,
                         new Resources(cpus, 0, cpus * 3),
                         estimateS,
-                        rank == JobPriority.LOW ? 20 : 0,
+                        priority == JobPriority.LOW ? 20 : 0,
                         deadlineS > 0 ? OptionalDouble.of(deadlineS) : OptionalDouble.empty()),
                 1,
                 WALL - 1000L * jobs);
@@ -59,7 +59,7 @@
         for (int i = 0; i < MACHINES; i++) {
             Machine machine =
                     new Machine("i-" + i, "", new MachineKind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0), NOW, NOW);
-            machine.heard(1, 1, "", true, NOW);
+            machine.recordHeartbeat(1, 1, "", true, NOW);
             machine.fence();
             cluster.add(machine);
             Job running = i % 2 == 0 ? small : large;
@@ -69,8 +69,8 @@
                 cluster.bind(b);
             }
         }
-        small.notBefore(Long.MAX_VALUE);
-        large.notBefore(Long.MAX_VALUE);
+        small.retryAfter(Long.MAX_VALUE);
+        large.retryAfter(Long.MAX_VALUE);
         for (int i = 0; i < WAITING_JOBS; i++) {
             switch (i % 3) {
                 case 0 -> job(JobPriority.NORMAL, 60, 1, 60, 100 + i);
--- a/src/test/java/org/spruceridge/sim/Fixtures.java
+++ b/src/test/java/org/spruceridge/sim/Fixtures.java
@@ -90,7 +90,7 @@
             int tasks,
             Resources task,
             double estimateS,
-            double checkpointS,
+            double checkpointIntervalS,
             OptionalDouble deadlineS) {
         return new JobSpec(
                 id,
@@ -108,8 +108,8 @@
                 "img",
                 1,
                 estimateS,
-                checkpointS,
-                checkpointS > 0 ? 3 : 0,
+                checkpointIntervalS,
+                checkpointIntervalS > 0 ? 3 : 0,
                 deadlineS);
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -29,7 +29,7 @@
     private int capacity = Integer.MAX_VALUE;
     private SimWorker.Behaviour behaviour = SimWorker.Behaviour.COMPLETES;
 
-    private record Host(String zone, boolean spot, long rentedAt, SimWorker[] worker, String[] stage) {}
+    private record Host(String zone, boolean spot, long launchedAt, SimWorker[] worker, String[] stage) {}
 
     SimCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -146,7 +146,7 @@
                 .put("grove", h.zone)
                 .put("windfall", h.spot)
                 .put("stage", h.stage[0])
-                .put("heldS", Durations.seconds(cluster.loop.nanos() - h.rentedAt)));
+                .put("heldS", Durations.seconds(cluster.loop.nanos() - h.launchedAt)));
         return out;
     }
 
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -27,23 +27,23 @@
     private int mostChanges;
     private final int pageSize;
     private final TreeMap<String, Value> keys = new TreeMap<>();
-    private final Map<Long, Grant> grants = new HashMap<>();
+    private final Map<Long, Lease> leases = new HashMap<>();
     private final List<ObjectNode> log = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     private long revision = 1;
-    private long lastGrant;
+    private long lastLease;
     private long outageUntil;
     private final Limit requests;
     private Limit writes;
     private boolean writesRefused;
 
-    private record Value(JsonNode json, long stamp, long permit) {}
+    private record Value(JsonNode json, long modRevision, long leaseId) {}
 
-    private static final class Grant {
+    private static final class Lease {
         private final long ttl;
         private long until;
 
-        Grant(long ttl) {
+        Lease(long ttl) {
             this.ttl = ttl;
         }
     }
@@ -63,7 +63,7 @@
     /** Refuses everything for a while; grants get their full time back after it. */
     public void outage(double seconds) {
         outageUntil = loop.nanos() + Durations.nanos(seconds);
-        loop.after(Durations.nanos(seconds), () -> grants.values().forEach(g -> g.until = loop.nanos() + g.ttl));
+        loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.until = loop.nanos() + g.ttl));
     }
 
     /** Takes less from now on: larger values and transactions get 400, changes beyond the rate 429. */
@@ -125,8 +125,8 @@
 
     private void expire() {
         if (!out()) {
-            for (long id : List.copyOf(grants.keySet())) {
-                if (grants.get(id).until < loop.nanos()) {
+            for (long id : List.copyOf(leases.keySet())) {
+                if (leases.get(id).until < loop.nanos()) {
                     end(id);
                 }
             }
@@ -134,10 +134,10 @@
         loop.after(Durations.millis(20), this::expire);
     }
 
-    private void end(long permit) {
-        grants.remove(permit);
+    private void end(long leaseId) {
+        leases.remove(leaseId);
         for (String key : List.copyOf(keys.keySet())) {
-            if (keys.get(key).permit == permit) {
+            if (keys.get(key).leaseId == leaseId) {
                 revision++;
                 drop(key);
             }
@@ -162,12 +162,12 @@
                 }
                 answer.accept(txn(Json.object(call.body())));
             } else if (path.equals("/grants")) {
-                Grant grant = new Grant(Durations.millis(Json.number(Json.object(call.body()), "ttlMs")));
-                grant.until = loop.nanos() + grant.ttl;
-                grants.put(++lastGrant, grant);
-                answer.accept(ok(Json.object().put("permit", lastGrant)));
+                Lease lease = new Lease(Durations.millis(Json.number(Json.object(call.body()), "ttlMs")));
+                lease.until = loop.nanos() + lease.ttl;
+                leases.put(++lastLease, lease);
+                answer.accept(ok(Json.object().put("permit", lastLease)));
             } else if (path.startsWith("/grants/")) {
-                answer.accept(grant(call, Long.parseLong(path.split("/")[2])));
+                answer.accept(lease(call, Long.parseLong(path.split("/")[2])));
             } else if (path.equals("/store")) {
                 answer.accept(list(call.target()));
             } else {
@@ -178,16 +178,16 @@
         }
     }
 
-    private HttpAnswer grant(HttpCall call, long id) {
+    private HttpAnswer lease(HttpCall call, long id) {
         if (call.method().equals("DELETE")) {
             end(id);
             return ok(Json.object());
         }
-        Grant grant = grants.get(id);
-        if (grant == null) {
+        Lease lease = leases.get(id);
+        if (lease == null) {
             return new HttpAnswer(404, "{}".getBytes());
         }
-        grant.until = loop.nanos() + grant.ttl;
+        lease.until = loop.nanos() + lease.ttl;
         return ok(Json.object());
     }
 
@@ -239,14 +239,14 @@
             }
         }
         for (JsonNode op : ops) {
-            if (op.has("permit") && !grants.containsKey(op.get("permit").asLong())) {
+            if (op.has("permit") && !leases.containsKey(op.get("permit").asLong())) {
                 return new HttpAnswer(400, Json.bytes(Json.object().put("error", "no such lease")));
             }
         }
         ArrayNode failed = Json.array();
         for (JsonNode guard : Json.list(body, "guards")) {
             Value value = keys.get(Json.text(guard, "k"));
-            if ((value == null ? 0 : value.stamp) != Json.whole(guard, "stamp")) {
+            if ((value == null ? 0 : value.modRevision) != Json.whole(guard, "stamp")) {
                 failed.add(Json.text(guard, "k"));
             }
         }
@@ -316,7 +316,7 @@
     }
 
     private static ObjectNode entry(String key, Value value) {
-        ObjectNode out = Json.object().put("k", key).put("stamp", value.stamp);
+        ObjectNode out = Json.object().put("k", key).put("stamp", value.modRevision);
         out.set("v", value.json);
         return out;
     }
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -27,9 +27,9 @@
     private final Map<String, Task> tasks = new TreeMap<>();
     private final List<String> nodes;
     private int node;
-    private long session = 1;
+    private long incarnation = 1;
     private long sequence;
-    private long token;
+    private long fencingToken;
     private long leaseFrom;
     private long lastSent = Long.MIN_VALUE / 2;
     private long tokenReportedAt = Long.MIN_VALUE / 2;
@@ -70,7 +70,7 @@
         this.nodes = cluster.nodeNames();
         this.leaseFrom = cluster.loop.nanos();
         cluster.net.serve(address(name), this::direct);
-        report();
+        heartbeat();
         checkLease();
     }
 
@@ -111,8 +111,8 @@
     public void restart() {
         tasks.values().forEach(t -> cluster.ended(t.part, name));
         tasks.clear();
-        session++;
-        token = 0;
+        incarnation++;
+        fencingToken = 0;
         leaseFrom = cluster.loop.nanos();
     }
 
@@ -150,11 +150,11 @@
         }
         try {
             JsonNode body = Json.object(call.body());
-            boolean valid = Json.whole(body, "warrant") >= token && Json.whole(body, "watch") == session;
+            boolean valid = Json.whole(body, "warrant") >= fencingToken && Json.whole(body, "watch") == incarnation;
             if (valid) {
-                token = Json.whole(body, "warrant");
-                for (JsonNode order : Json.list(body, "orders")) {
-                    execute(order);
+                fencingToken = Json.whole(body, "warrant");
+                for (JsonNode command : Json.list(body, "orders")) {
+                    execute(command);
                 }
             }
             sequence++;
@@ -173,7 +173,7 @@
 
     private void checkLease() {
         if (cluster.loop.nanos() - leaseFrom > Durations.nanos(SimulatedCluster.LEASE_S)) {
-            session++;
+            incarnation++;
             leaseFrom = cluster.loop.nanos();
             tasks.values().forEach(t -> cluster.ended(t.part, name));
             tasks.clear();
@@ -181,8 +181,8 @@
         process.after(Durations.millis(50), this::checkLease);
     }
 
-    private void report() {
-        process.after(Durations.nanos(SimulatedCluster.REPORT_S), this::report);
+    private void heartbeat() {
+        process.after(Durations.nanos(SimulatedCluster.REPORT_S), this::heartbeat);
         if (!frozen) {
             send();
         }
@@ -210,7 +210,7 @@
         sequence++;
         long sentAt = cluster.loop.nanos();
         lastSent = sentAt;
-        long sentIn = session;
+        long sentIn = incarnation;
         Address to = SimulatedCluster.address(nodes.get(node));
         http.call(to, HttpCall.post("/hello", Json.bytes(body())), Durations.nanos(4), answer -> {
             waiting = false;
@@ -225,9 +225,9 @@
                 .put("build", "t8")
                 .put("grove", zone)
                 .put("windfall", spot)
-                .put("watch", session)
+                .put("watch", incarnation)
                 .put("tally", sequence)
-                .put("warrant", token)
+                .put("warrant", fencingToken)
                 .put("warningS", noticeS);
         ArrayNode parts = out.putArray("parts");
         for (Task t : tasks.values()) {
@@ -253,16 +253,16 @@
         try {
             JsonNode body = Json.object(answer.body());
             long given = Json.whole(body, "warrant");
-            if (given < token || sentIn != session) {
+            if (given < fencingToken || sentIn != incarnation) {
                 return;
             }
-            if (given > token) {
-                token = given;
+            if (given > fencingToken) {
+                fencingToken = given;
                 tokenChanged();
             }
             leaseFrom = sentAt;
-            for (JsonNode order : Json.list(body, "orders")) {
-                execute(order);
+            for (JsonNode command : Json.list(body, "orders")) {
+                execute(command);
             }
         } catch (BadMessageException e) {
             throw new AssertionError(e);
@@ -283,12 +283,12 @@
         return (node + 1) % nodes.size();
     }
 
-    private void execute(JsonNode order) throws BadMessageException {
-        String part = Json.text(order, "part");
-        long attempt = Json.whole(order, "try");
+    private void execute(JsonNode command) throws BadMessageException {
+        String part = Json.text(command, "part");
+        long attempt = Json.whole(command, "try");
         String key = part + "#" + attempt;
         Task task = tasks.get(key);
-        switch (Json.text(order, "verb")) {
+        switch (Json.text(command, "verb")) {
             case "start" -> {
                 if (task == null) {
                     start(new Task(part, attempt), key);
@@ -304,7 +304,7 @@
                     tasks.remove(key);
                 }
             }
-            default -> throw new AssertionError(order);
+            default -> throw new AssertionError(command);
         }
     }
 
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -418,7 +418,7 @@
     }
 
     /** A report of an idle machine that has not seen any token. */
-    public static ObjectNode report(String machine, int sequence) {
+    public static ObjectNode heartbeat(String machine, int sequence) {
         ObjectNode node = Json.object()
                 .put("host", machine)
                 .put("endpoint", "10.1.0.9:9000")
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -141,7 +141,8 @@
                 Priority.RENEWAL,
                 expect(new TransactionResult(TransactionResult.Kind.CONFLICT, 0, ImmutableList.of("leader", "term"))));
         http.answer(400, "{\"error\":\"no such lease\"}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.NO_GRANT)));
+        state.commit(
+                transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.LEASE_NOT_FOUND)));
         http.answer(400, "{\"error\":\"too large\"}");
         state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REJECTED)));
         http.answer(429, "{}");
@@ -155,14 +156,14 @@
     @Test
     void aLeaseIsTakenRenewedAndEnded() {
         http.answer(200, "{\"permit\":77}");
-        state.grant(11_000, expect(Result.ok(77L)));
+        state.createLease(11_000, expect(Result.ok(77L)));
         assertRequest("POST /grants {\"ttlMs\":11000}");
-        state.renew(77, 1000, expect(Result.ok(loop.nanos())));
-        state.endGrant(77);
+        state.renewLease(77, 1000, expect(Result.ok(loop.nanos())));
+        state.revokeLease(77);
         loop.advance(1);
         assertEquals(List.of("POST /grants/77/renew", "DELETE /grants/77"), http.requests.subList(1, 3));
         http.answer(404, "{}");
-        state.renew(77, 1000, expect(Result.failed(Result.Kind.MISSING)));
+        state.renewLease(77, 1000, expect(Result.failed(Result.Kind.MISSING)));
         loop.advance(1);
     }
 
@@ -174,10 +175,10 @@
                         + "\"ring\":8}");
         ImmutableList<Change> changes =
                 ImmutableList.of(new Change("open/j-1", Json.object().put("a", 1), 6), new Change("open/j-2", null, 7));
-        state.follow("open/", 5, 2.5, expect(Result.ok(new Changes(changes, 8))));
+        state.watch("open/", 5, 2.5, expect(Result.ok(new Changes(changes, 8))));
         assertRequest("GET /follow?starts=open/&from=5&blockMs=2500");
         http.answer(410, "{}");
-        state.follow("open/", 5, 2.5, expect(Result.failed(Result.Kind.TOO_OLD)));
+        state.watch("open/", 5, 2.5, expect(Result.failed(Result.Kind.TOO_OLD)));
         loop.advance(1);
     }
 
@@ -224,22 +225,22 @@
     @Test
     void commandsAnswerAReport() {
         TaskId task = new TaskId("j-1", 3);
-        List<WorkerCommand> orders =
+        List<WorkerCommand> commands =
                 List.of(WorkerCommand.start(task, 8), WorkerCommand.stop(task, 7, 1.5), WorkerCommand.forget(task, 6));
         String expected = "{\"warrant\":9,\"orders\":[{\"verb\":\"start\",\"part\":\"j-1/3\",\"try\":8},"
                 + "{\"verb\":\"halt\",\"part\":\"j-1/3\",\"try\":7,\"leewayS\":1.5},"
                 + "{\"verb\":\"forget\",\"part\":\"j-1/3\",\"try\":6}]";
-        assertEquals("200 " + expected + "}", text(WorkerCommand.answer(9, orders)));
+        assertEquals("200 " + expected + "}", text(WorkerCommand.answer(9, commands)));
         WorkerClient workers = new WorkerClient(http, warnings);
         http.answer(400, "{}");
         workers.push(
-                SERVICE, 9, 2, orders, 1000, expect(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty())));
+                SERVICE, 9, 2, commands, 1000, expect(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty())));
         assertRequest("POST /do " + expected + ",\"watch\":2}");
     }
 
     @Test
     void aWorkerIsSentToTheLeader() {
-        assertEquals("421 {\"steward\":\"ranger-1\"}", text(WorkerCommand.elsewhere("ranger-1")));
+        assertEquals("421 {\"steward\":\"ranger-1\"}", text(WorkerCommand.redirectToLeader("ranger-1")));
     }
 
     @Test
@@ -249,14 +250,14 @@
                 new TaskId("j-1", 3), 8, WorkerHeartbeat.TaskState.RUNNING, WorkerHeartbeat.ExitCause.NONE);
         WorkerHeartbeat.TaskStatus exited = new WorkerHeartbeat.TaskStatus(
                 new TaskId("j-1", 4), 7, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.NO_ROOM);
-        WorkerHeartbeat report = new WorkerHeartbeat(
+        WorkerHeartbeat heartbeat = new WorkerHeartbeat(
                 "i-1", "10.0.0.1:9000", kind, 2, 5, 9, OptionalDouble.of(4.5), ImmutableList.of(running, exited));
         assertEquals(
                 "{\"host\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\",\"windfall\":true,"
                         + "\"watch\":2,\"tally\":5,\"warrant\":9,\"warningS\":4.5,\"parts\":["
                         + "{\"part\":\"j-1/3\",\"try\":8,\"stage\":\"running\"},"
                         + "{\"part\":\"j-1/4\",\"try\":7,\"stage\":\"ended\",\"cause\":\"no_room\"}]}",
-                new String(Json.bytes(report.toJson()), StandardCharsets.UTF_8));
+                new String(Json.bytes(heartbeat.toJson()), StandardCharsets.UTF_8));
     }
 
     @Test
--- a/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
@@ -21,7 +21,7 @@
 /** Reports are read token by token, and as strictly as trees of them were. */
 final class WorkerHeartbeatTest {
     private static ObjectNode whole() {
-        ObjectNode report = Json.object()
+        ObjectNode heartbeat = Json.object()
                 .put("host", "i-000231")
                 .put("endpoint", "10.1.0.232:9000")
                 .put("build", "g8")
@@ -31,18 +31,18 @@
                 .put("tally", 88)
                 .put("warrant", 41)
                 .putNull("warningS");
-        var parts = report.putArray("parts");
+        var parts = heartbeat.putArray("parts");
         parts.addObject().put("part", "j-000412/3").put("try", 2).put("stage", "running");
         parts.addObject()
                 .put("part", "j-000398/0")
                 .put("try", 1)
                 .put("stage", "ended")
                 .put("cause", "done");
-        return report;
+        return heartbeat;
     }
 
-    private static void refused(ObjectNode report) {
-        byte[] body = Json.bytes(report);
+    private static void refused(ObjectNode heartbeat) {
+        byte[] body = Json.bytes(heartbeat);
         assertThrows(
                 BadMessageException.class,
                 () -> WorkerHeartbeat.read(body),
@@ -51,8 +51,8 @@
 
     @Test
     void aWholeReportIsReadWhateverElseItHolds() throws BadMessageException {
-        ObjectNode report = whole();
-        report.putObject("news").putArray("of").add(1).addObject().put("any", "kind");
+        ObjectNode heartbeat = whole();
+        heartbeat.putObject("news").putArray("of").add(1).addObject().put("any", "kind");
         WorkerHeartbeat expected = new WorkerHeartbeat(
                 "i-000231",
                 "10.1.0.232:9000",
@@ -64,10 +64,10 @@
                 ImmutableList.of(
                         new TaskStatus(new TaskId("j-000412", 3), 2, TaskState.RUNNING, ExitCause.NONE),
                         new TaskStatus(new TaskId("j-000398", 0), 1, TaskState.EXITED, ExitCause.DONE)));
-        assertEquals(expected, WorkerHeartbeat.read(Json.bytes(report)));
+        assertEquals(expected, WorkerHeartbeat.read(Json.bytes(heartbeat)));
         assertEquals(
                 OptionalDouble.of(9.5),
-                WorkerHeartbeat.read(Json.bytes(report.put("warningS", 9.5))).noticeS());
+                WorkerHeartbeat.read(Json.bytes(heartbeat.put("warningS", 9.5))).noticeS());
     }
 
     @ParameterizedTest
@@ -97,9 +97,9 @@
 
     @Test
     void anExitedTaskHasACause() {
-        ObjectNode report = whole();
-        ((ObjectNode) report.path("parts").get(1)).remove("cause");
-        refused(report);
+        ObjectNode heartbeat = whole();
+        ((ObjectNode) heartbeat.path("parts").get(1)).remove("cause");
+        refused(heartbeat);
     }
 
     @ParameterizedTest
