--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -255,7 +255,7 @@
         fencingTokenSentAt = known ? NEVER : Math.min(fencingTokenSentAt, now);
     }
 
-    /** A report of it was answered at this moment, before the takeover made it known here. */
+    /** A report of it was answered at this moment, before the failover made it known here. */
     public void leaseRenewedDuringFailover(long at) {
         lastLeaseRenewal = Math.max(lastLeaseRenewal, at);
     }
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -49,10 +49,10 @@
     private final List<Job> endedJobs = new ArrayList<>();
     private Listener listener;
 
-    /** A part of the takeover that is done: what it brought, and the nanoseconds that it took. */
+    /** A part of the failover that is done: what it brought, and the nanoseconds that it took. */
     public record Step(String what, long nanos) {}
 
-    /** Hears how far the takeover has come. */
+    /** Hears how far the failover has come. */
     public interface Listener {
         /** Something was read. */
         default void read(Step step) {}
@@ -112,7 +112,7 @@
                         loop.nanos() - since));
                 next.accept(listing);
             } else {
-                warnings.warn("takeover: a listing failed and is asked for again", prefix);
+                warnings.warn("failover: a listing failed and is asked for again", prefix);
                 scope.after(RETRY, () -> list(prefix, since, next));
             }
         }));
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -145,7 +145,7 @@
         failover.start(new Failover.Listener() {
             @Override
             public void read(Failover.Step step) {
-                LOG.info("term {}: takeover: {}, after {} ms", term.term(), step.what(), step.nanos() / 1_000_000);
+                LOG.info("term {}: failover: {}, after {} ms", term.term(), step.what(), step.nanos() / 1_000_000);
             }
 
             @Override
@@ -221,7 +221,7 @@
     }
 
     /**
-     * Takes a report; before the takeover is complete it is only acknowledged, and told to stop what belongs to no open job:
+     * Takes a report; before the failover is complete it is only acknowledged, and told to stop what belongs to no open job:
      * the answer renews its lease. Empty if it is not to be answered.
      */
     public Optional<Response> heartbeat(WorkerHeartbeat heartbeat) {
--- a/src/main/java/org/spruceridge/leader/package-info.java
+++ b/src/main/java/org/spruceridge/leader/package-info.java
@@ -1,2 +1,2 @@
-/** Election and takeover, and what a leader does: reports, scheduling cycles, durable writes, direct commands. */
+/** Election and failover, and what a leader does: reports, scheduling cycles, durable writes, direct commands. */
 package org.spruceridge.leader;
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -219,7 +219,7 @@
 
     /**
      * Answers a report. Who does not lead does not look into it: after the end of a leader its workers all ask the other
-     * nodes again and again, and these have no more processor than they need for the next takeover.
+     * nodes again and again, and these have no more processor than they need for the next failover.
      */
     private Response heartbeat(byte[] body) {
         lastReport = loop.nanos();
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -88,7 +88,7 @@
         return records;
     }
 
-    /** The takeover is complete: pages that an earlier version has left too large are split, bit by bit. */
+    /** The failover is complete: pages that an earlier version has left too large are split, bit by bit. */
     public void failoverCompleted() {
         records.findOversized();
         pump();
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -76,7 +76,7 @@
         return commands.orElseGet(() -> stopsOfEndedJobs(heartbeat));
     }
 
-    /** Answers a report while the takeover is under way: only jobs are known yet, and of those all that are open. */
+    /** Answers a report while the failover is under way: only jobs are known yet, and of those all that are open. */
     public List<WorkerCommand> handleDuringFailover(WorkerHeartbeat heartbeat) {
         leaseRenewedDuringFailover.put(heartbeat.machine(), loop.nanos());
         return stopsOfEndedJobs(heartbeat);
@@ -119,7 +119,7 @@
         if (machine == null || machine.bindings().isEmpty()) {
             return false;
         }
-        // Not sooner: right after a takeover answers may come too late for the workers, and then it is not they who are
+        // Not sooner: right after a failover answers may come too late for the workers, and then it is not they who are
         // at fault.
         long timeout = Durations.nanos(settings.workers().leaseS());
         boolean unreachable = heartbeat.fencingToken() != term && loop.nanos() - machine.fencingTokenSentAt() > timeout;
--- a/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
+++ b/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
@@ -6,7 +6,7 @@
     ANSWERED,
     /** Answered with at least one stop. */
     ANSWERED_WITH_STOPS,
-    /** Answered while the takeover was under way. */
+    /** Answered while the failover was under way. */
     ANSWERED_DURING_FAILOVER,
     /** Sent to the node that leads. */
     REDIRECTED,
--- a/src/test/java/org/spruceridge/scenario/CancellationAtSizeTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationAtSizeTest.java
@@ -64,7 +64,7 @@
     /**
      * Guards against answers that renew a lease and stop nothing: the first report of a worker to a new leader carries an
      * older token, and where leaders change within a report period every report is the first. A few jobs are cancelled only,
-     * so that each takeover is over at once.
+     * so that each failover is over at once.
      */
     @Test
     void leadersThatLastForLessThanAReportPeriodStopCancelledTasks() {
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Guards against jobs that look open while a takeover reads their records one by one: jobs are cancelled behind the
+     * Guards against jobs that look open while a failover reads their records one by one: jobs are cancelled behind the
      * back of a leader that is cut off, the state service is slow, and the next leader ends before it has read them all.
      */
     @Test
@@ -94,16 +94,16 @@
         cluster.crash(second);
         cluster.loop.run(SimulatedCluster.CANCEL_S);
         assertTrue(cluster.running().isEmpty());
-        double takeoverS = cluster.metrics(cluster.leader())
-                .path("takeovers")
+        double failoverS = cluster.metrics(cluster.leader())
+                .path("failovers")
                 .path("lastS")
                 .asDouble();
-        assertTrue(takeoverS < SimulatedCluster.LEASE_S / 2, "takeover: " + takeoverS + " s");
+        assertTrue(failoverS < SimulatedCluster.LEASE_S / 2, "failover: " + failoverS + " s");
         cluster.settle(120);
     }
 
     /**
-     * Guards against the same, however fast records are read: one of them cannot be read at all, so that the takeover does
+     * Guards against the same, however fast records are read: one of them cannot be read at all, so that the failover does
      * not come to its end while those that were read before are known.
      */
     @Test
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -8,7 +8,7 @@
 import org.spruceridge.sim.SimNet.Fate;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Takeovers that take long: workers are answered meanwhile. */
+/** Failovers that take long: workers are answered meanwhile. */
 final class FailoverScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -17,7 +17,7 @@
      * machines there are, reads that only after more than a lease, and by then the machines cannot be reached.
      */
     @Test
-    void leasesThatWereRenewedDuringTheTakeoverAreWaitedFor() {
+    void leasesThatWereRenewedDuringTheFailoverAreWaitedFor() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 90.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aTakeoverWaitsForASilentWorkersLease() {
+    void aFailoverWaitsForASilentWorkersLease() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 25.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
@@ -405,10 +405,10 @@
     }
 
     @Test
-    void aNodeThatStandsStillInItsElectionOrTakeoverIsNoLeaderWhenItGoesOn() {
+    void aNodeThatStandsStillInItsElectionOrFailoverIsNoLeaderWhenItGoesOn() {
         for (int step = 0; step < 12; step++) {
             SimulatedCluster fresh = new SimulatedCluster(2);
-            fresh.loop.run(0.0004 * step * step); // somewhere between its first request and the end of its takeover
+            fresh.loop.run(0.0004 * step * step); // somewhere between its first request and the end of its failover
             fresh.standStill("n1", 3 * SimulatedCluster.LEASE_S);
             fresh.standStill("n0", 0.5);
             fresh.loop.run(10);
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aMachineThatHearsNothingInATakeoverIsReplaced() {
+    void aMachineThatHearsNothingInAFailoverIsReplaced() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
         cluster.until(() -> cluster.running().size() == 1, 40);
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -246,7 +246,7 @@
         assertEquals(0, cluster.state.rejected());
     }
 
-    /** The same when they fall in the middle of the takeover, before the pages could be split. */
+    /** The same when they fall in the middle of the failover, before the pages could be split. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.1, 0.3, 1})
     void largePagesOfProductionAreSplitAsTheLimitsFall(double afterS) {
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -226,17 +226,17 @@
         assertTrue(users.path("maxMs").asDouble() >= users.path("p50Ms").asDouble());
     }
 
-    /** An operator on call sees what became of reports, how long the takeover took, and how old the leader's view is. */
+    /** An operator on call sees what became of reports, how long the failover took, and how old the leader's view is. */
     @Test
-    void aNodeTellsWhatBecameOfReportsAndOfItsTakeover() {
+    void aNodeTellsWhatBecameOfReportsAndOfItsFailover() {
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
         JsonNode metrics = cluster.metrics(cluster.leader());
         JsonNode outcomes = metrics.path("reportOutcomes");
         assertTrue(outcomes.path("answered").asLong() > 0, outcomes.toString());
         assertEquals(0, outcomes.path("staleView").asLong());
-        assertEquals(1, metrics.path("takeovers").path("count").asLong());
-        assertTrue(metrics.path("takeovers").path("lastS").asDouble() > 0);
+        assertEquals(1, metrics.path("failovers").path("count").asLong());
+        assertTrue(metrics.path("failovers").path("lastS").asDouble() > 0);
         assertTrue(metrics.path("leader").path("viewAgeS").asDouble() < SimulatedCluster.LEASE_S);
         assertEquals(0, metrics.path("leader").path("oldestUnprovenStopS").asDouble());
         assertTrue(cluster.metrics(cluster.follower()).path("leader").isMissingNode());
