--- a/src/test/java/org/spruceridge/config/SettingsTest.java
+++ b/src/test/java/org/spruceridge/config/SettingsTest.java
@@ -54,7 +54,8 @@
             delimiter = ';',
             value = {
                 "\"host_name\":\"n0\"; \"host_name\":7; host_name is not a text",
-                "\"serve_on\":\"10.0.0.1:8080\"; \"serve_on\":\"here\"; serve_on is not an address of the form host:port: here",
+                "\"serve_on\":\"10.0.0.1:8080\"; \"serve_on\":\"here\"; "
+                        + "serve_on is not an address of the form host:port: here",
                 "\"report_s\":3.0; \"report_s\":0; facts.workers.report_s must be above 0",
                 "\"lease_s\":22.0; \"lease_s\":2; facts.workers.lease_s must be above report_s",
                 "\"txn_ops\":24; \"txn_ops\":1.5; facts.state.txn_ops must be a whole number above 0",
--- a/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -37,7 +37,7 @@
         return tasks;
     }
 
-    /** Written one after the other, each page still holds all that it held: none may be lost should the leader end between. */
+    /** Written one after the other, each page still holds all that it held: a leader may end between two writes. */
     @ParameterizedTest
     @CsvSource({"8, 2", "4, 2", "8, 3.3", "8, 8"})
     void noFinishedTaskLeavesItsPageAsTheLevelRises(double nowKb, double nextKb) throws BadMessageException {
--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -13,8 +13,8 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Users cancel while something is out of order. The simulated cluster fails each scenario in which a task of a cancelled job is on a
- * machine for longer than {@code cancel_s}.
+ * Users cancel while something is out of order. The simulated cluster fails each scenario in which a task of a cancelled
+ * job is on a machine for longer than {@code cancel_s}.
  */
 final class CancellationScenarioTest {
     private static final String LONG = "j-000001";
--- a/src/test/java/org/spruceridge/scenario/MeetingScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MeetingScenarioTest.java
@@ -12,8 +12,8 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Two troubles meet, each time at a moment that differs by a counted step. The simulated cluster looks after the rules all the
- * while; {@link SimulatedCluster#settle} then wants every accepted job to end, and to be answered for by every node.
+ * Two faults at once, each time at a moment that differs by a counted step. The simulated cluster checks the rules
+ * throughout; {@link SimulatedCluster#settle} then wants every accepted job to end, and to be answered for by every node.
  */
 final class MeetingScenarioTest {
     private SimulatedCluster cluster;
--- a/src/test/java/org/spruceridge/sim/Limit.java
+++ b/src/test/java/org/spruceridge/sim/Limit.java
@@ -3,7 +3,7 @@
 import java.util.function.LongSupplier;
 import org.spruceridge.net.Durations;
 
-/** A limit of the settings on something per second, with bursts of some seconds' worth: who exceeds it fails the scenario. */
+/** A rate limit of the settings, with bursts of some seconds' worth: exceeding it fails the scenario. */
 final class Limit {
     private final String what;
     private final double perS;
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -146,6 +146,7 @@
                 case LATE -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrive);
                 case REFUSED -> back.accept(new HttpAnswer(503, new byte[0]));
                 case LOST -> {}
+                default -> throw new IllegalStateException("no such fate: " + fate);
             }
             return () -> over[0] = true;
         };
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -75,7 +75,8 @@
     }
 
     private static final String SPEC_OF_AN_ARRAY =
-            "{\"nameId\":\"j-000007\",\"lot\":\"nightly\",\"crew\":\"red\",\"shape\":\"sweep\",\"rank\":\"high\",\"parts\":3,"
+            "{\"nameId\":\"j-000007\",\"lot\":\"nightly\",\"crew\":\"red\",\"shape\":\"sweep\",\"rank\":\"high\","
+                    + "\"parts\":3,"
                     + "\"cpus\":2.0,\"accelerators\":0.0,\"memGb\":3.5,\"bundle\":\"img\",\"pullGb\":1.5,"
                     + "\"samePlace\":false,\"scatter\":true,\"windfall\":false,\"expectS\":60.0,\"markEveryS\":20.0,"
                     + "\"markS\":3.0,\"builds\":[\"t4\"],\"grove\":\"a\",\"dueS\":90.0}";
--- a/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
@@ -55,7 +55,7 @@
         assertEquals(0, loop.pending());
     }
 
-    /** Else it would warm up nothing: reports are taken, tasks bound, recorded, started and ended, and jobs come to an end. */
+    /** Otherwise it warms up nothing: heartbeats are handled, tasks bound, recorded, started and ended, and jobs finish. */
     @Test
     void itDoesAllThatALeaderDoes() {
         WarmUpLeader leader = new WarmUpLeader(SETTINGS, Policy.defaults());
