--- a/src/test/java/org/spruceridge/docs/DocumentationTest.java
+++ b/src/test/java/org/spruceridge/docs/DocumentationTest.java
@@ -6,17 +6,32 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.HashSet;
+import java.util.List;
 import java.util.Set;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** The tests that the safety page names for each rule exist, so that a renamed or dropped one is noticed. */
+/**
+ * What the pages name exists: the tests that the safety page names for each rule, and the types that the architecture and design
+ * pages name. A renamed or dropped one fails here.
+ */
 final class DocumentationTest {
     /** Names of test methods have at least four words; nothing else in the tables is written like that. */
     private static final Pattern METHOD = Pattern.compile("(?<![\\w`.])[a-z]+(?:[A-Z][a-z0-9]*){3,}\\b(?![`.(])");
 
+    private static final Pattern CODE_QUOTE = Pattern.compile("`([^`\\n]+)`");
+    /** With at least one lower-case letter: names in capitals alone are constants. */
+    private static final Pattern TYPE_NAME =
+            Pattern.compile("(?:[a-z]+\\.)?[A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*\\b(?![-/ ])");
+
+    private static final Pattern TYPE_DECLARATION = Pattern.compile("\\b(?:class|interface|record|enum) ([A-Z]\\w*)");
+
     private static final Pattern TEST_CLASS = Pattern.compile("\\b[A-Z]\\w+Test\\b");
 
     @Test
@@ -35,6 +50,52 @@
         assertTrue(named.size() > 50, "names found: " + named.size());
     }
 
+    @ParameterizedTest
+    @ValueSource(strings = {"docs/architecture.md", "docs/design.md", "docs/glossary.md", "CONTRIBUTING.md"})
+    void everyTypeThatAPageNamesExists(String page) throws IOException {
+        Set<String> types = declaredTypes();
+        Set<String> missing = typesNamedIn(Files.readString(Path.of(page)))
+                .filter(name -> !types.contains(name))
+                .collect(Collectors.toSet());
+        assertEquals(Set.of(), missing);
+    }
+
+    @Test
+    void aTypeThatDoesNotExistIsFound() throws IOException {
+        Set<String> types = declaredTypes();
+        assertTrue(types.containsAll(Set.of("Leader", "leader.Leader", "cluster.Binding", "DocumentationTest")));
+        assertEquals(
+                List.of("leader.Laeder", "NoSuchType"),
+                typesNamedIn("`leader.Laeder` is called by `leader.Leader`, and `NoSuchType` by `cluster.Binding`")
+                        .filter(name -> !types.contains(name))
+                        .toList());
+    }
+
+    /** Names in code quotes of the form `Type` or `package.Type`; what follows a type, as in `Type.method`, is not looked at. */
+    private static Stream<String> typesNamedIn(String page) {
+        return CODE_QUOTE
+                .matcher(page)
+                .results()
+                .map(match -> TYPE_NAME.matcher(match.group(1)))
+                .filter(Matcher::lookingAt)
+                .map(Matcher::group);
+    }
+
+    /** All types of the sources, nested ones included, by their simple name and by package and name. */
+    private static Set<String> declaredTypes() throws IOException {
+        Set<String> types = new HashSet<>();
+        try (Stream<Path> files = Files.walk(Path.of("src"))) {
+            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
+                String packageName = file.getParent().getFileName().toString();
+                TYPE_DECLARATION.matcher(Files.readString(file)).results().forEach(match -> {
+                    types.add(match.group(1));
+                    types.add(packageName + "." + match.group(1));
+                });
+            }
+        }
+        return types;
+    }
+
     private static Stream<String> names(Pattern pattern, String text) {
         return pattern.matcher(text).results().map(match -> match.group());
     }
--- /dev/null
+++ b/src/test/java/org/spruceridge/docs/VocabularyTest.java
@@ -0,0 +1,121 @@
+package org.spruceridge.docs;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.regex.MatchResult;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** The sources use the terms of docs/glossary.md: no identifier and no log text contains a withdrawn word. */
+final class VocabularyTest {
+    private static final Path GLOSSARY = Path.of("docs/glossary.md");
+    private static final String WITHDRAWN_HEADING = "## Withdrawn words";
+    private static final int FEWEST_WORDS = 30;
+
+    /** String and character literals and comments: everything that is not code. */
+    private static final Pattern NOT_CODE =
+            Pattern.compile("\"(?:\\\\.|[^\"\\\\\n])*\"|'(?:\\\\.|[^'\\\\\n])*'|//[^\n]*|/\\*.*?\\*/", Pattern.DOTALL);
+
+    private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_$][\\w$]*");
+
+    /** A statement that logs, up to its end; the texts in it are what an operator reads. */
+    private static final Pattern LOG_STATEMENT = Pattern.compile(
+            "\\b(?:LOG\\.(?:error|warn|info|debug)|warnings\\.warn)\\((?:\"(?:\\\\.|[^\"\\\\])*\"|[^;\"])*;");
+
+    private static final Pattern STRING = Pattern.compile("\"((?:\\\\.|[^\"\\\\\n])*)\"");
+
+    private final Pattern withdrawnWord = Pattern.compile("\\b(" + String.join("|", withdrawnWords()) + ")s?\\b");
+
+    @Test
+    void noSourceUsesAWithdrawnWord() throws IOException {
+        List<String> violations = new ArrayList<>();
+        // This test plants withdrawn words, and is left out.
+        String ownName = VocabularyTest.class.getSimpleName() + ".java";
+        try (Stream<Path> files = Files.walk(Path.of("src"))) {
+            for (Path file : files.filter(f -> f.toString().endsWith(".java") && !f.endsWith(ownName))
+                    .sorted()
+                    .toList()) {
+                for (String violation : violations(Files.readString(file))) {
+                    violations.add(file.getFileName() + ": " + violation);
+                }
+            }
+        }
+        assertEquals(List.of(), violations);
+    }
+
+    @Test
+    void aPlantedWordIsFoundInIdentifiersOfEveryCase() {
+        assertEquals(List.of("grant in endGrant"), violations("void endGrant() {}"));
+        assertEquals(List.of("grant in LAST_GRANTS"), violations("int LAST_GRANTS = 1;"));
+        assertEquals(List.of("hold back in holdBackUntil"), violations("long holdBackUntil;"));
+        assertEquals(List.of("takeover in TakeoverTest"), violations("class TakeoverTest {}"));
+    }
+
+    @Test
+    void aPlantedWordIsFoundInLogTexts() {
+        assertEquals(
+                List.of("cut off in \"node cut off node={}\""),
+                violations("LOG.info(\n    \"node cut off node={}\", name);"));
+        assertEquals(List.of("grant in \"lost its grant\""), violations("warnings.warn(\"lost its grant\", key);"));
+    }
+
+    @Test
+    void wireNamesAndCommentsMayUseThem() {
+        assertEquals(List.of(), violations("out.put(\"warrant\", fencingToken); // the grant of the protocol"));
+        assertEquals(List.of(), violations("/** A permit, on the wire. */ long leaseId;"));
+        assertEquals(List.of(), violations("char c = '\"'; int immigrants; // not a word of its own"));
+    }
+
+    private List<String> violations(String source) {
+        String code = NOT_CODE.matcher(source).replaceAll(match -> match.group().startsWith("/") ? " " : "\"\"");
+        Stream<String> inIdentifiers = IDENTIFIER
+                .matcher(code)
+                .results()
+                .map(MatchResult::group)
+                .distinct()
+                .flatMap(identifier -> withdrawnWordsIn(words(identifier)).map(word -> word + " in " + identifier));
+        Stream<String> inLogTexts = LOG_STATEMENT
+                .matcher(source)
+                .results()
+                .flatMap(statement -> STRING.matcher(statement.group()).results())
+                .flatMap(text -> withdrawnWordsIn(text.group(1).toLowerCase(Locale.ROOT))
+                        .map(word -> word + " in " + text.group()));
+        return Stream.concat(inIdentifiers, inLogTexts).toList();
+    }
+
+    private Stream<String> withdrawnWordsIn(String text) {
+        return withdrawnWord.matcher(text).results().map(match -> match.group(1));
+    }
+
+    /** The words of an identifier in camel case or upper case, in lower case and separated by blanks. */
+    private static String words(String identifier) {
+        return identifier
+                .replace('_', ' ')
+                .replaceAll("(?<=[a-z0-9])(?=[A-Z])", " ")
+                .toLowerCase(Locale.ROOT);
+    }
+
+    private static List<String> withdrawnWords() {
+        String glossary;
+        try {
+            glossary = Files.readString(GLOSSARY);
+        } catch (IOException e) {
+            throw new AssertionError(e);
+        }
+        String table = glossary.substring(glossary.indexOf(WITHDRAWN_HEADING));
+        List<String> words = table.lines()
+                .filter(line -> line.startsWith("| ") && !line.startsWith("| withdrawn"))
+                .map(line -> line.split("\\|", -1)[1].strip())
+                .toList();
+        assertTrue(words.size() >= FEWEST_WORDS, "words found: " + words);
+        return words;
+    }
+}
