--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -21,10 +21,10 @@
 import org.spruceridge.net.Response;
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
-import org.spruceridge.record.SpecMessage;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.JobSpecMessage;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 import org.spruceridge.upgrade.ClusterLevel;
@@ -84,11 +84,11 @@
         }
         JobSpec spec;
         try {
-            spec = SpecMessage.read(json);
+            spec = JobSpecMessage.read(json);
         } catch (BadMessageException e) {
             Response refusal = Response.error(400, e.getMessage());
             // An id that was accepted once is never refused, whatever the repeat looks like.
-            SpecMessage.idOf(json).ifPresentOrElse(id -> lookUp(id, refusal, answer), () -> answer.accept(refusal));
+            JobSpecMessage.idOf(json).ifPresentOrElse(id -> lookUp(id, refusal, answer), () -> answer.accept(refusal));
             return;
         }
         Optional<ImmutableMap<String, MachineType>> types = catalogue.get();
@@ -126,7 +126,7 @@
 
     /** GET /api/jobs/{id}. */
     public void poll(String id, Consumer<Response> answer) {
-        if (SpecMessage.isId(id)) {
+        if (JobSpecMessage.isId(id)) {
             lookUp(id, unknownJob(), answer);
         } else {
             answer.accept(unknownJob());
@@ -135,7 +135,7 @@
 
     /** POST /api/jobs/{id}/abort. */
     public void abort(String id, Consumer<Response> answer) {
-        if (SpecMessage.isId(id)) {
+        if (JobSpecMessage.isId(id)) {
             abort(id, loop.nanos() + REQUEST_TIMEOUT, answer);
         } else {
             answer.accept(unknownJob());
@@ -149,11 +149,11 @@
             return;
         }
         Transaction txn = Transaction.builder()
-                .set(Keys.job(spec.id()), 0, record.write())
-                .set(Keys.open(spec.id()), 0, record.write())
+                .put(StateKeys.job(spec.id()), 0, record.write())
+                .put(StateKeys.openJob(spec.id()), 0, record.write())
                 .build();
         settle(txn, loop.nanos() + REQUEST_TIMEOUT, answer, result -> {
-            if (result.committed()) {
+            if (result.isCommitted()) {
                 answer.accept(Response.of(201, brief(spec.id(), "pending")));
             } else {
                 lookUp(spec.id(), later(), answer);
@@ -162,9 +162,9 @@
     }
 
     private void abort(String id, long until, Consumer<Response> answer) {
-        state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
+        state.get(StateKeys.job(id), Priority.SUBMISSIONS, found -> {
             if (!found.isOk()) {
-                answer.accept(found.kind() == Result.Kind.MISSING ? unknownJob() : later());
+                answer.accept(found.outcome() == StateResult.Outcome.NOT_FOUND ? unknownJob() : later());
                 return;
             }
             Optional<JobRecord> record = read(id, found.value().value());
@@ -180,11 +180,11 @@
             JobRecord cancelled = record.get().ended(JobRecord.Stage.CANCELLED, loop.wallMillis());
             long modRevision = found.value().modRevision(); // the open entry was written with the record
             Transaction txn = Transaction.builder()
-                    .set(Keys.job(id), modRevision, cancelled.write(valueBytes))
-                    .drop(Keys.open(id), modRevision)
+                    .put(StateKeys.job(id), modRevision, cancelled.write(valueBytes))
+                    .delete(StateKeys.openJob(id), modRevision)
                     .build();
             settle(txn, until, answer, result -> {
-                if (result.committed()) {
+                if (result.isCommitted()) {
                     remember(cancelled);
                     cancellations.add(id);
                     answer.accept(Response.of(200, brief(id, "cancelled")));
@@ -200,7 +200,7 @@
     /** Commits; an unknown outcome is settled by the same transaction again, while the user still waits. */
     private void settle(Transaction txn, long until, Consumer<Response> answer, Consumer<TransactionResult> settled) {
         state.commit(txn, Priority.SUBMISSIONS, result -> {
-            switch (result.kind()) {
+            switch (result.outcome()) {
                 case COMMITTED, CONFLICT -> settled.accept(result);
                 case UNKNOWN -> {
                     if (loop.nanos() < until) {
@@ -209,7 +209,7 @@
                         answer.accept(later());
                     }
                 }
-                case REJECTED -> answer.accept(later()); // of ours, not of the user's: it was measured before
+                case MALFORMED -> answer.accept(later()); // of ours, not of the user's: it was measured before
                 default -> answer.accept(later());
             }
         });
@@ -222,13 +222,13 @@
             answer.accept(Response.of(200, full(id, end)));
             return;
         }
-        state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
+        state.get(StateKeys.job(id), Priority.SUBMISSIONS, found -> {
             if (found.isOk()) {
                 answer.accept(read(id, found.value().value())
                         .map(this::present)
                         .orElseGet(() -> Response.error(500, "unreadable record")));
             } else {
-                answer.accept(found.kind() == Result.Kind.MISSING ? ifMissing : later());
+                answer.accept(found.outcome() == StateResult.Outcome.NOT_FOUND ? ifMissing : later());
             }
         });
     }
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -15,12 +15,12 @@
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter.Priority;
-import org.spruceridge.record.Keys;
 import org.spruceridge.record.LeaderRecord;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Change;
 import org.spruceridge.state.Entry;
-import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 import org.spruceridge.term.LeaderTerm;
@@ -130,13 +130,13 @@
 
     private void read() {
         watch.cancel();
-        state.list(Keys.LEADER, Priority.RENEWAL, scope.guard(listing -> {
+        state.list(StateKeys.LEADER, Priority.RENEWAL, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scheduleRetry();
                 return;
             }
             Optional<Entry> entry = listing.value().entries().stream()
-                    .filter(e -> e.key().equals(Keys.LEADER))
+                    .filter(e -> e.key().equals(StateKeys.LEADER))
                     .findFirst();
             long revision = listing.value().revision();
             judge(
@@ -153,13 +153,13 @@
 
     private void watch(long from) {
         watch.cancel();
-        watch = state.watch(Keys.LEADER, from, WATCH_S, scope.guard(result -> {
+        watch = state.watch(StateKeys.LEADER, from, WATCH_S, scope.guard(result -> {
             if (!result.isOk()) {
                 scheduleRetry();
                 return;
             }
             for (Change change : result.value().changes()) {
-                if (change.key().equals(Keys.LEADER)) {
+                if (change.key().equals(StateKeys.LEADER)) {
                     judge(
                             change.dropped() ? Optional.empty() : Optional.of(parse(change.value())),
                             change.dropped() ? 0 : change.modRevision(),
@@ -217,9 +217,10 @@
         if (others) {
             campaignBackoffUntil = Math.max(campaignBackoffUntil, loop.nanos() + renewEvery);
         }
-        Transaction txn = Transaction.builder().drop(Keys.LEADER, modRevision).build();
+        Transaction txn =
+                Transaction.builder().delete(StateKeys.LEADER, modRevision).build();
         state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
-            if (result.kind() != TransactionResult.Kind.COMMITTED) {
+            if (result.outcome() != TransactionResult.Outcome.COMMITTED) {
                 scheduleRetry();
             }
         }));
@@ -251,8 +252,8 @@
 
     /** Goes on with a campaign once the cluster feature level is known to be supported. */
     private void campaign(long leaderRevision, LevelRecord onRecord) {
-        state.get(Keys.TERM, Priority.RENEWAL, scope.guard(term -> {
-            if (term.kind() == Result.Kind.UNAVAILABLE) {
+        state.get(StateKeys.TERM, Priority.RENEWAL, scope.guard(term -> {
+            if (term.outcome() == StateResult.Outcome.UNAVAILABLE) {
                 abandonCampaign();
                 return;
             }
@@ -260,9 +261,9 @@
             long next = term.isOk() ? term.value().value().path("term").asLong() + 1 : 1;
             LeaderRecord record = new LeaderRecord(hostName, incarnation, next);
             Transaction txn = Transaction.builder()
-                    .guard(Keys.FEATURE_LEVEL, onRecord.modRevision())
-                    .set(Keys.LEADER, leaderRevision, record.write(), leaseId)
-                    .set(Keys.TERM, modRevision, Json.object().put("term", next))
+                    .compare(StateKeys.FEATURE_LEVEL, onRecord.modRevision())
+                    .putWithLease(StateKeys.LEADER, leaderRevision, record.write(), leaseId)
+                    .put(StateKeys.TERM, modRevision, Json.object().put("term", next))
                     .build();
             attempt(txn, record, onRecord);
         }));
@@ -270,9 +271,9 @@
 
     private void attempt(Transaction txn, LeaderRecord record, LevelRecord onRecord) {
         state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
-            if (result.kind() == TransactionResult.Kind.COMMITTED) {
+            if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
                 win(record, result.revision(), onRecord);
-            } else if (result.kind() == TransactionResult.Kind.UNKNOWN && loop.nanos() < validUntil) {
+            } else if (result.outcome() == TransactionResult.Outcome.UNKNOWN && loop.nanos() < validUntil) {
                 scope.after(RETRY, () -> attempt(txn, record, onRecord));
             } else {
                 // Lost, refused, or unknown for too long: what the leader key says decides.
@@ -307,7 +308,7 @@
             if (leaderTerm == null || leaderTerm.term() != term) {
                 return;
             }
-            if (result.kind() == Result.Kind.MISSING) {
+            if (result.outcome() == StateResult.Outcome.NOT_FOUND) {
                 stepDown("its grant has ended");
                 read();
                 return;
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -22,11 +22,11 @@
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.FinishedRecord;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Entry;
 import org.spruceridge.state.Listing;
-import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
 
@@ -81,12 +81,12 @@
     public void start(Listener hears) {
         listener = hears;
         long asked = loop.nanos();
-        list(Keys.OPEN, open -> {
+        list(StateKeys.OPEN_JOBS_PREFIX, open -> {
             addJobs(open);
             listener.jobsKnown(asked);
             list(
-                    Keys.FINISHED,
-                    finished -> list(Keys.BINDINGS, machines -> {
+                    StateKeys.FINISHED_TASKS_PREFIX,
+                    finished -> list(StateKeys.BINDINGS_PREFIX, machines -> {
                         addFinished(finished);
                         List<Recorded> recorded = readMachines(machines);
                         readEnded(recorded, () -> {
@@ -204,8 +204,8 @@
         }
 
         private void read(String id) {
-            state.get(Keys.job(id), Priority.RENEWAL, scope.guard(result -> {
-                if (result.kind() == Result.Kind.UNAVAILABLE) {
+            state.get(StateKeys.job(id), Priority.RENEWAL, scope.guard(result -> {
+                if (result.outcome() == StateResult.Outcome.UNAVAILABLE) {
                     scope.after(RETRY, () -> read(id));
                     return;
                 }
--- a/src/main/java/org/spruceridge/node/Catalogue.java
+++ b/src/main/java/org/spruceridge/node/Catalogue.java
@@ -14,9 +14,9 @@
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.CatalogueRecord;
-import org.spruceridge.record.Keys;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 
 /** What this node knows of the machine types: from the cloud, or, until that answers, from the record. */
@@ -69,7 +69,7 @@
     }
 
     private void recall() {
-        state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
+        state.get(StateKeys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
             if (types.isPresent()) {
                 return;
             }
@@ -95,8 +95,8 @@
 
     /** Puts the types on record where they are not; should that fail, the next refresh tries again. */
     private void keep(CatalogueRecord now) {
-        state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
-            if (found.kind() == Result.Kind.UNAVAILABLE) {
+        state.get(StateKeys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
+            if (found.outcome() == StateResult.Outcome.UNAVAILABLE) {
                 return;
             }
             try {
@@ -108,7 +108,7 @@
             }
             long modRevision = found.isOk() ? found.value().modRevision() : 0;
             Transaction txn = Transaction.builder()
-                    .set(Keys.CATALOGUE, modRevision, now.write())
+                    .put(StateKeys.CATALOGUE, modRevision, now.write())
                     .build();
             state.commit(txn, Priority.DECISIONS, result -> {});
         }));
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -35,7 +35,7 @@
 import org.spruceridge.peer.PeerHeartbeat;
 import org.spruceridge.peer.PeerMonitor;
 import org.spruceridge.peer.PeerTransport;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.HeartbeatOutcome;
 import org.spruceridge.term.LeaderContext;
@@ -306,7 +306,7 @@
     }
 
     private boolean stateServes() {
-        return state.sinceServed() < CUT_OFF;
+        return state.nanosSinceLastServed() < CUT_OFF;
     }
 
     private PeerHeartbeat heartbeat() {
@@ -322,7 +322,7 @@
         }
         return new PeerHeartbeat(
                 settings.hostName(),
-                state.everServed() && stateServes(),
+                state.hasEverBeenServed() && stateServes(),
                 workersReach(),
                 term,
                 progress.build(),
@@ -376,6 +376,6 @@
         if (leader == null && leaderForWorkers().isPresent()) {
             warmUp.start();
         }
-        state.get(Keys.LEADER, Priority.RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
+        state.get(StateKeys.LEADER, Priority.RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
     }
 }
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -12,8 +12,8 @@
 import org.spruceridge.persistence.PageIndex.Page;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.FinishedRecord;
-import org.spruceridge.record.Keys;
 import org.spruceridge.record.PackedValue;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /** The pages that this leader keeps: the bindings of machines, and the finished tasks of unfinished jobs. */
@@ -45,8 +45,8 @@
         this.pageBytes = (int) (limits.recordKb() * 1024);
         this.level = level;
         int capacity = PackedValue.capacity(limits.recordKb());
-        this.bindings = new PageIndex<>(Keys.BINDINGS, capacity, BindingsRecord::bytes);
-        this.finished = new PageIndex<>(Keys.FINISHED, capacity, this::bytes);
+        this.bindings = new PageIndex<>(StateKeys.BINDINGS_PREFIX, capacity, BindingsRecord::bytes);
+        this.finished = new PageIndex<>(StateKeys.FINISHED_TASKS_PREFIX, capacity, this::bytes);
     }
 
     /** The pages of bindings, by machine. */
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -16,9 +16,9 @@
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimiter.Priority;
-import org.spruceridge.record.Keys;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.TransactionResult;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
@@ -155,7 +155,7 @@
         waitsForTurn = true;
         boolean decisionsOnly = waiting.values().stream().allMatch(w -> w == Write.BIND);
         Priority priority = decisionsOnly ? Priority.DECISIONS : Priority.REPORTS;
-        state.commitAtTurn(
+        state.commitWhenAdmitted(
                 priority,
                 records.likelyChanges(),
                 () -> {
@@ -203,17 +203,17 @@
     }
 
     private void judge(WriteBatch batch, TransactionResult result, long retry) {
-        switch (result.kind()) {
+        switch (result.outcome()) {
             case COMMITTED -> committed(batch, result.revision());
             case CONFLICT -> {
                 if (batch.unknown()) {
-                    probe(batch, result.failed());
+                    probe(batch, result.conflictingKeys());
                 } else {
-                    conflict(batch, result.failed());
+                    conflict(batch, result.conflictingKeys());
                 }
             }
-            case UNKNOWN, REFUSED -> {
-                if (result.kind() == TransactionResult.Kind.UNKNOWN) {
+            case UNKNOWN, NOT_EXECUTED -> {
+                if (result.outcome() == TransactionResult.Outcome.UNKNOWN) {
                     batch.becomesUnknown();
                 }
                 scope.after(retry, () -> sendAgain(batch, Math.min(LAST_RETRY, retry * 2)));
@@ -225,7 +225,7 @@
     /** An earlier copy of the transaction may be what made this one fail: its own keys tell. */
     private void probe(WriteBatch batch, ImmutableList<String> failed) {
         state.get(batch.mark(), batch.priority(), scope.guard(result -> {
-            if (result.kind() == Result.Kind.UNAVAILABLE) {
+            if (result.outcome() == StateResult.Outcome.UNAVAILABLE) {
                 scope.after(FIRST_RETRY, () -> probe(batch, failed));
             } else if (result.isOk() && batch.wrote(result.value().value())) {
                 committed(batch, result.value().modRevision());
@@ -265,15 +265,15 @@
 
     /** A guard did not hold: nothing was written. What failed tells whether that is ordinary. */
     private void conflict(WriteBatch batch, ImmutableList<String> failed) {
-        if (failed.contains(Keys.LEADER)) {
+        if (failed.contains(StateKeys.LEADER)) {
             listener.broken("another node leads");
             return;
         }
         List<Job> cancelled = new ArrayList<>();
         for (String key : failed) {
-            String id = key.startsWith(Keys.OPEN)
-                    ? key.substring(Keys.OPEN.length())
-                    : key.startsWith(Keys.JOBS) ? key.substring(Keys.JOBS.length()) : null;
+            String id = key.startsWith(StateKeys.OPEN_JOBS_PREFIX)
+                    ? key.substring(StateKeys.OPEN_JOBS_PREFIX.length())
+                    : key.startsWith(StateKeys.JOBS_PREFIX) ? key.substring(StateKeys.JOBS_PREFIX.length()) : null;
             Job job = id == null ? null : cluster.job(id);
             if (job == null) {
                 listener.broken("not as this leader left it: " + key);
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -18,8 +18,8 @@
 import org.spruceridge.persistence.PageIndex.Page;
 import org.spruceridge.persistence.RecordPages.Chunk;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
 import org.spruceridge.record.PackedValue;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.term.LeaderTerm;
 
@@ -247,13 +247,13 @@
     }
 
     private Transaction build() {
-        Transaction.Builder txn = Transaction.builder().guard(Keys.LEADER, term.leaderRevision());
-        guardedJobs.forEach(job -> txn.guard(Keys.open(job.id()), job.modRevision()));
-        bindings.forEach(p -> txn.set(p.key(), p.modRevision(), records.bindingsPage(write, p, this::recorded)));
-        chunks.forEach(p -> txn.set(p.key(), p.modRevision(), records.finishedPage(write, p, ending)));
+        Transaction.Builder txn = Transaction.builder().compare(StateKeys.LEADER, term.leaderRevision());
+        guardedJobs.forEach(job -> txn.compare(StateKeys.openJob(job.id()), job.modRevision()));
+        bindings.forEach(p -> txn.put(p.key(), p.modRevision(), records.bindingsPage(write, p, this::recorded)));
+        chunks.forEach(p -> txn.put(p.key(), p.modRevision(), records.finishedPage(write, p, ending)));
         finished.forEach((job, end) -> {
-            txn.set(Keys.job(job.id()), job.modRevision(), end);
-            txn.drop(Keys.open(job.id()), job.modRevision());
+            txn.put(StateKeys.job(job.id()), job.modRevision(), end);
+            txn.delete(StateKeys.openJob(job.id()), job.modRevision());
         });
         return txn.build();
     }
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -21,11 +21,11 @@
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Change;
 import org.spruceridge.state.Entry;
-import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.term.LeaderContext;
 
 /** Learns of accepted and cancelled jobs by watching the open entries of unfinished jobs. */
@@ -84,7 +84,7 @@
     /** Follows all changes after a revision. The answer tells of all that came before it was asked for. */
     public void start(long from) {
         long asked = loop.nanos();
-        watch = state.watch(Keys.OPEN, from, watchS, scope.guard(result -> {
+        watch = state.watch(StateKeys.OPEN_JOBS_PREFIX, from, watchS, scope.guard(result -> {
             if (result.isOk()) {
                 result.value().changes().forEach(this::apply);
                 refreshed(asked);
@@ -92,7 +92,7 @@
                     changed.run();
                 }
                 start(result.value().revision());
-            } else if (result.kind() == Result.Kind.TOO_OLD) {
+            } else if (result.outcome() == StateResult.Outcome.REVISION_COMPACTED) {
                 readAgain();
             } else {
                 // Not the same watch again: should watches alone get no answer, a listing still tells.
@@ -142,7 +142,7 @@
     }
 
     private void apply(Change change) {
-        String id = change.key().substring(Keys.OPEN.length());
+        String id = change.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
         if (change.dropped()) {
             dropped(id, CancellationSource.WATCH);
         } else {
@@ -171,14 +171,14 @@
 
     private void readAgain() {
         long asked = loop.nanos();
-        state.list(Keys.OPEN, Priority.REPORTS, scope.guard(listing -> {
+        state.list(StateKeys.OPEN_JOBS_PREFIX, Priority.REPORTS, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scope.after(RETRY, this::readAgain);
                 return;
             }
             Set<String> open = new HashSet<>();
             for (Entry e : listing.value().entries()) {
-                String id = e.key().substring(Keys.OPEN.length());
+                String id = e.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
                 open.add(id);
                 add(id, e.value(), e.modRevision());
             }
--- a/src/main/java/org/spruceridge/record/JobRecord.java
+++ b/src/main/java/org/spruceridge/record/JobRecord.java
@@ -77,7 +77,7 @@
                     default -> throw new BadMessageException("unknown stage of a job record");
                 };
         return new JobRecord(
-                SpecMessage.read(value.path("spec")),
+                JobSpecMessage.read(value.path("spec")),
                 Json.whole(value, "at"),
                 stage,
                 value.path("ended_at").asLong());
@@ -89,7 +89,7 @@
         if (stage != Stage.OPEN) {
             out.put("ended_at", endedMs);
         }
-        out.set("spec", SpecMessage.write(spec));
+        out.set("spec", JobSpecMessage.write(spec));
         return out;
     }
 }
--- a/src/main/java/org/spruceridge/record/SpecMessage.java
+++ b/src/main/java/org/spruceridge/record/JobSpecMessage.java
@@ -14,14 +14,14 @@
 import org.spruceridge.net.Json;
 
 /** A job in JSON, as users send it and as its record keeps it. */
-public final class SpecMessage {
+public final class JobSpecMessage {
     private static final Pattern ID = Pattern.compile("j-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 200;
     private static final String ARRAY = "sweep";
     private static final String SERVICE = "standing";
 
-    private SpecMessage() {}
+    private JobSpecMessage() {}
 
     /** True if the text has the form of a job's id. */
     public static boolean isId(String text) {
--- a/src/main/java/org/spruceridge/record/Keys.java
+++ b/src/main/java/org/spruceridge/record/StateKeys.java
@@ -1,29 +1,29 @@
 package org.spruceridge.record;
 
 /** The names under which the service keeps its records in the state service. */
-public final class Keys {
+public final class StateKeys {
     public static final String LEADER = "leader";
     public static final String TERM = "term";
     /** The cluster feature level, see {@link org.spruceridge.upgrade.FeatureLevel}. */
     public static final String FEATURE_LEVEL = "feature-level";
 
     public static final String CATALOGUE = "catalogue";
-    public static final String JOBS = "job/";
-    public static final String OPEN = "open/";
+    public static final String JOBS_PREFIX = "job/";
+    public static final String OPEN_JOBS_PREFIX = "open/";
     /** Pages of finished tasks of unfinished jobs. */
-    public static final String FINISHED = "parts/";
+    public static final String FINISHED_TASKS_PREFIX = "parts/";
     /** Pages of bindings. */
-    public static final String BINDINGS = "bound/";
+    public static final String BINDINGS_PREFIX = "bound/";
 
-    private Keys() {}
+    private StateKeys() {}
 
     /** The record of a job, which is never dropped. */
     public static String job(String id) {
-        return JOBS + id;
+        return JOBS_PREFIX + id;
     }
 
     /** The open entry of an unfinished job, which is written with its record and dropped with its end. */
-    public static String open(String id) {
-        return OPEN + id;
+    public static String openJob(String id) {
+        return OPEN_JOBS_PREFIX + id;
     }
 }
--- a/src/main/java/org/spruceridge/state/AcceptingState.java
+++ b/src/main/java/org/spruceridge/state/InProcessStateService.java
@@ -17,7 +17,7 @@
  * A state service within the process, for warming up: it answers listings with given entries, says yes to every
  * transaction and keeps nothing. No connection is opened.
  */
-public final class AcceptingState implements HttpClient {
+public final class InProcessStateService implements HttpClient {
     private static final String LIST = "/store?starts=";
 
     private final Loop loop;
@@ -25,7 +25,7 @@
     private long revision;
 
     /** {@code entries} gives the content of a key prefix. */
-    public AcceptingState(Loop loop, Function<String, List<Entry>> entries) {
+    public InProcessStateService(Loop loop, Function<String, List<Entry>> entries) {
         this.loop = loop;
         this.entries = entries;
     }
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -40,7 +40,7 @@
     private final Latencies latencies;
     private Runnable rateExceeded = () -> {};
     private long lastServed;
-    private boolean everServed;
+    private boolean hasEverBeenServed;
 
     /** Requests go to {@code address}, within the limits of {@code limiter}. */
     public StateClient(
@@ -65,17 +65,17 @@
     }
 
     /** Nanoseconds since the service last carried out or judged a request of ours. */
-    public long sinceServed() {
+    public long nanosSinceLastServed() {
         return loop.nanos() - lastServed;
     }
 
     /** True once the service has answered at all. */
-    public boolean everServed() {
-        return everServed;
+    public boolean hasEverBeenServed() {
+        return hasEverBeenServed;
     }
 
     /** Reads one key. */
-    public void get(String key, Priority priority, Consumer<Result<Entry>> done) {
+    public void get(String key, Priority priority, Consumer<StateResult<Entry>> done) {
         send(
                 priority,
                 0,
@@ -85,16 +85,16 @@
     }
 
     /** Reads all keys under a prefix, page by page. */
-    public void list(String prefix, Priority priority, Consumer<Result<Listing>> done) {
+    public void list(String prefix, Priority priority, Consumer<StateResult<Listing>> done) {
         listPage(prefix, priority, "", new PartialListing(), done);
     }
 
     private void listPage(
-            String prefix, Priority priority, String from, PartialListing read, Consumer<Result<Listing>> done) {
+            String prefix, Priority priority, String from, PartialListing read, Consumer<StateResult<Listing>> done) {
         String target = "/store?starts=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&limit=" + PAGE;
         send(priority, 0, HttpCall.get(target), REQUEST_TIMEOUT, answer -> {
             if (answer.status() != 200) {
-                done.accept(Result.failed(Result.Kind.UNAVAILABLE));
+                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
                 return;
             }
             try {
@@ -107,11 +107,11 @@
                 if (body.path("truncated").asBoolean() && !read.entries.isEmpty()) {
                     listPage(prefix, priority, read.lastKey(), read, done);
                 } else {
-                    done.accept(Result.ok(read.complete()));
+                    done.accept(StateResult.ok(read.complete()));
                 }
             } catch (BadMessageException e) {
                 unreadable(e);
-                done.accept(Result.failed(Result.Kind.UNAVAILABLE));
+                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
             }
         });
     }
@@ -140,7 +140,7 @@
      * Commits a transaction that is made only when its turn comes, of at most so many changes, so that it carries all
      * that has gathered by then. With null nothing is sent, and {@code done} is not called.
      */
-    public void commitAtTurn(
+    public void commitWhenAdmitted(
             Priority priority, int mostChanges, Supplier<Transaction> make, Consumer<TransactionResult> done) {
         boolean taken = limiter.submit(priority, mostChanges, () -> {
             Transaction txn = make.get();
@@ -151,14 +151,14 @@
             return txn.changeCount();
         });
         if (!taken) {
-            done.accept(TransactionResult.of(TransactionResult.Kind.REFUSED));
+            done.accept(TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED));
         }
     }
 
     private Consumer<HttpAnswer> judged(Consumer<TransactionResult> done) {
         return answer -> {
             TransactionResult result = readTxn(answer);
-            if (result.kind() == TransactionResult.Kind.REJECTED) {
+            if (result.outcome() == TransactionResult.Outcome.MALFORMED) {
                 LOG.error("the state service calls a transaction malformed: {}", new String(answer.body()));
             }
             done.accept(result);
@@ -166,33 +166,34 @@
     }
 
     /** Asks for a grant of this time to live. */
-    public void createLease(long ttlMillis, Consumer<Result<Long>> done) {
+    public void createLease(long ttlMillis, Consumer<StateResult<Long>> done) {
         byte[] body = Json.bytes(Json.object().put("ttlMs", ttlMillis));
         send(Priority.RENEWAL, 0, HttpCall.post("/grants", body), REQUEST_TIMEOUT, answer -> {
             if (answer.status() != 200) {
-                done.accept(Result.failed(Result.Kind.UNAVAILABLE));
+                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
                 return;
             }
             try {
-                done.accept(Result.ok(Json.whole(Json.object(answer.body()), "permit")));
+                done.accept(StateResult.ok(Json.whole(Json.object(answer.body()), "permit")));
             } catch (BadMessageException e) {
                 unreadable(e);
-                done.accept(Result.failed(Result.Kind.UNAVAILABLE));
+                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
             }
         });
     }
 
     /** Renews a grant; MISSING means that it has ended. The answer carries the moment at which the call was sent. */
-    public void renewLease(long leaseId, long timeout, Consumer<Result<Long>> done) {
+    public void renewLease(long leaseId, long timeout, Consumer<StateResult<Long>> done) {
         HttpCall call = HttpCall.post("/grants/" + leaseId + "/renew", new byte[0]);
         long[] sent = new long[1];
         submit(Priority.RENEWAL, 0, done, () -> {
             sent[0] = loop.nanos();
             http.call(address, call, timeout, served(answer -> {
                 if (answer.status() == 200) {
-                    done.accept(Result.ok(sent[0]));
+                    done.accept(StateResult.ok(sent[0]));
                 } else {
-                    done.accept(Result.failed(answer.status() == 404 ? Result.Kind.MISSING : Result.Kind.UNAVAILABLE));
+                    done.accept(StateResult.failed(
+                            answer.status() == 404 ? StateResult.Outcome.NOT_FOUND : StateResult.Outcome.UNAVAILABLE));
                 }
             }));
         });
@@ -209,7 +210,7 @@
     }
 
     /** Waits for changes after a revision. */
-    public Cancellable watch(String prefix, long from, double blockS, Consumer<Result<Changes>> done) {
+    public Cancellable watch(String prefix, long from, double blockS, Consumer<StateResult<Changes>> done) {
         long blockMs = (long) (blockS * 1000);
         String target = "/follow?starts=" + prefix + "&from=" + from + "&blockMs=" + blockMs;
         CancelLater later = new CancelLater();
@@ -223,7 +224,7 @@
             }
         });
         if (!taken) {
-            loop.after(REQUEST_TIMEOUT, () -> done.accept(Result.failed(Result.Kind.UNAVAILABLE)));
+            loop.after(REQUEST_TIMEOUT, () -> done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE)));
         }
         return later;
     }
@@ -248,9 +249,9 @@
         }
     }
 
-    private <T> void submit(Priority priority, int changes, Consumer<Result<T>> done, Runnable work) {
+    private <T> void submit(Priority priority, int changes, Consumer<StateResult<T>> done, Runnable work) {
         if (!limiter.submit(priority, changes, work)) {
-            done.accept(Result.failed(Result.Kind.UNAVAILABLE));
+            done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
         }
     }
 
@@ -266,7 +267,7 @@
         return answer -> {
             if (answer.answered() && answer.status() != 503) {
                 lastServed = loop.nanos();
-                everServed = true;
+                hasEverBeenServed = true;
             }
             if (answer.status() == TOO_MANY_REQUESTS) {
                 rateExceeded.run();
@@ -275,19 +276,19 @@
         };
     }
 
-    private Result<Entry> readEntry(String key, HttpAnswer answer) {
+    private StateResult<Entry> readEntry(String key, HttpAnswer answer) {
         if (answer.status() == 404) {
-            return Result.failed(Result.Kind.MISSING);
+            return StateResult.failed(StateResult.Outcome.NOT_FOUND);
         }
         if (answer.status() != 200) {
-            return Result.failed(Result.Kind.UNAVAILABLE);
+            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
         }
         try {
             JsonNode body = Json.object(answer.body());
-            return Result.ok(new Entry(key, body.path("v"), Json.whole(body, "stamp")));
+            return StateResult.ok(new Entry(key, body.path("v"), Json.whole(body, "stamp")));
         } catch (BadMessageException e) {
             unreadable(e);
-            return Result.failed(Result.Kind.UNAVAILABLE);
+            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
         }
     }
 
@@ -296,34 +297,34 @@
             switch (answer.status()) {
                 case 200:
                     return new TransactionResult(
-                            TransactionResult.Kind.COMMITTED,
+                            TransactionResult.Outcome.COMMITTED,
                             Json.whole(Json.object(answer.body()), "ring"),
                             ImmutableList.of());
                 case 409:
                     ImmutableList.Builder<String> failed = ImmutableList.builder();
                     Json.list(Json.object(answer.body()), "failed").forEach(k -> failed.add(k.asText()));
-                    return new TransactionResult(TransactionResult.Kind.CONFLICT, 0, failed.build());
+                    return new TransactionResult(TransactionResult.Outcome.CONFLICT, 0, failed.build());
                 case 400:
                     boolean noGrant = new String(answer.body()).contains("no such lease");
                     return TransactionResult.of(
-                            noGrant ? TransactionResult.Kind.LEASE_NOT_FOUND : TransactionResult.Kind.REJECTED);
+                            noGrant ? TransactionResult.Outcome.LEASE_NOT_FOUND : TransactionResult.Outcome.MALFORMED);
                 case TOO_MANY_REQUESTS, 503:
-                    return TransactionResult.of(TransactionResult.Kind.REFUSED);
+                    return TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED);
                 default:
-                    return TransactionResult.of(TransactionResult.Kind.UNKNOWN);
+                    return TransactionResult.of(TransactionResult.Outcome.UNKNOWN);
             }
         } catch (BadMessageException e) {
             unreadable(e);
-            return TransactionResult.of(TransactionResult.Kind.UNKNOWN);
+            return TransactionResult.of(TransactionResult.Outcome.UNKNOWN);
         }
     }
 
-    private Result<Changes> readChanges(HttpAnswer answer) {
+    private StateResult<Changes> readChanges(HttpAnswer answer) {
         if (answer.status() == 410) {
-            return Result.failed(Result.Kind.TOO_OLD);
+            return StateResult.failed(StateResult.Outcome.REVISION_COMPACTED);
         }
         if (answer.status() != 200) {
-            return Result.failed(Result.Kind.UNAVAILABLE);
+            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
         }
         try {
             JsonNode body = Json.object(answer.body());
@@ -333,10 +334,10 @@
                 String key = Json.text(item, set ? "set" : "drop");
                 out.add(new Change(key, set ? item.path("v") : null, Json.whole(item, "stamp")));
             }
-            return Result.ok(new Changes(out.build(), Json.whole(body, "ring")));
+            return StateResult.ok(new Changes(out.build(), Json.whole(body, "ring")));
         } catch (BadMessageException e) {
             unreadable(e);
-            return Result.failed(Result.Kind.UNAVAILABLE);
+            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
         }
     }
 
--- a/src/main/java/org/spruceridge/state/Transaction.java
+++ b/src/main/java/org/spruceridge/state/Transaction.java
@@ -11,19 +11,19 @@
 
 /** Guards and changes that hold or fail together. */
 public final class Transaction {
-    private final ImmutableMap<String, Long> guards;
-    private final ImmutableList<Op> ops;
+    private final ImmutableMap<String, Long> comparisons;
+    private final ImmutableList<Operation> operations;
     private final byte[] body;
 
-    private record Op(String key, JsonNode value, long leaseId) {}
+    private record Operation(String key, JsonNode value, long leaseId) {}
 
-    private Transaction(ImmutableMap<String, Long> guards, ImmutableList<Op> ops) {
-        this.guards = guards;
-        this.ops = ops;
+    private Transaction(ImmutableMap<String, Long> comparisons, ImmutableList<Operation> operations) {
+        this.comparisons = comparisons;
+        this.operations = operations;
         this.body = Json.bytes(toJson());
     }
 
-    /** A transaction without guards and changes yet. */
+    /** A transaction without comparisons and changes yet. */
     public static Builder builder() {
         return new Builder();
     }
@@ -34,71 +34,72 @@
 
     /** How many changes it makes. */
     public int changeCount() {
-        return ops.size();
+        return operations.size();
     }
 
-    /** How many guards it has, those of changed keys included. */
-    public int guardCount() {
-        return guards.size();
+    /** How many comparisons it has, those of changed keys included. */
+    public int comparisonCount() {
+        return comparisons.size();
     }
 
     /** Of its body, in bytes. */
-    public int size() {
+    public int bodyBytes() {
         return body.length;
     }
 
     private ObjectNode toJson() {
         ObjectNode out = Json.object();
-        ArrayNode ifs = out.putArray("guards");
-        guards.forEach((key, modRevision) -> ifs.addObject().put("k", key).put("stamp", modRevision));
+        ArrayNode guards = out.putArray("guards");
+        comparisons.forEach(
+                (key, modRevision) -> guards.addObject().put("k", key).put("stamp", modRevision));
         ArrayNode then = out.putArray("then");
-        for (Op op : ops) {
-            if (op.value == null) {
-                then.addObject().put("drop", op.key);
+        for (Operation operation : operations) {
+            if (operation.value == null) {
+                then.addObject().put("drop", operation.key);
             } else {
-                ObjectNode set = then.addObject().put("set", op.key);
-                set.set("v", op.value);
-                if (op.leaseId != 0) {
-                    set.put("permit", op.leaseId);
+                ObjectNode set = then.addObject().put("set", operation.key);
+                set.set("v", operation.value);
+                if (operation.leaseId != 0) {
+                    set.put("permit", operation.leaseId);
                 }
             }
         }
         return out;
     }
 
-    /** Collects guards and changes; every key that is changed must be guarded by its last stamp, 0 if it is new. */
+    /** Collects comparisons and changes; every key that is changed must be guarded by its last stamp, 0 if it is new. */
     public static final class Builder {
-        private final Map<String, Long> guards = new LinkedHashMap<>();
-        private final ImmutableList.Builder<Op> ops = ImmutableList.builder();
+        private final Map<String, Long> comparisons = new LinkedHashMap<>();
+        private final ImmutableList.Builder<Operation> operations = ImmutableList.builder();
 
         /** Requires that the key still has this stamp; 0 that it does not exist. */
-        public Builder guard(String key, long modRevision) {
-            guards.put(key, modRevision);
+        public Builder compare(String key, long expectedRevision) {
+            comparisons.put(key, expectedRevision);
             return this;
         }
 
         /** Sets a key. */
-        public Builder set(String key, long lastStamp, JsonNode value) {
-            return set(key, lastStamp, value, 0);
+        public Builder put(String key, long expectedRevision, JsonNode value) {
+            return putWithLease(key, expectedRevision, value, 0);
         }
 
         /** Sets a key that vanishes with the grant. */
-        public Builder set(String key, long lastStamp, JsonNode value, long leaseId) {
-            guard(key, lastStamp);
-            ops.add(new Op(key, value, leaseId));
+        public Builder putWithLease(String key, long expectedRevision, JsonNode value, long leaseId) {
+            compare(key, expectedRevision);
+            operations.add(new Operation(key, value, leaseId));
             return this;
         }
 
         /** Removes a key. */
-        public Builder drop(String key, long lastStamp) {
-            guard(key, lastStamp);
-            ops.add(new Op(key, null, 0));
+        public Builder delete(String key, long expectedRevision) {
+            compare(key, expectedRevision);
+            operations.add(new Operation(key, null, 0));
             return this;
         }
 
         /** The transaction. */
         public Transaction build() {
-            return new Transaction(ImmutableMap.copyOf(guards), ops.build());
+            return new Transaction(ImmutableMap.copyOf(comparisons), operations.build());
         }
     }
 }
--- a/src/main/java/org/spruceridge/upgrade/ClusterLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/ClusterLevel.java
@@ -6,9 +6,9 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.RateLimiter.Priority;
-import org.spruceridge.record.Keys;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 
 /** What this node knows of the cluster feature level. */
 public final class ClusterLevel {
@@ -32,26 +32,26 @@
      * Reads the record. INVALID means that it cannot be understood: a newer version wrote it, or it is damaged, and this
      * node must neither lead nor guess.
      */
-    public void read(Priority priority, Consumer<Result<LevelRecord>> done) {
-        state.get(Keys.FEATURE_LEVEL, priority, found -> {
-            if (found.kind() == Result.Kind.UNAVAILABLE) {
-                done.accept(Result.failed(Result.Kind.UNAVAILABLE));
+    public void read(Priority priority, Consumer<StateResult<LevelRecord>> done) {
+        state.get(StateKeys.FEATURE_LEVEL, priority, found -> {
+            if (found.outcome() == StateResult.Outcome.UNAVAILABLE) {
+                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
             } else if (found.isOk()) {
                 done.accept(understand(found.value().value(), found.value().modRevision()));
             } else {
-                done.accept(Result.ok(new LevelRecord(FeatureLevel.BASE, 0)));
+                done.accept(StateResult.ok(new LevelRecord(FeatureLevel.BASE, 0)));
             }
         });
     }
 
-    private Result<LevelRecord> understand(JsonNode value, long modRevision) {
+    private StateResult<LevelRecord> understand(JsonNode value, long modRevision) {
         try {
             FeatureLevel level = FeatureLevel.read(value);
             raised(level);
-            return Result.ok(new LevelRecord(level, modRevision));
+            return StateResult.ok(new LevelRecord(level, modRevision));
         } catch (BadMessageException e) {
             complain(e.getMessage());
-            return Result.failed(Result.Kind.INVALID);
+            return StateResult.failed(StateResult.Outcome.UNSUPPORTED_VALUE);
         }
     }
 
@@ -59,7 +59,8 @@
     private void complain(String complaint) {
         if (!complaint.equals(lastComplaint)) {
             lastComplaint = complaint;
-            LOG.error("the record {} cannot be used, so this node does not lead: {}", Keys.FEATURE_LEVEL, complaint);
+            LOG.error(
+                    "the record {} cannot be used, so this node does not lead: {}", StateKeys.FEATURE_LEVEL, complaint);
         }
     }
 
--- a/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
+++ b/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
@@ -4,9 +4,9 @@
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.RateLimiter.Priority;
-import org.spruceridge.record.Keys;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 
@@ -61,11 +61,11 @@
 
     private void raise() {
         Transaction txn = Transaction.builder()
-                .guard(Keys.LEADER, leaderRevision)
-                .set(Keys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
+                .compare(StateKeys.LEADER, leaderRevision)
+                .put(StateKeys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
                 .build();
         state.commit(txn, Priority.DECISIONS, scope.guard(result -> {
-            if (result.kind() == TransactionResult.Kind.COMMITTED) {
+            if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
                 onRecord = new LevelRecord(FeatureLevel.SUPPORTED, result.revision());
                 level.raised(FeatureLevel.SUPPORTED);
                 raised.run();
@@ -84,7 +84,7 @@
                     raised.run();
                 }
             }
-            if (found.kind() != Result.Kind.INVALID) {
+            if (found.outcome() != StateResult.Outcome.UNSUPPORTED_VALUE) {
                 start();
             }
         }));
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
@@ -35,10 +35,10 @@
 import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.schedule.Matching;
-import org.spruceridge.state.AcceptingState;
 import org.spruceridge.state.Entry;
+import org.spruceridge.state.InProcessStateService;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
@@ -95,7 +95,7 @@
         this.cluster = context.cluster();
         this.state = new StateClient(
                 loop,
-                new AcceptingState(loop, this::recorded),
+                new InProcessStateService(loop, this::recorded),
                 settings.stateAddress(),
                 new RateLimiter(loop, PLENTY, PLENTY, PLENTY),
                 context.warnings(),
@@ -228,13 +228,13 @@
     /** What the state service would hold of this cluster. */
     private List<Entry> recorded(String prefix) {
         List<Entry> entries = new ArrayList<>();
-        if (prefix.equals(Keys.OPEN)) {
+        if (prefix.equals(StateKeys.OPEN_JOBS_PREFIX)) {
             for (Job job : cluster.jobs()) {
                 JobRecord record = JobRecord.open(job.spec(), job.submittedMs());
-                entries.add(new Entry(Keys.open(job.id()), record.write(), job.modRevision()));
+                entries.add(new Entry(StateKeys.openJob(job.id()), record.write(), job.modRevision()));
             }
-        } else if (prefix.equals(Keys.BINDINGS)) {
-            entries.add(new Entry(Keys.BINDINGS + 1, BindingsRecord.write("w1", machines, b -> true), 1));
+        } else if (prefix.equals(StateKeys.BINDINGS_PREFIX)) {
+            entries.add(new Entry(StateKeys.BINDINGS_PREFIX + 1, BindingsRecord.write("w1", machines, b -> true), 1));
         }
         return entries;
     }
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -35,7 +35,7 @@
 import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
@@ -168,7 +168,7 @@
                     1,
                     loop.wallMillis());
             var record = JobRecord.open(draft.spec(), draft.submittedMs()).write();
-            long modRevision = state.put(Keys.open(draft.id()), record);
+            long modRevision = state.put(StateKeys.openJob(draft.id()), record);
             term.cluster.add(new Job(draft.spec(), modRevision, draft.submittedMs()));
         }
         for (int i = 0; i < MACHINES; i++) {
@@ -215,13 +215,14 @@
     }
 
     private int pages() {
-        return state.keys(Keys.BINDINGS).size() + state.keys(Keys.FINISHED).size();
+        return state.keys(StateKeys.BINDINGS_PREFIX).size()
+                + state.keys(StateKeys.FINISHED_TASKS_PREFIX).size();
     }
 
     @Test
     void fourThousandMachinesAreServed() {
         state.lowerLimits(VALUE_KB, TXN_OPS, 100);
-        leaderRevision = state.put(Keys.LEADER, Json.object());
+        leaderRevision = state.put(StateKeys.LEADER, Json.object());
         long heapBefore = heap();
         Term first = new Term(1);
         addJobsAndMachines(first);
@@ -274,7 +275,7 @@
     /** The attempts of a term are numbers of 24 bits: before they are used up the leader gives the lead up. */
     @Test
     void aTermEndsBeforeItsAttemptsDo() {
-        leaderRevision = state.put(Keys.LEADER, Json.object());
+        leaderRevision = state.put(StateKeys.LEADER, Json.object());
         Term term = new Term(1);
         addJobsAndMachines(term);
         List<String> resigned = new ArrayList<>();
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -102,10 +102,10 @@
             waiting.removeIf(batch::bind);
             commit(batch, ++transactions);
             assertTrue(batch.transaction().changeCount() <= limits.txnOps());
-            assertTrue(batch.transaction().guardCount() <= 4 * limits.txnOps());
+            assertTrue(batch.transaction().comparisonCount() <= 4 * limits.txnOps());
             assertTrue(
-                    batch.transaction().size() <= 64 << 10,
-                    "body of " + batch.transaction().size());
+                    batch.transaction().bodyBytes() <= 64 << 10,
+                    "body of " + batch.transaction().bodyBytes());
             batch.bound()
                     .forEach(b -> keys.add(records.bindings().of(b.machine()).key()));
         }
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -33,8 +33,8 @@
 import org.spruceridge.state.Changes;
 import org.spruceridge.state.Entry;
 import org.spruceridge.state.Listing;
-import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 import org.spruceridge.worker.CommandResult;
@@ -92,10 +92,10 @@
 
     private static Transaction transaction() {
         return Transaction.builder()
-                .guard("term", 4)
-                .set("leader", 0, Json.object().put("a", 1), 77)
-                .set("job/j-1", 3, Json.object().put("b", 2))
-                .drop("open/j-1", 3)
+                .compare("term", 4)
+                .putWithLease("leader", 0, Json.object().put("a", 1), 77)
+                .put("job/j-1", 3, Json.object().put("b", 2))
+                .delete("open/j-1", 3)
                 .build();
     }
 
@@ -105,7 +105,7 @@
         state.get(
                 "leader",
                 Priority.RENEWAL,
-                expect(Result.ok(new Entry("leader", Json.object().put("a", 1), 5))));
+                expect(StateResult.ok(new Entry("leader", Json.object().put("a", 1), 5))));
         assertRequest("GET /store/leader");
     }
 
@@ -116,7 +116,7 @@
         state.list(
                 "open/",
                 Priority.RENEWAL,
-                expect(Result.ok(new Listing(ImmutableList.of(entry), 9, http.body.length()))));
+                expect(StateResult.ok(new Listing(ImmutableList.of(entry), 9, http.body.length()))));
         assertRequest("GET /store?starts=open/&limit=500");
     }
 
@@ -126,7 +126,7 @@
         state.commit(
                 transaction(),
                 Priority.RENEWAL,
-                expect(new TransactionResult(TransactionResult.Kind.COMMITTED, 12, ImmutableList.of())));
+                expect(new TransactionResult(TransactionResult.Outcome.COMMITTED, 12, ImmutableList.of())));
         assertRequest("POST /txn {\"guards\":[{\"k\":\"term\",\"stamp\":4},{\"k\":\"leader\",\"stamp\":0},"
                 + "{\"k\":\"job/j-1\",\"stamp\":3},{\"k\":\"open/j-1\",\"stamp\":3}],"
                 + "\"then\":[{\"set\":\"leader\",\"v\":{\"a\":1},\"permit\":77},"
@@ -139,16 +139,21 @@
         state.commit(
                 transaction(),
                 Priority.RENEWAL,
-                expect(new TransactionResult(TransactionResult.Kind.CONFLICT, 0, ImmutableList.of("leader", "term"))));
+                expect(new TransactionResult(
+                        TransactionResult.Outcome.CONFLICT, 0, ImmutableList.of("leader", "term"))));
         http.answer(400, "{\"error\":\"no such lease\"}");
         state.commit(
-                transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.LEASE_NOT_FOUND)));
+                transaction(),
+                Priority.RENEWAL,
+                expect(TransactionResult.of(TransactionResult.Outcome.LEASE_NOT_FOUND)));
         http.answer(400, "{\"error\":\"too large\"}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REJECTED)));
+        state.commit(
+                transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Outcome.MALFORMED)));
         http.answer(429, "{}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REFUSED)));
+        state.commit(
+                transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED)));
         http.answer(500, "{}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.UNKNOWN)));
+        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Outcome.UNKNOWN)));
         loop.advance(1);
         assertEquals(5, http.requests.size());
     }
@@ -156,14 +161,14 @@
     @Test
     void aLeaseIsTakenRenewedAndEnded() {
         http.answer(200, "{\"permit\":77}");
-        state.createLease(11_000, expect(Result.ok(77L)));
+        state.createLease(11_000, expect(StateResult.ok(77L)));
         assertRequest("POST /grants {\"ttlMs\":11000}");
-        state.renewLease(77, 1000, expect(Result.ok(loop.nanos())));
+        state.renewLease(77, 1000, expect(StateResult.ok(loop.nanos())));
         state.revokeLease(77);
         loop.advance(1);
         assertEquals(List.of("POST /grants/77/renew", "DELETE /grants/77"), http.requests.subList(1, 3));
         http.answer(404, "{}");
-        state.renewLease(77, 1000, expect(Result.failed(Result.Kind.MISSING)));
+        state.renewLease(77, 1000, expect(StateResult.failed(StateResult.Outcome.NOT_FOUND)));
         loop.advance(1);
     }
 
@@ -175,10 +180,10 @@
                         + "\"ring\":8}");
         ImmutableList<Change> changes =
                 ImmutableList.of(new Change("open/j-1", Json.object().put("a", 1), 6), new Change("open/j-2", null, 7));
-        state.watch("open/", 5, 2.5, expect(Result.ok(new Changes(changes, 8))));
+        state.watch("open/", 5, 2.5, expect(StateResult.ok(new Changes(changes, 8))));
         assertRequest("GET /follow?starts=open/&from=5&blockMs=2500");
         http.answer(410, "{}");
-        state.watch("open/", 5, 2.5, expect(Result.failed(Result.Kind.TOO_OLD)));
+        state.watch("open/", 5, 2.5, expect(StateResult.failed(StateResult.Outcome.REVISION_COMPACTED)));
         loop.advance(1);
     }
 
