--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -20,7 +20,7 @@
 import org.spruceridge.persistence.PageIndex;
 import org.spruceridge.persistence.RecordPages;
 import org.spruceridge.record.BindingsRecord;
-import org.spruceridge.record.FinishedRecord;
+import org.spruceridge.record.FinishedTasksRecord;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Entry;
@@ -64,7 +64,7 @@
         void ready(long revision);
     }
 
-    private record Recorded(PageIndex.Page<Machine> page, BindingsRecord.OnMachine record) {}
+    private record Recorded(PageIndex.Page<Machine> page, BindingsRecord.MachineBindings record) {}
 
     /** Fills {@code cluster} and {@code records} with what {@code state} holds. */
     public Failover(LeaderContext context, StateClient state, RecordPages records) {
@@ -132,11 +132,11 @@
     private void addFinished(Listing finished) {
         for (Entry e : finished.entries()) {
             try {
-                PageIndex.Page<RecordPages.Chunk> page = records.finished().recorded(e.key(), e.modRevision());
-                for (FinishedRecord.Chunk chunk : FinishedRecord.read(e.value(), records.baseChunkSize())) {
+                PageIndex.Page<RecordPages.TaskChunk> page = records.finished().restorePage(e.key(), e.modRevision());
+                for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(e.value(), records.baseChunkSize())) {
                     Job job = cluster.job(chunk.job());
                     if (job != null) { // else it has ended, and the next write of the page leaves it out
-                        records.takeFinished(job, chunk.first(), chunk.tasks(), page);
+                        records.restoreFinished(job, chunk.first(), chunk.tasks(), page);
                     }
                 }
             } catch (BadMessageException bad) {
@@ -148,7 +148,7 @@
     private List<Recorded> readMachines(Listing pages) {
         List<Recorded> out = new ArrayList<>();
         for (Entry e : pages.entries()) {
-            PageIndex.Page<Machine> page = records.bindings().recorded(e.key(), e.modRevision());
+            PageIndex.Page<Machine> page = records.bindings().restorePage(e.key(), e.modRevision());
             try {
                 BindingsRecord.read(e.value()).forEach(m -> out.add(new Recorded(page, m)));
             } catch (BadMessageException bad) {
@@ -162,7 +162,7 @@
     private void readEnded(List<Recorded> recorded, Runnable next) {
         Set<String> ended = new TreeSet<>();
         for (Recorded r : recorded) {
-            for (BindingsRecord.Bound b : r.record().bound()) {
+            for (BindingsRecord.BoundTask b : r.record().bound()) {
                 if (cluster.job(b.task().job()) == null) {
                     ended.add(b.task().job());
                 }
@@ -236,7 +236,7 @@
     }
 
     private void addMachine(Recorded r) {
-        BindingsRecord.OnMachine record = r.record();
+        BindingsRecord.MachineBindings record = r.record();
         Machine machine = cluster.machine(record.name());
         if (machine == null) {
             // Any node entitled before this term can have answered it until the election.
@@ -244,8 +244,8 @@
             machine.expected();
             cluster.add(machine);
         }
-        records.bindings().put(machine, r.page());
-        for (BindingsRecord.Bound b : record.bound()) {
+        records.bindings().assign(machine, r.page());
+        for (BindingsRecord.BoundTask b : record.bound()) {
             Job job = cluster.job(b.task().job());
             if (job == null || b.task().index() >= job.spec().tasks()) {
                 warnings.warn("binding of an unknown task", b.task() + " on " + record.name());
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -72,19 +72,19 @@
         }
 
         @Override
-        public void committed(ImmutableSet<Machine> bound) {
+        public void onCommitted(ImmutableSet<Machine> bound) {
             bound.forEach(commandSender::push);
             schedulingLoop.request();
         }
 
         @Override
-        public void cancelled(Job job) {
+        public void onJobCancelled(Job job) {
             watch.cancelled(job, CancellationSource.FAILED_GUARD);
         }
 
         @Override
-        public void broken(String why) {
-            resign.accept(why);
+        public void onWriteFailed(String reason) {
+            resign.accept(reason);
         }
     }
 
@@ -113,7 +113,7 @@
         Matching matching = new Matching(
                 settings,
                 context.policy(),
-                BindingsRecord.mostBindings(settings.state().recordKb()));
+                BindingsRecord.maxBindingsPerMachine(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, this::push, resign);
         this.commandSender = new CommandSender(context, workers, heartbeatHandler, () -> schedulingLoop.request());
         this.watch = new JobWatcher(context, state, recordWriter, commandSender::push, () -> schedulingLoop.request());
--- a/src/main/java/org/spruceridge/persistence/PageIndex.java
+++ b/src/main/java/org/spruceridge/persistence/PageIndex.java
@@ -18,9 +18,9 @@
     private final String prefix;
     private final int capacity;
     private final ToIntFunction<Collection<T>> bytes;
-    private final Map<T, Page<T>> places = new HashMap<>();
+    private final Map<T, Page<T>> pageByItem = new HashMap<>();
     private final List<Page<T>> pages = new ArrayList<>();
-    private final Map<Page<T>, Integer> measured = new HashMap<>();
+    private final Map<Page<T>, Integer> sizes = new HashMap<>();
     private final Set<Page<T>> oversized = new LinkedHashSet<>();
     private int lastNumber;
 
@@ -61,39 +61,39 @@
     }
 
     /** Takes over a page that is on record. */
-    public Page<T> recorded(String key, long modRevision) {
+    public Page<T> restorePage(String key, long modRevision) {
         Page<T> page = new Page<>(key, modRevision);
         pages.add(page);
         lastNumber = Math.max(lastNumber, Integer.parseInt(key.substring(prefix.length())));
         return page;
     }
 
-    int count() {
+    int pageCount() {
         return pages.size();
     }
 
     /** Where the item is, or null. */
-    Page<T> of(T item) {
-        return places.get(item);
+    Page<T> pageOf(T item) {
+        return pageByItem.get(item);
     }
 
     /** Puts an item on a page, and takes it off the one that it was on. */
-    public void put(T item, Page<T> page) {
-        if (places.get(item) == page) {
+    public void assign(T item, Page<T> page) {
+        if (pageByItem.get(item) == page) {
             return;
         }
         remove(item);
-        places.put(item, page);
+        pageByItem.put(item, page);
         page.items.add(item);
-        measured.remove(page);
+        sizes.remove(page);
     }
 
     /** The item needs no record any more; it vanishes from its page with the page's next write. */
     void remove(T item) {
-        Page<T> page = places.remove(item);
+        Page<T> page = pageByItem.remove(item);
         if (page != null) {
             page.items.remove(item);
-            measured.remove(page);
+            sizes.remove(page);
         }
     }
 
@@ -101,12 +101,12 @@
      * What items take has changed: pages are measured anew. Between two calls each is measured once, however many items
      * look for room: measured for each of thousands of bindings, in a burst it took more than the machine gives.
      */
-    void measureAnew() {
-        measured.clear();
+    void invalidateSizes() {
+        sizes.clear();
     }
 
     private int bytes(Page<T> page) {
-        return measured.computeIfAbsent(page, p -> bytes.applyAsInt(p.items));
+        return sizes.computeIfAbsent(page, p -> bytes.applyAsInt(p.items));
     }
 
     boolean isOverfull(Page<T> page) {
@@ -114,13 +114,13 @@
     }
 
     /** Which item is on which page. */
-    Map<T, Page<T>> placesByItem() {
-        return Map.copyOf(places);
+    Map<T, Page<T>> pagesByItem() {
+        return Map.copyOf(pageByItem);
     }
 
     /** Finds the pages that hold more than may be written, and that can be split. */
     void findOversized() {
-        measureAnew();
+        invalidateSizes();
         pages.stream().filter(this::canAndMustBeSplit).forEach(oversized::add);
     }
 
@@ -139,10 +139,10 @@
     }
 
     /** The first of some pages that has room for the item, or null. */
-    Page<T> firstWithRoom(T item, Iterable<Page<T>> among) {
+    Page<T> firstPageWithRoom(T item, Iterable<Page<T>> among) {
         int most = capacity - bytes.applyAsInt(List.of(item));
         for (Page<T> page : among) {
-            if (page != places.get(item) && bytes(page) <= most) {
+            if (page != pageByItem.get(item) && bytes(page) <= most) {
                 return page;
             }
         }
@@ -150,8 +150,8 @@
     }
 
     /** A page, other than its own, that has room for the item: a preferred one, else the first that fits or a new one. */
-    Page<T> withRoomFor(T item, Collection<Page<T>> preferred) {
-        Page<T> found = firstWithRoom(item, Iterables.concat(preferred, pages));
+    Page<T> pageWithRoomFor(T item, Collection<Page<T>> preferred) {
+        Page<T> found = firstPageWithRoom(item, Iterables.concat(preferred, pages));
         if (found != null) {
             return found;
         }
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -11,16 +11,16 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.persistence.PageIndex.Page;
 import org.spruceridge.record.BindingsRecord;
-import org.spruceridge.record.FinishedRecord;
+import org.spruceridge.record.FinishedTasksRecord;
 import org.spruceridge.record.PackedValue;
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /** The pages that this leader keeps: the bindings of machines, and the finished tasks of unfinished jobs. */
 public final class RecordPages {
-    private static final int BODY_BYTES = 48 << 10;
+    private static final int MAX_BODY_BYTES = 48 << 10;
     /** What a transaction of a few ends changes beside the pages. */
-    private static final int CHANGES_OF_ENDS = 4;
+    private static final int CHANGES_FOR_COMPLETED_JOBS = 4;
 
     private final int txnOps;
     private final int valueBytes;
@@ -30,18 +30,18 @@
 
     private final int smallChunkSize;
     private final PageIndex<Machine> bindings;
-    private final PageIndex<Chunk> finished;
+    private final PageIndex<TaskChunk> finished;
     private FeatureLevel level;
 
     /** A run of a job's tasks whose ends are kept together, by the first of them. */
-    public record Chunk(Job job, int first) {}
+    public record TaskChunk(Job job, int first) {}
 
     /** Pages in the forms of a cluster feature level, within the limits of the state service. */
     public RecordPages(Settings.State limits, FeatureLevel level) {
         this.txnOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
-        this.baseChunkSize = FinishedRecord.chunkSize(limits.recordKbOfNow());
-        this.smallChunkSize = FinishedRecord.chunkSize(limits.recordKb());
+        this.baseChunkSize = FinishedTasksRecord.chunkSize(limits.recordKbOfNow());
+        this.smallChunkSize = FinishedTasksRecord.chunkSize(limits.recordKb());
         this.pageBytes = (int) (limits.recordKb() * 1024);
         this.level = level;
         int capacity = PackedValue.capacity(limits.recordKb());
@@ -55,14 +55,14 @@
     }
 
     /** The pages of finished tasks, by chunk. */
-    public PageIndex<Chunk> finished() {
+    public PageIndex<TaskChunk> finished() {
         return finished;
     }
 
     /** A batch begins: what is bound and proposed since the last is counted in. */
-    void measureAnew() {
-        bindings.measureAnew();
-        finished.measureAnew();
+    void invalidateSizes() {
+        bindings.invalidateSizes();
+        finished.invalidateSizes();
     }
 
     private int chunkSize() {
@@ -70,13 +70,13 @@
     }
 
     /** Chunks do not straddle those of the base level, so that the tasks of each were on one page when the level rose. */
-    Chunk chunkOf(Job job, int index) {
+    TaskChunk chunkOf(Job job, int index) {
         int base = index / baseChunkSize * baseChunkSize;
-        return new Chunk(job, base + (index - base) / chunkSize() * chunkSize());
+        return new TaskChunk(job, base + (index - base) / chunkSize() * chunkSize());
     }
 
     /** The first task after the chunk. */
-    private int endOf(Chunk chunk) {
+    private int endOf(TaskChunk chunk) {
         int baseEnd = (chunk.first / baseChunkSize + 1) * baseChunkSize;
         return Math.min(
                 Math.min(chunk.first + chunkSize(), baseEnd), chunk.job.spec().tasks());
@@ -88,22 +88,22 @@
     }
 
     /** Takes over tasks, counted from {@code first}, whose ends a page holds. */
-    public void takeFinished(Job job, int first, BitSet tasks, Page<Chunk> page) {
+    public void restoreFinished(Job job, int first, BitSet tasks, Page<TaskChunk> page) {
         for (int i = tasks.nextSetBit(0); i >= 0; i = tasks.nextSetBit(i + 1)) {
             job.markDone(first + i);
-            finished.put(chunkOf(job, first + i), page);
+            finished.assign(chunkOf(job, first + i), page);
         }
     }
 
     /** From now on records have the forms of this level. No transaction may be on its way. */
-    void raise(FeatureLevel raised) {
-        Map<Chunk, Page<Chunk>> old = finished.placesByItem();
+    void raiseLevel(FeatureLevel raised) {
+        Map<TaskChunk, Page<TaskChunk>> old = finished.pagesByItem();
         level = raised;
         old.forEach((chunk, page) -> {
             finished.remove(chunk);
             int end = Math.min(chunk.first + baseChunkSize, chunk.job.spec().tasks());
-            for (int first = chunk.first; first < end; first = endOf(new Chunk(chunk.job, first))) {
-                finished.put(new Chunk(chunk.job, first), page);
+            for (int first = chunk.first; first < end; first = endOf(new TaskChunk(chunk.job, first))) {
+                finished.assign(new TaskChunk(chunk.job, first), page);
             }
         });
         finished.findOversized();
@@ -115,7 +115,7 @@
         finished.findOversized();
     }
 
-    boolean anyOversized() {
+    boolean hasOversized() {
         return bindings.oversized() != null || finished.oversized() != null;
     }
 
@@ -129,24 +129,25 @@
     }
 
     /** The most pages that a transaction's body holds. */
-    int mostPages() {
-        return Math.max(2, BODY_BYTES / pageBytes);
+    int maxPages() {
+        return Math.max(2, MAX_BODY_BYTES / pageBytes);
     }
 
     /** How many changes the next transaction may need. */
-    int likelyChanges() {
-        return Math.min(txnOps, Math.min(mostPages(), bindings.count() + finished.count()) + CHANGES_OF_ENDS);
+    int estimatedChanges() {
+        return Math.min(
+                txnOps, Math.min(maxPages(), bindings.pageCount() + finished.pageCount()) + CHANGES_FOR_COMPLETED_JOBS);
     }
 
     /** The finished tasks of a job that is over are of no use any more. */
-    void forget(Job job) {
-        for (int first = 0; first < job.spec().tasks(); first = endOf(new Chunk(job, first))) {
-            finished.remove(new Chunk(job, first));
+    void removeFinishedTasks(Job job) {
+        for (int first = 0; first < job.spec().tasks(); first = endOf(new TaskChunk(job, first))) {
+            finished.remove(new TaskChunk(job, first));
         }
     }
 
     /** Machines of which nothing is bound any more need no record. */
-    void tidy(Collection<Binding> released) {
+    void removeIdleMachines(Collection<Binding> released) {
         for (Binding b : released) {
             if (b.machine().bindings().isEmpty()) {
                 bindings.remove(b.machine());
@@ -159,8 +160,8 @@
     }
 
     /** A page of finished tasks, with those that end in this transaction. */
-    ObjectNode finishedPage(String write, Page<Chunk> page, Map<Chunk, BitSet> ending) {
-        return FinishedRecord.write(
+    ObjectNode finishedPage(String write, Page<TaskChunk> page, Map<TaskChunk, BitSet> ending) {
+        return FinishedTasksRecord.write(
                 write,
                 level,
                 baseChunkSize,
@@ -168,15 +169,15 @@
                         .map(c -> {
                             BitSet bits = c.job.done().get(c.first, endOf(c));
                             bits.or(ending.getOrDefault(c, new BitSet()));
-                            return new FinishedRecord.Chunk(c.job.id(), c.first, bits);
+                            return new FinishedTasksRecord.Chunk(c.job.id(), c.first, bits);
                         })
                         .toList());
     }
 
-    private int bytes(Collection<Chunk> chunks) {
+    private int bytes(Collection<TaskChunk> chunks) {
         int sum = 5;
-        for (Chunk c : chunks) {
-            sum += FinishedRecord.bytes(c.job.id(), endOf(c) - c.first);
+        for (TaskChunk c : chunks) {
+            sum += FinishedTasksRecord.bytes(c.job.id(), endOf(c) - c.first);
         }
         return sum;
     }
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -31,8 +31,8 @@
  * both outcomes count.
  */
 public final class RecordWriter implements BindingReleaser {
-    private static final long FIRST_RETRY = Durations.millis(100);
-    private static final long LAST_RETRY = Durations.millis(1600);
+    private static final long INITIAL_RETRY_DELAY_NANOS = Durations.millis(100);
+    private static final long MAX_RETRY_DELAY_NANOS = Durations.millis(1600);
 
     private enum Write {
         BIND,
@@ -44,13 +44,13 @@
     /** Hears what became of the writes. */
     public interface Listener {
         /** Something was committed, and these tasks are now bound. */
-        void committed(ImmutableSet<Machine> bound);
+        void onCommitted(ImmutableSet<Machine> bound);
 
         /** A job turned out to be cancelled. */
-        void cancelled(Job job);
+        void onJobCancelled(Job job);
 
         /** The records are not as this leader left them, or another leads. */
-        void broken(String why);
+        void onWriteFailed(String reason);
     }
 
     private final Loop loop;
@@ -128,18 +128,18 @@
     }
 
     /** Lets go of what a cancelled job had under way: proposals that are not being written, and its finished tasks. */
-    public void withdraw(Job job) {
+    public void withdrawCancelled(Job job) {
         for (Binding b : ImmutableList.copyOf(job.bindings())) {
             if (waiting.remove(b, Write.BIND)) {
                 cluster.unbind(b, loop.nanos());
             }
         }
-        records.forget(job);
+        records.removeFinishedTasks(job);
         settle(job);
     }
 
     /** True if the end of this job is on its way, so that the drop of its open entry is our own doing. */
-    public boolean finishing(Job job) {
+    public boolean isCompleting(Job job) {
         return inFlight != null && inFlight.finishes(job);
     }
 
@@ -149,7 +149,7 @@
     }
 
     private void pump() {
-        if (inFlight != null || waitsForTurn || (waiting.isEmpty() && !records.anyOversized())) {
+        if (inFlight != null || waitsForTurn || (waiting.isEmpty() && !records.hasOversized())) {
             return;
         }
         waitsForTurn = true;
@@ -157,7 +157,7 @@
         Priority priority = decisionsOnly ? Priority.DECISIONS : Priority.REPORTS;
         state.commitWhenAdmitted(
                 priority,
-                records.likelyChanges(),
+                records.estimatedChanges(),
                 () -> {
                     waitsForTurn = false;
                     inFlight = scope.closed() ? null : compose();
@@ -165,12 +165,12 @@
                 },
                 scope.guard(result -> {
                     if (inFlight == null) { // it never had its turn
-                        scope.after(FIRST_RETRY, () -> {
+                        scope.after(INITIAL_RETRY_DELAY_NANOS, () -> {
                             waitsForTurn = false;
                             pump();
                         });
                     } else {
-                        judge(inFlight, result, FIRST_RETRY);
+                        judge(inFlight, result, INITIAL_RETRY_DELAY_NANOS);
                     }
                 }));
     }
@@ -178,7 +178,7 @@
     private WriteBatch compose() {
         if (levelRaised) {
             levelRaised = false;
-            records.raise(FeatureLevel.SUPPORTED);
+            records.raiseLevel(FeatureLevel.SUPPORTED);
         }
         WriteBatch batch = new WriteBatch(records, term, "w" + term.term() + "." + (++writes));
         // In turns with what waits, which could not be written on such a page once the limits have fallen.
@@ -214,20 +214,20 @@
             }
             case UNKNOWN, NOT_EXECUTED -> {
                 if (result.outcome() == TransactionResult.Outcome.UNKNOWN) {
-                    batch.becomesUnknown();
+                    batch.markUnknown();
                 }
-                scope.after(retry, () -> sendAgain(batch, Math.min(LAST_RETRY, retry * 2)));
+                scope.after(retry, () -> sendAgain(batch, Math.min(MAX_RETRY_DELAY_NANOS, retry * 2)));
             }
-            default -> listener.broken("a transaction was rejected");
+            default -> listener.onWriteFailed("a transaction was rejected");
         }
     }
 
     /** An earlier copy of the transaction may be what made this one fail: its own keys tell. */
     private void probe(WriteBatch batch, ImmutableList<String> failed) {
-        state.get(batch.mark(), batch.priority(), scope.guard(result -> {
+        state.get(batch.verificationKey(), batch.priority(), scope.guard(result -> {
             if (result.outcome() == StateResult.Outcome.UNAVAILABLE) {
-                scope.after(FIRST_RETRY, () -> probe(batch, failed));
-            } else if (result.isOk() && batch.wrote(result.value().value())) {
+                scope.after(INITIAL_RETRY_DELAY_NANOS, () -> probe(batch, failed));
+            } else if (result.isOk() && batch.hasWritten(result.value().value())) {
                 committed(batch, result.value().modRevision());
             } else {
                 conflict(batch, failed);
@@ -238,7 +238,7 @@
     private void committed(WriteBatch batch, long revision) {
         inFlight = null;
         long now = loop.nanos();
-        batch.written(revision);
+        batch.markCommitted(revision);
         ImmutableSet.Builder<Machine> bound = ImmutableSet.builder();
         for (Binding b : batch.bound()) {
             if (b.stage() == Binding.Stage.PROPOSED) {
@@ -255,18 +255,18 @@
             settle(b.job());
         });
         for (Job job : batch.finished()) {
-            records.forget(job);
+            records.removeFinishedTasks(job);
             cluster.removeIfOver(job, true);
         }
-        records.tidy(batch.released().keySet());
+        records.removeIdleMachines(batch.released().keySet());
         pump();
-        listener.committed(bound.build());
+        listener.onCommitted(bound.build());
     }
 
     /** A guard did not hold: nothing was written. What failed tells whether that is ordinary. */
     private void conflict(WriteBatch batch, ImmutableList<String> failed) {
         if (failed.contains(StateKeys.LEADER)) {
-            listener.broken("another node leads");
+            listener.onWriteFailed("another node leads");
             return;
         }
         List<Job> cancelled = new ArrayList<>();
@@ -276,13 +276,13 @@
                     : key.startsWith(StateKeys.JOBS_PREFIX) ? key.substring(StateKeys.JOBS_PREFIX.length()) : null;
             Job job = id == null ? null : cluster.job(id);
             if (job == null) {
-                listener.broken("not as this leader left it: " + key);
+                listener.onWriteFailed("not as this leader left it: " + key);
                 return;
             }
             cancelled.add(job);
         }
         inFlight = null;
-        batch.undo();
+        batch.rollBack();
         Map<Binding, Write> since = new LinkedHashMap<>(waiting);
         waiting.clear();
         batch.released().forEach((b, done) -> waiting.put(b, done ? Write.END : Write.RELEASE));
@@ -298,7 +298,7 @@
             }
         }
         waiting.putAll(since);
-        cancelled.forEach(listener::cancelled);
+        cancelled.forEach(listener::onJobCancelled);
         pump();
     }
 
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -16,7 +16,7 @@
 import org.spruceridge.net.Json;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.persistence.PageIndex.Page;
-import org.spruceridge.persistence.RecordPages.Chunk;
+import org.spruceridge.persistence.RecordPages.TaskChunk;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.PackedValue;
 import org.spruceridge.record.StateKeys;
@@ -26,19 +26,19 @@
 /** The making of one transaction, within the limits that the state service sets. */
 final class WriteBatch {
     /** The record of a job's end and the drop of its open entry. */
-    private static final int OPS_OF_AN_END = 2;
+    private static final int OPERATIONS_PER_COMPLETED_JOB = 2;
     /** Room in the body for the records of ended jobs, beside the pages. */
-    private static final int MOST_ENDS_BYTES = 10 << 10;
+    private static final int MAX_COMPLETED_JOBS_BYTES = 10 << 10;
 
     private final RecordPages records;
     private final LeaderTerm term;
     private final String write;
     private final Set<Page<Machine>> bindings = new LinkedHashSet<>();
-    private final Set<Page<Chunk>> chunks = new LinkedHashSet<>();
+    private final Set<Page<TaskChunk>> chunks = new LinkedHashSet<>();
     private final Map<Binding, Boolean> released = new LinkedHashMap<>();
     private final Set<Binding> bound = new LinkedHashSet<>();
     private final Set<Job> guardedJobs = new HashSet<>();
-    private final Map<Chunk, BitSet> ending = new HashMap<>();
+    private final Map<TaskChunk, BitSet> ending = new HashMap<>();
     private final Map<Job, Integer> newlyDone = new HashMap<>();
     private final Map<Job, JsonNode> finished = new LinkedHashMap<>();
     private final List<Runnable> undo = new ArrayList<>();
@@ -50,7 +50,7 @@
         this.records = records;
         this.term = term;
         this.write = write;
-        records.measureAnew();
+        records.invalidateSizes();
     }
 
     boolean isEmpty() {
@@ -82,14 +82,14 @@
     }
 
     /** No answer came: it may have been carried out, or may yet be. */
-    void becomesUnknown() {
+    void markUnknown() {
         unknown = true;
     }
 
     /** Moves what a page holds too much to other pages, as far as one transaction goes; false if none holds too much. */
     boolean splitOversized() {
         Page<Machine> ofBindings = records.bindings().oversized();
-        Page<Chunk> ofFinished = records.finished().oversized();
+        Page<TaskChunk> ofFinished = records.finished().oversized();
         if (ofBindings != null) {
             split(records.bindings(), ofBindings, bindings);
         } else if (ofFinished != null) {
@@ -99,30 +99,30 @@
     }
 
     private <T> void split(PageIndex<T> index, Page<T> from, Set<Page<T>> written) {
-        int mostPages = Math.min(records.txnOps(), records.mostPages());
+        int maxPages = Math.min(records.txnOps(), records.maxPages());
         Set<Page<T>> targets = new LinkedHashSet<>();
         written.add(from);
         for (T item : List.copyOf(from.items())) {
             if (!index.isOverfull(from)) {
                 return;
             }
-            Page<T> to = index.firstWithRoom(item, targets);
-            if (to == null && written.size() < mostPages) {
-                to = index.withRoomFor(item, targets);
+            Page<T> to = index.firstPageWithRoom(item, targets);
+            if (to == null && written.size() < maxPages) {
+                to = index.pageWithRoomFor(item, targets);
             }
             if (to == null || from.items().size() == 1) {
                 return;
             }
             targets.add(to);
             written.add(to);
-            index.put(item, to);
-            undo.add(() -> index.put(item, from));
+            index.assign(item, to);
+            undo.add(() -> index.assign(item, from));
         }
     }
 
     /** Takes a release in, unless there is no room for it. */
     boolean release(Binding b, boolean done) {
-        Page<Machine> page = records.bindings().of(b.machine());
+        Page<Machine> page = records.bindings().pageOf(b.machine());
         if (page != null && records.bindings().isOversized(page)) {
             return false; // it is split first
         }
@@ -131,8 +131,8 @@
         int index = b.task().index();
         int inBatch = newlyDone.getOrDefault(job, 0) + (job.isDone(index) ? 0 : 1);
         boolean last = ends && job.doneCount() + inBatch == job.spec().tasks();
-        Chunk chunk = ends && !last ? records.chunkOf(job, index) : null;
-        Page<Chunk> chunkPage = chunk == null ? null : pageOf(chunk);
+        TaskChunk chunk = ends && !last ? records.chunkOf(job, index) : null;
+        Page<TaskChunk> chunkPage = chunk == null ? null : pageOf(chunk);
         if (chunkPage != null && records.finished().isOversized(chunkPage)) {
             return false;
         }
@@ -143,7 +143,7 @@
         }
         if (page == null) { // an orphan, which no record knows: some page must carry the name of this write
             page = pageFor(b.machine());
-            records.bindings().put(b.machine(), page);
+            records.bindings().assign(b.machine(), page);
         }
         bindings.add(page);
         released.put(b, ends);
@@ -164,7 +164,7 @@
     /** Takes a new binding in, unless there is no room for it. */
     boolean bind(Binding b) {
         Machine machine = b.machine();
-        Page<Machine> page = records.bindings().of(machine);
+        Page<Machine> page = records.bindings().pageOf(machine);
         if (page != null && records.bindings().isOversized(page)) {
             return false; // it is split first
         }
@@ -177,7 +177,7 @@
         if (!fits(page, null, false, 0, b.job())) {
             return false;
         }
-        records.bindings().put(machine, page);
+        records.bindings().assign(machine, page);
         bindings.add(page);
         bound.add(b);
         guardedJobs.add(b.job());
@@ -187,51 +187,51 @@
     /** The machine's page has no room for more: the machine moves to another, both written together. */
     private boolean moveAndBind(Binding b, Page<Machine> from) {
         Machine machine = b.machine();
-        Page<Machine> to = records.bindings().withRoomFor(machine, List.of());
+        Page<Machine> to = records.bindings().pageWithRoomFor(machine, List.of());
         boolean both = fits(from, null, false, 0, b.job())
-                && bindings.size() + (bindings.contains(from) ? 0 : 1) < records.mostPages()
+                && bindings.size() + (bindings.contains(from) ? 0 : 1) < records.maxPages()
                 && ops() + 2 <= records.txnOps();
         if (!both) {
             return false;
         }
         bindings.add(from);
         bindings.add(to);
-        records.bindings().put(machine, to);
+        records.bindings().assign(machine, to);
         // Were this write to fail, the machine is still recorded where it was.
-        undo.add(() -> records.bindings().put(machine, from));
+        undo.add(() -> records.bindings().assign(machine, from));
         bound.add(b);
         guardedJobs.add(b.job());
         return true;
     }
 
     private Page<Machine> pageFor(Machine machine) {
-        return records.bindings().withRoomFor(machine, bindings);
+        return records.bindings().pageWithRoomFor(machine, bindings);
     }
 
-    private Page<Chunk> pageOf(Chunk chunk) {
-        Page<Chunk> page = records.finished().of(chunk);
+    private Page<TaskChunk> pageOf(TaskChunk chunk) {
+        Page<TaskChunk> page = records.finished().pageOf(chunk);
         if (page == null) {
-            page = records.finished().withRoomFor(chunk, chunks);
-            records.finished().put(chunk, page);
+            page = records.finished().pageWithRoomFor(chunk, chunks);
+            records.finished().assign(chunk, page);
         }
         return page;
     }
 
     private int ops() {
-        return bindings.size() + chunks.size() + OPS_OF_AN_END * finished.size();
+        return bindings.size() + chunks.size() + OPERATIONS_PER_COMPLETED_JOB * finished.size();
     }
 
-    private boolean fits(Page<Machine> page, Page<Chunk> chunkPage, boolean end, int endBytes, Job guarded) {
+    private boolean fits(Page<Machine> page, Page<TaskChunk> chunkPage, boolean end, int endBytes, Job guarded) {
         int pages = (bindings.contains(page) ? 0 : 1) + (chunkPage == null || chunks.contains(chunkPage) ? 0 : 1);
-        int ops = ops() + pages + (end ? OPS_OF_AN_END : 0);
+        int ops = ops() + pages + (end ? OPERATIONS_PER_COMPLETED_JOB : 0);
         // A guard is kept for each page that may yet come: else the open entries of many jobs leave room for one page
         // only.
         int guards =
                 1 + records.txnOps() + guardedJobs.size() + (guarded == null || guardedJobs.contains(guarded) ? 0 : 1);
         boolean fits = ops <= records.txnOps()
                 && guards <= 4 * records.txnOps()
-                && (pages == 0 || bindings.size() + chunks.size() + pages <= records.mostPages())
-                && (!end || endsBytes + endBytes <= MOST_ENDS_BYTES);
+                && (pages == 0 || bindings.size() + chunks.size() + pages <= records.maxPages())
+                && (!end || endsBytes + endBytes <= MAX_COMPLETED_JOBS_BYTES);
         return fits || isEmpty();
     }
 
@@ -264,25 +264,25 @@
     }
 
     /** A key that shows whether this transaction was carried out. */
-    String mark() {
+    String verificationKey() {
         return bindings.isEmpty()
                 ? chunks.iterator().next().key()
                 : bindings.iterator().next().key();
     }
 
-    /** True if this transaction wrote the value of {@link #mark}. */
-    boolean wrote(JsonNode value) {
-        return PackedValue.writeOf(value).equals(write);
+    /** True if this transaction wrote the value of {@link #verificationKey}. */
+    boolean hasWritten(JsonNode value) {
+        return PackedValue.transactionIdOf(value).equals(write);
     }
 
     /** It was carried out. */
-    void written(long revision) {
+    void markCommitted(long revision) {
         bindings.forEach(p -> p.modRevision(revision));
         chunks.forEach(p -> p.modRevision(revision));
     }
 
     /** It was not, and never will be. */
-    void undo() {
+    void rollBack() {
         undo.forEach(Runnable::run);
     }
 }
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -110,7 +110,7 @@
     public void cancelled(Job job, CancellationSource source) {
         if (!job.cancelled()) {
             job.cancel(refreshedUpTo, loop.nanos());
-            recordWriter.withdraw(job);
+            recordWriter.withdrawCancelled(job);
             List<Machine> machines =
                     job.bindings().stream().map(Binding::machine).distinct().toList();
             log(job, source, machines.size());
@@ -152,7 +152,7 @@
 
     private void dropped(String id, CancellationSource source) {
         Job job = cluster.job(id);
-        if (job != null && !recordWriter.finishing(job)) {
+        if (job != null && !recordWriter.isCompleting(job)) {
             cancelled(job, source);
         }
     }
--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -37,13 +37,13 @@
     private BindingsRecord() {}
 
     /** One task and attempt. */
-    public record Bound(TaskId task, long attempt) {}
+    public record BoundTask(TaskId task, long attempt) {}
 
     /** A machine and what is bound to it. */
-    public record OnMachine(String name, MachineKind kind, ImmutableList<Bound> bound) {}
+    public record MachineBindings(String name, MachineKind kind, ImmutableList<BoundTask> bound) {}
 
     /** The most bindings of one machine that a page holds. */
-    public static int mostBindings(double valueKb) {
+    public static int maxBindingsPerMachine(double valueKb) {
         int own = NAMES_BYTES + MACHINE_BYTES + 2 * KIND_BYTES;
         return Math.max(1, (PackedValue.capacity(valueKb) - own) / (BOUND_BYTES + JOB_BYTES));
     }
@@ -70,20 +70,20 @@
 
     /** A page with those bindings of the machines that belong on record. */
     public static ObjectNode write(String write, Collection<Machine> machines, Predicate<Binding> recorded) {
-        ImmutableListMultimap.Builder<MachineKind, OnMachine> byKind = ImmutableListMultimap.builder();
+        ImmutableListMultimap.Builder<MachineKind, MachineBindings> byKind = ImmutableListMultimap.builder();
         for (Machine m : machines) {
-            ImmutableList.Builder<Bound> list = ImmutableList.builder();
+            ImmutableList.Builder<BoundTask> list = ImmutableList.builder();
             for (Binding b : m.bindings()) {
                 if (recorded.test(b)) {
-                    list.add(new Bound(b.task(), b.attempt()));
+                    list.add(new BoundTask(b.task(), b.attempt()));
                 }
             }
-            ImmutableList<Bound> bound = list.build();
+            ImmutableList<BoundTask> bound = list.build();
             if (!bound.isEmpty()) {
-                byKind.put(m.kind(), new OnMachine(m.name(), m.kind(), bound));
+                byKind.put(m.kind(), new MachineBindings(m.name(), m.kind(), bound));
             }
         }
-        ImmutableListMultimap<MachineKind, OnMachine> groups = byKind.build();
+        ImmutableListMultimap<MachineKind, MachineBindings> groups = byKind.build();
         return PackedValue.write(write, out -> {
             out.packArrayHeader(groups.keySet().size());
             for (MachineKind kind : groups.keySet()) {
@@ -92,7 +92,7 @@
                 out.packString(kind.zone());
                 out.packBoolean(kind.spot());
                 out.packArrayHeader(groups.get(kind).size());
-                for (OnMachine m : groups.get(kind)) {
+                for (MachineBindings m : groups.get(kind)) {
                     writeMachine(out, m);
                 }
             }
@@ -104,11 +104,11 @@
         return number < 1 << 7 ? 1 : number < 1 << 16 ? 3 : number < 1L << 32 ? 5 : 9;
     }
 
-    private static void writeMachine(MessageBufferPacker out, OnMachine m) throws IOException {
+    private static void writeMachine(MessageBufferPacker out, MachineBindings m) throws IOException {
         out.packString(m.name);
         out.packArrayHeader(m.bound.size());
         String job = "";
-        for (Bound b : m.bound) {
+        for (BoundTask b : m.bound) {
             if (b.task.job().equals(job)) {
                 out.packNil(); // the same as before
             } else {
@@ -121,9 +121,9 @@
     }
 
     /** Reads a page. */
-    public static List<OnMachine> read(JsonNode value) throws BadMessageException {
+    public static List<MachineBindings> read(JsonNode value) throws BadMessageException {
         return PackedValue.read(value, in -> {
-            List<OnMachine> machines = new ArrayList<>();
+            List<MachineBindings> machines = new ArrayList<>();
             int kinds = in.unpackArrayHeader();
             for (int i = 0; i < kinds; i++) {
                 in.unpackArrayHeader();
@@ -137,15 +137,15 @@
         });
     }
 
-    private static OnMachine readMachine(MessageUnpacker in, MachineKind kind) throws IOException {
+    private static MachineBindings readMachine(MessageUnpacker in, MachineKind kind) throws IOException {
         String name = in.unpackString();
-        ImmutableList.Builder<Bound> bound = ImmutableList.builder();
+        ImmutableList.Builder<BoundTask> bound = ImmutableList.builder();
         int count = in.unpackArrayHeader();
         String job = "";
         for (int i = 0; i < count; i++) {
             job = in.tryUnpackNil() ? job : in.unpackString();
-            bound.add(new Bound(new TaskId(job, in.unpackInt()), in.unpackLong()));
+            bound.add(new BoundTask(new TaskId(job, in.unpackInt()), in.unpackLong()));
         }
-        return new OnMachine(name, kind, bound.build());
+        return new MachineBindings(name, kind, bound.build());
     }
 }
--- a/src/main/java/org/spruceridge/record/FinishedRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
@@ -16,14 +16,14 @@
  * is that number times the size of chunks, which follows from the largest value that the state service takes. At level
  * {@link FeatureLevel#SERVICES} a chunk names its first task, so that the size may change, and the page names its form.
  */
-public final class FinishedRecord {
+public final class FinishedTasksRecord {
     /** Headers and the chunk's first task. */
     private static final int ENTRY_BYTES = 14;
 
     private static final String FORM = "f";
     private static final int FORM_WITH_FIRST_TASK = 2;
 
-    private FinishedRecord() {}
+    private FinishedTasksRecord() {}
 
     /** The finished tasks of one chunk of a job, counted from the chunk's first task. */
     public record Chunk(String job, int first, BitSet tasks) {}
--- a/src/main/java/org/spruceridge/record/PackedValue.java
+++ b/src/main/java/org/spruceridge/record/PackedValue.java
@@ -63,7 +63,7 @@
     }
 
     /** The name of the transaction that wrote a value. */
-    public static String writeOf(JsonNode value) {
+    public static String transactionIdOf(JsonNode value) {
         return value.path(WRITE).asText();
     }
 }
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
@@ -102,23 +102,25 @@
                 context.latencies());
         this.recordWriter = new RecordWriter(context, state, new RecordWriter.Listener() {
             @Override
-            public void committed(ImmutableSet<Machine> bound) {
+            public void onCommitted(ImmutableSet<Machine> bound) {
                 requestCycle();
             }
 
             @Override
-            public void cancelled(Job job) {
+            public void onJobCancelled(Job job) {
                 throw new IllegalStateException("nobody cancels " + job.id());
             }
 
             @Override
-            public void broken(String why) {
-                throw new IllegalStateException(why);
+            public void onWriteFailed(String reason) {
+                throw new IllegalStateException(reason);
             }
         });
         this.heartbeatHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
         Matching matching = new Matching(
-                settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
+                settings,
+                policy,
+                BindingsRecord.maxBindingsPerMachine(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {});
         addMachines();
     }
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -79,7 +79,7 @@
     private final Matching matching = new Matching(
             SETTINGS,
             Policy.defaults(),
-            BindingsRecord.mostBindings(SETTINGS.state().recordKb()));
+            BindingsRecord.maxBindingsPerMachine(SETTINGS.state().recordKb()));
     private long leaderRevision;
 
     /** A leader of one term with all its parts but the network. */
@@ -127,18 +127,18 @@
 
         private final class Listener implements RecordWriter.Listener {
             @Override
-            public void committed(ImmutableSet<Machine> bound) {
+            public void onCommitted(ImmutableSet<Machine> bound) {
                 requestCycle();
             }
 
             @Override
-            public void cancelled(Job job) {
+            public void onJobCancelled(Job job) {
                 throw new AssertionError(job.id());
             }
 
             @Override
-            public void broken(String why) {
-                throw new AssertionError(why);
+            public void onWriteFailed(String reason) {
+                throw new AssertionError(reason);
             }
         }
 
--- a/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -16,7 +16,7 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
-import org.spruceridge.record.FinishedRecord;
+import org.spruceridge.record.FinishedTasksRecord;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
@@ -31,7 +31,7 @@
 
     private static BitSet finishedOn(ObjectNode page, int baseChunkSize) throws BadMessageException {
         BitSet tasks = new BitSet();
-        for (FinishedRecord.Chunk chunk : FinishedRecord.read(page, baseChunkSize)) {
+        for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(page, baseChunkSize)) {
             chunk.tasks().stream().forEach(i -> tasks.set(chunk.first() + i));
         }
         return tasks;
@@ -44,14 +44,14 @@
         RecordPages records = new RecordPages(limits(nowKb, nextKb), FeatureLevel.BASE);
         Job job = WriteBatchTest.job(1, TASKS);
         SplittableRandom random = new SplittableRandom(5);
-        Map<String, PageIndex.Page<RecordPages.Chunk>> pages = new HashMap<>();
+        Map<String, PageIndex.Page<RecordPages.TaskChunk>> pages = new HashMap<>();
         for (int i = 0; i < TASKS; i++) {
             if (random.nextInt(3) > 0) {
-                RecordPages.Chunk chunk = records.chunkOf(job, i);
-                PageIndex.Page<RecordPages.Chunk> page = records.finished().of(chunk);
+                RecordPages.TaskChunk chunk = records.chunkOf(job, i);
+                PageIndex.Page<RecordPages.TaskChunk> page = records.finished().pageOf(chunk);
                 if (page == null) {
-                    page = records.finished().withRoomFor(chunk, Set.of());
-                    records.finished().put(chunk, page);
+                    page = records.finished().pageWithRoomFor(chunk, Set.of());
+                    records.finished().assign(chunk, page);
                     pages.put(page.key(), page);
                 }
                 job.markDone(i);
@@ -61,7 +61,7 @@
         for (var page : pages.values()) {
             before.put(page.key(), finishedOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize()));
         }
-        records.raise(FeatureLevel.SERVICES);
+        records.raiseLevel(FeatureLevel.SERVICES);
         BitSet all = new BitSet();
         for (var page : pages.values()) {
             BitSet now = finishedOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize());
@@ -79,23 +79,23 @@
         RecordPages records = new RecordPages(limits, FeatureLevel.SUPPORTED);
         Job job = WriteBatchTest.job(1, TASKS);
         int base = records.baseChunkSize();
-        PageIndex.Page<RecordPages.Chunk> large = records.finished().recorded("parts/1", 1);
+        PageIndex.Page<RecordPages.TaskChunk> large = records.finished().restorePage("parts/1", 1);
         for (int first = 0; first < TASKS; first += base) {
             BitSet tasks = new BitSet();
             tasks.set(0, Math.min(base, TASKS - first));
-            records.takeFinished(job, first, tasks, large);
+            records.restoreFinished(job, first, tasks, large);
         }
         records.findOversized();
-        Set<PageIndex.Page<RecordPages.Chunk>> pages = new HashSet<>();
-        for (int i = 0; i < 100 && records.anyOversized(); i++) {
+        Set<PageIndex.Page<RecordPages.TaskChunk>> pages = new HashSet<>();
+        for (int i = 0; i < 100 && records.hasOversized(); i++) {
             WriteBatch batch = new WriteBatch(records, new LeaderTerm(9, 1, 0), "w" + i);
             assertTrue(batch.splitOversized());
             assertTrue(batch.transaction().changeCount() <= limits.txnOps());
-            batch.written(i + 2);
+            batch.markCommitted(i + 2);
         }
         BitSet all = new BitSet();
         for (int i = 0; i < TASKS; i++) {
-            pages.add(records.finished().of(records.chunkOf(job, i)));
+            pages.add(records.finished().pageOf(records.chunkOf(job, i)));
         }
         for (var page : pages) {
             ObjectNode value = records.finishedPage("w", page, Map.of());
--- a/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -66,14 +66,14 @@
         StateClient state = new StateClient(loop, http, HERE, limiter, warnings, latencies);
         RecordWriter.Listener nothing = new RecordWriter.Listener() {
             @Override
-            public void committed(ImmutableSet<Machine> bound) {}
+            public void onCommitted(ImmutableSet<Machine> bound) {}
 
             @Override
-            public void cancelled(Job job) {}
+            public void onJobCancelled(Job job) {}
 
             @Override
-            public void broken(String why) {
-                throw new AssertionError(why);
+            public void onWriteFailed(String reason) {
+                throw new AssertionError(reason);
             }
         };
         LeaderContext context = new LeaderContext(
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -72,7 +72,7 @@
 
     private static void commit(WriteBatch batch, long revision) {
         batch.transaction();
-        batch.written(revision);
+        batch.markCommitted(revision);
         batch.bound().forEach(b -> b.stage(Binding.Stage.COMMITTED));
     }
 
@@ -107,7 +107,8 @@
                     batch.transaction().bodyBytes() <= 64 << 10,
                     "body of " + batch.transaction().bodyBytes());
             batch.bound()
-                    .forEach(b -> keys.add(records.bindings().of(b.machine()).key()));
+                    .forEach(
+                            b -> keys.add(records.bindings().pageOf(b.machine()).key()));
         }
         int pages = keys.size();
         // A transaction guards the open entries of so many jobs beside the leader key and its pages. Those of 60 jobs
@@ -116,11 +117,11 @@
         // into one, so that each page is written twice at most, or more often where that takes more transactions.
         int guardedJobs = 4 * limits.txnOps() - 1 - limits.txnOps();
         int timesWritten = Math.max(2, (60 + guardedJobs - 1) / guardedJobs);
-        int most = timesWritten * (1 + pages / Math.min(records.mostPages(), limits.txnOps()));
+        int most = timesWritten * (1 + pages / Math.min(records.maxPages(), limits.txnOps()));
         assertTrue(transactions <= most, transactions + " transactions for " + pages + " pages");
         int recorded = 0;
         for (Machine m : cluster.machines()) {
-            PageIndex.Page<Machine> page = records.bindings().of(m);
+            PageIndex.Page<Machine> page = records.bindings().pageOf(m);
             if (keys.remove(page.key())) {
                 var value = records.bindingsPage("w", page, b -> true);
                 assertTrue(Json.bytes(value).length <= limits.valueKb() * 1024);
@@ -140,14 +141,14 @@
             return items.size();
         });
         for (int i = 0; i < 3000; i++) {
-            pages.put(i, pages.withRoomFor(i, List.of()));
+            pages.assign(i, pages.pageWithRoomFor(i, List.of()));
         }
-        assertEquals(30, pages.count());
+        assertEquals(30, pages.pageCount());
         measured[0] = 0;
-        pages.measureAnew();
+        pages.invalidateSizes();
         for (int i = 0; i < 3000; i++) {
-            pages.isOverfull(pages.of(i));
-            pages.withRoomFor(i, List.of());
+            pages.isOverfull(pages.pageOf(i));
+            pages.pageWithRoomFor(i, List.of());
         }
         assertTrue(measured[0] <= 31, measured[0] + " times: bursts took more processor than there is");
     }
@@ -166,18 +167,18 @@
             commit(batch, i + 1);
         }
         Machine first = machines.get(0);
-        PageIndex.Page<Machine> page = records.bindings().of(first);
+        PageIndex.Page<Machine> page = records.bindings().pageOf(first);
         List<Binding> more = new ArrayList<>();
         while (!records.bindings().isOverfull(page)) {
             more.add(binding(job, index++, first));
-            records.measureAnew();
+            records.invalidateSizes();
         }
         WriteBatch batch = batch();
         more.forEach(b -> assertTrue(batch.bind(b)));
-        assertNotSame(page, records.bindings().of(first));
+        assertNotSame(page, records.bindings().pageOf(first));
         assertEquals(2, batch.transaction().changeCount(), "both pages are written together");
         // Were the machine taken to be on its new page now, the old page would name its tasks for ever.
-        batch.undo();
-        assertSame(page, records.bindings().of(first));
+        batch.rollBack();
+        assertSame(page, records.bindings().pageOf(first));
     }
 }
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -67,7 +67,7 @@
         cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(old), 30);
         cluster.until(() -> cluster.running().size() == 2, 60);
         JsonNode leader = cluster.state.value("leader");
-        List<BindingsRecord.OnMachine> machines = cluster.recorded();
+        List<BindingsRecord.MachineBindings> machines = cluster.recorded();
         cluster.net.letGo();
         cluster.loop.run(0.1);
         assertEquals(leader, cluster.state.value("leader"));
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -24,7 +24,7 @@
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 30.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
         cluster.loop.run(3);
-        BindingsRecord.OnMachine on = cluster.recorded().get(0);
+        BindingsRecord.MachineBindings on = cluster.recorded().get(0);
         ObjectNode stale = SimulatedCluster.heartbeat(on.name(), 1);
         stale.put("warrant", cluster.state.value("leader").path("term").asLong());
         stale.withArray("parts")
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -398,8 +398,8 @@
     }
 
     /** What the records say is bound to each machine. */
-    public List<BindingsRecord.OnMachine> recorded() {
-        List<BindingsRecord.OnMachine> out = new ArrayList<>();
+    public List<BindingsRecord.MachineBindings> recorded() {
+        List<BindingsRecord.MachineBindings> out = new ArrayList<>();
         for (String key : new TreeSet<>(state.keys("bound/"))) {
             try {
                 out.addAll(BindingsRecord.read(state.value(key)));
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -33,7 +33,7 @@
 import org.spruceridge.peer.PeerHeartbeat;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.CatalogueRecord;
-import org.spruceridge.record.FinishedRecord;
+import org.spruceridge.record.FinishedTasksRecord;
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.LeaderRecord;
 import org.spruceridge.sim.Fixtures;
@@ -95,8 +95,8 @@
         BitSet tasks = new BitSet();
         tasks.set(0);
         tasks.set(9);
-        return FinishedRecord.write(
-                "w9.1", level, CHUNK, List.of(new FinishedRecord.Chunk("j-000007", 2 * CHUNK, tasks)));
+        return FinishedTasksRecord.write(
+                "w9.1", level, CHUNK, List.of(new FinishedTasksRecord.Chunk("j-000007", 2 * CHUNK, tasks)));
     }
 
     private static ObjectNode catalogue() {
@@ -188,12 +188,13 @@
     /** A page of finished tasks as production writes it, with a chunk that is not the first. */
     @Test
     void ourReaderTakesProductionsPages() throws BadMessageException {
-        FinishedRecord.Chunk chunk =
-                FinishedRecord.read(finished(FeatureLevel.BASE), CHUNK).get(0);
+        FinishedTasksRecord.Chunk chunk =
+                FinishedTasksRecord.read(finished(FeatureLevel.BASE), CHUNK).get(0);
         assertEquals(2 * CHUNK, chunk.first());
         assertEquals("{0, 9}", chunk.tasks().toString());
         assertEquals(
-                chunk, FinishedRecord.read(finished(FeatureLevel.SERVICES), 77).get(0));
+                chunk,
+                FinishedTasksRecord.read(finished(FeatureLevel.SERVICES), 77).get(0));
     }
 
     /** Production says nothing of its version: six fields, no more. */
@@ -209,7 +210,7 @@
     @Test
     void whatALaterVersionWritesIsRefusedAndNamed() {
         ObjectNode page = finished(FeatureLevel.SERVICES).put("f", 3);
-        assertTrue(assertThrows(BadMessageException.class, () -> FinishedRecord.read(page, CHUNK))
+        assertTrue(assertThrows(BadMessageException.class, () -> FinishedTasksRecord.read(page, CHUNK))
                 .getMessage()
                 .contains("3"));
         assertTrue(assertThrows(
