--- a/src/main/java/org/spruceridge/api/Admission.java
+++ b/src/main/java/org/spruceridge/api/AdmissionControl.java
@@ -10,15 +10,15 @@
 import org.spruceridge.config.Settings.Team;
 
 /** Judges whether a well-formed job can ever run. */
-final class Admission {
+final class AdmissionControl {
     private final ImmutableMap<String, Team> teams;
 
-    Admission(ImmutableMap<String, Team> teams) {
+    AdmissionControl(ImmutableMap<String, Team> teams) {
         this.teams = teams;
     }
 
     /** Why the job can never run; empty if it can. */
-    Optional<String> objection(JobSpec spec, ImmutableMap<String, MachineType> types) {
+    Optional<String> rejectionReason(JobSpec spec, ImmutableMap<String, MachineType> types) {
         Team team = teams.get(spec.team());
         if (team == null) {
             return Optional.of("unknown team");
@@ -42,7 +42,7 @@
     }
 
     /** The job with only those types named that exist, so that its record stays small. */
-    static JobSpec trimmed(JobSpec s, ImmutableMap<String, MachineType> types) {
+    static JobSpec withKnownTypes(JobSpec s, ImmutableMap<String, MachineType> types) {
         Optional<ImmutableSet<String>> known =
                 s.types().map(t -> Sets.intersection(t, types.keySet()).immutableCopy());
         return s.withTypes(known);
--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -33,22 +33,22 @@
 /** What users ask of any node: submissions, polls and cancellations, each decided by the job's record. */
 public final class JobsEndpoint {
     private static final int RETRY_AFTER_S = 1;
-    private static final int ENDED_KEPT = 20_000;
+    private static final int ENDED_JOBS_CACHED = 20_000;
     /** Users wait 5 s for an answer; within this time an unknown outcome is still asked after. */
-    private static final long REQUEST_TIMEOUT = Durations.millis(3500);
+    private static final long REQUEST_TIMEOUT_NANOS = Durations.millis(3500);
 
     private final Loop loop;
     private final StateClient state;
     private final ClusterLevel level;
     private final int valueBytes;
-    private final Admission admission;
+    private final AdmissionControl admission;
     private final Supplier<Optional<ImmutableMap<String, MachineType>>> catalogue;
     private final Function<String, Progress> progress;
     private final RateLimitedWarnings warnings;
-    private final Cancellations cancellations;
+    private final RecentCancellations cancellations;
     /** Ends never change, so they may be answered from memory. */
     private final Cache<String, Ended> ended =
-            CacheBuilder.newBuilder().maximumSize(ENDED_KEPT).build();
+            CacheBuilder.newBuilder().maximumSize(ENDED_JOBS_CACHED).build();
 
     private record Ended(JobRecord.Stage stage, int tasks) {}
 
@@ -61,12 +61,12 @@
             Supplier<Optional<ImmutableMap<String, MachineType>>> catalogue,
             Function<String, Progress> progress,
             RateLimitedWarnings warnings,
-            Cancellations cancellations) {
+            RecentCancellations cancellations) {
         this.loop = loop;
         this.state = state;
         this.level = level;
         this.valueBytes = settings.state().valueBytes();
-        this.admission = new Admission(settings.teams());
+        this.admission = new AdmissionControl(settings.teams());
         this.catalogue = catalogue;
         this.progress = progress;
         this.warnings = warnings;
@@ -96,21 +96,21 @@
             lookUp(spec.id(), Response.later(RETRY_AFTER_S, "machine types not known yet"), answer);
             return;
         }
-        Optional<String> objection = admission.objection(spec, types.get());
-        if (objection.isPresent()) {
-            lookUp(spec.id(), Response.error(422, objection.get()), answer);
+        Optional<String> rejectionReason = admission.rejectionReason(spec, types.get());
+        if (rejectionReason.isPresent()) {
+            lookUp(spec.id(), Response.error(422, rejectionReason.get()), answer);
             return;
         }
-        JobSpec trimmed = Admission.trimmed(spec, types.get());
+        JobSpec withKnownTypes = AdmissionControl.withKnownTypes(spec, types.get());
         if (spec.isService()) {
-            ifServicesMayBeKept(trimmed, answer);
+            acceptServiceIfSupported(withKnownTypes, answer);
         } else {
-            accept(trimmed, answer);
+            accept(withKnownTypes, answer);
         }
     }
 
     /** Accepts a service unless nodes of an earlier version may still be around, which could not read its record. */
-    private void ifServicesMayBeKept(JobSpec spec, Consumer<Response> answer) {
+    private void acceptServiceIfSupported(JobSpec spec, Consumer<Response> answer) {
         if (level.known().includes(FeatureLevel.SERVICES)) {
             accept(spec, answer);
             return;
@@ -136,7 +136,7 @@
     /** POST /api/jobs/{id}/abort. */
     public void abort(String id, Consumer<Response> answer) {
         if (SpecMessage.isId(id)) {
-            abort(id, loop.nanos() + REQUEST_TIMEOUT, answer);
+            abort(id, loop.nanos() + REQUEST_TIMEOUT_NANOS, answer);
         } else {
             answer.accept(unknownJob());
         }
@@ -145,26 +145,26 @@
     private void accept(JobSpec spec, Consumer<Response> answer) {
         JobRecord record = JobRecord.open(spec, loop.wallMillis());
         if (!record.fits(valueBytes)) {
-            lookUp(spec.id(), tooLarge(), answer);
+            lookUp(spec.id(), jobTooLarge(), answer);
             return;
         }
         Transaction txn = Transaction.builder()
                 .set(Keys.job(spec.id()), 0, record.write())
                 .set(Keys.open(spec.id()), 0, record.write())
                 .build();
-        settle(txn, loop.nanos() + REQUEST_TIMEOUT, answer, result -> {
+        commitUntil(txn, loop.nanos() + REQUEST_TIMEOUT_NANOS, answer, result -> {
             if (result.committed()) {
-                answer.accept(Response.of(201, brief(spec.id(), "pending")));
+                answer.accept(Response.of(201, summary(spec.id(), "pending")));
             } else {
-                lookUp(spec.id(), later(), answer);
+                lookUp(spec.id(), stateUnavailable(), answer);
             }
         });
     }
 
-    private void abort(String id, long until, Consumer<Response> answer) {
+    private void abort(String id, long deadline, Consumer<Response> answer) {
         state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
             if (!found.isOk()) {
-                answer.accept(found.kind() == Result.Kind.MISSING ? unknownJob() : later());
+                answer.accept(found.kind() == Result.Kind.MISSING ? unknownJob() : stateUnavailable());
                 return;
             }
             Optional<JobRecord> record = read(id, found.value().value());
@@ -174,7 +174,8 @@
             }
             if (record.get().stage() != JobRecord.Stage.OPEN) {
                 remember(record.get());
-                answer.accept(Response.of(200, brief(id, word(record.get().stage()))));
+                answer.accept(
+                        Response.of(200, summary(id, stageName(record.get().stage()))));
                 return;
             }
             JobRecord cancelled = record.get().ended(JobRecord.Stage.CANCELLED, loop.wallMillis());
@@ -183,68 +184,71 @@
                     .set(Keys.job(id), modRevision, cancelled.write(valueBytes))
                     .drop(Keys.open(id), modRevision)
                     .build();
-            settle(txn, until, answer, result -> {
+            commitUntil(txn, deadline, answer, result -> {
                 if (result.committed()) {
                     remember(cancelled);
                     cancellations.add(id);
-                    answer.accept(Response.of(200, brief(id, "cancelled")));
-                } else if (loop.nanos() < until) {
-                    abort(id, until, answer);
+                    answer.accept(Response.of(200, summary(id, "cancelled")));
+                } else if (loop.nanos() < deadline) {
+                    abort(id, deadline, answer);
                 } else {
-                    answer.accept(later());
+                    answer.accept(stateUnavailable());
                 }
             });
         });
     }
 
     /** Commits; an unknown outcome is settled by the same transaction again, while the user still waits. */
-    private void settle(Transaction txn, long until, Consumer<Response> answer, Consumer<TransactionResult> settled) {
+    private void commitUntil(
+            Transaction txn, long deadline, Consumer<Response> answer, Consumer<TransactionResult> onOutcome) {
         state.commit(txn, Priority.SUBMISSIONS, result -> {
             switch (result.kind()) {
-                case COMMITTED, CONFLICT -> settled.accept(result);
+                case COMMITTED, CONFLICT -> onOutcome.accept(result);
                 case UNKNOWN -> {
-                    if (loop.nanos() < until) {
-                        settle(txn, until, answer, settled);
+                    if (loop.nanos() < deadline) {
+                        commitUntil(txn, deadline, answer, onOutcome);
                     } else {
-                        answer.accept(later());
+                        answer.accept(stateUnavailable());
                     }
                 }
-                case REJECTED -> answer.accept(later()); // of ours, not of the user's: it was measured before
-                default -> answer.accept(later());
+                case REJECTED -> answer.accept(
+                        stateUnavailable()); // of ours, not of the user's: it was measured before
+                default -> answer.accept(stateUnavailable());
             }
         });
     }
 
     /** Answers with the job's present state, or as given if there is no such job. */
     private void lookUp(String id, Response ifMissing, Consumer<Response> answer) {
-        Ended end = ended.getIfPresent(id);
-        if (end != null) {
-            answer.accept(Response.of(200, full(id, end)));
+        Ended endedJob = ended.getIfPresent(id);
+        if (endedJob != null) {
+            answer.accept(Response.of(200, endedSummary(id, endedJob)));
             return;
         }
         state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
             if (found.isOk()) {
                 answer.accept(read(id, found.value().value())
-                        .map(this::present)
+                        .map(this::currentState)
                         .orElseGet(() -> Response.error(500, "unreadable record")));
             } else {
-                answer.accept(found.kind() == Result.Kind.MISSING ? ifMissing : later());
+                answer.accept(found.kind() == Result.Kind.MISSING ? ifMissing : stateUnavailable());
             }
         });
     }
 
-    private Response present(JobRecord record) {
+    private Response currentState(JobRecord record) {
         String id = record.spec().id();
         if (record.stage() == JobRecord.Stage.OPEN) {
             Progress now = progress.apply(id);
             return Response.of(
                     200,
-                    brief(id, now.running() > 0 ? "running" : "pending")
+                    summary(id, now.running() > 0 ? "running" : "pending")
                             .put("done", now.done())
                             .put("running", now.running()));
         }
         remember(record);
-        return Response.of(200, full(id, new Ended(record.stage(), record.spec().tasks())));
+        return Response.of(
+                200, endedSummary(id, new Ended(record.stage(), record.spec().tasks())));
     }
 
     private void remember(JobRecord record) {
@@ -260,24 +264,26 @@
         }
     }
 
-    private static ObjectNode brief(String id, String stage) {
+    private static ObjectNode summary(String id, String stage) {
         return Json.object().put("nameId", id).put("stage", stage);
     }
 
-    private static ObjectNode full(String id, Ended end) {
-        boolean done = end.stage == JobRecord.Stage.DONE;
-        return brief(id, word(end.stage)).put("done", done ? end.tasks : 0).put("running", 0);
+    private static ObjectNode endedSummary(String id, Ended endedJob) {
+        boolean done = endedJob.stage == JobRecord.Stage.DONE;
+        return summary(id, stageName(endedJob.stage))
+                .put("done", done ? endedJob.tasks : 0)
+                .put("running", 0);
     }
 
-    private static String word(JobRecord.Stage stage) {
+    private static String stageName(JobRecord.Stage stage) {
         return stage == JobRecord.Stage.DONE ? "done" : "cancelled";
     }
 
-    private static Response later() {
+    private static Response stateUnavailable() {
         return Response.later(RETRY_AFTER_S, "the state service does not answer now");
     }
 
-    private static Response tooLarge() {
+    private static Response jobTooLarge() {
         return Response.error(400, "the job is too large to be kept");
     }
 
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -18,29 +18,29 @@
     private static final String JOBS = "/api/jobs";
     private static final int RETRY_AFTER_S = 1;
     private static final String HEALTH = "/healthz";
-    private static final String REPORTS = "/hello";
+    private static final String HEARTBEATS = "/hello";
 
     private final JobsEndpoint jobs;
     private final Function<byte[], Response> heartbeats;
-    private final Runnable reportsMissed;
-    private final BooleanSupplier healthy;
+    private final Runnable heartbeatDropped;
+    private final BooleanSupplier isHealthy;
     private final Supplier<ObjectNode> metrics;
     private final Loop loop;
     private final Latencies latencies;
 
-    /** {@code reportsMissed} is told when a report could not be taken in time. */
+    /** {@code heartbeatDropped} is told when a report could not be taken in time. */
     public Router(
             JobsEndpoint jobs,
             Function<byte[], Response> heartbeats,
-            Runnable reportsMissed,
-            BooleanSupplier healthy,
+            Runnable heartbeatDropped,
+            BooleanSupplier isHealthy,
             Supplier<ObjectNode> metrics,
             Loop loop,
             Latencies latencies) {
         this.jobs = jobs;
         this.heartbeats = heartbeats;
-        this.reportsMissed = reportsMissed;
-        this.healthy = healthy;
+        this.heartbeatDropped = heartbeatDropped;
+        this.isHealthy = isHealthy;
         this.metrics = metrics;
         this.loop = loop;
         this.latencies = latencies;
@@ -50,15 +50,15 @@
     public RequestQueue.Priority priority(Request request) {
         return switch (request.path()) {
             case HEALTH -> RequestQueue.Priority.HEALTH;
-            case REPORTS -> RequestQueue.Priority.REPORT;
+            case HEARTBEATS -> RequestQueue.Priority.REPORT;
             default -> RequestQueue.Priority.USER;
         };
     }
 
     @Override
     public Response refusal(Request request) {
-        if (request.path().equals(REPORTS)) {
-            reportsMissed.run();
+        if (request.path().equals(HEARTBEATS)) {
+            heartbeatDropped.run();
         }
         return Response.later(RETRY_AFTER_S, "too busy");
     }
@@ -66,15 +66,16 @@
     @Override
     public void handle(Request request, Consumer<Response> answer) {
         String path = request.path();
-        if (path.equals(REPORTS)) {
-            only("POST", request, answer, () -> timed(Latencies.Kind.REPORTS, answer)
+        if (path.equals(HEARTBEATS)) {
+            requireMethod("POST", request, answer, () -> timed(Latencies.Kind.REPORTS, answer)
                     .accept(heartbeats.apply(request.body())));
         } else if (path.equals(HEALTH)) {
-            only("GET", request, answer, () -> answer.accept(health()));
+            requireMethod("GET", request, answer, () -> answer.accept(health()));
         } else if (path.equals("/metrics")) {
-            only("GET", request, answer, () -> answer.accept(Response.of(200, metrics.get())));
+            requireMethod("GET", request, answer, () -> answer.accept(Response.of(200, metrics.get())));
         } else if (path.equals(JOBS)) {
-            only("POST", request, answer, () -> jobs.submit(request.body(), timed(Latencies.Kind.USERS, answer)));
+            requireMethod(
+                    "POST", request, answer, () -> jobs.submit(request.body(), timed(Latencies.Kind.USERS, answer)));
         } else if (path.startsWith(JOBS + "/")) {
             job(path.substring(JOBS.length() + 1), request, answer);
         } else {
@@ -85,9 +86,9 @@
     private void job(String rest, Request request, Consumer<Response> answer) {
         int slash = rest.indexOf('/');
         if (slash < 0) {
-            only("GET", request, answer, () -> jobs.poll(rest, timed(Latencies.Kind.USERS, answer)));
+            requireMethod("GET", request, answer, () -> jobs.poll(rest, timed(Latencies.Kind.USERS, answer)));
         } else if (rest.substring(slash).equals("/abort")) {
-            only(
+            requireMethod(
                     "POST",
                     request,
                     answer,
@@ -98,22 +99,22 @@
     }
 
     private Consumer<Response> timed(Latencies.Kind kind, Consumer<Response> answer) {
-        long came = loop.nanos();
+        long receivedAt = loop.nanos();
         return response -> {
-            latencies.record(kind, loop.nanos() - came);
+            latencies.record(kind, loop.nanos() - receivedAt);
             answer.accept(response);
         };
     }
 
     private Response health() {
-        return healthy.getAsBoolean()
+        return isHealthy.getAsBoolean()
                 ? Response.of(200, Json.object().put("status", "ok"))
                 : Response.error(503, "cut off from the state service");
     }
 
-    private static void only(String method, Request request, Consumer<Response> answer, Runnable then) {
+    private static void requireMethod(String method, Request request, Consumer<Response> answer, Runnable action) {
         if (request.method().equals(method)) {
-            then.run();
+            action.run();
         } else {
             answer.accept(Response.error(405, "only " + method));
         }
--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -118,7 +118,7 @@
             deleteFailed();
             // While requests wait, what to rent is worked out less often: workers' reports come first.
             double plannedAgoS = Durations.secondsSince(lastPlanned, now);
-            if (!loop.busy() || plannedAgoS > settings.workers().mostDecisionDelayS()) {
+            if (!loop.busy() || plannedAgoS > settings.workers().maxDecisionDelayS()) {
                 lastPlanned = now;
                 rentAndReturn();
             }
@@ -265,9 +265,9 @@
                 continue;
             }
             double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-            boolean idleLong =
-                    Durations.secondsSince(m.idleSince(), now) > policy.fleet().idleOfBoot() * bootS * cheapness(m)
-                            && Durations.secondsSince(m.launchedAt(), now) > LEAST_PAID_S;
+            boolean idleLong = Durations.secondsSince(m.idleSince(), now)
+                            > policy.fleet().idleTimeoutBoots() * bootS * cheapness(m)
+                    && Durations.secondsSince(m.launchedAt(), now) > LEAST_PAID_S;
             boolean useless = m.unschedulable() && !(m.suspectedUnreachable() && beingAsked(m, now));
             if (useless || (idleLong && !kept.contains(m) && !warmCapacity.learning(cluster, now))) {
                 idle.add(m);
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -100,7 +100,7 @@
         Job job = b.job();
         return stopUnproven(b)
                 && Durations.secondsSince(job.cancelledAt(), now) > times.unprovenStopTimeoutS()
-                && Durations.secondsSince(job.cancellationHeardAt(), now) > times.proofS();
+                && Durations.secondsSince(job.cancellationHeardAt(), now) > times.stopProofTimeoutS();
     }
 
     /**
@@ -136,12 +136,12 @@
     }
 
     private double silentS() {
-        return policy.fleet().silentOfLease() * settings.workers().leaseS();
+        return policy.fleet().silenceTimeoutLeases() * settings.workers().leaseS();
     }
 
     private boolean neverCameUp(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-        return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().stuckOfBoot() * bootS
+        return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().bootTimeoutBoots() * bootS
                 && Durations.secondsSince(m.knownSince(), now)
                         > settings.workers().leaseS();
     }
--- a/src/main/java/org/spruceridge/cli/RehearseCommand.java
+++ b/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
@@ -33,11 +33,12 @@
  * Runs a node on loopback for a moment, with nothing behind it, so that the build can write an archive of the classes
  * that a start needs.
  */
-final class RehearseCommand implements Callable<Integer> {
-    private static final long REQUEST_TIMEOUT = TimeUnit.SECONDS.toNanos(1);
+final class ClassArchiveCommand implements Callable<Integer> {
+    private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     static CommandSpec describe() {
-        CommandSpec spec = Commands.describe("rehearse", "Loads what a start needs, and ends.", new RehearseCommand());
+        CommandSpec spec =
+                Commands.describe("rehearse", "Loads what a start needs, and ends.", new ClassArchiveCommand());
         spec.usageMessage().hidden(true);
         return spec;
     }
@@ -46,14 +47,14 @@
     public Integer call() throws Exception {
         Settings settings = settings();
         NettyLoop loop = new NettyLoop();
-        NettyPeerTransport link =
+        NettyPeerTransport transport =
                 new NettyPeerTransport(loop.group(), settings.peerListen(), List.of(settings.peerListen()));
         ConnectionLimiter connectionLimiter =
                 new ConnectionLimiter(settings.resources().maxSockets());
         NettyHttpClient client = new NettyHttpClient(loop, connectionLimiter);
-        Node node = new Node(loop, client, link, new SplittableRandom(1), settings, Policy.defaults());
-        link.listen();
-        new HttpServer(loop, connectionLimiter, REQUEST_TIMEOUT, node.handler()).start(settings.serveOn());
+        Node node = new Node(loop, client, transport, new SplittableRandom(1), settings, Policy.defaults());
+        transport.listen();
+        new HttpServer(loop, connectionLimiter, REQUEST_TIMEOUT_NANOS, node.handler()).start(settings.serveOn());
         loop.execute(() -> node.start(() -> {}));
         List<HttpCall> calls = List.of(
                 HttpCall.get("/healthz"),
@@ -62,7 +63,8 @@
                 HttpCall.get("/api/jobs/j-000001"));
         CountDownLatch answered = new CountDownLatch(calls.size());
         for (HttpCall call : calls) {
-            loop.execute(() -> client.call(settings.serveOn(), call, REQUEST_TIMEOUT, answer -> answered.countDown()));
+            loop.execute(
+                    () -> client.call(settings.serveOn(), call, REQUEST_TIMEOUT_NANOS, answer -> answered.countDown()));
         }
         answered.await();
         TimeUnit.MILLISECONDS.sleep(1500); // heartbeats, retries
@@ -71,13 +73,13 @@
     }
 
     private static void loadOwnClasses() throws IOException, URISyntaxException, ClassNotFoundException {
-        Path jar = Path.of(RehearseCommand.class
+        Path jar = Path.of(ClassArchiveCommand.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
                 .toURI());
         try (JarFile file = new JarFile(jar.toFile())) {
-            for (String name : file.stream().map(e -> e.getName()).toList()) {
+            for (String name : file.stream().map(entry -> entry.getName()).toList()) {
                 if (name.startsWith("org/spruceridge/") && name.endsWith(".class")) {
                     Class.forName(
                             name.substring(0, name.length() - ".class".length()).replace('/', '.'));
--- a/src/main/java/org/spruceridge/cli/Commands.java
+++ b/src/main/java/org/spruceridge/cli/Commands.java
@@ -25,8 +25,11 @@
                 .versionProvider(Commands::version);
     }
 
-    private static OptionSpec.Builder flag(String letter, String word, String description) {
-        return OptionSpec.builder(letter, word).type(boolean.class).arity("0").description(description);
+    private static OptionSpec.Builder flag(String shortName, String longName, String description) {
+        return OptionSpec.builder(shortName, longName)
+                .type(boolean.class)
+                .arity("0")
+                .description(description);
     }
 
     /** The version of the jar. */
@@ -36,11 +39,11 @@
     }
 
     /** The whole program. */
-    static CommandLine program() {
+    static CommandLine commandLine() {
         CommandSpec root = describe("spruceridge", "A cluster scheduler after Convergent Scheduling 2.0.", null);
         root.addSubcommand("serve", ServeCommand.describe());
         root.addSubcommand("check-config", CheckConfigCommand.describe());
-        root.addSubcommand("rehearse", RehearseCommand.describe());
-        return new CommandLine(root).setExecutionExceptionHandler(new SettingsComplaint());
+        root.addSubcommand("rehearse", ClassArchiveCommand.describe());
+        return new CommandLine(root).setExecutionExceptionHandler(new SettingsErrorHandler());
     }
 }
--- a/src/main/java/org/spruceridge/cli/LogLevel.java
+++ b/src/main/java/org/spruceridge/cli/LogLevel.java
@@ -6,8 +6,8 @@
 
     private LogLevel() {}
 
-    static void apply(String wanted) {
-        String level = wanted == null ? "info" : wanted.trim().toLowerCase(java.util.Locale.ROOT);
+    static void apply(String requested) {
+        String level = requested == null ? "info" : requested.trim().toLowerCase(java.util.Locale.ROOT);
         boolean known = level.equals("error") || level.equals("info") || level.equals("debug");
         System.setProperty(PREFIX + "defaultLogLevel", "error");
         System.setProperty(PREFIX + "log.org.spruceridge", known ? level : "info");
--- a/src/main/java/org/spruceridge/cli/Main.java
+++ b/src/main/java/org/spruceridge/cli/Main.java
@@ -10,6 +10,6 @@
     /** Runs the command that the arguments name and exits with its code. */
     public static void main(String[] args) {
         LogLevel.apply(System.getenv("LOG_LEVEL"));
-        System.exit(Commands.program().execute(args));
+        System.exit(Commands.commandLine().execute(args));
     }
 }
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -20,7 +20,7 @@
 /** Runs a controller node until the process is killed. */
 final class ServeCommand implements Callable<Integer> {
     /** It listens after this share of a lease at the latest: in an outage of the state service nobody knows a leader. */
-    private static final double LISTEN_OF_LEASE = 0.125;
+    private static final double MAX_LISTEN_DELAY_LEASES = 0.125;
 
     private final SettingsFiles files = new SettingsFiles();
 
@@ -39,22 +39,22 @@
         SplittableRandom random = new SplittableRandom(System.nanoTime()
                 ^ System.currentTimeMillis()
                 ^ settings.hostName().hashCode());
-        NettyPeerTransport link = new NettyPeerTransport(
+        NettyPeerTransport transport = new NettyPeerTransport(
                 loop.group(),
                 settings.peerListen(),
                 settings.members().stream().map(Settings.Member::address).toList());
         ConnectionLimiter connectionLimiter =
                 new ConnectionLimiter(settings.resources().maxSockets());
-        Node node = new Node(loop, new NettyHttpClient(loop, connectionLimiter), link, random, settings, policy);
+        Node node = new Node(loop, new NettyHttpClient(loop, connectionLimiter), transport, random, settings, policy);
         // A worker that has not reported for a lease has lost it: it is gone, or comes on another connection.
-        long workerIdle = Durations.nanos(settings.workers().leaseS());
-        HttpServer server = new HttpServer(loop, connectionLimiter, workerIdle, node.handler());
-        link.listen();
+        long workerIdleNanos = Durations.nanos(settings.workers().leaseS());
+        HttpServer server = new HttpServer(loop, connectionLimiter, workerIdleNanos, node.handler());
+        transport.listen();
         CountDownLatch ready = new CountDownLatch(1);
         loop.execute(() -> node.start(ready::countDown));
         // Until it knows the leader it could only turn workers away. They would all be back a second later, and keep it
         // from finding out. A refused connection costs nothing, and they go on to the next node.
-        ready.await(Durations.nanos(settings.workers().leaseS() * LISTEN_OF_LEASE), TimeUnit.NANOSECONDS);
+        ready.await(Durations.nanos(settings.workers().leaseS() * MAX_LISTEN_DELAY_LEASES), TimeUnit.NANOSECONDS);
         server.start(settings.serveOn());
         loop.join();
         return 0;
--- a/src/main/java/org/spruceridge/cli/SettingsComplaint.java
+++ b/src/main/java/org/spruceridge/cli/SettingsErrorHandler.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 
 /** Says in one line what is wrong with the settings. */
-final class SettingsComplaint implements CommandLine.IExecutionExceptionHandler {
+final class SettingsErrorHandler implements CommandLine.IExecutionExceptionHandler {
     @Override
     public int handleExecutionException(Exception e, CommandLine line, CommandLine.ParseResult parsed)
             throws Exception {
--- a/src/main/java/org/spruceridge/config/CancellationTimes.java
+++ b/src/main/java/org/spruceridge/config/CancellationTimes.java
@@ -8,13 +8,13 @@
  */
 public record CancellationTimes(double cancelS, double leaseS, double heartbeatIntervalS) {
     /** What is left for late timers, and for the cloud where a machine has to go. */
-    private static final double MARGIN = 0.1;
+    private static final double SAFETY_MARGIN_SHARE = 0.1;
 
     /** A watch is asked again this many times while what it brought still counts. */
-    private static final double WATCHES_OF_KNOWLEDGE = 6;
+    private static final double WATCHES_PER_MAX_STALENESS = 6;
 
     /** An order that is given is carried out, and its proof heard, within this many report periods or not at all. */
-    private static final double PROOF_OF_REPORT = 1.5;
+    private static final double STOP_PROOF_HEARTBEATS = 1.5;
 
     /** The times that follow from the workers' settings. */
     public static CancellationTimes of(Settings.Workers workers) {
@@ -31,12 +31,12 @@
      * back keeps its tasks for so long, and for a lease from the last answer.
      */
     public double maxStalenessS() {
-        return Math.min(leaseS, (1 - MARGIN) * (cancelS - fullLeaseS()));
+        return Math.min(leaseS, (1 - SAFETY_MARGIN_SHARE) * (cancelS - fullLeaseS()));
     }
 
     /** How long a watch of the cancellations waits before it says that there was none. */
-    public double watchS() {
-        return maxStalenessS() / WATCHES_OF_KNOWLEDGE;
+    public double watchTimeoutS() {
+        return maxStalenessS() / WATCHES_PER_MAX_STALENESS;
     }
 
     /** After this time a machine on which a stop is not proven is given back, whatever else is on it. */
@@ -45,7 +45,7 @@
     }
 
     /** But not before a leader that has just heard of the cancellation has had time to order the stop. */
-    public double proofS() {
-        return PROOF_OF_REPORT * heartbeatIntervalS;
+    public double stopProofTimeoutS() {
+        return STOP_PROOF_HEARTBEATS * heartbeatIntervalS;
     }
 }
--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -25,7 +25,7 @@
     Fields object(String name) {
         JsonNode child = node.get(name);
         if (child == null || !child.isObject()) {
-            throw complaint(name, child == null ? "is missing" : "is not an object");
+            throw invalid(name, child == null ? "is missing" : "is not an object");
         }
         return new Fields(child, path + name + ".");
     }
@@ -37,7 +37,7 @@
     String text(String name) {
         JsonNode child = node.get(name);
         if (child == null || !child.isTextual() || child.textValue().isBlank()) {
-            throw complaint(name, child == null ? "is missing" : "is not a text");
+            throw invalid(name, child == null ? "is missing" : "is not a text");
         }
         return child.textValue();
     }
@@ -49,7 +49,7 @@
     double positive(String name) {
         double value = number(name);
         if (value <= 0) {
-            throw complaint(name, "must be above 0");
+            throw invalid(name, "must be above 0");
         }
         return value;
     }
@@ -64,7 +64,7 @@
         }
         double value = number(name);
         if (value < 0) {
-            throw complaint(name, "must not be below 0");
+            throw invalid(name, "must not be below 0");
         }
         return value;
     }
@@ -72,7 +72,7 @@
     int positiveCount(String name) {
         JsonNode child = node.get(name);
         if (child == null || !child.isIntegralNumber() || !child.canConvertToInt() || child.intValue() < 1) {
-            throw complaint(name, child == null ? "is missing" : "must be a whole number above 0");
+            throw invalid(name, child == null ? "is missing" : "must be a whole number above 0");
         }
         return child.intValue();
     }
@@ -82,7 +82,7 @@
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
-            throw complaint(name, "is not an address of the form host:port: " + text);
+            throw invalid(name, "is not an address of the form host:port: " + text);
         }
     }
 
@@ -91,7 +91,7 @@
         ImmutableList.Builder<String> out = ImmutableList.builder();
         for (JsonNode item : child) {
             if (!item.isTextual()) {
-                throw complaint(name, "must hold texts only");
+                throw invalid(name, "must hold texts only");
             }
             out.add(item.textValue());
         }
@@ -103,7 +103,7 @@
         ImmutableList.Builder<T> out = ImmutableList.builder();
         for (int i = 0; i < child.size(); i++) {
             if (!child.get(i).isObject()) {
-                throw complaint(name + "[" + i + "]", "is not an object");
+                throw invalid(name + "[" + i + "]", "is not an object");
             }
             out.add(reader.apply(new Fields(child.get(i), path + name + "[" + i + "].")));
         }
@@ -111,22 +111,22 @@
     }
 
     /** Refuses every field that is not among the known ones. */
-    void onlyThese(Set<String> known) {
+    void rejectUnknown(Set<String> known) {
         node.fieldNames().forEachRemaining(name -> {
             if (!known.contains(name)) {
-                throw complaint(name, "is not a known field");
+                throw invalid(name, "is not a known field");
             }
         });
     }
 
-    SettingsException complaint(String name, String what) {
-        return new SettingsException(path + name + " " + what);
+    SettingsException invalid(String name, String problem) {
+        return new SettingsException(path + name + " " + problem);
     }
 
     private JsonNode array(String name) {
         JsonNode child = node.get(name);
         if (child == null || !child.isArray()) {
-            throw complaint(name, child == null ? "is missing" : "is not a list");
+            throw invalid(name, child == null ? "is missing" : "is not a list");
         }
         return child;
     }
@@ -134,7 +134,7 @@
     private double number(String name) {
         JsonNode child = node.get(name);
         if (child == null || !child.isNumber() || !Double.isFinite(child.doubleValue())) {
-            throw complaint(name, child == null ? "is missing" : "is not a number");
+            throw invalid(name, child == null ? "is missing" : "is not a number");
         }
         return child.doubleValue();
     }
--- a/src/main/java/org/spruceridge/config/Policy.java
+++ b/src/main/java/org/spruceridge/config/Policy.java
@@ -12,7 +12,8 @@
  * The operators' own settings: the weights of the document's terms and the ratios by which everything else follows
  * from the platform's figures.
  */
-public record Policy(Weights weights, Scheduling scheduling, Stops stops, Leading leading, FleetRatios fleet) {
+public record Policy(
+        Weights weights, Scheduling scheduling, Preemption preemption, Leadership leadership, FleetTimeouts fleet) {
 
     /** The document's weights, and those of our own terms. */
     public record Weights(
@@ -29,25 +30,28 @@
      * when each job should have begun.
      */
     public record Scheduling(
-            double spacingOfReport, double remainingFloorS, double reservedShare, double beginWithinS) {}
+            double minCycleIntervalHeartbeats,
+            double minRemainingTimeS,
+            double reservedShare,
+            double targetStartDelayS) {}
 
     /** How often a running task of one machine may be stopped for a waiting one. */
-    public record Stops(double perMachineS) {}
+    public record Preemption(double minIntervalPerMachineS) {}
 
     /** The grant behind the leader key, against {@code lease_s}. */
-    public record Leading(double ttlOfLease, double renewalsPerTtl) {}
+    public record Leadership(double ttlWorkerLeases, double renewalsPerTtl) {}
 
     /** How machines are rented and returned, against a type's boot time and a worker's lease. */
-    public record FleetRatios(double idleOfBoot, double stuckOfBoot, double silentOfLease) {}
+    public record FleetTimeouts(double idleTimeoutBoots, double bootTimeoutBoots, double silenceTimeoutLeases) {}
 
     /** The values that the program starts with. */
     public static Policy defaults() {
         return new Policy(
                 new Weights(15, 40, 8, 5, 40, 40, 2, 3),
                 new Scheduling(0.1, 10, 0.25, 240),
-                new Stops(60),
-                new Leading(0.5, 8),
-                new FleetRatios(0.25, 4, 0.5));
+                new Preemption(60),
+                new Leadership(0.5, 8),
+                new FleetTimeouts(0.25, 4, 0.5));
     }
 
     /** Reads and checks a policy file; what it leaves out keeps its default. */
@@ -68,13 +72,13 @@
     }
 
     private static Policy read(JsonNode root) {
-        Policy d = defaults();
+        Policy defaults = defaults();
         Fields top = Fields.root(root);
-        top.onlyThese(ImmutableSet.of("weights", "rounds", "stops", "leading", "fleet"));
-        Weights weights = d.weights;
+        top.rejectUnknown(ImmutableSet.of("weights", "rounds", "stops", "leading", "fleet"));
+        Weights weights = defaults.weights;
         if (top.has("weights")) {
             Fields f = top.object("weights");
-            f.onlyThese(ImmutableSet.of(
+            f.rejectUnknown(ImmutableSet.of(
                     "deadline", "overhead", "wait", "aging", "patience", "availability", "thrift", "packing"));
             weights = new Weights(
                     f.atLeastZeroOr("deadline", weights.deadline),
@@ -86,46 +90,46 @@
                     f.atLeastZeroOr("thrift", weights.spotPreference),
                     f.atLeastZeroOr("packing", weights.packing));
         }
-        Scheduling scheduling = d.scheduling;
+        Scheduling scheduling = defaults.scheduling;
         if (top.has("rounds")) {
             Fields f = top.object("rounds");
-            f.onlyThese(ImmutableSet.of("spacing_of_report", "remaining_floor_s", "held_share", "begin_within_s"));
+            f.rejectUnknown(ImmutableSet.of("spacing_of_report", "remaining_floor_s", "held_share", "begin_within_s"));
             scheduling = new Scheduling(
-                    f.positiveOr("spacing_of_report", scheduling.spacingOfReport),
-                    f.positiveOr("remaining_floor_s", scheduling.remainingFloorS),
+                    f.positiveOr("spacing_of_report", scheduling.minCycleIntervalHeartbeats),
+                    f.positiveOr("remaining_floor_s", scheduling.minRemainingTimeS),
                     f.atLeastZeroOr("held_share", scheduling.reservedShare),
-                    f.positiveOr("begin_within_s", scheduling.beginWithinS));
+                    f.positiveOr("begin_within_s", scheduling.targetStartDelayS));
         }
-        Stops stops = d.stops;
+        Preemption preemption = defaults.preemption;
         if (top.has("stops")) {
             Fields f = top.object("stops");
-            f.onlyThese(ImmutableSet.of("per_machine_s"));
-            stops = new Stops(f.positiveOr("per_machine_s", stops.perMachineS));
+            f.rejectUnknown(ImmutableSet.of("per_machine_s"));
+            preemption = new Preemption(f.positiveOr("per_machine_s", preemption.minIntervalPerMachineS));
         }
-        Leading leading = d.leading;
+        Leadership leadership = defaults.leadership;
         if (top.has("leading")) {
             Fields f = top.object("leading");
-            f.onlyThese(ImmutableSet.of("ttl_of_lease", "renewals_per_ttl"));
-            leading = new Leading(
-                    f.positiveOr("ttl_of_lease", leading.ttlOfLease),
-                    f.positiveOr("renewals_per_ttl", leading.renewalsPerTtl));
-            if (leading.ttlOfLease > 0.5) {
-                throw f.complaint("ttl_of_lease", "must not be above 0.5");
+            f.rejectUnknown(ImmutableSet.of("ttl_of_lease", "renewals_per_ttl"));
+            leadership = new Leadership(
+                    f.positiveOr("ttl_of_lease", leadership.ttlWorkerLeases),
+                    f.positiveOr("renewals_per_ttl", leadership.renewalsPerTtl));
+            if (leadership.ttlWorkerLeases > 0.5) {
+                throw f.invalid("ttl_of_lease", "must not be above 0.5");
             }
-            if (leading.renewalsPerTtl < 2) {
-                throw f.complaint("renewals_per_ttl", "must be at least 2");
+            if (leadership.renewalsPerTtl < 2) {
+                throw f.invalid("renewals_per_ttl", "must be at least 2");
             }
         }
-        FleetRatios fleet = d.fleet;
+        FleetTimeouts fleet = defaults.fleet;
         if (top.has("fleet")) {
             Fields f = top.object("fleet");
-            f.onlyThese(ImmutableSet.of("idle_of_boot", "stuck_of_boot", "silent_of_lease"));
-            fleet = new FleetRatios(
-                    f.positiveOr("idle_of_boot", fleet.idleOfBoot),
-                    f.positiveOr("stuck_of_boot", fleet.stuckOfBoot),
-                    f.positiveOr("silent_of_lease", fleet.silentOfLease));
+            f.rejectUnknown(ImmutableSet.of("idle_of_boot", "stuck_of_boot", "silent_of_lease"));
+            fleet = new FleetTimeouts(
+                    f.positiveOr("idle_of_boot", fleet.idleTimeoutBoots),
+                    f.positiveOr("stuck_of_boot", fleet.bootTimeoutBoots),
+                    f.positiveOr("silent_of_lease", fleet.silenceTimeoutLeases));
         }
-        return new Policy(weights, scheduling, stops, leading, fleet);
+        return new Policy(weights, scheduling, preemption, leadership, fleet);
     }
 
     private static String firstLine(String text) {
--- a/src/main/java/org/spruceridge/config/Settings.java
+++ b/src/main/java/org/spruceridge/config/Settings.java
@@ -27,7 +27,7 @@
         State state,
         Cloud cloud,
         Resources resources,
-        double clockOffMs) {
+        double clockErrorBoundMs) {
 
     /** Another controller node. */
     public record Member(String hostName, String zone, Address address) {}
@@ -40,11 +40,11 @@
 
     /** The periods that workers keep, in seconds. */
     public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {
-        private static final double DECISION_DELAY_OF_LEASE = 0.1;
+        private static final double MAX_DECISION_DELAY_LEASES = 0.1;
 
         /** For how long a leader puts decisions off at most while requests wait. */
-        public double mostDecisionDelayS() {
-            return DECISION_DELAY_OF_LEASE * leaseS;
+        public double maxDecisionDelayS() {
+            return MAX_DECISION_DELAY_LEASES * leaseS;
         }
     }
 
@@ -55,16 +55,16 @@
      * The limits of the state service: those that hold now, and those that it will have from some moment on, of which
      * nobody is told. Rates are kept as they are until the service shows the new ones; sizes fit both sets from the start.
      */
-    public record State(StateLimits now, StateLimits next) {
+    public record State(StateLimits current, StateLimits next) {
         /** A transaction's body holds several records, however large one may be. */
-        private static final double MOST_RECORD_KB = 8;
+        private static final double MAX_RECORD_KB = 8;
 
-        private static final int BYTES_OF_A_KB = 1024;
+        private static final int BYTES_PER_KB = 1024;
 
         /** Below these, not even a page with one machine, or the end of a job with the release of its last task, fits. */
-        private static final double LEAST_VALUE_KB = 1;
+        private static final double MIN_VALUE_KB = 1;
 
-        private static final int LEAST_TXN_OPS = 3;
+        private static final int MIN_TXN_OPS = 3;
 
         /** Limits that will not change. */
         public State(double rps, double writeRps, double valueKb, int txnOps) {
@@ -73,32 +73,32 @@
 
         /** How large a value may be, now and later. */
         public double valueKb() {
-            return Math.min(now.valueKb, next.valueKb);
+            return Math.min(current.valueKb, next.valueKb);
         }
 
         /** The same in bytes. */
         public int valueBytes() {
-            return (int) (valueKb() * BYTES_OF_A_KB);
+            return (int) (valueKb() * BYTES_PER_KB);
         }
 
         /** How many changes a transaction may make, now and later. */
         public int txnOps() {
-            return Math.min(now.txnOps, next.txnOps);
+            return Math.min(current.txnOps, next.txnOps);
         }
 
         /** How large our own records become at most. */
         public double recordKb() {
-            return Math.min(valueKb(), MOST_RECORD_KB);
+            return Math.min(valueKb(), MAX_RECORD_KB);
         }
 
         /** How large records become at most in a version that does not know the limits to come. */
-        public double recordKbOfNow() {
-            return Math.min(now.valueKb, MOST_RECORD_KB);
+        public double currentRecordKb() {
+            return Math.min(current.valueKb, MAX_RECORD_KB);
         }
 
         /** True if the service is told to lower its rates, so that a refusal may mean that it has. */
-        public boolean ratesMayFall() {
-            return next.rps < now.rps || next.writeRps < now.writeRps;
+        public boolean ratesWillFall() {
+            return next.rps < current.rps || next.writeRps < current.writeRps;
         }
     }
 
@@ -138,27 +138,30 @@
         Fields cloud = facts.object("cloud");
         Fields resources = facts.object("resources");
         ImmutableMap.Builder<String, Team> teams = ImmutableMap.builder();
-        Set<String> seen = new HashSet<>();
+        Set<String> teamNames = new HashSet<>();
         for (Team team : facts.objects("teams", Settings::team)) {
-            if (!seen.add(team.name())) {
-                throw facts.complaint("teams", "names a team twice: " + team.name());
+            if (!teamNames.add(team.name())) {
+                throw facts.invalid("teams", "names a team twice: " + team.name());
             }
             teams.put(team.name(), team);
         }
         Workers periods =
                 new Workers(workers.positive("report_s"), workers.positive("lease_s"), workers.positive("cancel_s"));
         if (periods.leaseS() <= periods.heartbeatIntervalS()) {
-            throw workers.complaint("lease_s", "must be above report_s");
+            throw workers.invalid("lease_s", "must be above report_s");
         }
         if (periods.cancelS() <= periods.leaseS()) {
-            throw workers.complaint("cancel_s", "must be above lease_s");
+            throw workers.invalid("cancel_s", "must be above lease_s");
         }
         return new Settings(
                 top.text("host_name"),
                 top.text("domain"),
                 top.address("serve_on"),
                 top.address("peer_listen"),
-                top.objects("members", m -> new Member(m.text("host_name"), m.text("domain"), m.address("peer_addr"))),
+                top.objects(
+                        "members",
+                        member -> new Member(
+                                member.text("host_name"), member.text("domain"), member.address("peer_addr"))),
                 endpoints.address("cloud"),
                 endpoints.address("state"),
                 facts.texts("zones"),
@@ -174,51 +177,54 @@
                 facts.atLeastZeroOr("time_bound_ms", 0));
     }
 
-    private static State state(Fields f) {
-        StateLimits now = checked(
-                f,
+    private static State state(Fields fields) {
+        StateLimits current = requireMinimumSizes(
+                fields,
                 new StateLimits(
-                        f.positive("rps"),
-                        f.positive("write_rps"),
-                        f.positive("value_kb"),
-                        f.positiveCount("txn_ops")));
-        if (!f.has("next")) {
-            return new State(now, now);
-        }
-        Fields next = f.object("next");
+                        fields.positive("rps"),
+                        fields.positive("write_rps"),
+                        fields.positive("value_kb"),
+                        fields.positiveCount("txn_ops")));
+        if (!fields.has("next")) {
+            return new State(current, current);
+        }
+        Fields next = fields.object("next");
         return new State(
-                now,
-                checked(
+                current,
+                requireMinimumSizes(
                         next,
                         new StateLimits(
-                                next.positiveOr("rps", now.rps),
-                                next.positiveOr("write_rps", now.writeRps),
-                                next.positiveOr("value_kb", now.valueKb),
-                                next.has("txn_ops") ? next.positiveCount("txn_ops") : now.txnOps)));
+                                next.positiveOr("rps", current.rps),
+                                next.positiveOr("write_rps", current.writeRps),
+                                next.positiveOr("value_kb", current.valueKb),
+                                next.has("txn_ops") ? next.positiveCount("txn_ops") : current.txnOps)));
     }
 
     /** Limits too small for the service's own records end the program: it could not keep its rules under them. */
-    private static StateLimits checked(Fields f, StateLimits limits) {
-        if (limits.valueKb < State.LEAST_VALUE_KB) {
-            throw f.complaint("value_kb", "must be at least " + State.LEAST_VALUE_KB);
+    private static StateLimits requireMinimumSizes(Fields fields, StateLimits limits) {
+        if (limits.valueKb < State.MIN_VALUE_KB) {
+            throw fields.invalid("value_kb", "must be at least " + State.MIN_VALUE_KB);
         }
-        if (limits.txnOps < State.LEAST_TXN_OPS) {
-            throw f.complaint("txn_ops", "must be at least " + State.LEAST_TXN_OPS);
+        if (limits.txnOps < State.MIN_TXN_OPS) {
+            throw fields.invalid("txn_ops", "must be at least " + State.MIN_TXN_OPS);
         }
         return limits;
     }
 
-    private static Team team(Fields f) {
+    private static Team team(Fields fields) {
         return new Team(
-                f.text("name"),
-                f.atLeastZeroOr("cpus", 0),
-                f.atLeastZeroOr("cpus_max", 0),
-                f.atLeastZeroOr("gpus", 0),
-                f.atLeastZeroOr("gpus_max", 0));
+                fields.text("name"),
+                fields.atLeastZeroOr("cpus", 0),
+                fields.atLeastZeroOr("cpus_max", 0),
+                fields.atLeastZeroOr("gpus", 0),
+                fields.atLeastZeroOr("gpus_max", 0));
     }
 
-    private static Objective objective(Fields f) {
+    private static Objective objective(Fields fields) {
         return new Objective(
-                f.text("kind"), f.textOr("class", ""), f.atLeastZeroOr("within_s", 0), f.atLeastZeroOr("share", 0));
+                fields.text("kind"),
+                fields.textOr("class", ""),
+                fields.atLeastZeroOr("within_s", 0),
+                fields.atLeastZeroOr("share", 0));
     }
 }
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -64,9 +64,9 @@
         this.term = context.term();
         this.latencies = context.latencies();
         this.push = push;
-        this.spacing = Durations.nanos(context.policy().scheduling().spacingOfReport()
+        this.spacing = Durations.nanos(context.policy().scheduling().minCycleIntervalHeartbeats()
                 * context.settings().workers().heartbeatIntervalS());
-        this.mostDelay = Durations.nanos(context.settings().workers().mostDecisionDelayS());
+        this.mostDelay = Durations.nanos(context.settings().workers().maxDecisionDelayS());
         this.lastRun = context.loop().nanos() - spacing;
     }
 
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -85,9 +85,9 @@
         this.hostName = settings.hostName();
         this.others = settings.nodeCount() > 1;
         this.incarnation = Long.toHexString(random.nextLong());
-        this.ttl =
-                Durations.nanos(settings.workers().leaseS() * policy.leading().ttlOfLease());
-        this.renewEvery = (long) (ttl / policy.leading().renewalsPerTtl());
+        this.ttl = Durations.nanos(
+                settings.workers().leaseS() * policy.leadership().ttlWorkerLeases());
+        this.renewEvery = (long) (ttl / policy.leadership().renewalsPerTtl());
         this.listener = listener;
         this.scope = new CancellationScope(loop);
     }
--- a/src/main/java/org/spruceridge/node/Catalogue.java
+++ b/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
@@ -20,34 +20,34 @@
 import org.spruceridge.state.Transaction;
 
 /** What this node knows of the machine types: from the cloud, or, until that answers, from the record. */
-final class Catalogue {
-    private static final Logger LOG = LoggerFactory.getLogger(Catalogue.class);
-    private static final long RETRY = Durations.nanos(2);
-    private static final long EVERY = Durations.nanos(300);
+final class MachineTypeCatalogue {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalogue.class);
+    private static final long RETRY_INTERVAL_NANOS = Durations.nanos(2);
+    private static final long REFRESH_INTERVAL_NANOS = Durations.nanos(300);
 
     private final CancellationScope scope;
     private final CloudClient cloud;
     private final StateClient state;
     private final RateLimitedWarnings warnings;
-    private final Consumer<ImmutableMap<String, MachineType>> learned;
+    private final Consumer<ImmutableMap<String, MachineType>> onUpdate;
     private Optional<ImmutableMap<String, MachineType>> types = Optional.empty();
 
-    Catalogue(
+    MachineTypeCatalogue(
             Loop loop,
             CloudClient cloud,
             StateClient state,
             RateLimitedWarnings warnings,
-            Consumer<ImmutableMap<String, MachineType>> learned) {
+            Consumer<ImmutableMap<String, MachineType>> onUpdate) {
         this.scope = new CancellationScope(loop);
         this.cloud = cloud;
         this.state = state;
         this.warnings = warnings;
-        this.learned = learned;
+        this.onUpdate = onUpdate;
     }
 
     void start() {
-        recall();
-        refresh();
+        loadFromStore();
+        fetchFromCloud();
     }
 
     void stop() {
@@ -58,43 +58,43 @@
         return types;
     }
 
-    private void refresh() {
+    private void fetchFromCloud() {
         cloud.catalogue(scope.guard(answer -> {
             if (answer.isPresent()) {
-                take(answer.get());
-                keep(new CatalogueRecord(answer.get()));
+                update(answer.get());
+                persist(new CatalogueRecord(answer.get()));
             }
-            scope.after(answer.isPresent() ? EVERY : RETRY, this::refresh);
+            scope.after(answer.isPresent() ? REFRESH_INTERVAL_NANOS : RETRY_INTERVAL_NANOS, this::fetchFromCloud);
         }));
     }
 
-    private void recall() {
+    private void loadFromStore() {
         state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
             if (types.isPresent()) {
                 return;
             }
             if (found.isOk()) {
                 try {
-                    take(CatalogueRecord.read(found.value().value()).types());
+                    update(CatalogueRecord.read(found.value().value()).types());
                     return;
                 } catch (BadMessageException e) {
                     warnings.warn("unreadable catalogue record", e.getMessage());
                 }
             }
-            scope.after(RETRY, this::recall);
+            scope.after(RETRY_INTERVAL_NANOS, this::loadFromStore);
         }));
     }
 
-    private void take(ImmutableMap<String, MachineType> now) {
+    private void update(ImmutableMap<String, MachineType> now) {
         if (types.isEmpty()) {
             LOG.info("machine types known: {}", now.keySet());
         }
         types = Optional.of(now);
-        learned.accept(now);
+        onUpdate.accept(now);
     }
 
     /** Puts the types on record where they are not; should that fail, the next refresh tries again. */
-    private void keep(CatalogueRecord now) {
+    private void persist(CatalogueRecord now) {
         state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
             if (found.kind() == Result.Kind.UNAVAILABLE) {
                 return;
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -9,8 +9,8 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.spruceridge.api.Cancellations;
 import org.spruceridge.api.JobsEndpoint;
+import org.spruceridge.api.RecentCancellations;
 import org.spruceridge.api.Router;
 import org.spruceridge.cloud.CloudClient;
 import org.spruceridge.cluster.Job;
@@ -52,25 +52,25 @@
 public final class Node implements Election.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
     /** The share of the state service's changes that is kept for what users ask of all nodes together. */
-    private static final double USERS_SHARE = 0.35;
+    private static final double USER_WRITES_SHARE = 0.35;
     /**
      * Users come together, and often to one node: one that has been idle takes as many of their changes at once as the
      * service takes in this time. The service itself lends a second's worth.
      */
-    private static final double USERS_BURST_S = 0.5;
+    private static final double USER_WRITES_BURST_S = 0.5;
 
     /** What is left unused of the limits, for the services' clocks and ours differ. */
-    private static final double HEADROOM = 0.95;
+    private static final double USABLE_SHARE = 0.95;
 
     /** After this many report periods without a report, a node counts as not reached by workers. */
-    private static final double REACHED_OF_REPORT = 2.5;
+    private static final double WORKER_SILENCE_HEARTBEATS = 2.5;
 
     /** After it has given the lead up for that, it does not do so again for this many leases. */
-    private static final double STAY_OF_LEASE = 10;
+    private static final double REELECTION_COOLDOWN_LEASES = 10;
 
-    private static final long PULSE = Durations.nanos(1);
-    private static final long LOOK_WHETHER_READY = Durations.millis(50);
-    private static final long CUT_OFF = Durations.nanos(3);
+    private static final long STATE_PROBE_INTERVAL_NANOS = Durations.nanos(1);
+    private static final long READINESS_CHECK_INTERVAL_NANOS = Durations.millis(50);
+    private static final long STATE_OUTAGE_NANOS = Durations.nanos(3);
 
     private final Loop loop;
     private final CancellationScope scope;
@@ -89,44 +89,49 @@
     private final Election election;
     private final PeerMonitor peers;
     private final Router router;
-    private final Catalogue catalogue;
-    private final Cancellations cancellations;
+    private final MachineTypeCatalogue catalogue;
+    private final RecentCancellations cancellations;
     private final LeaderWarmUp warmUp;
     private final Map<String, Response> redirects = new HashMap<>();
     private final Response noLeaderResponse = Response.error(503, "no leader known");
     private Leader leader;
-    private boolean ratesFell;
-    private long lastReport;
-    private long staysUntil = Long.MIN_VALUE;
+    private boolean ratesReduced;
+    private long lastHeartbeat;
+    private long yieldCooldownUntil = Long.MIN_VALUE;
 
     /** Nothing begins before {@link #start}. */
     public Node(
-            Loop loop, HttpClient http, PeerTransport link, RandomGenerator random, Settings settings, Policy policy) {
+            Loop loop,
+            HttpClient http,
+            PeerTransport transport,
+            RandomGenerator random,
+            Settings settings,
+            Policy policy) {
         this.loop = loop;
         this.scope = new CancellationScope(loop);
         this.settings = settings;
         this.policy = policy;
         this.warnings = new RateLimitedWarnings(loop);
-        this.lastReport = loop.nanos();
+        this.lastHeartbeat = loop.nanos();
         this.latencies = new Latencies(loop);
         this.stateLimiter = new RateLimiter(loop, 1, 1, 1);
         this.cloudLimiter = new RateLimiter(loop, 1, 1, 1);
-        shareLimits(false);
+        applyRateShares(false);
         this.state = new StateClient(loop, http, settings.stateAddress(), stateLimiter, warnings, latencies);
         this.cloud = new CloudClient(http, settings.cloudAddress(), cloudLimiter, warnings);
-        this.catalogue = new Catalogue(loop, cloud, state, warnings, this::learned);
+        this.catalogue = new MachineTypeCatalogue(loop, cloud, state, warnings, this::machineTypesUpdated);
         this.workers = new WorkerClient(http, warnings);
         this.level = new ClusterLevel(state);
         state.onRateExceeded(this::rateExceeded);
         this.election = new Election(loop, state, level, random, warnings, settings, policy, this);
-        this.peers = new PeerMonitor(loop, link, warnings, this::heartbeat, this::cancelled);
+        this.peers = new PeerMonitor(loop, transport, warnings, this::heartbeat, this::cancelled);
         this.warmUp = new LeaderWarmUp(loop, settings, policy);
-        this.cancellations = new Cancellations(
+        this.cancellations = new RecentCancellations(
                 loop, Durations.nanos(CancellationTimes.of(settings.workers()).maxStalenessS()));
         JobsEndpoint jobs = new JobsEndpoint(
                 loop, state, level, settings, catalogue::types, this::progress, warnings, cancellations);
-        this.router =
-                new Router(jobs, this::heartbeat, this::reportMissed, this::healthy, this::metrics, loop, latencies);
+        this.router = new Router(
+                jobs, this::heartbeat, this::heartbeatDropped, this::isHealthy, this::metrics, loop, latencies);
     }
 
     /** Takes the requests of users, workers and health checks. */
@@ -139,22 +144,22 @@
      * leads and has read which jobs are open.
      */
     public void start(Runnable ready) {
-        lookWhetherReady(ready);
+        awaitReady(ready);
         election.start();
         latencies.start();
         peers.start();
         catalogue.start();
-        pulse();
+        probeStateService();
     }
 
-    private void lookWhetherReady(Runnable ready) {
+    private void awaitReady(Runnable ready) {
         boolean knowsLeader = leaderForWorkers()
                 .filter(name -> !name.equals(settings.hostName()))
                 .isPresent();
         if (leader == null ? knowsLeader : leader.upToDate()) {
             ready.run();
         } else {
-            scope.after(LOOK_WHETHER_READY, () -> lookWhetherReady(ready));
+            scope.after(READINESS_CHECK_INTERVAL_NANOS, () -> awaitReady(ready));
         }
     }
 
@@ -180,41 +185,41 @@
     @Override
     public void won(LeaderTerm term) {
         warmUp.stop();
-        shareLimits(true);
+        applyRateShares(true);
         LeaderContext context =
                 LeaderContext.begin(loop, settings, policy, term, election::leads, warnings, latencies, leaderMetrics);
-        leader = new Leader(context, state, cloud, workers, level, this::everyMemberSupportsLevel, election::resign);
+        leader = new Leader(context, state, cloud, workers, level, this::allMembersSupportLevel, election::resign);
         catalogue.types().ifPresent(leader::types);
         leader.start();
     }
 
     @Override
     public void lost() {
-        shareLimits(false);
+        applyRateShares(false);
         if (leader != null) {
             leader.stop();
             leader = null;
         }
     }
 
-    private void learned(ImmutableMap<String, MachineType> types) {
+    private void machineTypesUpdated(ImmutableMap<String, MachineType> types) {
         if (leader != null) {
             leader.types(types);
         }
     }
 
-    private void shareLimits(boolean leading) {
+    private void applyRateShares(boolean leading) {
         int nodes = settings.nodeCount();
         Settings.StateLimits limits =
-                ratesFell ? settings.state().next() : settings.state().now();
-        double reads = limits.rps() * HEADROOM / nodes;
-        double writes = limits.writeRps() * HEADROOM;
-        double usersShare = USERS_SHARE / nodes;
+                ratesReduced ? settings.state().next() : settings.state().current();
+        double reads = limits.rps() * USABLE_SHARE / nodes;
+        double writes = limits.writeRps() * USABLE_SHARE;
+        double usersShare = USER_WRITES_SHARE / nodes;
         // A follower has next to nothing of its own to write: an election, the catalogue.
-        double ownShare = leading ? 1 - USERS_SHARE : usersShare;
-        stateLimiter.rates(reads, writes * ownShare, writes * usersShare, writes * USERS_BURST_S);
+        double ownShare = leading ? 1 - USER_WRITES_SHARE : usersShare;
+        stateLimiter.rates(reads, writes * ownShare, writes * usersShare, writes * USER_WRITES_BURST_S);
         double cloudShare = nodes == 1 ? 1 : leading ? 0.8 : 0.2 / (nodes - 1);
-        cloudLimiter.rates(settings.cloud().rps() * HEADROOM * cloudShare, 1, 1, 1);
+        cloudLimiter.rates(settings.cloud().rps() * USABLE_SHARE * cloudShare, 1, 1, 1);
     }
 
     /**
@@ -222,7 +227,7 @@
      * nodes again and again, and these have no more processor than they need for the next failover.
      */
     private Response heartbeat(byte[] body) {
-        lastReport = loop.nanos();
+        lastHeartbeat = loop.nanos();
         if (!election.leads() || leader == null) {
             return refuse(HeartbeatOutcome.NO_LEADER);
         }
@@ -248,8 +253,8 @@
     }
 
     /** Nobody is silent while reports are let go unread here. */
-    private void reportMissed() {
-        lastReport = loop.nanos();
+    private void heartbeatDropped() {
+        lastHeartbeat = loop.nanos();
         if (leader != null) {
             leader.fallsBehind();
         }
@@ -265,14 +270,14 @@
 
     /** The state service refuses what was within its limits: it has those by now that the settings announce. */
     private void rateExceeded() {
-        if (!ratesFell && settings.state().ratesMayFall()) {
-            ratesFell = true;
+        if (!ratesReduced && settings.state().ratesWillFall()) {
+            ratesReduced = true;
             LOG.info("the state service has lowered its rates");
-            shareLimits(leader != null);
+            applyRateShares(leader != null);
         }
     }
 
-    private boolean everyMemberSupportsLevel() {
+    private boolean allMembersSupportLevel() {
         List<String> members =
                 settings.members().stream().map(Settings.Member::hostName).toList();
         return peers.allSupport(FeatureLevel.SUPPORTED, members);
@@ -283,7 +288,7 @@
         ObjectNode cluster =
                 out.putObject("cluster").put("featureLevel", level.known().number());
         ObjectNode versions = cluster.putObject("versions").put(settings.hostName(), version.name());
-        peers.versions().forEach((host, heard) -> versions.put(host, heard.name()));
+        peers.versions().forEach((host, memberVersion) -> versions.put(host, memberVersion.name()));
         leaderMetrics.writeTo(out);
         if (leader != null) {
             leader.writeTo(out.putObject("leader"));
@@ -293,20 +298,20 @@
 
     /** The leader, if there is fresh word of it: a node cut off from the others must not hold or misguide workers. */
     private Optional<String> leaderForWorkers() {
-        return stateServes() ? election.leaderName() : peers.leader();
+        return stateServiceReachable() ? election.leaderName() : peers.leader();
     }
 
     /**
      * Users are better served elsewhere if the state service is out of reach of this node and not of another, or if no
      * other is heard either. In an outage that all share, every node stays.
      */
-    private boolean healthy() {
+    private boolean isHealthy() {
         boolean alone = settings.nodeCount() > 1 && !peers.anyHeard();
-        return stateServes() || !(alone || peers.anyServed());
+        return stateServiceReachable() || !(alone || peers.anyServed());
     }
 
-    private boolean stateServes() {
-        return state.sinceServed() < CUT_OFF;
+    private boolean stateServiceReachable() {
+        return state.sinceServed() < STATE_OUTAGE_NANOS;
     }
 
     private PeerHeartbeat heartbeat() {
@@ -322,8 +327,8 @@
         }
         return new PeerHeartbeat(
                 settings.hostName(),
-                state.everServed() && stateServes(),
-                workersReach(),
+                state.everServed() && stateServiceReachable(),
+                workersReachable(),
                 term,
                 progress.build(),
                 cancellations.recent(),
@@ -347,12 +352,12 @@
         return peers.progress(id);
     }
 
-    private boolean workersReach() {
-        return loop.nanos() - lastReport < quietNanos();
+    private boolean workersReachable() {
+        return loop.nanos() - lastHeartbeat < workerSilenceNanos();
     }
 
-    private long quietNanos() {
-        return Durations.nanos(REACHED_OF_REPORT * settings.workers().heartbeatIntervalS());
+    private long workerSilenceNanos() {
+        return Durations.nanos(WORKER_SILENCE_HEARTBEATS * settings.workers().heartbeatIntervalS());
     }
 
     /**
@@ -360,22 +365,27 @@
      * the others keep sending the workers to it. It does so once in a while only: a lone worker to which no answer gets
      * through wanders from node to node, and would take the lead from each of them in turn for ever.
      */
-    private void yieldIfCutOff() {
+    private void yieldIfUnreachable() {
         long now = loop.nanos();
-        boolean cutOff = leader != null && leader.ledFor() > quietNanos() && !workersReach() && peers.anyReached();
-        if (cutOff && now >= staysUntil) {
-            staysUntil =
-                    now + Durations.nanos(STAY_OF_LEASE * settings.workers().leaseS());
+        boolean unreachable =
+                leader != null && leader.ledFor() > workerSilenceNanos() && !workersReachable() && peers.anyReached();
+        if (unreachable && now >= yieldCooldownUntil) {
+            yieldCooldownUntil = now
+                    + Durations.nanos(
+                            REELECTION_COOLDOWN_LEASES * settings.workers().leaseS());
             election.resign("workers reach other nodes, and not this one");
         }
     }
 
     /** Asks the state service for something small, to know whether it serves this node. */
-    private void pulse() {
-        yieldIfCutOff();
+    private void probeStateService() {
+        yieldIfUnreachable();
         if (leader == null && leaderForWorkers().isPresent()) {
             warmUp.start();
         }
-        state.get(Keys.LEADER, Priority.RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
+        state.get(
+                Keys.LEADER,
+                Priority.RENEWAL,
+                scope.guard(found -> scope.after(STATE_PROBE_INTERVAL_NANOS, this::probeStateService)));
     }
 }
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -40,7 +40,7 @@
     public RecordPages(Settings.State limits, FeatureLevel level) {
         this.txnOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
-        this.baseChunkSize = FinishedRecord.chunkSize(limits.recordKbOfNow());
+        this.baseChunkSize = FinishedRecord.chunkSize(limits.currentRecordKb());
         this.smallChunkSize = FinishedRecord.chunkSize(limits.recordKb());
         this.pageBytes = (int) (limits.recordKb() * 1024);
         this.level = level;
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -64,7 +64,7 @@
         this.term = context.term().term();
         this.push = push;
         this.changed = changed;
-        this.watchS = times.watchS();
+        this.watchS = times.watchTimeoutS();
         this.maxStaleness = Durations.nanos(times.maxStalenessS());
     }
 
--- a/src/main/java/org/spruceridge/schedule/Matching.java
+++ b/src/main/java/org/spruceridge/schedule/Matching.java
@@ -21,9 +21,9 @@
         this.settings = settings;
         this.policy = policy;
         this.mostBindings = mostBindings;
-        this.estimates = new Estimates(policy.scheduling().remainingFloorS());
+        this.estimates = new Estimates(policy.scheduling().minRemainingTimeS());
         this.matrix = new PriorityMatrix(
-                policy.weights(), estimates, policy.scheduling().beginWithinS());
+                policy.weights(), estimates, policy.scheduling().targetStartDelayS());
     }
 
     /** Plans one scheduling cycle, at a moment of the steady clock and of the time of day. */
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -20,15 +20,15 @@
     /** One entry of the matrix. */
     public record Entry(Candidate candidate, MachineGroup group, double score, double urgency) {}
 
-    /** {@code beginWithinS} is the time, in seconds, within which each job should have begun. */
-    public PriorityMatrix(Weights weights, Estimates estimates, double beginWithinS) {
+    /** {@code targetStartDelayS} is the time, in seconds, within which each job should have begun. */
+    public PriorityMatrix(Weights weights, Estimates estimates, double targetStartDelayS) {
         this.estimates = estimates;
         ImmutableList<Term> terms = ImmutableList.of(
                 new Term(new Deadline(), weights.deadline()),
                 new Term(new Overhead(), weights.overhead()),
                 new Term(new Wait(), weights.waiting()),
                 new Term(new Aging(), weights.aging()),
-                new Term(new StarvationPrevention(beginWithinS), weights.starvation()),
+                new Term(new StarvationPrevention(targetStartDelayS), weights.starvation()),
                 new Term(new Availability(estimates.floorS()), weights.availability()),
                 new Term(new MachinePrice(), weights.spotPreference()),
                 new Term(new Packing(), weights.packing()));
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -37,7 +37,7 @@
         this.matrix = matrix;
         this.reservations =
                 new Reservations(state, estimates, policy.scheduling().reservedShare());
-        this.preemption = new Preemption(state, policy.stops().perMachineS());
+        this.preemption = new Preemption(state, policy.preemption().minIntervalPerMachineS());
         this.waitingJobs = state.waitingJobs(wallMs);
         this.groups = state.groups();
     }
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -5,9 +5,9 @@
  * has waited long without any of its tasks begun comes first in the end, and so does, later, one that has begun. It is 0
  * for everything younger.
  *
- * @param beginWithinS the time within which every job should have begun
+ * @param targetStartDelayS the time within which every job should have begun
  */
-public record StarvationPrevention(double beginWithinS) implements Heuristic {
+public record StarvationPrevention(double targetStartDelayS) implements Heuristic {
     /** When it begins to count for a job that has not begun, and until when it grows, as shares of that time. */
     private static final double FROM = 0.5;
 
@@ -20,8 +20,8 @@
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
         boolean begun = row.candidate().job().begun();
-        double from = beginWithinS * (begun ? BEGUN_FROM : FROM);
-        double until = beginWithinS * (begun ? BEGUN_UNTIL : UNTIL);
+        double from = targetStartDelayS * (begun ? BEGUN_FROM : FROM);
+        double until = targetStartDelayS * (begun ? BEGUN_UNTIL : UNTIL);
         return Math.max(0, Math.min(1, (row.candidate().ageS() - from) / (until - from)));
     }
 }
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -20,26 +20,27 @@
         "1, 5, 120",
         "2, 30, 32"
     })
-    void everyWayEndsInTime(double heartbeatIntervalS, double leaseS, double cancelS) {
-        CancellationTimes t = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
+    void everyCancellationPathEndsBeforeTheDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
+        CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
 
         // A machine that is out of reach: answered last by a leader that did not know, then a lease.
-        assertTrue(t.maxStalenessS() + t.fullLeaseS() < cancelS);
+        assertTrue(times.maxStalenessS() + times.fullLeaseS() < cancelS);
         // The leader hears of it from its watch well before it may answer no more.
-        assertTrue(t.watchS() > 0 && t.watchS() < t.maxStalenessS() / 2);
+        assertTrue(times.watchTimeoutS() > 0 && times.watchTimeoutS() < times.maxStalenessS() / 2);
         // The lease itself is never counted shorter than a worker's slowest clock has it.
-        assertTrue(t.fullLeaseS() >= leaseS * (1 + Durations.DRIFT));
+        assertTrue(times.fullLeaseS() >= leaseS * (1 + Durations.DRIFT));
     }
 
     @ParameterizedTest
     @CsvSource({"3, 22, 42", "1.5, 12, 32", "5, 22, 42", "4, 22, 42"})
-    void withTheSettingsOfTheDeploymentsStopsAndDeletionsTooComeInTime(
+    void withDeployedSettingsStopsAndDeletionsMeetTheDeadline(
             double heartbeatIntervalS, double leaseS, double cancelS) {
-        CancellationTimes t = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
+        CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
         // A machine that is reached: the stop goes with the answer to its next report, up to a quarter late.
-        assertTrue(t.maxStalenessS() + 1.25 * heartbeatIntervalS < cancelS);
-        double looksEveryS = heartbeatIntervalS / 3;
-        double decidedS = Math.max(t.unprovenStopTimeoutS(), t.maxStalenessS() + t.proofS()) + looksEveryS;
+        assertTrue(times.maxStalenessS() + 1.25 * heartbeatIntervalS < cancelS);
+        double checkIntervalS = heartbeatIntervalS / 3;
+        double decidedS = Math.max(times.unprovenStopTimeoutS(), times.maxStalenessS() + times.stopProofTimeoutS())
+                + checkIntervalS;
         assertTrue(cancelS - decidedS > 0.1 * cancelS, "what is left for the cloud: " + (cancelS - decidedS));
     }
 }
--- a/src/test/java/org/spruceridge/config/SettingsTest.java
+++ b/src/test/java/org/spruceridge/config/SettingsTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void unknownFieldsOfThePlatformAreIgnored() throws IOException {
+    void unknownFieldsOfThePlatformSettingsAreIgnored() throws IOException {
         Settings settings = Settings.read(json(GOOD));
         assertEquals(2, settings.nodeCount());
         assertEquals(22, settings.workers().leaseS());
@@ -69,52 +69,52 @@
                 "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"write_rps\":0}; facts.state.next.write_rps must be above 0",
                 "\"zones\":[\"a\",\"b\"]; \"zones\":[1]; facts.zones must hold texts only",
             })
-    void aComplaintNamesTheField(String from, String to, String complaint) throws IOException {
+    void aRejectedSettingIsNamedInTheMessage(String from, String to, String message) throws IOException {
         JsonNode broken = json(GOOD.replace(from, to));
         assertEquals(
-                complaint,
+                message,
                 assertThrows(SettingsException.class, () -> Settings.read(broken))
                         .getMessage());
     }
 
     /** Sizes fit both sets from the start, rates are kept until the service shows the new ones. */
     @Test
-    void limitsToComeAreReadBesideThoseOfNow() throws IOException {
+    void upcomingLimitsAreReadBesideTheCurrentOnes() throws IOException {
         Settings.State now = Settings.read(json(GOOD)).state();
-        assertEquals(now.now(), now.next());
+        assertEquals(now.current(), now.next());
         Settings.State both = Settings.read(json(GOOD.replace(
                         "\"txn_ops\":24",
                         "\"txn_ops\":24,\"next\":{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":35,\"x\":1}")))
                 .state();
         assertEquals(2, both.valueKb());
         assertEquals(4, both.txnOps());
-        assertEquals(50, both.now().writeRps());
+        assertEquals(50, both.current().writeRps());
         assertEquals(35, both.next().writeRps());
         assertEquals(200, both.next().rps());
-        assertTrue(both.ratesMayFall());
+        assertTrue(both.ratesWillFall());
     }
 
     @Test
-    void theShippedPolicyIsWhatTheProgramStartsWith() {
+    void theShippedPolicyHoldsTheDefaults() {
         assertEquals(Policy.defaults(), Policy.load(Path.of("deploy/spruceridge.yaml")));
     }
 
     @Test
-    void aPolicyMayLeaveThingsOutButNotInventThem() throws IOException {
+    void aPolicyMayOmitFieldsButUnknownOnesAreRejected() throws IOException {
         assertEquals(20, policy("weights: {deadline: 20}\n").weights().deadline());
         assertEquals(Policy.defaults(), policy(""));
-        assertComplaint("weights.speed is not a known field", "weights: {speed: 1}\n");
-        assertComplaint("colour is not a known field", "colour: red\n");
-        assertComplaint("rounds.spacing_of_report must be above 0", "rounds: {spacing_of_report: -1}\n");
-        assertComplaint("leading.ttl_of_lease must not be above 0.5", "leading: {ttl_of_lease: 0.9}\n");
+        assertRejected("weights.speed is not a known field", "weights: {speed: 1}\n");
+        assertRejected("colour is not a known field", "colour: red\n");
+        assertRejected("rounds.spacing_of_report must be above 0", "rounds: {spacing_of_report: -1}\n");
+        assertRejected("leading.ttl_of_lease must not be above 0.5", "leading: {ttl_of_lease: 0.9}\n");
         assertTrue(assertThrows(SettingsException.class, () -> policy("{ a"))
                 .getMessage()
                 .startsWith("not YAML"));
     }
 
-    private void assertComplaint(String complaint, String yaml) {
+    private void assertRejected(String message, String yaml) {
         assertEquals(
-                complaint,
+                message,
                 assertThrows(SettingsException.class, () -> policy(yaml)).getMessage());
     }
 }
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -41,8 +41,8 @@
     private static final Policy NO_HOLDING = new Policy(
             Policy.defaults().weights(),
             new Policy.Scheduling(0.1, 10, 0, 240),
-            Policy.defaults().stops(),
-            Policy.defaults().leading(),
+            Policy.defaults().preemption(),
+            Policy.defaults().leadership(),
             Policy.defaults().fleet());
 
     private final Cluster cluster = new Cluster();
