--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -34,105 +34,107 @@
     private final CancellationScope scope;
     private final WorkerClient workers;
     private final HeartbeatHandler heartbeatHandler;
-    private final BooleanSupplier leads;
-    private final Runnable changed;
+    private final BooleanSupplier isLeader;
+    private final Runnable onReply;
     private final long term;
-    private final long timeout;
-    private final Set<Machine> busy = new HashSet<>();
-    private final Set<Machine> pushPending = new HashSet<>();
+    private final long timeoutNanos;
+    private final Set<Machine> awaitingReply = new HashSet<>();
+    private final Set<Machine> sendAfterReply = new HashSet<>();
 
-    /** {@code leads} tells whether commands may still be sent; {@code changed} hears of each answer. */
+    /** {@code isLeader} tells whether commands may still be sent; {@code onReply} hears of each answer. */
     public CommandSender(
-            LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable changed) {
+            LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onReply) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.workers = workers;
         this.heartbeatHandler = heartbeatHandler;
-        this.leads = context.leads();
-        this.changed = changed;
+        this.isLeader = context.leads();
+        this.onReply = onReply;
         this.term = context.term().term();
-        this.timeout = Durations.nanos(context.settings().workers().leaseS() / 4);
+        this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
     /** Asks a machine for a sign that our words reach it. */
-    public void probe(Machine m) {
-        if (leads.getAsBoolean()) {
-            send(m, List.of(), List.of(), List.of());
+    public void probe(Machine machine) {
+        if (isLeader.getAsBoolean()) {
+            send(machine, List.of(), List.of(), List.of());
         }
     }
 
     /** Pushes whatever is due on a machine, unless a push is on its way: then once that has been answered. */
-    public void push(Machine m) {
-        if (!m.fenced() || m.address().isEmpty() || !leads.getAsBoolean()) {
+    public void sendDueCommands(Machine machine) {
+        if (!machine.fenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
             return; // the answers to its reports will do
         }
-        if (busy.contains(m)) {
-            pushPending.add(m);
+        if (awaitingReply.contains(machine)) {
+            sendAfterReply.add(machine);
             return;
         }
         List<WorkerCommand> commands = new ArrayList<>();
         List<Binding> starts = new ArrayList<>();
         List<Binding> stops = new ArrayList<>();
-        for (Binding b : m.bindings()) {
-            WorkerCommand command = heartbeatHandler.due(b);
+        for (Binding binding : machine.bindings()) {
+            WorkerCommand command = heartbeatHandler.dueCommand(binding);
             // Only the first start is pushed: what that did not bring about is left to the answers to reports.
-            boolean start =
-                    command != null && command.verb() == WorkerCommand.Verb.START && !b.pushed() && !m.startUncertain();
-            boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !b.stopPushed();
+            boolean start = command != null
+                    && command.verb() == WorkerCommand.Verb.START
+                    && !binding.pushed()
+                    && !machine.startUncertain();
+            boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !binding.stopPushed();
             if (start) {
-                starts.add(b);
-                b.startPushed();
+                starts.add(binding);
+                binding.startPushed();
             }
             if (stop) {
-                stops.add(b);
-                b.stopPushed(true);
+                stops.add(binding);
+                binding.stopPushed(true);
             }
             if (start || stop) {
                 commands.add(command);
-                b.commandSent(loop.nanos());
+                binding.commandSent(loop.nanos());
             }
         }
         if (commands.isEmpty()) {
             return;
         }
-        send(m, commands, starts, stops);
+        send(machine, commands, starts, stops);
     }
 
-    private void send(Machine m, List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
+    private void send(Machine machine, List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
         Address address;
         try {
-            address = Address.parse(m.address());
+            address = Address.parse(machine.address());
         } catch (IllegalArgumentException e) {
             return; // the answers to its reports will do
         }
-        busy.add(m);
-        long incarnation = m.incarnation();
-        starts.forEach(b -> m.unresolvedStarts().add(b.attempt()));
-        workers.push(address, term, incarnation, commands, timeout, scope.guard(push -> {
-            busy.remove(m);
-            if (push.kind() == CommandResult.Kind.UNKNOWN) {
-                if (!starts.isEmpty() && m.incarnation() == incarnation) {
-                    LOG.info("machine {} did not answer a push: it gets no more work", m.name());
-                    m.markStartUncertain();
+        awaitingReply.add(machine);
+        long incarnation = machine.incarnation();
+        starts.forEach(binding -> machine.unresolvedStarts().add(binding.attempt()));
+        workers.send(address, term, incarnation, commands, timeoutNanos, scope.guard(result -> {
+            awaitingReply.remove(machine);
+            if (result.kind() == CommandResult.Kind.UNKNOWN) {
+                if (!starts.isEmpty() && machine.incarnation() == incarnation) {
+                    LOG.info("machine {} did not answer a push: it gets no more work", machine.name());
+                    machine.markStartUncertain();
                 }
             } else {
-                starts.forEach(b -> m.unresolvedStarts().remove(b.attempt()));
+                starts.forEach(binding -> machine.unresolvedStarts().remove(binding.attempt()));
             }
-            if (push.heartbeat().isEmpty() && !stops.isEmpty()) {
+            if (result.heartbeat().isEmpty() && !stops.isEmpty()) {
                 // The answers to its reports repeat a stop; a machine that cannot report is told again from here.
-                stops.forEach(b -> b.stopPushed(false));
-                scope.after(timeout, () -> push(m));
+                stops.forEach(binding -> binding.stopPushed(false));
+                scope.after(timeoutNanos, () -> sendDueCommands(machine));
             }
-            if (push.heartbeat().isPresent()) {
-                m.recordAcknowledgement();
-            } else if (m.suspectedUnreachable() && !m.terminating()) {
-                scope.after(timeout, () -> probe(m));
+            if (result.heartbeat().isPresent()) {
+                machine.recordAcknowledgement();
+            } else if (machine.suspectedUnreachable() && !machine.terminating()) {
+                scope.after(timeoutNanos, () -> probe(machine));
             }
-            push.heartbeat().ifPresent(heartbeatHandler::apply);
-            if (pushPending.remove(m)) {
-                push(m);
+            result.heartbeat().ifPresent(heartbeatHandler::apply);
+            if (sendAfterReply.remove(machine)) {
+                sendDueCommands(machine);
             }
-            changed.run();
+            onReply.run();
         }));
     }
 }
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -21,39 +21,39 @@
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
     /** Cycles take at most one part in this many of the processor: workers' reports come before decisions. */
-    private static final long COSTS_APART = 4;
+    private static final long CYCLE_SPACING_IN_CYCLE_COSTS = 4;
 
-    private static final long LOOK_AGAIN = Durations.millis(20);
+    private static final long BUSY_RECHECK_INTERVAL_NANOS = Durations.millis(20);
 
     /** The bits of an attempt below its term; a term whose attempts are used up ends. */
     private static final int ATTEMPT_BITS = 24;
 
-    static final long MOST_ATTEMPTS = (1L << ATTEMPT_BITS) - 1;
+    static final long MAX_ATTEMPTS = (1L << ATTEMPT_BITS) - 1;
 
     private final Loop loop;
     private final CancellationScope scope;
     private final Cluster cluster;
     private final RecordWriter recordWriter;
     private final Matching matching;
-    private final long spacing;
-    private final long mostDelay;
+    private final long minCycleSpacingNanos;
+    private final long maxDecisionDelayNanos;
     private final LeaderTerm term;
     private final Latencies latencies;
-    private final Consumer<Machine> push;
+    private final Consumer<Machine> commandsDue;
     private final Consumer<String> resign;
     private Plan lastPlan;
-    private long dueAt;
-    private boolean due;
-    private long lastRun;
-    private long lastCost;
-    private long attempts;
+    private long cycleDueAt;
+    private boolean cycleRequested;
+    private long lastCycleAt;
+    private long lastCycleDurationNanos;
+    private long attemptsUsed;
 
-    /** {@code push} is told of machines on which something has to be stopped; {@code resign} gives the lead up. */
+    /** {@code commandsDue} is told of machines on which something has to be stopped; {@code resign} gives the lead up. */
     public SchedulingLoop(
             LeaderContext context,
             RecordWriter recordWriter,
             Matching matching,
-            Consumer<Machine> push,
+            Consumer<Machine> commandsDue,
             Consumer<String> resign) {
         this.resign = resign;
         this.loop = context.loop();
@@ -63,34 +63,39 @@
         this.matching = matching;
         this.term = context.term();
         this.latencies = context.latencies();
-        this.push = push;
-        this.spacing = Durations.nanos(context.policy().scheduling().spacingOfReport()
-                * context.settings().workers().heartbeatIntervalS());
-        this.mostDelay = Durations.nanos(context.settings().workers().mostDecisionDelayS());
-        this.lastRun = context.loop().nanos() - spacing;
+        this.commandsDue = commandsDue;
+        this.minCycleSpacingNanos =
+                Durations.nanos(context.policy().scheduling().spacingOfReport()
+                        * context.settings().workers().heartbeatIntervalS());
+        this.maxDecisionDelayNanos =
+                Durations.nanos(context.settings().workers().mostDecisionDelayS());
+        this.lastCycleAt = context.loop().nanos() - minCycleSpacingNanos;
     }
 
     /** Something happened that a new plan could use. */
     public void request() {
-        if (!due) {
-            due = true;
-            dueAt = Math.max(loop.nanos(), lastRun + Math.max(spacing, COSTS_APART * lastCost));
-            scope.after(dueAt - loop.nanos(), this::runUnlessBusy);
+        if (!cycleRequested) {
+            cycleRequested = true;
+            cycleDueAt = Math.max(
+                    loop.nanos(),
+                    lastCycleAt
+                            + Math.max(minCycleSpacingNanos, CYCLE_SPACING_IN_CYCLE_COSTS * lastCycleDurationNanos));
+            scope.after(cycleDueAt - loop.nanos(), this::runUnlessLoopIsBusy);
         }
     }
 
     /** While requests wait, a cycle is put off: workers' reports come first. */
-    private void runUnlessBusy() {
-        if (loop.busy() && loop.nanos() - dueAt < mostDelay) {
-            scope.after(LOOK_AGAIN, this::runUnlessBusy);
+    private void runUnlessLoopIsBusy() {
+        if (loop.busy() && loop.nanos() - cycleDueAt < maxDecisionDelayNanos) {
+            scope.after(BUSY_RECHECK_INTERVAL_NANOS, this::runUnlessLoopIsBusy);
         } else {
-            run();
+            runCycle();
         }
     }
 
     /** So many attempts of this term are taken already. */
-    void attemptsTaken(long count) {
-        attempts = count;
+    void recordAttemptsUsed(long count) {
+        attemptsUsed = count;
     }
 
     /** The latest plan, or null before the first. */
@@ -98,33 +103,39 @@
         return lastPlan;
     }
 
-    private void run() {
-        due = false;
+    private void runCycle() {
+        cycleRequested = false;
         long now = loop.nanos();
-        lastRun = now;
+        lastCycleAt = now;
         Plan plan = matching.plan(cluster, now, loop.wallMillis());
         lastPlan = plan;
-        if (attempts + plan.placements().size() > MOST_ATTEMPTS) {
+        if (attemptsUsed + plan.placements().size() > MAX_ATTEMPTS) {
             resign.accept("the attempts of this term are used up");
             return;
         }
-        lastCost = loop.nanos() - now;
-        latencies.record(Latencies.Kind.SCHEDULING_CYCLES, lastCost);
-        for (Plan.Placement p : plan.placements()) {
-            Binding b = new Binding(p.job(), p.index(), nextAttempt(), p.machine(), Binding.Stage.PROPOSED, now);
-            cluster.bind(b);
-            recordWriter.bind(b);
+        lastCycleDurationNanos = loop.nanos() - now;
+        latencies.record(Latencies.Kind.SCHEDULING_CYCLES, lastCycleDurationNanos);
+        for (Plan.Placement placement : plan.placements()) {
+            Binding binding = new Binding(
+                    placement.job(),
+                    placement.index(),
+                    nextAttempt(),
+                    placement.machine(),
+                    Binding.Stage.PROPOSED,
+                    now);
+            cluster.bind(binding);
+            recordWriter.bind(binding);
         }
-        for (Binding b : plan.stops()) {
-            b.stopMode(Binding.StopMode.CHECKPOINT);
-            b.machine().lastPreemption(now);
-            LOG.info("stopping {} to make room for work of a higher rank", b);
-            push.accept(b.machine());
+        for (Binding binding : plan.stops()) {
+            binding.stopMode(Binding.StopMode.CHECKPOINT);
+            binding.machine().lastPreemption(now);
+            LOG.info("stopping {} to make room for work of a higher rank", binding);
+            commandsDue.accept(binding.machine());
         }
-        for (Binding b : plan.moves()) {
-            b.stopMode(Binding.StopMode.CHECKPOINT);
-            LOG.info("stopping {} to move it: its machine is about to be taken away", b);
-            push.accept(b.machine());
+        for (Binding binding : plan.moves()) {
+            binding.stopMode(Binding.StopMode.CHECKPOINT);
+            LOG.info("stopping {} to move it: its machine is about to be taken away", binding);
+            commandsDue.accept(binding.machine());
         }
         if (LOG.isDebugEnabled()) {
             LOG.debug(
@@ -139,6 +150,6 @@
 
     /** Attempts grow over all terms: the term is their upper part. */
     private long nextAttempt() {
-        return (term.term() << ATTEMPT_BITS) + (++attempts);
+        return (term.term() << ATTEMPT_BITS) + (++attemptsUsed);
     }
 }
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -73,13 +73,13 @@
 
         @Override
         public void committed(ImmutableSet<Machine> bound) {
-            bound.forEach(commandSender::push);
+            bound.forEach(commandSender::sendDueCommands);
             schedulingLoop.request();
         }
 
         @Override
         public void cancelled(Job job) {
-            watch.cancelled(job, CancellationSource.FAILED_GUARD);
+            watch.markCancelled(job, CancellationSource.FAILED_GUARD);
         }
 
         @Override
@@ -116,7 +116,8 @@
                 BindingsRecord.mostBindings(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, this::push, resign);
         this.commandSender = new CommandSender(context, workers, heartbeatHandler, () -> schedulingLoop.request());
-        this.watch = new JobWatcher(context, state, recordWriter, commandSender::push, () -> schedulingLoop.request());
+        this.watch = new JobWatcher(
+                context, state, recordWriter, commandSender::sendDueCommands, () -> schedulingLoop.request());
         this.failover = new Failover(context, state, recordWriter.records());
         this.levelRaiser = new LevelRaiser(
                 scope,
@@ -150,7 +151,7 @@
 
             @Override
             public void jobsKnown(long asOf) {
-                watch.refreshed(asOf);
+                watch.recordViewCompleteUpTo(asOf);
             }
 
             @Override
@@ -165,7 +166,7 @@
                         cluster.machines().size(),
                         ledFor() / 1_000_000);
                 recordWriter.failoverCompleted();
-                watch.start(revision);
+                watch.watchFrom(revision);
                 autoscaler.start();
                 levelRaiser.start();
                 new StatusLogger(context, recordWriter).start();
@@ -176,14 +177,14 @@
 
     /** True while it knows enough of what users cancelled to answer workers. */
     public boolean upToDate() {
-        return watch.upToDate();
+        return watch.isUpToDate();
     }
 
     /** A user was told that this job is cancelled: the watch will say so too, perhaps later. */
     public void cancelled(String id) {
         Job job = cluster.job(id);
         if (ready && job != null) {
-            watch.cancelled(job, CancellationSource.HEARTBEAT);
+            watch.markCancelled(job, CancellationSource.HEARTBEAT);
         }
     }
 
@@ -228,7 +229,7 @@
         if (!ready) {
             return answered(heartbeat, heartbeatHandler.handleDuringFailover(heartbeat));
         }
-        if (heartbeatHandler.ignores(heartbeat)) {
+        if (heartbeatHandler.withholdsResponse(heartbeat)) {
             context.metrics().count(HeartbeatOutcome.GIVEN_UP);
             LOG.debug("term {}: {} is not answered: its lease is to run out", term.term(), heartbeat.machine());
             return Optional.empty();
@@ -260,7 +261,7 @@
     /** Adds how old the view of cancellations is, and how long ago the oldest unproven stop's job was cancelled. */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
-        double viewAgeS = watch.viewAgeS();
+        double viewAgeS = watch.cancellationViewAgeS();
         if (Double.isFinite(viewAgeS)) {
             out.put("viewAgeS", viewAgeS);
         }
@@ -278,7 +279,7 @@
     }
 
     private void push(Machine machine) {
-        commandSender.push(machine);
+        commandSender.sendDueCommands(machine);
     }
 
     private void tick() {
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -30,11 +30,11 @@
 public final class HeartbeatHandler {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatHandler.class);
     /** Jobs that must fail on a machine before the machine is taken for faulty. */
-    private static final int FAULTY_JOBS = 2;
+    private static final int FAILED_JOBS_BEFORE_CORDON = 2;
     /** For how long an early end of a replica counts, against the longest time for which a service is held back. */
-    private static final double EARLY_EXITS_OF_CANCEL = 2;
+    private static final double EARLY_EXIT_MEMORY_IN_CANCEL_TIMES = 2;
     /** That time is not doubled more often. */
-    private static final int MOST_DOUBLINGS = 16;
+    private static final int MAX_BACKOFF_DOUBLINGS = 16;
 
     private final Loop loop;
     private final Cluster cluster;
@@ -42,23 +42,23 @@
     private final long term;
     private final Settings settings;
     private final RateLimitedWarnings warnings;
-    private final Consumer<Machine> available;
+    private final Consumer<Machine> onMachineAvailable;
     /** When machines were last answered that are not in the cluster state yet. */
     private final Map<String, Long> leaseRenewedDuringFailover = new HashMap<>();
 
-    /** {@code available} is told of machines that have room anew: that begin to report, or that a task has left. */
-    public HeartbeatHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> available) {
+    /** {@code onMachineAvailable} is told of machines that have room anew: that begin to report, or that a task has left. */
+    public HeartbeatHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> onMachineAvailable) {
         this.loop = context.loop();
         this.cluster = context.cluster();
         this.recordWriter = recordWriter;
         this.term = context.term().term();
         this.settings = context.settings();
         this.warnings = context.warnings();
-        this.available = available;
+        this.onMachineAvailable = onMachineAvailable;
     }
 
     /** Takes note that a machine reported and is handed this term's token; its tasks are not looked at. */
-    private void acknowledge(WorkerHeartbeat heartbeat) {
+    private void recordLeaseRenewal(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine != null) {
             machine.recordLeaseRenewal(loop.nanos(), heartbeat.fencingToken() == term);
@@ -72,14 +72,14 @@
      */
     public List<WorkerCommand> handle(WorkerHeartbeat heartbeat) {
         Optional<List<WorkerCommand>> commands = apply(heartbeat, true);
-        acknowledge(heartbeat);
-        return commands.orElseGet(() -> stopsOfEndedJobs(heartbeat));
+        recordLeaseRenewal(heartbeat);
+        return commands.orElseGet(() -> stopTasksOfEndedJobs(heartbeat));
     }
 
     /** Answers a report while the failover is under way: only jobs are known yet, and of those all that are open. */
     public List<WorkerCommand> handleDuringFailover(WorkerHeartbeat heartbeat) {
         leaseRenewedDuringFailover.put(heartbeat.machine(), loop.nanos());
-        return stopsOfEndedJobs(heartbeat);
+        return stopTasksOfEndedJobs(heartbeat);
     }
 
     /** The machines of the records are known from now on: of some the lease was renewed meanwhile. */
@@ -97,7 +97,7 @@
      * The answer to a report renews the worker's lease even if nothing is taken from it. So it stops all that the report
      * lists of jobs that are not open. That needs no fresh report: a stop names an attempt, and an ended job stays ended.
      */
-    private List<WorkerCommand> stopsOfEndedJobs(WorkerHeartbeat heartbeat) {
+    private List<WorkerCommand> stopTasksOfEndedJobs(WorkerHeartbeat heartbeat) {
         return heartbeat.tasks().stream()
                 .filter(t -> t.state() != WorkerHeartbeat.TaskState.EXITED
                         && !isOpen(t.task().job()))
@@ -114,7 +114,7 @@
      * True if answering this machine would only put off the proof that its tasks are gone: it is being given back and
      * does not do as it is told, or it has long been answered and does not show this term's token.
      */
-    public boolean ignores(WorkerHeartbeat heartbeat) {
+    public boolean withholdsResponse(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine == null || machine.bindings().isEmpty()) {
             return false;
@@ -132,7 +132,7 @@
     }
 
     /** The orders that follow from the report, or nothing if it is not taken into the cluster state. */
-    private Optional<List<WorkerCommand>> apply(WorkerHeartbeat heartbeat, boolean byItself) {
+    private Optional<List<WorkerCommand>> apply(WorkerHeartbeat heartbeat, boolean sentByWorker) {
         // A report with another token may be a copy of any age, of a machine that is gone: it tells nothing. The answer
         // brings this term's token, and the next report with it. A machine that was given back stays so.
         if (heartbeat.fencingToken() != term || cluster.isGone(heartbeat.machine())) {
@@ -143,34 +143,34 @@
             return Optional.empty();
         }
         long now = loop.nanos();
-        boolean fresh = !machine.fenced() || heartbeat.incarnation() > machine.incarnation();
-        machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), byItself, now);
+        boolean newlyAvailable = !machine.fenced() || heartbeat.incarnation() > machine.incarnation();
+        machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), sentByWorker, now);
         machine.fence();
         machine.reclaimAt(
-                heartbeat.noticeS().isPresent()
-                        ? now + Durations.nanos(heartbeat.noticeS().getAsDouble())
+                heartbeat.reclaimNoticeS().isPresent()
+                        ? now + Durations.nanos(heartbeat.reclaimNoticeS().getAsDouble())
                         : Long.MAX_VALUE);
         Map<TaskId, TaskStatus> listed = new HashMap<>();
         List<TaskStatus> unbound = new ArrayList<>();
         for (TaskStatus task : heartbeat.tasks()) {
-            Binding b = machine.binding(task.task());
-            if (b != null && b.attempt() == task.attempt()) {
+            Binding binding = machine.binding(task.task());
+            if (binding != null && binding.attempt() == task.attempt()) {
                 listed.put(task.task(), task);
             } else {
                 unbound.add(task);
             }
         }
-        for (Binding b : ImmutableList.copyOf(machine.bindings())) {
-            Binding.Phase before = b.phase();
-            reconcile(b, listed.get(b.task()), now);
-            if (b.phase() != before && b.phase() != Binding.Phase.ABSENT) {
+        for (Binding binding : ImmutableList.copyOf(machine.bindings())) {
+            Binding.Phase before = binding.phase();
+            reconcile(binding, listed.get(binding.task()), now);
+            if (binding.phase() != before && binding.phase() != Binding.Phase.ABSENT) {
                 machine.recordAcknowledgement();
             }
         }
-        if (fresh) {
-            available.accept(machine);
+        if (newlyAvailable) {
+            onMachineAvailable.accept(machine);
         }
-        return Optional.of(commands(machine, unbound, now));
+        return Optional.of(selectCommands(machine, unbound, now));
     }
 
     private Machine machine(WorkerHeartbeat heartbeat) {
@@ -184,89 +184,93 @@
         return machine;
     }
 
-    private void reconcile(Binding b, TaskStatus seen, long now) {
-        if (seen == null) {
-            b.phase(Binding.Phase.ABSENT, now);
-            if (b.stage() == Binding.Stage.ORPHANED) {
-                letGo(b, now);
-            } else if (b.stage() == Binding.Stage.COMMITTED && mustNotStart(b) && !startMayCome(b)) {
-                recordWriter.release(b, false);
+    private void reconcile(Binding binding, TaskStatus reported, long now) {
+        if (reported == null) {
+            binding.phase(Binding.Phase.ABSENT, now);
+            if (binding.stage() == Binding.Stage.ORPHANED) {
+                removeOrphan(binding, now);
+            } else if (binding.stage() == Binding.Stage.COMMITTED
+                    && isStartForbidden(binding)
+                    && !isStartUnresolved(binding)) {
+                recordWriter.release(binding, false);
             }
             return;
         }
-        switch (seen.state()) {
-            case FETCHING -> b.phase(Binding.Phase.FETCHING, now);
+        switch (reported.state()) {
+            case FETCHING -> binding.phase(Binding.Phase.FETCHING, now);
             case RUNNING -> {
-                if (b.phase() != Binding.Phase.RUNNING) {
+                if (binding.phase() != Binding.Phase.RUNNING) {
                     LOG.debug(
                             "{} of {} runs {} s after its submission, {} s after it was bound",
-                            b,
-                            b.job().spec().jobClass(),
-                            (loop.wallMillis() - b.job().submittedMs()) / 1000.0,
-                            Durations.seconds(now - b.boundAt()));
+                            binding,
+                            binding.job().spec().jobClass(),
+                            (loop.wallMillis() - binding.job().submittedMs()) / 1000.0,
+                            Durations.seconds(now - binding.boundAt()));
                 }
-                b.phase(Binding.Phase.RUNNING, now);
+                binding.phase(Binding.Phase.RUNNING, now);
             }
-            case CHECKPOINTING -> b.phase(Binding.Phase.CHECKPOINTING, now);
-            case EXITED -> exited(b, seen.cause(), now);
-            default -> throw new IllegalStateException("no such state: " + seen.state());
+            case CHECKPOINTING -> binding.phase(Binding.Phase.CHECKPOINTING, now);
+            case EXITED -> applyExit(binding, reported.cause(), now);
+            default -> throw new IllegalStateException("no such state: " + reported.state());
         }
     }
 
-    private void exited(Binding b, ExitCause cause, long now) {
-        if (b.phase() == Binding.Phase.ENDED) {
+    private void applyExit(Binding binding, ExitCause cause, long now) {
+        if (binding.phase() == Binding.Phase.ENDED) {
             return; // its release is on the way
         }
-        double ranS = b.elapsedS(now);
-        b.phase(Binding.Phase.ENDED, now);
-        LOG.debug("{} ended: {} after {} s", b, cause, ranS);
-        Job job = b.job();
-        Machine machine = b.machine();
+        double elapsedS = binding.elapsedS(now);
+        binding.phase(Binding.Phase.ENDED, now);
+        LOG.debug("{} ended: {} after {} s", binding, cause, elapsedS);
+        Job job = binding.job();
+        Machine machine = binding.machine();
         switch (cause) {
             case DONE, ERROR -> {
                 if (job.spec().isService()) {
-                    replicaEnded(job, machine, ranS, now);
+                    recordReplicaExit(job, machine, elapsedS, now);
                 } else if (cause == ExitCause.ERROR) {
-                    failed(job, machine, now);
+                    recordFailure(job, machine, now);
                 } else {
                     machine.failedJobs().clear();
                     job.faultyOn().clear();
                 }
             }
             case NO_ROOM, BUSY, UNKNOWN -> {
-                warnings.warn("start refused: " + cause, b.toString());
-                backOff(job, now, settings.workers().heartbeatIntervalS());
+                warnings.warn("start refused: " + cause, binding.toString());
+                delayRetry(job, now, settings.workers().heartbeatIntervalS());
             }
             default -> {}
         }
         boolean completed = cause == ExitCause.DONE && !job.spec().isService();
-        if (b.stage() == Binding.Stage.ORPHANED && !completed) {
-            letGo(b, now);
+        if (binding.stage() == Binding.Stage.ORPHANED && !completed) {
+            removeOrphan(binding, now);
         } else {
-            recordWriter.release(b, completed);
+            recordWriter.release(binding, completed);
         }
-        available.accept(machine);
+        onMachineAvailable.accept(machine);
     }
 
     /** An orphan is gone: no record of it has to be released. */
-    private void letGo(Binding orphan, long now) {
+    private void removeOrphan(Binding orphan, long now) {
         cluster.unbind(orphan, now);
         cluster.removeIfOver(orphan.job(), orphan.job().cancelled());
     }
 
     /** Errors of several jobs on one machine speak against the machine, those of one job everywhere against the job. */
-    private void failed(Job job, Machine machine, long now) {
+    private void recordFailure(Job job, Machine machine, long now) {
         job.faultyOn().add(machine.name());
         machine.failedJobs().add(job.id());
         LOG.info("job {} failed on machine {}", job.id(), machine.name());
-        if (!machine.suspectedFaulty() && machine.failedJobs().size() >= FAULTY_JOBS && !job.suspectedFaulty()) {
+        if (!machine.suspectedFaulty()
+                && machine.failedJobs().size() >= FAILED_JOBS_BEFORE_CORDON
+                && !job.suspectedFaulty()) {
             machine.suspectedFaulty(true);
             LOG.info("machine {} is taken for faulty: {} failed on it", machine.name(), machine.failedJobs());
         }
         if (job.suspectedFaulty()) {
             double backoffS = settings.workers().heartbeatIntervalS()
                     * Math.pow(2, job.faultyOn().size());
-            backOff(job, now, Math.min(backoffS, settings.workers().cancelS()));
+            delayRetry(job, now, Math.min(backoffS, settings.workers().cancelS()));
         }
     }
 
@@ -274,34 +278,37 @@
      * A replica ended by itself, which none should. It runs again at once: elsewhere, if it ran for a short time only, and
      * less and less often once more of them in a row have done so than the service has replicas.
      */
-    private void replicaEnded(Job job, Machine machine, double ranS, long now) {
-        if (ranS >= settings.workers().leaseS()) {
+    private void recordReplicaExit(Job job, Machine machine, double elapsedS, long now) {
+        if (elapsedS >= settings.workers().leaseS()) {
             job.provenToRun();
             return;
         }
-        failed(job, machine, now);
+        recordFailure(job, machine, now);
         job.countEarlyExit(
-                now, Durations.nanos(EARLY_EXITS_OF_CANCEL * settings.workers().cancelS()));
-        int beyond = job.earlyExits() - job.spec().tasks();
-        if (beyond > 0) {
-            double backoffS = settings.workers().heartbeatIntervalS() * Math.pow(2, Math.min(beyond, MOST_DOUBLINGS));
-            backOff(job, now, Math.min(backoffS, settings.workers().cancelS()));
+                now,
+                Durations.nanos(
+                        EARLY_EXIT_MEMORY_IN_CANCEL_TIMES * settings.workers().cancelS()));
+        int excessExits = job.earlyExits() - job.spec().tasks();
+        if (excessExits > 0) {
+            double backoffS =
+                    settings.workers().heartbeatIntervalS() * Math.pow(2, Math.min(excessExits, MAX_BACKOFF_DOUBLINGS));
+            delayRetry(job, now, Math.min(backoffS, settings.workers().cancelS()));
         }
     }
 
-    private static void backOff(Job job, long now, double seconds) {
+    private static void delayRetry(Job job, long now, double seconds) {
         job.retryAfter(Math.max(job.retryAfter(), now + Durations.nanos(seconds)));
     }
 
-    private static boolean mustNotStart(Binding b) {
-        return b.stopMode() != Binding.StopMode.NONE
-                || b.machine().terminating()
-                || b.machine().reclaimAnnounced()
-                || b.machine().suspectedFaulty()
-                || b.machine().suspectedUnreachable();
+    private static boolean isStartForbidden(Binding binding) {
+        return binding.stopMode() != Binding.StopMode.NONE
+                || binding.machine().terminating()
+                || binding.machine().reclaimAnnounced()
+                || binding.machine().suspectedFaulty()
+                || binding.machine().suspectedUnreachable();
     }
 
-    private List<WorkerCommand> commands(Machine machine, List<TaskStatus> unbound, long now) {
+    private List<WorkerCommand> selectCommands(Machine machine, List<TaskStatus> unbound, long now) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskStatus task : unbound) {
             if (task.state() == WorkerHeartbeat.TaskState.EXITED) {
@@ -310,46 +317,47 @@
                 }
                 commands.add(WorkerCommand.forget(task.task(), task.attempt()));
             } else {
-                addOrphan(machine, task, now);
+                bindOrphan(machine, task, now);
                 commands.add(WorkerCommand.stop(task.task(), task.attempt(), 0));
             }
         }
-        for (Binding b : machine.bindings()) {
-            stopBeforeReclaim(b, now);
-            WorkerCommand due = due(b);
-            if (due != null) {
-                b.commandSent(now);
-                commands.add(due);
+        for (Binding binding : machine.bindings()) {
+            checkpointBeforeReclaim(binding, now);
+            WorkerCommand command = dueCommand(binding);
+            if (command != null) {
+                binding.commandSent(now);
+                commands.add(command);
             }
         }
         return commands;
     }
 
     /** The order that a binding calls for as things stand, or null. */
-    public WorkerCommand due(Binding b) {
-        return switch (b.phase()) {
-            case ABSENT -> b.stage() == Binding.Stage.COMMITTED && !mustNotStart(b)
-                    ? WorkerCommand.start(b.task(), b.attempt())
+    public WorkerCommand dueCommand(Binding binding) {
+        return switch (binding.phase()) {
+            case ABSENT -> binding.stage() == Binding.Stage.COMMITTED && !isStartForbidden(binding)
+                    ? WorkerCommand.start(binding.task(), binding.attempt())
                     : null;
-            case FETCHING, RUNNING -> switch (b.stopMode()) {
+            case FETCHING, RUNNING -> switch (binding.stopMode()) {
                 case NONE -> null;
-                case CHECKPOINT -> WorkerCommand.stop(b.task(), b.attempt(), graceS(b, loop.nanos()));
-                case IMMEDIATE -> WorkerCommand.stop(b.task(), b.attempt(), 0);
+                case CHECKPOINT -> WorkerCommand.stop(
+                        binding.task(), binding.attempt(), checkpointGraceS(binding, loop.nanos()));
+                case IMMEDIATE -> WorkerCommand.stop(binding.task(), binding.attempt(), 0);
             };
-            case CHECKPOINTING -> b.stopMode() == Binding.StopMode.IMMEDIATE
-                    ? WorkerCommand.stop(b.task(), b.attempt(), 0)
+            case CHECKPOINTING -> binding.stopMode() == Binding.StopMode.IMMEDIATE
+                    ? WorkerCommand.stop(binding.task(), binding.attempt(), 0)
                     : null;
             case ENDED -> null; // forgotten once its end is on record
         };
     }
 
     /** A start sent straight to the worker is still unresolved: that the task is absent proves nothing yet. */
-    private static boolean startMayCome(Binding b) {
-        return b.machine().unresolvedStarts().contains(b.attempt());
+    private static boolean isStartUnresolved(Binding binding) {
+        return binding.machine().unresolvedStarts().contains(binding.attempt());
     }
 
     /** A running task that no record knows: it should not be. It is counted where it is, and stopped. */
-    private void addOrphan(Machine machine, TaskStatus task, long now) {
+    private void bindOrphan(Machine machine, TaskStatus task, long now) {
         warnings.warn("task without a binding", task.task() + "#" + task.attempt() + " on " + machine.name());
         Job job = cluster.job(task.task().job());
         if (job == null
@@ -357,32 +365,33 @@
                 || task.task().index() >= job.spec().tasks()) {
             return;
         }
-        Binding b = new Binding(job, task.task().index(), task.attempt(), machine, Binding.Stage.ORPHANED, now);
-        b.stopMode(Binding.StopMode.IMMEDIATE);
-        cluster.bind(b);
+        Binding binding = new Binding(job, task.task().index(), task.attempt(), machine, Binding.Stage.ORPHANED, now);
+        binding.stopMode(Binding.StopMode.IMMEDIATE);
+        cluster.bind(binding);
     }
 
     /** On a machine about to be taken, a task that cannot end in time is stopped while there is time to save. */
-    private void stopBeforeReclaim(Binding b, long now) {
-        Machine machine = b.machine();
-        boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.FETCHING;
-        if (!there || !machine.reclaimAnnounced() || b.stopMode() != Binding.StopMode.NONE) {
+    private void checkpointBeforeReclaim(Binding binding, long now) {
+        Machine machine = binding.machine();
+        boolean present = binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.FETCHING;
+        if (!present || !machine.reclaimAnnounced() || binding.stopMode() != Binding.StopMode.NONE) {
             return;
         }
-        JobSpec spec = b.job().spec();
-        double leftS = Durations.seconds(machine.reclaimAt() - now);
+        JobSpec spec = binding.job().spec();
+        double remainingS = Durations.seconds(machine.reclaimAt() - now);
         // The next chance to say so is a report away, at the latest one and a quarter periods.
         double lastChanceS = 2.5 * settings.workers().heartbeatIntervalS()
                 + (spec.canCheckpoint() ? 1.5 * spec.checkpointDurationS() : 0);
-        if (leftS <= lastChanceS) {
-            b.stopMode(Binding.StopMode.CHECKPOINT);
+        if (remainingS <= lastChanceS) {
+            binding.stopMode(Binding.StopMode.CHECKPOINT);
         }
     }
 
-    private double graceS(Binding b, long now) {
-        double wanted = 2 * b.job().spec().checkpointDurationS() + 1;
-        return b.machine().reclaimAnnounced()
-                ? Math.max(0, Math.min(wanted, Durations.seconds(b.machine().reclaimAt() - now)))
+    private double checkpointGraceS(Binding binding, long now) {
+        double wanted = 2 * binding.job().spec().checkpointDurationS() + 1;
+        return binding.machine().reclaimAnnounced()
+                ? Math.max(
+                        0, Math.min(wanted, Durations.seconds(binding.machine().reclaimAt() - now)))
                 : wanted;
     }
 }
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -31,7 +31,7 @@
 /** Learns of accepted and cancelled jobs by watching the open entries of unfinished jobs. */
 public final class JobWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
-    private static final long RETRY = Durations.millis(250);
+    private static final long RETRY_DELAY_NANOS = Durations.millis(250);
 
     private final Loop loop;
     private final CancellationScope scope;
@@ -40,20 +40,20 @@
     private final RecordWriter recordWriter;
     private final RateLimitedWarnings warnings;
     private final long term;
-    private final Consumer<Machine> push;
-    private final Runnable changed;
-    private final double watchS;
-    private final long maxStaleness;
+    private final Consumer<Machine> commandsDue;
+    private final Runnable onJobsChanged;
+    private final double watchDurationS;
+    private final long maxViewAgeNanos;
     private Cancellable watch = () -> {};
-    private long refreshedUpTo = Long.MIN_VALUE;
+    private long viewCompleteUpTo = Long.MIN_VALUE;
 
-    /** {@code push} is told of machines on which something has to be stopped. */
+    /** {@code commandsDue} is told of machines on which something has to be stopped. */
     public JobWatcher(
             LeaderContext context,
             StateClient state,
             RecordWriter recordWriter,
-            Consumer<Machine> push,
-            Runnable changed) {
+            Consumer<Machine> commandsDue,
+            Runnable onJobsChanged) {
         CancellationTimes times = CancellationTimes.of(context.settings().workers());
         this.loop = context.loop();
         this.scope = context.scope();
@@ -62,41 +62,41 @@
         this.recordWriter = recordWriter;
         this.warnings = context.warnings();
         this.term = context.term().term();
-        this.push = push;
-        this.changed = changed;
-        this.watchS = times.watchS();
-        this.maxStaleness = Durations.nanos(times.maxStalenessS());
+        this.commandsDue = commandsDue;
+        this.onJobsChanged = onJobsChanged;
+        this.watchDurationS = times.watchS();
+        this.maxViewAgeNanos = Durations.nanos(times.maxStalenessS());
     }
 
     /** Every cancellation that was confirmed before this moment is in the cluster state. */
-    public void refreshed(long upTo) {
-        refreshedUpTo = Math.max(refreshedUpTo, upTo);
+    public void recordViewCompleteUpTo(long moment) {
+        viewCompleteUpTo = Math.max(viewCompleteUpTo, moment);
     }
 
     /**
      * True while what is known of cancellations is recent enough for workers to be answered. A renewed grant does not
      * tell: it may pass while the watch is stuck, and after an outage it has its full time again.
      */
-    public boolean upToDate() {
-        return refreshedUpTo != Long.MIN_VALUE && loop.nanos() - refreshedUpTo < maxStaleness;
+    public boolean isUpToDate() {
+        return viewCompleteUpTo != Long.MIN_VALUE && loop.nanos() - viewCompleteUpTo < maxViewAgeNanos;
     }
 
     /** Follows all changes after a revision. The answer tells of all that came before it was asked for. */
-    public void start(long from) {
-        long asked = loop.nanos();
-        watch = state.watch(Keys.OPEN, from, watchS, scope.guard(result -> {
+    public void watchFrom(long revision) {
+        long requestedAt = loop.nanos();
+        watch = state.watch(Keys.OPEN, revision, watchDurationS, scope.guard(result -> {
             if (result.isOk()) {
                 result.value().changes().forEach(this::apply);
-                refreshed(asked);
+                recordViewCompleteUpTo(requestedAt);
                 if (!result.value().changes().isEmpty()) {
-                    changed.run();
+                    onJobsChanged.run();
                 }
-                start(result.value().revision());
+                watchFrom(result.value().revision());
             } else if (result.kind() == Result.Kind.TOO_OLD) {
-                readAgain();
+                relistOpenJobs();
             } else {
                 // Not the same watch again: should watches alone get no answer, a listing still tells.
-                scope.after(RETRY, this::readAgain);
+                scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
             }
         }));
     }
@@ -107,15 +107,15 @@
     }
 
     /** Marks a job as cancelled by its user: what waits is withdrawn, what runs is stopped. */
-    public void cancelled(Job job, CancellationSource source) {
+    public void markCancelled(Job job, CancellationSource source) {
         if (!job.cancelled()) {
-            job.cancel(refreshedUpTo, loop.nanos());
+            job.cancel(viewCompleteUpTo, loop.nanos());
             recordWriter.withdraw(job);
             List<Machine> machines =
                     job.bindings().stream().map(Binding::machine).distinct().toList();
             log(job, source, machines.size());
-            machines.forEach(push);
-            changed.run();
+            machines.forEach(commandsDue);
+            onJobsChanged.run();
         }
     }
 
@@ -135,25 +135,25 @@
     }
 
     /** How long ago the view of cancellations was complete, in seconds; infinite if it never was. */
-    public double viewAgeS() {
-        return refreshedUpTo == Long.MIN_VALUE
+    public double cancellationViewAgeS() {
+        return viewCompleteUpTo == Long.MIN_VALUE
                 ? Double.POSITIVE_INFINITY
-                : Durations.secondsSince(refreshedUpTo, loop.nanos());
+                : Durations.secondsSince(viewCompleteUpTo, loop.nanos());
     }
 
     private void apply(Change change) {
         String id = change.key().substring(Keys.OPEN.length());
         if (change.dropped()) {
-            dropped(id, CancellationSource.WATCH);
+            openEntryRemoved(id, CancellationSource.WATCH);
         } else {
             add(id, change.value(), change.modRevision());
         }
     }
 
-    private void dropped(String id, CancellationSource source) {
+    private void openEntryRemoved(String id, CancellationSource source) {
         Job job = cluster.job(id);
         if (job != null && !recordWriter.finishing(job)) {
-            cancelled(job, source);
+            markCancelled(job, source);
         }
     }
 
@@ -164,30 +164,30 @@
         try {
             JobRecord record = JobRecord.read(value);
             cluster.add(new Job(record.spec(), modRevision, record.submittedMs()));
-        } catch (BadMessageException e) {
-            warnings.warn("unreadable job record", id + ": " + e.getMessage());
+        } catch (BadMessageException entry) {
+            warnings.warn("unreadable job record", id + ": " + entry.getMessage());
         }
     }
 
-    private void readAgain() {
-        long asked = loop.nanos();
+    private void relistOpenJobs() {
+        long requestedAt = loop.nanos();
         state.list(Keys.OPEN, Priority.REPORTS, scope.guard(listing -> {
             if (!listing.isOk()) {
-                scope.after(RETRY, this::readAgain);
+                scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
                 return;
             }
             Set<String> open = new HashSet<>();
-            for (Entry e : listing.value().entries()) {
-                String id = e.key().substring(Keys.OPEN.length());
+            for (Entry entry : listing.value().entries()) {
+                String id = entry.key().substring(Keys.OPEN.length());
                 open.add(id);
-                add(id, e.value(), e.modRevision());
+                add(id, entry.value(), entry.modRevision());
             }
             List.copyOf(cluster.jobs()).stream()
                     .filter(job -> !open.contains(job.id()))
-                    .forEach(job -> dropped(job.id(), CancellationSource.LISTING));
-            refreshed(asked);
-            changed.run();
-            start(listing.value().revision());
+                    .forEach(job -> openEntryRemoved(job.id(), CancellationSource.LISTING));
+            recordViewCompleteUpTo(requestedAt);
+            onJobsChanged.run();
+            watchFrom(listing.value().revision());
         }));
     }
 }
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -24,15 +24,16 @@
     }
 
     /** Sends orders for one session of a worker, under a token. */
-    public void push(
+    public void send(
             Address worker,
             long fencingToken,
             long incarnation,
             List<WorkerCommand> commands,
-            long timeout,
-            Consumer<CommandResult> done) {
+            long timeoutNanos,
+            Consumer<CommandResult> onResult) {
         ObjectNode body = WorkerCommand.body(fencingToken, commands).put("watch", incarnation);
-        http.call(worker, HttpCall.post("/do", Json.bytes(body)), timeout, answer -> done.accept(read(answer)));
+        http.call(
+                worker, HttpCall.post("/do", Json.bytes(body)), timeoutNanos, answer -> onResult.accept(read(answer)));
     }
 
     private CommandResult read(HttpAnswer answer) {
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
@@ -20,7 +20,7 @@
         long incarnation,
         long sequence,
         long fencingToken,
-        OptionalDouble noticeS,
+        OptionalDouble reclaimNoticeS,
         ImmutableList<TaskStatus> tasks) {
 
     /** Where a task stands on its machine. */
@@ -60,7 +60,7 @@
     /** Reads it token by token: reports are by far the most of what a leader is sent. */
     public static WorkerHeartbeat read(byte[] body) throws BadMessageException {
         try (JsonParser in = Json.parser(body)) {
-            WorkerHeartbeat heartbeat = new Draft(in).read();
+            WorkerHeartbeat heartbeat = new Parser(in).read();
             if (in.nextToken() != null) {
                 throw new BadMessageException("something follows the report");
             }
@@ -81,7 +81,7 @@
                 .put("watch", incarnation)
                 .put("tally", sequence)
                 .put("warrant", fencingToken);
-        noticeS.ifPresent(seconds -> out.put("warningS", seconds));
+        reclaimNoticeS.ifPresent(seconds -> out.put("warningS", seconds));
         ArrayNode parts = out.putArray("parts");
         for (TaskStatus task : tasks) {
             ObjectNode part = parts.addObject()
@@ -96,7 +96,7 @@
     }
 
     /** A report of which some fields have been read. */
-    private static final class Draft {
+    private static final class Parser {
         private final JsonParser in;
         private String machine;
         private String address;
@@ -106,15 +106,15 @@
         private long incarnation = -1;
         private long sequence = -1;
         private long fencingToken = -1;
-        private OptionalDouble noticeS = OptionalDouble.empty();
+        private OptionalDouble reclaimNoticeS = OptionalDouble.empty();
         private ImmutableList<TaskStatus> tasks;
 
-        Draft(JsonParser in) {
+        Parser(JsonParser in) {
             this.in = in;
         }
 
         WorkerHeartbeat read() throws IOException, BadMessageException {
-            expect(in.nextToken() == JsonToken.START_OBJECT, "not an object");
+            require(in.nextToken() == JsonToken.START_OBJECT, "not an object");
             for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
                 in.nextToken();
                 switch (field) {
@@ -122,19 +122,19 @@
                     case "endpoint" -> address = text(field);
                     case "build" -> type = text(field);
                     case "grove" -> zone = text(field);
-                    case "windfall" -> spot = flag(field);
-                    case "watch" -> incarnation = whole(field);
-                    case "tally" -> sequence = whole(field);
-                    case "warrant" -> fencingToken = whole(field);
-                    case "warningS" -> noticeS = numberOrNull(field);
+                    case "windfall" -> spot = bool(field);
+                    case "watch" -> incarnation = count(field);
+                    case "tally" -> sequence = count(field);
+                    case "warrant" -> fencingToken = count(field);
+                    case "warningS" -> reclaimNoticeS = optionalNumber(field);
                     case "parts" -> tasks = tasks();
                     default -> in.skipChildren();
                 }
             }
-            expect(in.currentToken() == JsonToken.END_OBJECT, "not an object");
-            boolean whole = machine != null && address != null && type != null && zone != null && spot != null;
-            expect(
-                    whole && incarnation >= 0 && sequence >= 0 && fencingToken >= 0 && tasks != null,
+            require(in.currentToken() == JsonToken.END_OBJECT, "not an object");
+            boolean complete = machine != null && address != null && type != null && zone != null && spot != null;
+            require(
+                    complete && incarnation >= 0 && sequence >= 0 && fencingToken >= 0 && tasks != null,
                     "a field is missing");
             return new WorkerHeartbeat(
                     machine,
@@ -143,12 +143,12 @@
                     incarnation,
                     sequence,
                     fencingToken,
-                    noticeS,
+                    reclaimNoticeS,
                     tasks);
         }
 
         private ImmutableList<TaskStatus> tasks() throws IOException, BadMessageException {
-            expect(in.currentToken() == JsonToken.START_ARRAY, "parts is not a list");
+            require(in.currentToken() == JsonToken.START_ARRAY, "parts is not a list");
             ImmutableList.Builder<TaskStatus> out = ImmutableList.builder();
             while (in.nextToken() != JsonToken.END_ARRAY) {
                 out.add(task());
@@ -157,7 +157,7 @@
         }
 
         private TaskStatus task() throws IOException, BadMessageException {
-            expect(in.currentToken() == JsonToken.START_OBJECT, "a task is not an object");
+            require(in.currentToken() == JsonToken.START_OBJECT, "a task is not an object");
             TaskId task = null;
             long attempt = -1;
             TaskState state = null;
@@ -166,44 +166,44 @@
                 in.nextToken();
                 switch (field) {
                     case "part" -> task = taskId(text(field));
-                    case "try" -> attempt = whole(field);
+                    case "try" -> attempt = count(field);
                     case "stage" -> state = state(text(field));
                     case "cause" -> cause = in.currentToken() == JsonToken.VALUE_NULL ? null : cause(text(field));
                     default -> in.skipChildren();
                 }
             }
-            expect(task != null && attempt >= 0 && state != null, "a field of a task is missing");
-            expect(state != TaskState.EXITED || cause != null, "an exited task has no cause");
+            require(task != null && attempt >= 0 && state != null, "a field of a task is missing");
+            require(state != TaskState.EXITED || cause != null, "an exited task has no cause");
             return new TaskStatus(task, attempt, state, state == TaskState.EXITED ? cause : ExitCause.NONE);
         }
 
         private String text(String field) throws IOException, BadMessageException {
-            expect(in.currentToken() == JsonToken.VALUE_STRING, field + " is not a text");
+            require(in.currentToken() == JsonToken.VALUE_STRING, field + " is not a text");
             return in.getText();
         }
 
-        private long whole(String field) throws IOException, BadMessageException {
-            boolean count = in.currentToken() == JsonToken.VALUE_NUMBER_INT
+        private long count(String field) throws IOException, BadMessageException {
+            boolean isCount = in.currentToken() == JsonToken.VALUE_NUMBER_INT
                     && in.getNumberType() != JsonParser.NumberType.BIG_INTEGER
                     && in.getLongValue() >= 0;
-            expect(count, field + " is not a count");
+            require(isCount, field + " is not a count");
             return in.getLongValue();
         }
 
-        private boolean flag(String field) throws IOException, BadMessageException {
-            expect(in.currentToken().isBoolean(), field + " is not true or false");
+        private boolean bool(String field) throws IOException, BadMessageException {
+            require(in.currentToken().isBoolean(), field + " is not true or false");
             return in.getBooleanValue();
         }
 
-        private OptionalDouble numberOrNull(String field) throws IOException, BadMessageException {
+        private OptionalDouble optionalNumber(String field) throws IOException, BadMessageException {
             if (in.currentToken() == JsonToken.VALUE_NULL) {
                 return OptionalDouble.empty();
             }
-            expect(in.currentToken().isNumeric() && Double.isFinite(in.getDoubleValue()), field + " is not a number");
+            require(in.currentToken().isNumeric() && Double.isFinite(in.getDoubleValue()), field + " is not a number");
             return OptionalDouble.of(in.getDoubleValue());
         }
 
-        private static void expect(boolean holds, String complaint) throws BadMessageException {
+        private static void require(boolean holds, String complaint) throws BadMessageException {
             if (!holds) {
                 throw new BadMessageException(complaint);
             }
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -280,7 +280,7 @@
         List<String> resigned = new ArrayList<>();
         SchedulingLoop schedulingLoop =
                 new SchedulingLoop(term.context, term.recordWriter, matching, machine -> {}, resigned::add);
-        schedulingLoop.attemptsTaken(SchedulingLoop.MOST_ATTEMPTS - 10);
+        schedulingLoop.recordAttemptsUsed(SchedulingLoop.MAX_ATTEMPTS - 10);
         schedulingLoop.request();
         loop.run(1);
         assertEquals(1, resigned.size());
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -233,7 +233,7 @@
         assertEquals("200 " + expected + "}", text(WorkerCommand.answer(9, commands)));
         WorkerClient workers = new WorkerClient(http, warnings);
         http.answer(400, "{}");
-        workers.push(
+        workers.send(
                 SERVICE, 9, 2, commands, 1000, expect(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty())));
         assertRequest("POST /do " + expected + ",\"watch\":2}");
     }
--- a/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
@@ -67,7 +67,7 @@
         assertEquals(expected, WorkerHeartbeat.read(Json.bytes(heartbeat)));
         assertEquals(
                 OptionalDouble.of(9.5),
-                WorkerHeartbeat.read(Json.bytes(heartbeat.put("warningS", 9.5))).noticeS());
+                WorkerHeartbeat.read(Json.bytes(heartbeat.put("warningS", 9.5))).reclaimNoticeS());
     }
 
     @ParameterizedTest
