--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -50,7 +50,7 @@
     public RequestQueue.Priority priority(Request request) {
         return switch (request.path()) {
             case HEALTH -> RequestQueue.Priority.HEALTH;
-            case REPORTS -> RequestQueue.Priority.REPORT;
+            case REPORTS -> RequestQueue.Priority.HEARTBEAT;
             default -> RequestQueue.Priority.USER;
         };
     }
@@ -67,7 +67,7 @@
     public void handle(Request request, Consumer<Response> answer) {
         String path = request.path();
         if (path.equals(REPORTS)) {
-            only("POST", request, answer, () -> timed(Latencies.Kind.REPORTS, answer)
+            only("POST", request, answer, () -> timed(Latencies.Kind.HEARTBEATS, answer)
                     .accept(heartbeats.apply(request.body())));
         } else if (path.equals(HEALTH)) {
             only("GET", request, answer, () -> answer.accept(health()));
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -46,7 +46,7 @@
 
     /** The machine types and their present prices; empty if the cloud did not say. */
     public void catalogue(Consumer<Optional<ImmutableMap<String, MachineType>>> done) {
-        send(Priority.DECISIONS, HttpCall.get("/flavors"), answer -> done.accept(readCatalogue(answer)));
+        send(Priority.SCHEDULING, HttpCall.get("/flavors"), answer -> done.accept(readCatalogue(answer)));
     }
 
     /** Asks for machines. The claim must be new, or that of a request that got no answer or a refusal. */
@@ -57,7 +57,7 @@
                 .put("grove", zone)
                 .put("windfall", spot)
                 .put("howMany", count));
-        send(Priority.DECISIONS, HttpCall.post("/hosts", body), answer -> done.accept(readRental(answer)));
+        send(Priority.SCHEDULING, HttpCall.post("/hosts", body), answer -> done.accept(readRental(answer)));
     }
 
     /** Gives machines back; true means that they are gone with all that was on them. */
@@ -65,7 +65,7 @@
         ArrayNode names = Json.array();
         machines.forEach(names::add);
         byte[] body = Json.bytes(Json.object().set("hosts", names));
-        send(Priority.REPORTS, HttpCall.post("/hosts/delete", body), answer -> done.accept(answer.status() == 200));
+        send(Priority.HEARTBEATS, HttpCall.post("/hosts/delete", body), answer -> done.accept(answer.status() == 200));
     }
 
     /** All machines, page by page; empty if the cloud did not say. The list lags and may go backwards. */
@@ -75,7 +75,7 @@
 
     private void page(String from, List<HostInfo> sofar, Consumer<Optional<ImmutableList<HostInfo>>> done) {
         String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE;
-        send(Priority.DECISIONS, HttpCall.get(target), answer -> {
+        send(Priority.SCHEDULING, HttpCall.get(target), answer -> {
             if (answer.status() != 200) {
                 done.accept(Optional.empty());
                 return;
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -130,7 +130,7 @@
 
     private void read() {
         watch.cancel();
-        state.list(Keys.LEADER, Priority.RENEWAL, scope.guard(listing -> {
+        state.list(Keys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scheduleRetry();
                 return;
@@ -218,7 +218,7 @@
             campaignBackoffUntil = Math.max(campaignBackoffUntil, loop.nanos() + renewEvery);
         }
         Transaction txn = Transaction.builder().drop(Keys.LEADER, modRevision).build();
-        state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
+        state.commit(txn, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.kind() != TransactionResult.Kind.COMMITTED) {
                 scheduleRetry();
             }
@@ -239,7 +239,7 @@
             }
             leaseId = created.value();
             validUntil = validity(asked);
-            level.read(Priority.RENEWAL, scope.guard(found -> {
+            level.read(Priority.LEASE_RENEWAL, scope.guard(found -> {
                 if (found.isOk()) {
                     campaign(leaderRevision, found.value());
                 } else {
@@ -251,7 +251,7 @@
 
     /** Goes on with a campaign once the cluster feature level is known to be supported. */
     private void campaign(long leaderRevision, LevelRecord onRecord) {
-        state.get(Keys.TERM, Priority.RENEWAL, scope.guard(term -> {
+        state.get(Keys.TERM, Priority.LEASE_RENEWAL, scope.guard(term -> {
             if (term.kind() == Result.Kind.UNAVAILABLE) {
                 abandonCampaign();
                 return;
@@ -269,7 +269,7 @@
     }
 
     private void attempt(Transaction txn, LeaderRecord record, LevelRecord onRecord) {
-        state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
+        state.commit(txn, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.kind() == TransactionResult.Kind.COMMITTED) {
                 win(record, result.revision(), onRecord);
             } else if (result.kind() == TransactionResult.Kind.UNKNOWN && loop.nanos() < validUntil) {
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -104,7 +104,7 @@
     }
 
     private void list(String prefix, long since, Consumer<Listing> next) {
-        state.list(prefix, Priority.RENEWAL, scope.guard(result -> {
+        state.list(prefix, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.isOk()) {
                 Listing listing = result.value();
                 listener.read(new Step(
@@ -204,7 +204,7 @@
         }
 
         private void read(String id) {
-            state.get(Keys.job(id), Priority.RENEWAL, scope.guard(result -> {
+            state.get(Keys.job(id), Priority.LEASE_RENEWAL, scope.guard(result -> {
                 if (result.kind() == Result.Kind.UNAVAILABLE) {
                     scope.after(RETRY, () -> read(id));
                     return;
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -227,7 +227,7 @@
             Request read =
                     new Request(request.method().name(), path(request.uri()), ByteBufUtil.getBytes(request.content()));
             RequestQueue.Priority priority = handler.priority(read);
-            if (priority == RequestQueue.Priority.REPORT) {
+            if (priority == RequestQueue.Priority.HEARTBEAT) {
                 isOfWorker(ctx);
             }
             requestQueue.add(priority, new RequestQueue.Work() {
--- a/src/main/java/org/spruceridge/net/Latencies.java
+++ b/src/main/java/org/spruceridge/net/Latencies.java
@@ -15,7 +15,7 @@
         /** From a submission, poll or cancellation to its answer. */
         USERS,
         /** From a report to its answer. */
-        REPORTS,
+        HEARTBEATS,
         /** From a call of the state service to its answer, the wait for a turn not counted. */
         STATE,
         /** One placement cycle. */
--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -15,9 +15,9 @@
 public final class RateLimiter {
     /** What the work is for; earlier ranks go first. */
     public enum Priority {
-        RENEWAL,
-        REPORTS,
-        DECISIONS,
+        LEASE_RENEWAL,
+        HEARTBEATS,
+        SCHEDULING,
         SUBMISSIONS
     }
 
--- a/src/main/java/org/spruceridge/net/RequestQueue.java
+++ b/src/main/java/org/spruceridge/net/RequestQueue.java
@@ -17,7 +17,7 @@
         /** Else the load balancer would take a busy node for a dead one. */
         HEALTH(1),
         /** Workers give a report up after 4 s. */
-        REPORT(3),
+        HEARTBEAT(3),
         /** Users are told at once to come back rather than held. */
         USER(1);
 
--- a/src/main/java/org/spruceridge/node/Catalogue.java
+++ b/src/main/java/org/spruceridge/node/Catalogue.java
@@ -69,7 +69,7 @@
     }
 
     private void recall() {
-        state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
+        state.get(Keys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
             if (types.isPresent()) {
                 return;
             }
@@ -95,7 +95,7 @@
 
     /** Puts the types on record where they are not; should that fail, the next refresh tries again. */
     private void keep(CatalogueRecord now) {
-        state.get(Keys.CATALOGUE, Priority.DECISIONS, scope.guard(found -> {
+        state.get(Keys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
             if (found.kind() == Result.Kind.UNAVAILABLE) {
                 return;
             }
@@ -110,7 +110,7 @@
             Transaction txn = Transaction.builder()
                     .set(Keys.CATALOGUE, modRevision, now.write())
                     .build();
-            state.commit(txn, Priority.DECISIONS, result -> {});
+            state.commit(txn, Priority.SCHEDULING, result -> {});
         }));
     }
 }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -376,6 +376,6 @@
         if (leader == null && leaderForWorkers().isPresent()) {
             warmUp.start();
         }
-        state.get(Keys.LEADER, Priority.RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
+        state.get(Keys.LEADER, Priority.LEASE_RENEWAL, scope.guard(found -> scope.after(PULSE, this::pulse)));
     }
 }
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -154,7 +154,7 @@
         }
         waitsForTurn = true;
         boolean decisionsOnly = waiting.values().stream().allMatch(w -> w == Write.BIND);
-        Priority priority = decisionsOnly ? Priority.DECISIONS : Priority.REPORTS;
+        Priority priority = decisionsOnly ? Priority.SCHEDULING : Priority.HEARTBEATS;
         state.commitAtTurn(
                 priority,
                 records.likelyChanges(),
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -58,7 +58,7 @@
     }
 
     Priority priority() {
-        return released.isEmpty() ? Priority.DECISIONS : Priority.REPORTS;
+        return released.isEmpty() ? Priority.SCHEDULING : Priority.HEARTBEATS;
     }
 
     Map<Binding, Boolean> released() {
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -171,7 +171,7 @@
 
     private void readAgain() {
         long asked = loop.nanos();
-        state.list(Keys.OPEN, Priority.REPORTS, scope.guard(listing -> {
+        state.list(Keys.OPEN, Priority.HEARTBEATS, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scope.after(RETRY, this::readAgain);
                 return;
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -168,7 +168,7 @@
     /** Asks for a grant of this time to live. */
     public void createLease(long ttlMillis, Consumer<Result<Long>> done) {
         byte[] body = Json.bytes(Json.object().put("ttlMs", ttlMillis));
-        send(Priority.RENEWAL, 0, HttpCall.post("/grants", body), REQUEST_TIMEOUT, answer -> {
+        send(Priority.LEASE_RENEWAL, 0, HttpCall.post("/grants", body), REQUEST_TIMEOUT, answer -> {
             if (answer.status() != 200) {
                 done.accept(Result.failed(Result.Kind.UNAVAILABLE));
                 return;
@@ -186,7 +186,7 @@
     public void renewLease(long leaseId, long timeout, Consumer<Result<Long>> done) {
         HttpCall call = HttpCall.post("/grants/" + leaseId + "/renew", new byte[0]);
         long[] sent = new long[1];
-        submit(Priority.RENEWAL, 0, done, () -> {
+        submit(Priority.LEASE_RENEWAL, 0, done, () -> {
             sent[0] = loop.nanos();
             http.call(address, call, timeout, served(answer -> {
                 if (answer.status() == 200) {
@@ -201,7 +201,7 @@
     /** Ends a grant, and with it the keys attached to it; nothing depends on whether it works. */
     public void revokeLease(long leaseId) {
         send(
-                Priority.RENEWAL,
+                Priority.LEASE_RENEWAL,
                 0,
                 new HttpCall("DELETE", "/grants/" + leaseId, new byte[0]),
                 REQUEST_TIMEOUT,
@@ -213,7 +213,7 @@
         long blockMs = (long) (blockS * 1000);
         String target = "/follow?starts=" + prefix + "&from=" + from + "&blockMs=" + blockMs;
         CancelLater later = new CancelLater();
-        boolean taken = limiter.submit(Priority.RENEWAL, 0, () -> {
+        boolean taken = limiter.submit(Priority.LEASE_RENEWAL, 0, () -> {
             if (!later.cancelled) {
                 later.call = http.call(
                         address,
--- a/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
+++ b/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
@@ -64,7 +64,7 @@
                 .guard(Keys.LEADER, leaderRevision)
                 .set(Keys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
                 .build();
-        state.commit(txn, Priority.DECISIONS, scope.guard(result -> {
+        state.commit(txn, Priority.SCHEDULING, scope.guard(result -> {
             if (result.kind() == TransactionResult.Kind.COMMITTED) {
                 onRecord = new LevelRecord(FeatureLevel.SUPPORTED, result.revision());
                 level.raised(FeatureLevel.SUPPORTED);
@@ -77,7 +77,7 @@
 
     /** Refused, or unknown and perhaps carried out: the record tells. */
     private void readAgain() {
-        level.read(Priority.DECISIONS, scope.guard(found -> {
+        level.read(Priority.SCHEDULING, scope.guard(found -> {
             if (found.isOk()) {
                 onRecord = found.value();
                 if (onRecord.level().includes(FeatureLevel.SUPPORTED)) {
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -44,7 +44,7 @@
 
         @Override
         public RequestQueue.Priority priority(Request request) {
-            return request.path().equals("/hello") ? RequestQueue.Priority.REPORT : RequestQueue.Priority.USER;
+            return request.path().equals("/hello") ? RequestQueue.Priority.HEARTBEAT : RequestQueue.Priority.USER;
         }
 
         @Override
--- a/src/test/java/org/spruceridge/net/RateLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/RateLimiterTest.java
@@ -29,22 +29,22 @@
     @Test
     void reportsGoBeforeDecisionsAndThoseBeforeSubmissions() {
         for (int i = 0; i < 10; i++) {
-            submit(Priority.DECISIONS, 0, "spends all requests");
+            submit(Priority.SCHEDULING, 0, "spends all requests");
         }
         ran.clear();
         submit(Priority.SUBMISSIONS, 2, "submission");
-        submit(Priority.DECISIONS, 2, "decision");
-        submit(Priority.REPORTS, 2, "report");
-        submit(Priority.RENEWAL, 0, "renewal");
+        submit(Priority.SCHEDULING, 2, "decision");
+        submit(Priority.HEARTBEATS, 2, "report");
+        submit(Priority.LEASE_RENEWAL, 0, "renewal");
         loop.run(1);
         assertEquals(List.of("renewal", "report", "decision", "submission"), ran);
     }
 
     @Test
     void readsDoNotWaitForChangesNorUsersForTheLeadersWrites() {
-        submit(Priority.DECISIONS, 4, "spends all changes");
-        submit(Priority.REPORTS, 2, "report");
-        submit(Priority.DECISIONS, 1, "decision");
+        submit(Priority.SCHEDULING, 4, "spends all changes");
+        submit(Priority.HEARTBEATS, 2, "report");
+        submit(Priority.SCHEDULING, 1, "decision");
         submit(Priority.SUBMISSIONS, 0, "poll");
         submit(Priority.SUBMISSIONS, 2, "submission");
         assertEquals(List.of("spends all changes", "poll", "submission"), ran);
@@ -54,15 +54,15 @@
 
     @Test
     void whatIsNotUsedOfAReservationIsGivenBack() {
-        limiter.submit(Priority.DECISIONS, 4, () -> 1);
-        submit(Priority.DECISIONS, 3, "fits");
+        limiter.submit(Priority.SCHEDULING, 4, () -> 1);
+        submit(Priority.SCHEDULING, 3, "fits");
         assertEquals(List.of("fits"), ran);
     }
 
     @Test
     void noMoreThanTheRateGoesOutInAnySecond() {
         for (int i = 0; i < 40; i++) {
-            submit(Priority.REPORTS, 1, "r" + i);
+            submit(Priority.HEARTBEATS, 1, "r" + i);
         }
         assertEquals(4, ran.size());
         loop.run(1.01);
@@ -92,6 +92,6 @@
         assertTrue(submit(Priority.SUBMISSIONS, 2, "s1"));
         assertTrue(submit(Priority.SUBMISSIONS, 2, "s2"));
         assertFalse(submit(Priority.SUBMISSIONS, 2, "s3"));
-        assertTrue(submit(Priority.REPORTS, 2, "reports wait for their turn"));
+        assertTrue(submit(Priority.HEARTBEATS, 2, "reports wait for their turn"));
     }
 }
--- a/src/test/java/org/spruceridge/net/RequestQueueTest.java
+++ b/src/test/java/org/spruceridge/net/RequestQueueTest.java
@@ -54,7 +54,7 @@
     void whenTheyComeTooFastReportsGoBeforeUsersAndHealthBeforeBoth() {
         requestQueue.add(Priority.USER, new Request("first", 0.2));
         requestQueue.add(Priority.USER, new Request("user", 0.2));
-        requestQueue.add(Priority.REPORT, new Request("report", 0.2));
+        requestQueue.add(Priority.HEARTBEAT, new Request("report", 0.2));
         requestQueue.add(Priority.HEALTH, new Request("health", 0.01));
         loop.run(1);
         assertEquals(List.of("first", "health", "report", "user"), done);
@@ -62,11 +62,11 @@
 
     @Test
     void whoWaitsTooLongIsRefusedAndWhoHasGoneIsNotServed() {
-        requestQueue.add(Priority.REPORT, new Request("first", 2));
+        requestQueue.add(Priority.HEARTBEAT, new Request("first", 2));
         requestQueue.add(Priority.USER, new Request("user", 0.1));
         Request gone = new Request("gone", 0.1);
-        requestQueue.add(Priority.REPORT, gone);
-        requestQueue.add(Priority.REPORT, new Request("report", 2.5));
+        requestQueue.add(Priority.HEARTBEAT, gone);
+        requestQueue.add(Priority.HEARTBEAT, new Request("report", 2.5));
         gone.abandoned = true;
         loop.run(10);
         assertEquals(List.of("first", "no gone", "report", "no user"), done);
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -104,7 +104,7 @@
         http.answer(200, "{\"v\":{\"a\":1},\"stamp\":5,\"ring\":9}");
         state.get(
                 "leader",
-                Priority.RENEWAL,
+                Priority.LEASE_RENEWAL,
                 expect(Result.ok(new Entry("leader", Json.object().put("a", 1), 5))));
         assertRequest("GET /store/leader");
     }
@@ -115,7 +115,7 @@
         Entry entry = new Entry("open/j-1", Json.object(), 5);
         state.list(
                 "open/",
-                Priority.RENEWAL,
+                Priority.LEASE_RENEWAL,
                 expect(Result.ok(new Listing(ImmutableList.of(entry), 9, http.body.length()))));
         assertRequest("GET /store?starts=open/&limit=500");
     }
@@ -125,7 +125,7 @@
         http.answer(200, "{\"ring\":12}");
         state.commit(
                 transaction(),
-                Priority.RENEWAL,
+                Priority.LEASE_RENEWAL,
                 expect(new TransactionResult(TransactionResult.Kind.COMMITTED, 12, ImmutableList.of())));
         assertRequest("POST /txn {\"guards\":[{\"k\":\"term\",\"stamp\":4},{\"k\":\"leader\",\"stamp\":0},"
                 + "{\"k\":\"job/j-1\",\"stamp\":3},{\"k\":\"open/j-1\",\"stamp\":3}],"
@@ -138,17 +138,22 @@
         http.answer(409, "{\"failed\":[\"leader\",\"term\"]}");
         state.commit(
                 transaction(),
-                Priority.RENEWAL,
+                Priority.LEASE_RENEWAL,
                 expect(new TransactionResult(TransactionResult.Kind.CONFLICT, 0, ImmutableList.of("leader", "term"))));
         http.answer(400, "{\"error\":\"no such lease\"}");
         state.commit(
-                transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.LEASE_NOT_FOUND)));
+                transaction(),
+                Priority.LEASE_RENEWAL,
+                expect(TransactionResult.of(TransactionResult.Kind.LEASE_NOT_FOUND)));
         http.answer(400, "{\"error\":\"too large\"}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REJECTED)));
+        state.commit(
+                transaction(), Priority.LEASE_RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REJECTED)));
         http.answer(429, "{}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REFUSED)));
+        state.commit(
+                transaction(), Priority.LEASE_RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.REFUSED)));
         http.answer(500, "{}");
-        state.commit(transaction(), Priority.RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.UNKNOWN)));
+        state.commit(
+                transaction(), Priority.LEASE_RENEWAL, expect(TransactionResult.of(TransactionResult.Kind.UNKNOWN)));
         loop.advance(1);
         assertEquals(5, http.requests.size());
     }
