--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -171,7 +171,7 @@
 
     private void relistOpenJobs() {
         long requestedAt = loop.nanos();
-        state.list(Keys.OPEN, Priority.REPORTS, scope.guard(listing -> {
+        state.list(Keys.OPEN, Priority.HEARTBEATS, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
                 return;
