--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -385,7 +385,7 @@
         }
         state.get(
                 Keys.LEADER,
-                Priority.RENEWAL,
+                Priority.LEASE_RENEWAL,
                 scope.guard(found -> scope.after(STATE_PROBE_INTERVAL_NANOS, this::probeStateService)));
     }
 }
