--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void theStateServiceRefusesTheLeaderAloneAndIsThenOutForAll() {
+    void cancellationMeetsDeadlineWhenStateServiceRefusesLeaderThenFails() {
         for (double before : new double[] {0.1, 1, 2, 6}) {
             for (double outage :
                     new double[] {6, 8, 13, 15, SimulatedCluster.CANCEL_S - 1, SimulatedCluster.CANCEL_S + 15}) {
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void theLeaderIsRefusedTwiceAndEachTimeAnOutageFollows() {
+    void cancellationMeetsDeadlineAcrossTwoRefusalsAndOutages() {
         longJobRuns();
         cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 30.0));
         cluster.net.refuse(cluster.leader(), 10);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void theWatchIsStuckWhileRenewalsPass() {
+    void stuckWatchWithWorkingLeaseRenewalsLosesNoTask() {
         longJobRuns();
         cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 60.0));
         cluster.until(() -> cluster.running().size() == 3, 20);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aLeaderThatHearsNothingOfCancellationsAnswersNoWorkers() {
+    void leaderWithStaleCancellationViewAnswersNoWorkers() {
         longJobRuns();
         String leader = cluster.leader();
         cluster.cutPeers(leader);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aNewLeaderDoesNotHoldCancelledTasksWhileItStillReads() {
+    void newLeaderDoesNotKeepCancelledTasksWhileReadingState() {
         for (String unread : List.of("open/", "parts/", "bound/")) {
             cluster = new SimulatedCluster(3);
             longJobRuns();
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void theOtherNodesWordStopsTasksBeforeTheStateServiceDoes() {
+    void peerHeartbeatStopsCancelledTasksDuringStateServiceRefusal() {
         longJobRuns();
         cluster.net.refuse(cluster.leader(), 14);
         cluster.loop.run(0.1);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void aHungMachineWithACancelledTaskIsGivenBackHoweverOftenLeadersChange() {
+    void hungMachineWithCancelledTaskIsDeletedDespiteRepeatedFailovers() {
         longJobRuns();
         SimWorker hung = cluster.cloud.workers().get(0);
         hung.frozen(true);
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aStopIsPushedAgainToAMachineThatCannotReport() {
+    void stopCommandIsRetriedToMachineThatCannotSendHeartbeats() {
         longJobRuns();
         List<String> mute = cluster.cloud.names();
         int[] lost = new int[1];
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void cancelledBeforeDuringAndAfterAChangeOfLeader() {
+    void cancellationBeforeDuringAndAfterFailoverMeetsDeadline() {
         for (int step = 0; step < 12; step++) {
             cluster = new SimulatedCluster(3);
             longJobRuns();
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void aCancellationAQuestionAndARepeatMeetTheEndOfAJobsLastTask() {
+    void cancellationRacingLastTaskCompletionHasOneOutcome() {
         for (int step = 0; step < 24; step++) {
             cluster = new SimulatedCluster(3);
             cluster.until(() -> cluster.leader() != null, 10);
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void aCancellationRacesAStart() {
+    void cancellationRacingTaskStartReleasesBindings() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 600.0));
         cluster.until(() -> cluster.bound("j-000001"), 40);
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void aCancellationHeardWhileTheBindingIsOnItsWayHoldsUpNoOtherJob() {
+    void cancellationDuringBindingTransactionDelaysNoOtherJob() {
         cluster.until(() -> cluster.leader() != null, 10);
         String leader = cluster.leader();
         cluster.net.weather((from, to, call) ->
@@ -245,7 +245,7 @@
     }
 
     @Test
-    void aCancellationThatTheLeaderHasNotHeardOfStopsTheStart() {
+    void cancellationUnknownToLeaderPreventsTaskStart() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1));
         // From here on the leader hears of no change of jobs in any way; the machine is still booting.
@@ -261,7 +261,7 @@
     }
 
     @Test
-    void aCancellationWithNoLeaderIsCarriedOutByTheNext() {
+    void cancellationWithoutLeaderIsExecutedByNextLeader() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 600.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -273,7 +273,7 @@
     }
 
     @Test
-    void aStartOnItsWayToACancelledJobCostsTheMachine() {
+    void pendingStartOfCancelledJobDeletesItsMachine() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 600.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
--- a/src/test/java/org/spruceridge/scenario/MeetingScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -15,10 +15,10 @@
  * Two faults at once, each time at a moment that differs by a counted step. The simulated cluster checks the rules
  * throughout; {@link SimulatedCluster#settle} then wants every accepted job to end, and to be answered for by every node.
  */
-final class MeetingScenarioTest {
+final class ConcurrentFaultsScenarioTest {
     private SimulatedCluster cluster;
 
-    private void meeting(int steps, IntConsumer scenario) {
+    private void atEachStep(int steps, IntConsumer scenario) {
         for (int step = 0; step < steps; step++) {
             cluster = new SimulatedCluster(3);
             cluster.until(() -> cluster.leader() != null, 10);
@@ -46,8 +46,8 @@
     }
 
     @Test
-    void aTeamIsAtItsLimitWhenTheLeaderChangesAndMachinesCannotBeAsked() {
-        meeting(6, step -> {
+    void quotaHoldsWhenLeaderChangesWithUnreachableMachines() {
+        atEachStep(6, step -> {
             runs(1, 2, 300);
             runs(2, 2, 40);
             SimWorker away = cluster.cloud.workers().get(0);
@@ -65,8 +65,8 @@
     }
 
     @Test
-    void aLeaderEndsWhileMachinesDoNotHearTheNextOne() {
-        meeting(6, step -> {
+    void allJobsCompleteWhenLeaderCrashesAndMachinesReceiveNothing() {
+        atEachStep(6, step -> {
             runs(1, 4, 60);
             List<String> deaf = List.of(cluster.cloud.workers().get(0).name());
             cluster.net.weather((from, to, call) -> {
@@ -82,8 +82,8 @@
     }
 
     @Test
-    void moreWorkThanRoomUrgentAndNotOverASlowNetwork() {
-        meeting(3, step -> {
+    void mixedPrioritiesBeyondCapacityCompleteOverLossyNetwork() {
+        atEachStep(3, step -> {
             cluster.cloud.capacity(2);
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.weather((from, to, call) -> random.nextInt(10) < 2 ? Fate.ANSWER_LOST : Fate.DELIVERED);
@@ -97,8 +97,8 @@
     }
 
     @Test
-    void aReportIsHeldBackUntilANewLeaderHasActed() {
-        meeting(8, step -> {
+    void heartbeatsDelayedBeyondFailoverChangeNothing() {
+        atEachStep(8, step -> {
             runs(1, 2, 20);
             SimWorker worker = cluster.cloud.workers().get(0);
             cluster.net.weather((from, to, call) -> from.equals(worker.name()) ? Fate.HELD : Fate.DELIVERED);
@@ -114,8 +114,8 @@
     }
 
     @Test
-    void oldReportsArriveAfterNewerOnes() {
-        meeting(4, step -> {
+    void duplicateHeartbeatsArrivingLateChangeNothing() {
+        atEachStep(4, step -> {
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.weather((from, to, call) ->
                     from.startsWith("i-") && random.nextInt(10) < 4 ? Fate.COPIED_LATE : Fate.DELIVERED);
@@ -132,8 +132,8 @@
     }
 
     @Test
-    void machinesThatReachNoControllerAreStillTold() {
-        meeting(6, step -> {
+    void cancellationReachesMachinesThatCannotSendHeartbeats() {
+        atEachStep(6, step -> {
             runs(1, 3, 60);
             List<String> mute = cluster.cloud.names();
             cluster.net.weather((from, to, call) -> mute.contains(from) ? Fate.LOST : Fate.DELIVERED);
@@ -149,8 +149,8 @@
     }
 
     @Test
-    void machinesThatReachNoControllerGetNoNewWork() {
-        meeting(1, step -> {
+    void machinesThatCannotSendHeartbeatsGetNoNewTasks() {
+        atEachStep(1, step -> {
             runs(1, 3, 60);
             List<String> mute = cluster.cloud.names();
             cluster.net.weather((from, to, call) -> mute.contains(from) ? Fate.LOST : Fate.DELIVERED);
@@ -172,8 +172,8 @@
      * because the session before was answered so long ago.
      */
     @Test
-    void tasksPushedToASessionThatIsNotYetAnsweredAreNotTakenForGone() {
-        meeting(30, step -> {
+    void tasksPushedToUnacknowledgedIncarnationAreNotReleased() {
+        atEachStep(30, step -> {
             runs(1, 1, 3);
             cluster.until(() -> cluster.running().isEmpty(), 10);
             cluster.cloud.capacity(cluster.cloud.rented());
@@ -199,8 +199,8 @@
     }
 
     @Test
-    void jobsOfAFewTasksEndFarApartAcrossChangesOfLeader() {
-        meeting(5, step -> {
+    void tasksEndingUnderDifferentLeadersCompleteTheirJobs() {
+        atEachStep(5, step -> {
             cluster.cloud.capacity(1);
             cluster.submit(SimulatedCluster.job(1, 3).put("cpus", 8.0).put("expectS", 9.0));
             cluster.submit(SimulatedCluster.job(2, 2).put("cpus", 8.0).put("expectS", 7.0));
@@ -212,8 +212,8 @@
     }
 
     @Test
-    void aLeaderIsCutFromStateServiceAndPeersWhileUsersCancelThroughTheNext() {
-        meeting(5, step -> {
+    void cancellationThroughNextLeaderHoldsWhenOldLeaderIsPartitioned() {
+        atEachStep(5, step -> {
             runs(1, 2, 600);
             runs(2, 1, 30);
             String cut = cluster.leader();
@@ -228,8 +228,8 @@
     }
 
     @Test
-    void controllersHandOverAndBackAllEndAndOneReturnsAtOnce() {
-        meeting(6, step -> {
+    void repeatedFailoversThenCrashOfAllNodesLoseNoTask() {
+        atEachStep(6, step -> {
             runs(1, 4, 40);
             String first = cluster.leader();
             cluster.net.refuse(first, 9);
@@ -246,8 +246,8 @@
     }
 
     @Test
-    void transactionsAreCarriedOutLateAfterNewerOnes() {
-        meeting(6, step -> {
+    void transactionsAppliedLateOverwriteNothingNewer() {
+        atEachStep(6, step -> {
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.weather((from, to, call) ->
                     call.target().equals("/txn") && random.nextInt(10) < 3 ? Fate.LATE : Fate.DELIVERED);
@@ -266,8 +266,8 @@
     }
 
     @Test
-    void leadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage() {
-        meeting(4, step -> {
+    void tenFailoversInTwoMinutesWithOutageMeetCancellationDeadline() {
+        atEachStep(4, step -> {
             runs(1, 2, 600);
             cluster.submit(SimulatedCluster.job(2, 6).put("expectS", 12.0));
             for (int i = 0; i < 10; i++) {
@@ -286,8 +286,8 @@
     }
 
     @Test
-    void jobsBoundToOneZoneLoseTheirMachines() {
-        meeting(4, step -> {
+    void jobsBoundToOneZoneSurviveLossOfAllMachines() {
+        atEachStep(4, step -> {
             cluster.submit(SimulatedCluster.job(1, 3).put("samePlace", true).put("expectS", 15.0));
             cluster.submit(SimulatedCluster.job(2, 1).put("grove", "z2").put("expectS", 15.0));
             cluster.until(() -> cluster.running().size() == 4, 60);
@@ -301,8 +301,8 @@
     }
 
     @Test
-    void machinesAndAControllerAreCutOffTogetherForLongerThanALease() {
-        meeting(4, step -> {
+    void partitionOfNodeAndMachinesBeyondLeaseLosesNoJob() {
+        atEachStep(4, step -> {
             runs(1, 4, 50);
             String inside = step % 2 == 0 ? cluster.leader() : cluster.follower();
             List<String> zone = List.of(inside, cluster.cloud.workers().get(0).name());
@@ -327,8 +327,8 @@
     }
 
     @Test
-    void allControllersAreAwayForLongerThanALease() {
-        meeting(3, step -> {
+    void absenceOfAllNodesBeyondLeaseLosesNoJob() {
+        atEachStep(3, step -> {
             runs(1, 2, 30);
             cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 30.0));
             cluster.loop.run(step * 0.05);
@@ -340,8 +340,8 @@
     }
 
     @Test
-    void aCommandOrItsAnswerIsHeldUpAndTheMachineGoesOn() {
-        meeting(6, step -> {
+    void delayedCommandOrAcknowledgementStartsNoTaskTwice() {
+        atEachStep(6, step -> {
             cluster.net.weather((from, to, call) ->
                     call.target().equals("/do") ? step % 2 == 0 ? Fate.HELD : Fate.ANSWER_LOST : Fate.DELIVERED);
             cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 8.0));
@@ -355,8 +355,8 @@
     }
 
     @Test
-    void aSlowStateServiceRefusesTheLeaderWhileUsersCancelAndAsk() {
-        meeting(4, step -> {
+    void lossyStateServiceThatRefusesLeaderMeetsCancellationDeadline() {
+        atEachStep(4, step -> {
             runs(1, 2, 600);
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.weather((from, to, call) ->
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -17,7 +17,7 @@
      * machines there are, reads that only after more than a lease, and by then the machines cannot be reached.
      */
     @Test
-    void leasesThatWereRenewedDuringTheFailoverAreWaitedFor() {
+    void leasesRenewedDuringFailoverDelayReleaseOfTheirTasks() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 90.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -11,7 +11,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
-    void theLargestJobBeginsUnderAStreamOfSmallUrgentOnes() {
+    void largestJobStartsDespiteStreamOfUrgentSmallJobs() {
         cluster.until(() -> cluster.leader() != null, 10);
         // Two machines' worth of room, and small jobs of a higher rank that ask for more than that all the time.
         int number = 100;
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aLargeTaskBeginsThoughSmallOnesOfItsTeamFillItsLimit() {
+    void largeTaskStartsDespiteSmallTasksFillingTeamQuota() {
         cluster.until(() -> cluster.leader() != null, 10);
         int number = 100;
         for (int i = 0; i < 32; i++) {
@@ -47,7 +47,7 @@
 
     /** Workers' reports come before decisions; but a leader that is never idle must decide all the same. */
     @Test
-    void decisionsWaitWhileRequestsWaitButNotForLong() {
+    void schedulingYieldsToPendingRequestsForBoundedTime() {
         cluster.until(() -> cluster.leader() != null, 10);
         submitSmall(1);
         cluster.until(() -> cluster.running().size() == 1, 40);
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -21,7 +21,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
-    void aLeaderDiesBetweenTheCommitAndTheOrder() {
+    void leaderCrashBetweenCommitAndCommandStartsTaskOnce() {
         cluster.until(() -> cluster.leader() != null, 10);
         // The binding is committed, but its leader dies before it hears of that.
         cluster.net.weather(
@@ -41,7 +41,7 @@
 
     /** Before that it could only turn workers away, and those would flood it while it finds out. */
     @Test
-    void aNodeThatStartsIsReadyOnceItKnowsTheLeader() {
+    void startingNodeIsReadyOnceItKnowsTheLeader() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.until(() -> List.of("n0", "n1", "n2").stream().allMatch(cluster::ready), 5);
         List.of("n0", "n1", "n2").forEach(cluster::crash);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aDeposedLeadersLateTransactionChangesNothing() {
+    void lateTransactionOfDeposedLeaderChangesNothing() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 200.0));
         cluster.until(() -> !cluster.cloud.workers().isEmpty(), 30);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aLeaderThatLostTheStateServiceStopsAnsweringWorkers() {
+    void leaderThatLosesStateServiceStopsAnsweringWorkers() {
         cluster.until(() -> cluster.leader() != null, 10);
         String old = cluster.leader();
         cluster.net.weather(
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aFailoverWaitsForASilentWorkersLease() {
+    void failoverWaitsForLeaseOfSilentWorker() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 25.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void theLimitHoldsWhenALeaderTakesOverWithSilentWorkers() {
+    void quotaHoldsInFailoverWithSilentWorkers() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 4).put("expectS", 30.0));
         cluster.until(() -> cluster.running().size() == 4, 40); // the team's limit
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void aStateOutageLosesNothing() {
+    void stateServiceOutageLosesNoTask() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 30.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void allNodesDieAndComeBack() {
+    void crashOfAllNodesLosesNoTask() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 4).put("expectS", 20.0));
         cluster.until(() -> cluster.running().size() == 4, 40);
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aLeaderThatWorkersCannotReachYields() {
+    void leaderUnreachableByWorkersStepsDown() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 40.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void nodesThatStartWhileTheCloudIsOutStillTakeAndPlaceJobs() {
+    void nodesStartedDuringCloudOutageAcceptAndPlaceJobs() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1));
         cluster.until(() -> cluster.poll("j-000001").equals("done"), 60);
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void aRestartedLeadersPlaceIsTakenAtOnceByANodeThatWasUp() {
+    void runningNodeReplacesRestartedLeaderImmediately() {
         cluster.until(() -> cluster.leader() != null, 10);
         String leader = cluster.leader();
         // Even if the others are slower to hear of it.
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void aRestartedLeaderTakesItsOwnPlaceIfNobodyElseDoes() {
+    void restartedLeaderIsReelectedIfNoOtherNodeRuns() {
         cluster.until(() -> cluster.leader() != null, 10);
         String leader = cluster.leader();
         List.of("n0", "n1", "n2").forEach(cluster::crash);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void aNewLeaderGivesMachinesALeaseToFindIt() {
+    void newLeaderGivesWorkersOneLeaseToFindIt() {
         cluster.until(() -> cluster.leader() != null, 10);
         // One task fills the memory of a machine, so that most of the zone's four are heard.
         cluster.submit(
@@ -234,7 +234,7 @@
     }
 
     @Test
-    void aNodeThatDoesNotLeadDoesNotLookIntoReports() {
+    void followerRedirectsHeartbeatsWithoutParsingThem() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.loop.run(1);
         byte[] unreadable = {'?'};
@@ -246,7 +246,7 @@
     }
 
     @Test
-    void aNodeWithoutStateServiceAndPeersHoldsNoWorker() {
+    void nodeWithoutStateServiceAndPeersRedirectsNoWorker() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 60.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -268,7 +268,7 @@
     }
 
     @Test
-    void aLeaderThatLosesStateServiceAndPeersLetsItsWorkersGo() {
+    void leaderThatLosesStateServiceAndPeersReleasesItsWorkers() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 60.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -282,7 +282,7 @@
     }
 
     @Test
-    void aProcessThatIsBackAtOnceMeetsItsOwnLateElection() {
+    void restartedNodeLeadsDespiteLateElectionOfItsFormerIncarnation() {
         SimulatedCluster late = new SimulatedCluster(1);
         late.net.weather((from, to, call) -> call.target().equals("/txn") ? Fate.HELD : Fate.DELIVERED);
         while (late.net.held() == 0) {
@@ -303,7 +303,7 @@
     }
 
     @Test
-    void everyJobIsAnsweredForAndRunsOnceTroublesAreOver() {
+    void everyJobIsKnownAndCompletesAfterFaultsEnd() {
         cluster.until(() -> cluster.leader() != null, 10);
         for (int i = 1; i <= 4; i++) {
             cluster.submit(SimulatedCluster.job(i, 2).put("expectS", 10.0));
@@ -342,7 +342,7 @@
     }
 
     @Test
-    void aLeaderThatStandsStillForLongerThanALeaseFindsAnotherInItsPlace() {
+    void leaderPausedForLongerThanALeaseIsReplaced() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 60.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -369,7 +369,7 @@
     }
 
     @Test
-    void aLeaderWhoseGrantIsOverReturnsNoMachineOfItsSuccessor() {
+    void leaderWithExpiredLeaseDeletesNoMachineOfItsSuccessor() {
         cluster.until(() -> cluster.leader() != null, 10);
         String old = cluster.leader();
         boolean[] asked = new boolean[1];
@@ -390,7 +390,7 @@
     }
 
     @Test
-    void aLeaderThatStandsStillForLessThanAGrantGoesOn() {
+    void leaderPausedForLessThanALeaseKeepsLeading() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 4).put("expectS", 60.0));
         cluster.until(() -> cluster.running().size() == 4, 40);
@@ -405,7 +405,7 @@
     }
 
     @Test
-    void aNodeThatStandsStillInItsElectionOrFailoverIsNoLeaderWhenItGoesOn() {
+    void nodePausedInElectionOrFailoverDoesNotLeadAfterwards() {
         for (int step = 0; step < 12; step++) {
             SimulatedCluster fresh = new SimulatedCluster(2);
             fresh.loop.run(0.0004 * step * step); // somewhere between its first request and the end of its failover
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -19,7 +19,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
-    void anOlderReportOfTheSameSessionChangesNothing() {
+    void olderHeartbeatOfSameIncarnationChangesNothing() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 30.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aLateReportChangesNothing() {
+    void lateHeartbeatAfterLeaseExpiryChangesNothing() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aLostAnswerToARentalRentsNothingTwice() {
+    void lostAnswerToLaunchRequestLaunchesNothingTwice() {
         cluster.until(() -> cluster.leader() != null, 10);
         int[] lost = new int[1];
         cluster.net.weather((from, to, call) ->
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aStartThatArrivesMinutesLateStartsNothingAgain() {
+    void startCommandDeliveredMinutesLateStartsNothingAgain() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.net.weather((from, to, call) -> call.target().equals("/do") ? Fate.HELD : Fate.DELIVERED);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 3.0));
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aMachineThatDiesIsReplacedAndItsTaskRunsAgain() {
+    void crashedMachineIsReplacedAndItsTaskRunsAgain() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aFaultyMachineIsReplaced() {
+    void machineThatFailsTasksIsReplaced() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 3.0));
         cluster.until(() -> cluster.cloud.workers().size() == 1, 30);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aNoticedMachineGetsNoMoreWork() {
+    void machineWithInterruptionNoticeGetsNoNewTasks() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1));
         cluster.until(() -> cluster.poll("j-000001").equals("done"), 60);
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void aMachineThatHearsNothingLosesItsTasksAndIsReplaced() {
+    void machineThatReceivesNothingLosesItsTasksAndIsReplaced() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 4).put("expectS", 60.0));
         cluster.until(() -> cluster.running().size() == 4, 40);
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void anIdleMachineThatHearsNothingKeepsNoTaskWaiting() {
+    void idleMachineThatReceivesNothingDelaysNoTask() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1));
         cluster.until(() -> cluster.poll("j-000001").equals("done"), 40);
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aMachineThatHearsNothingInAFailoverIsReplaced() {
+    void machineThatReceivesNothingDuringFailoverIsReplaced() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
         cluster.until(() -> cluster.running().size() == 1, 40);
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aMachineThatHearsNothingWhileTheCloudIsOutGivesItsTasksBackByItsLease() {
+    void leaseExpiryReleasesTasksOfUnreachableMachineDuringCloudOutage() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 5.0));
         cluster.submit(SimulatedCluster.job(2, 3).put("expectS", 30.0));
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void copiesOfADeadMachinesReportsDoNotKeepItAliveForTheNextLeader() {
+    void duplicateHeartbeatsOfCrashedMachineDoNotKeepItAliveAfterFailover() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
         cluster.until(() -> cluster.running().size() == 1, 40);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void copiesOfAReturnedMachinesReportsBringNothingBack() {
+    void duplicateHeartbeatsOfDeletedMachineDoNotRestoreIt() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1));
         cluster.until(() -> !cluster.cloud.workers().isEmpty(), 30);
@@ -236,7 +236,7 @@
     }
 
     @Test
-    void aMachineThatIsBackAtOnceRunsItsTasksAgain() {
+    void restartedMachineRunsItsTasksAgain() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 20.0));
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -246,7 +246,7 @@
     }
 
     @Test
-    void aMachineThatHangsForLessThanALeaseCarriesOutWhatCameMeanwhile() {
+    void machineHungForLessThanALeaseExecutesPendingCommands() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 40.0));
         cluster.until(() -> cluster.running().size() == 1, 30);
@@ -265,7 +265,7 @@
     }
 
     @Test
-    void machinesThatHangForLongerThanALeaseStartNothingTwice() {
+    void machinesHungForLongerThanALeaseStartNothingTwice() {
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 3).put("expectS", 40.0));
         cluster.until(() -> cluster.running().size() == 3, 30);
@@ -282,7 +282,7 @@
 
     /** Guards against a task that is never placed again, for one that no record knew was stopped and never let go. */
     @Test
-    void aTaskThatNoRecordKnowsIsStoppedAndRunsWhereItIsBound() {
+    void unrecordedTaskIsStoppedAndRunsWhereItIsBound() {
         cluster.cloud.capacity(1);
         cluster.until(() -> cluster.leader() != null, 10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 30.0));
--- a/src/test/java/org/spruceridge/scenario/CancellationAtSizeTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -20,7 +20,7 @@
  * Users cancel hundreds of jobs at once while leaders change. The simulated cluster fails each scenario in which a task of
  * a cancelled job is on a machine for longer than {@code cancel_s}.
  */
-final class CancellationAtSizeTest {
+final class MassCancellationScenarioTest {
     private static final int JOBS = 200;
     private static final double RUN_S = 200;
     private static final int CANCELLED_AT_ONCE = 60;
@@ -34,7 +34,9 @@
     }
 
     private static List<String> ids(int from, int to) {
-        return IntStream.range(from, to).mapToObj(CancellationAtSizeTest::id).toList();
+        return IntStream.range(from, to)
+                .mapToObj(MassCancellationScenarioTest::id)
+                .toList();
     }
 
     /** Fills so many machines with the tasks of {@link #JOBS} jobs that run for long. */
@@ -67,7 +69,7 @@
      * so that each failover is over at once.
      */
     @Test
-    void leadersThatLastForLessThanAReportPeriodStopCancelledTasks() {
+    void leadersShorterThanAHeartbeatIntervalStopCancelledTasks() {
         allMachinesAreFull(5, JOBS);
         cluster.crashLeader(0.2);
         cluster.users.cancel(ids(0, FEW), cluster.nodes(node -> true));
@@ -83,7 +85,7 @@
      * back of a leader that is cut off, the state service is slow, and the next leader ends before it has read them all.
      */
     @Test
-    void newLeadersStopCancelledTasksWhileTheyReadTheirJobs() {
+    void newLeadersStopCancelledTasksWhileReadingJobs() {
         allMachinesAreFull(3, JOBS);
         String first = cutOffLeader();
         cluster.net.weather((from, to, call) -> call.target().startsWith("/store/job/") ? Fate.SLOW : Fate.DELIVERED);
@@ -107,7 +109,7 @@
      * not come to its end while those that were read before are known.
      */
     @Test
-    void aNewLeaderStopsCancelledTasksWhileItWaitsForOneRecord() {
+    void newLeaderStopsCancelledTasksWhileOneRecordIsUnreadable() {
         allMachinesAreFull(3, JOBS);
         String first = cutOffLeader();
         cluster.users.cancel(ids(0, CANCELLED_AT_ONCE), cluster.nodes(node -> !node.equals(first)));
@@ -125,7 +127,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1640, 4000})
-    void mostJobsAreCancelledWhileEverythingIsOutOfOrder(int machines) {
+    void massCancellationDuringCombinedFaultsMeetsDeadline(int machines) {
         allMachinesAreFull(5, machines);
         String first = cutOffLeader();
         List<SimWorker> workers = cluster.cloud.workers();
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aServiceRunsUntilItIsCancelledAndIsNeverDone() throws BadMessageException {
+    void serviceRunsUntilCancelledAndIsNeverDone() throws BadMessageException {
         up(3);
         cluster.loop.run(120);
         Response poll = cluster.ask("n0", "GET", "/api/jobs/" + ID, (JsonNode) null);
@@ -64,7 +64,7 @@
     /** What a worker reports as done of a replica, under a leader that saw it start or a later one, is no end. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aReplicaThatEndsRunsAgain(boolean underTheNextLeader) {
+    void replicaThatEndsRunsAgain(boolean underTheNextLeader) {
         up(2);
         SimWorker worker = workerOf(ID + "/0");
         worker.endReplicas("done");
@@ -80,7 +80,7 @@
 
     /** One machine fails all that it is given: replicas run elsewhere, and the machine is given few of them. */
     @Test
-    void aMachineThatFailsReplicasGetsFewOfThem() {
+    void machineThatFailsReplicasGetsFewOfThem() {
         up(2);
         SimWorker faulty = workerOf(ID + "/0");
         faulty.behaviour(SimWorker.Behaviour.FAILS);
@@ -95,7 +95,7 @@
 
     /** A service submitted with a mistake ends at once wherever it starts: it must not keep the leader busy. */
     @Test
-    void aServiceThatEndsAtOnceEverywhereBacksOff() {
+    void serviceThatEndsImmediatelyEverywhereBacksOff() {
         up(2);
         cluster.cloud.behaviour(SimWorker.Behaviour.ENDS_SERVICES);
         cluster.cloud.workers().forEach(w -> w.endReplicas("done"));
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aReplicaWhoseMachineDiesRunsElsewhere() {
+    void replicaOfCrashedMachineRunsElsewhere() {
         up(2);
         SimWorker lost = workerOf(ID + "/0");
         cluster.cloud.die(lost);
@@ -121,7 +121,7 @@
 
     /** On a notice a replica moves as soon as there is room for it elsewhere, and not before. */
     @Test
-    void aReplicaMovesOnANoticeOnceThereIsRoom() {
+    void replicaMovesOnInterruptionNoticeOnceCapacityExists() {
         cluster.until(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimulatedCluster.service(1, 1).put("windfall", true));
         cluster.until(() -> cluster.replicas(1) == 1, 40);
@@ -134,7 +134,7 @@
     /** The leader ends in the middle of such a move, at any step of it. */
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.6, 1.2, 1.8, 2.4, 3.0})
-    void aMoveOutlivesTheLeader(double afterS) {
+    void replicaMoveSurvivesLeaderCrash(double afterS) {
         up(2);
         cluster.submit(SimulatedCluster.service(2, 2).put("windfall", true));
         cluster.until(() -> cluster.replicas(2) == 2, 40);
@@ -149,7 +149,7 @@
     /** A service is cancelled while a replica moves. */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 0.8, 1.4, 2.0, 3.0})
-    void aMovingServiceIsCancelled(double afterS) {
+    void cancellationDuringReplicaMoveStopsService(double afterS) {
         up(2);
         workerOf(ID + "/0").notice(40);
         cluster.loop.run(afterS);
@@ -161,7 +161,7 @@
 
     /** All nodes are away for longer than a lease: the workers end what they have, and it runs again. */
     @Test
-    void servicesComeBackAfterAllNodesWereAway() {
+    void servicesRestartAfterAbsenceOfAllNodes() {
         up(3);
         for (String node : List.of("n0", "n1", "n2")) {
             cluster.crash(node);
@@ -174,7 +174,7 @@
 
     /** Its machine is heard no more, while direct commands reach it: the replica must not start elsewhere too soon. */
     @Test
-    void aReplicaOnAMutedMachineRunsOnceAtATime() {
+    void replicaOnSilentMachineRunsOnceAtATime() {
         up(2);
         SimWorker muted = workerOf(ID + "/0");
         cluster.net.weather((from, to, call) -> from.equals(muted.name()) ? Fate.LOST : Fate.DELIVERED);
@@ -184,7 +184,7 @@
 
     /** With all its capacity taken by lower work, a service gets room by stopping some of it. */
     @Test
-    void aServiceStopsLowerWorkForRoom() {
+    void servicePreemptsLowerPriorityTasks() {
         cluster.cloud.capacity(2);
         cluster.until(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimulatedCluster.job(5, 4)
@@ -207,7 +207,7 @@
 
     /** Replicas are spread over zones as the job asks, and over machines. */
     @Test
-    void replicasAreSpread() {
+    void replicasAreSpreadOverMachines() {
         cluster.until(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimulatedCluster.job(9, 8)
                 .put("cpus", 2.0)
@@ -223,7 +223,7 @@
 
     /** The state service lowers its limits while services run, start and move; nothing is ever too large for it. */
     @Test
-    void theLimitsFallWhileServicesRun() {
+    void loweredStateLimitsAreKeptWhileServicesRun() {
         up(3);
         cluster.submit(SimulatedCluster.job(2, 5).put("cpus", 1.0).put("expectS", 15.0));
         cluster.loop.run(4);
@@ -243,7 +243,7 @@
         "parts, 9, 422", "cpus, 9, 422", "crew, \"nobody\", 422", "grove, \"z9\", 422", "dueS, 30, 201",
         "dueS, -1, 400", "samePlace, true, 201", "markEveryS, 10, 201"
     })
-    void submissionsOfServicesAreJudged(String field, String value, int status) throws BadMessageException {
+    void submissionsOfServicesAreValidated(String field, String value, int status) throws BadMessageException {
         cluster.until(() -> cluster.state.value("feature-level") != null, 20);
         JsonNode given = value == null
                 ? Json.object().nullNode()
@@ -254,7 +254,7 @@
 
     /** Batch work goes on beside services, and services beside batch work. */
     @Test
-    void batchWorkIsNotStarvedByServices() {
+    void batchJobsAreNotStarvedByServices() {
         up(4);
         cluster.submit(SimulatedCluster.job(2, 6).put("rank", "best_effort"));
         cluster.until(
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -51,7 +51,7 @@
     /** Neither a task nor a mark of a finished one is lost or doubled, whenever in the roll the leader has its turn. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void aRollLosesNothing(int leadersTurn) {
+    void rollingUpgradeLosesNoTask(int leadersTurn) {
         lead();
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 70.0));
         cluster.submit(SimulatedCluster.job(2, 12).put("expectS", 6.0));
@@ -67,7 +67,7 @@
 
     /** Old and new take the lead from each other: what one leaves, the other goes on with. */
     @Test
-    void theLeadGoesFromOldToNewAndBack() {
+    void leadershipMovesBetweenOldAndNewVersions() {
         lead();
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 120.0));
         cluster.submit(SimulatedCluster.job(2, 20).put("expectS", 4.0));
@@ -94,7 +94,7 @@
 
     /** A cancellation that one version confirmed holds under the next leader of the other. */
     @Test
-    void aCancellationOutlivesTheChangeOfVersion() {
+    void cancellationSurvivesChangeOfVersion() {
         lead();
         cluster.submit(SimulatedCluster.job(1, 4).put("expectS", 300.0));
         cluster.until(() -> cluster.running().size() == 4, 40);
@@ -117,7 +117,7 @@
 
     /** A service's record would be unreadable to an old node, so it is taken only when there is none left. */
     @Test
-    void aServiceIsTakenOnceEveryNodeHasTheNewVersion() {
+    void serviceIsAcceptedOnceEveryNodeIsUpgraded() {
         lead();
         cluster.upgrade("n0", 2);
         cluster.loop.run(8);
@@ -136,7 +136,7 @@
 
     /** A process that dies before its turn comes back old: the level waits for it, however often it was heard. */
     @Test
-    void aNodeThatComesBackOldKeepsTheLevel() {
+    void nodeRestartedWithOldVersionKeepsFeatureLevel() {
         lead();
         cluster.upgrade("n0", 2);
         cluster.upgrade("n1", 2);
@@ -150,7 +150,7 @@
 
     /** What a node last said counts only as long as it is heard: it may be coming back with the old version. */
     @Test
-    void aNodeThatIsDownKeepsTheLevel() {
+    void stoppedNodeKeepsFeatureLevelUnchanged() {
         lead();
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 300.0)); // so that workers report to the leader
         cluster.until(() -> cluster.running().size() == 2, 40);
@@ -171,7 +171,7 @@
 
     /** A member that nobody hears may be an old one. */
     @Test
-    void aMemberThatIsCutOffKeepsTheLevel() {
+    void partitionedMemberKeepsFeatureLevelUnchanged() {
         lead();
         cluster.cutPeers("n2");
         upgradeAll(8);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void theLevelIsRaisedAfterAnOutage() {
+    void featureLevelIsRaisedAfterOutage() {
         lead();
         cluster.upgrade("n0", 1);
         cluster.upgrade("n1", 1);
@@ -197,7 +197,7 @@
     /** The leader that raises the level ends at that moment, at whatever step of it. */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 0.6, 1.0, 1.4, 1.8})
-    void theLeaderEndsAsItRaisesTheLevel(double afterS) {
+    void leaderCrashWhileRaisingFeatureLevelLosesNothing(double afterS) {
         lead();
         upgradeAll(4);
         cluster.loop.run(afterS);
@@ -209,7 +209,7 @@
 
     /** A record that a later version wrote is not guessed at: the nodes stay up, and none of them leads. */
     @Test
-    void underALevelThatIsNotKnownNobodyLeads() {
+    void unknownFeatureLevelPreventsAnyElection() {
         lead();
         upgradeAll(8);
         cluster.until(this::raised, 20);
@@ -228,7 +228,7 @@
 
     /** Pages that production left larger than the limits to come are split, and nothing on them is lost. */
     @Test
-    void largePagesOfProductionAreSplitBeforeTheLimitsFall() {
+    void largePagesOfProductionAreSplitBeforeLimitsDrop() {
         lead();
         cluster.submit(
                 SimulatedCluster.job(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 90.0));
@@ -249,7 +249,7 @@
     /** The same when they fall in the middle of the failover, before the pages could be split. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.1, 0.3, 1})
-    void largePagesOfProductionAreSplitAsTheLimitsFall(double afterS) {
+    void largePagesOfProductionAreSplitWhileLimitsDrop(double afterS) {
         lead();
         cluster.submit(
                 SimulatedCluster.job(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 60.0));
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -21,7 +21,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @BeforeEach
-    void electALeader() {
+    void waitForElection() {
         cluster.loop.run(5);
     }
 
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aJobRunsAndIsDoneOnceAllItsTasksAre() {
+    void jobIsDoneOnceAllItsTasksAre() {
         assertEquals(201, cluster.submit(SimulatedCluster.job(1, 6)));
         while (cluster.completed().size() < 6) {
             assertTrue(List.of("pending", "running").contains(cluster.poll("j-000001")));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void anIdleMachineIsReturned() {
+    void idleMachineIsScaledIn() {
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
         cluster.loop.run(90);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aJobOfManyTasksKeepsItsBooksInChunksAndPages() {
+    void jobOfManyTasksIsRecordedInChunksAndPages() {
         SimulatedCluster small = new SimulatedCluster(2, 6, 2);
         small.loop.run(5);
         small.submit(SimulatedCluster.job(7, 40).put("expectS", 1.0));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aRepeatGetsTheJobsStateAtAnyTime() {
+    void repeatedSubmissionReturnsStateOfJob() {
         ObjectNode job = SimulatedCluster.job(1, 1);
         assertEquals(201, cluster.submit(job));
         assertEquals(200, cluster.submit(job));
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void anAcceptedIdIsNeverRefusedWhateverTheRepeatLooksLike() {
+    void acceptedIdIsNeverRefusedWhateverTheRepeatContains() {
         cluster.submit(SimulatedCluster.job(1, 1));
         assertEquals(
                 200,
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aLostAnswerOfTheStateServiceIsSettledBeforeTheUserHears() {
+    void lostAnswerOfStateServiceIsResolvedBeforeUserResponse() {
         int[] lost = new int[1];
         cluster.net.weather((from, to, call) ->
                 call.target().equals("/txn") && new String(call.body()).contains("job/j-000001") && lost[0]++ == 0
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void acceptedJobsAreKnownOnEveryNodeAtOnce() {
+    void acceptedJobsAreKnownOnEveryNodeImmediately() {
         cluster.submit(SimulatedCluster.job(1, 1));
         for (String node : List.of("n0", "n1", "n2")) {
             assertEquals(
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void nobodyElsesJobIsInvented() {
+    void unknownJobsAreNeverInvented() {
         assertEquals("404", cluster.poll("j-999999"));
         assertEquals("404", cluster.poll("job-1"));
         Response abort = cluster.ask("n0", "POST", "/api/jobs/j-999999/abort", (JsonNode) null);
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aCancelledJobStaysCancelledAndADoneOneDone() {
+    void terminalStagesOfJobsNeverChange() {
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
         assertEquals(
@@ -180,7 +180,7 @@
         "bundle, null",
         "crew, \"\"",
     })
-    void aMalformedJobIsRefused(String field, String value) {
+    void malformedJobIsRejectedWithBadRequest(String field, String value) {
         String body = new String(org.spruceridge.net.Json.bytes(SimulatedCluster.job(5, 1)), StandardCharsets.UTF_8);
         String broken = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
         Response r = cluster.ask("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
@@ -189,13 +189,13 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "7", "null", "{} {}", "{\"nameId\":\"j-1\",\"nameId\":\"j-1\"}"})
-    void whatIsNoObjectIsRefused(String body) {
+    void bodyThatIsNoObjectIsRejected(String body) {
         Response r = cluster.ask("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
         assertEquals(400, r.status());
     }
 
     @Test
-    void whatCanNeverRunIsRefused() {
+    void jobThatCanNeverRunIsRejected() {
         assertEquals(422, cluster.submit(SimulatedCluster.job(1, 1).put("crew", "nobody")));
         assertEquals(422, cluster.submit(SimulatedCluster.job(2, 1).put("cpus", 9.0)));
         assertEquals(422, cluster.submit(SimulatedCluster.job(3, 1).put("cpus", 20.0)));
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void wrongPathsAndMethodsAreToldApart() {
+    void wrongPathsAndMethodsGetDistinctStatuses() {
         assertEquals(404, cluster.ask("n0", "GET", "/nothing", (JsonNode) null).status());
         assertEquals(
                 405, cluster.ask("n0", "DELETE", "/api/jobs", (JsonNode) null).status());
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void aNodeTellsHowLongThingsTake() {
+    void metricsReportUserRequestLatencies() {
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
         JsonNode users = cluster.metrics("n0").path("users");
@@ -228,7 +228,7 @@
 
     /** An operator on call sees what became of reports, how long the failover took, and how old the leader's view is. */
     @Test
-    void aNodeTellsWhatBecameOfReportsAndOfItsFailover() {
+    void metricsReportHeartbeatOutcomesAndFailover() {
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
         JsonNode metrics = cluster.metrics(cluster.leader());
@@ -243,7 +243,7 @@
     }
 
     @Test
-    void aNodeThatAloneLostTheStateServiceIsUnhealthy() {
+    void nodeThatAloneLosesStateServiceIsUnhealthy() {
         cluster.net.weather(
                 (from, to, call) -> from.equals("n1") && to.host().startsWith("10.2.0.1") ? Fate.LOST : Fate.DELIVERED);
         cluster.loop.run(8);
--- a/src/test/java/org/spruceridge/sim/Limit.java
+++ b/src/test/java/org/spruceridge/sim/RateLimit.java
@@ -4,7 +4,7 @@
 import org.spruceridge.net.Durations;
 
 /** A rate limit of the settings, with bursts of some seconds' worth: exceeding it fails the scenario. */
-final class Limit {
+final class RateLimit {
     private final String what;
     private final double perS;
     private final double burst;
@@ -12,7 +12,7 @@
     private double left;
     private long at;
 
-    Limit(String what, double perS, double burstS, LongSupplier clock) {
+    RateLimit(String what, double perS, double burstS, LongSupplier clock) {
         this.what = what;
         this.perS = perS;
         this.clock = clock;
--- a/src/test/java/org/spruceridge/sim/LimitTest.java
+++ b/src/test/java/org/spruceridge/sim/RateLimitTest.java
@@ -6,12 +6,12 @@
 import org.spruceridge.net.Durations;
 
 /** The stand-ins' limits let a second's worth through at once, and no more than the rate after it. */
-final class LimitTest {
+final class RateLimitTest {
     private double nowS;
-    private final Limit limit = new Limit("requests", 10, 1, () -> Durations.nanos(nowS));
+    private final RateLimit limit = new RateLimit("requests", 10, 1, () -> Durations.nanos(nowS));
 
     @Test
-    void aBurstAndThenTheRateAreWithinTheLimit() {
+    void burstFollowedBySteadyRateIsAllowed() {
         limit.take(10);
         for (int i = 1; i <= 50; i++) {
             nowS = i * 0.11;
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void whatComesFasterExceedsIt() {
+    void requestsFasterThanRateViolateLimit() {
         limit.take(10);
         nowS = 0.05;
         assertThrows(AssertionError.class, () -> limit.take(1));
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void anOrdinaryDayBreaksNone() {
+    void validHistoryViolatesNoRule() {
         accepted(SimulatedCluster.job(1, 2));
         rules.starts(TASK, "m1", "z1", true);
         rules.starts("j-000001/1", "m2", "z2", false);
@@ -59,14 +59,14 @@
     }
 
     @Test
-    void aTaskOnTwoMachines() {
+    void taskOnTwoMachinesViolatesRanTwice() {
         accepted(SimulatedCluster.job(1, 1));
         rules.starts(TASK, "m1", "z1", true);
         breaks("ran_twice", () -> rules.starts(TASK, "m2", "z1", true));
     }
 
     @Test
-    void moreThanTheTeamsLimit() {
+    void cpusBeyondTeamLimitViolateQuota() {
         accepted(SimulatedCluster.job(1, 5));
         for (int i = 0; i < 4; i++) {
             rules.starts(JOB + "/" + i, "m" + i, "z1", true);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aTaskInAPlaceThatItsJobDoesNotAllow() {
+    void taskInForbiddenZoneOrKindViolatesWrongPlace() {
         accepted(SimulatedCluster.job(1, 2).put("windfall", false));
         breaks("wrong_place", () -> rules.starts(TASK, "m1", "z1", true));
         accepted(SimulatedCluster.job(2, 2).put("grove", "z1"));
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void tooManyTasksInOneZone() {
+    void tooManyTasksInOneZoneViolateWrongPlace() {
         accepted(SimulatedCluster.job(1, 3).put("scatter", true));
         rules.starts(JOB + "/0", "m1", "z1", true);
         rules.starts(JOB + "/1", "m1", "z1", true);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aCancelledTaskThatStays() {
+    void cancelledTaskBeyondDeadlineViolatesRanCancelled() {
         accepted(SimulatedCluster.job(1, 1));
         rules.starts(TASK, "m1", "z1", true);
         cancelled(JOB);
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aStartAfterTheCancellation() {
+    void startAfterCancellationViolatesRanCancelled() {
         accepted(SimulatedCluster.job(1, 1));
         cancelled(JOB);
         nowS = 5;
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void anAcceptedJobThatIsNotKnown() {
+    void unknownAcceptedJobViolatesForgotten() {
         accepted(SimulatedCluster.job(1, 1));
         for (int status : new int[] {404, 400, 422}) {
             breaks("forgotten", () -> rules.answered(JOB, status, ""));
@@ -119,19 +119,19 @@
     }
 
     @Test
-    void aJobThatNobodySubmitted() {
+    void unsubmittedJobViolatesInvented() {
         breaks("invented", () -> rules.answered(JOB, 200, "pending"));
     }
 
     @Test
-    void doneBeforeItsTasksAre() {
+    void doneBeforeAllTasksViolatesNotDone() {
         accepted(SimulatedCluster.job(1, 2));
         rules.completes(TASK);
         breaks("not_done", () -> rules.answered(JOB, 200, "done"));
     }
 
     @Test
-    void anEndThatIsTakenBackOrWasNotAskedFor() {
+    void revokedOrUnrequestedEndViolatesWentBack() {
         accepted(SimulatedCluster.job(1, 1));
         breaks("went_back", () -> rules.answered(JOB, 200, "cancelled"));
         rules.asksToCancel(JOB);
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aJobThatWaitsBesideRoomThatFits() {
+    void jobWaitingBesideFreeCapacityIsReported() {
         accepted(SimulatedCluster.job(1, 5));
         assertEquals(List.of(JOB), rules.waiting());
         for (int i = 0; i < 4; i++) {
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void aJobLeftWaitingOrRunningInTheEnd() {
+    void unfinishedJobOrLeftoverTaskIsReported() {
         accepted(SimulatedCluster.job(1, 1));
         breaks("left waiting", rules::over);
         rules.starts(TASK, "m1", "z1", true);
@@ -172,7 +172,7 @@
 
     /** Neither a leader's bindings nor a worker's word count: a task that hangs, or that nobody bound, is on its machine. */
     @Test
-    void oneCancelledTaskAmongThoseOfFourThousandMachines() {
+    void oneCancelledTaskAmongFourThousandMachinesIsDetected() {
         for (int i = 0; i < 4000; i++) {
             accepted(SimulatedCluster.job(i, 1).put("cpus", 0.001));
             rules.starts(String.format("j-%06d/0", i), "m" + i, "z1", true);
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -23,7 +23,7 @@
     private final SimulatedCluster cluster;
     private final Map<String, List<String>> claims = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
-    private final Limit calls;
+    private final RateLimit calls;
     private int count;
     private int deletions;
     private int capacity = Integer.MAX_VALUE;
@@ -33,7 +33,7 @@
 
     SimCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
-        this.calls = new Limit("calls of the cloud", SimulatedCluster.CLOUD_RPS, 2, cluster.loop::nanos);
+        this.calls = new RateLimit("calls of the cloud", SimulatedCluster.CLOUD_RPS, 2, cluster.loop::nanos);
     }
 
     /** What tasks do on all machines, those to come included. */
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -33,8 +33,8 @@
     private long revision = 1;
     private long lastLease;
     private long outageUntil;
-    private final Limit requests;
-    private Limit writes;
+    private final RateLimit requests;
+    private RateLimit writes;
     private boolean writesRefused;
 
     private record Value(JsonNode json, long modRevision, long leaseId) {}
@@ -55,8 +55,8 @@
         this.loop = loop;
         this.txnOps = txnOps;
         this.pageSize = pageSize;
-        this.requests = new Limit("requests", SimulatedCluster.STATE_RPS, 1, loop::nanos);
-        this.writes = new Limit("writes", SimulatedCluster.STATE_WRITE_RPS, 1, loop::nanos);
+        this.requests = new RateLimit("requests", SimulatedCluster.STATE_RPS, 1, loop::nanos);
+        this.writes = new RateLimit("writes", SimulatedCluster.STATE_WRITE_RPS, 1, loop::nanos);
         expire();
     }
 
@@ -70,7 +70,7 @@
     public void lowerLimits(double nextValueKb, int nextTxnOps, double writeRps) {
         valueKb = nextValueKb;
         txnOps = nextTxnOps;
-        writes = new Limit("writes", writeRps, 1, loop::nanos);
+        writes = new RateLimit("writes", writeRps, 1, loop::nanos);
         refuseChangesBeyondTheRate();
     }
 
