--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -85,9 +85,9 @@
         this.hostName = settings.hostName();
         this.others = settings.nodeCount() > 1;
         this.incarnation = Long.toHexString(random.nextLong());
-        this.ttl =
-                Durations.nanos(settings.workers().leaseS() * policy.leading().ttlOfLease());
-        this.renewEvery = (long) (ttl / policy.leading().renewalsPerTtl());
+        this.ttl = Durations.nanos(
+                settings.workers().leaseS() * policy.leadership().ttlWorkerLeases());
+        this.renewEvery = (long) (ttl / policy.leadership().renewalsPerTtl());
         this.listener = listener;
         this.scope = new CancellationScope(loop);
     }
@@ -130,7 +130,7 @@
 
     private void read() {
         watch.cancel();
-        state.list(StateKeys.LEADER, Priority.RENEWAL, scope.guard(listing -> {
+        state.list(StateKeys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scheduleRetry();
                 return;
@@ -219,7 +219,7 @@
         }
         Transaction txn =
                 Transaction.builder().delete(StateKeys.LEADER, modRevision).build();
-        state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
+        state.commit(txn, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.outcome() != TransactionResult.Outcome.COMMITTED) {
                 scheduleRetry();
             }
@@ -240,7 +240,7 @@
             }
             leaseId = created.value();
             validUntil = validity(asked);
-            level.read(Priority.RENEWAL, scope.guard(found -> {
+            level.read(Priority.LEASE_RENEWAL, scope.guard(found -> {
                 if (found.isOk()) {
                     campaign(leaderRevision, found.value());
                 } else {
@@ -252,7 +252,7 @@
 
     /** Goes on with a campaign once the cluster feature level is known to be supported. */
     private void campaign(long leaderRevision, LevelRecord onRecord) {
-        state.get(StateKeys.TERM, Priority.RENEWAL, scope.guard(term -> {
+        state.get(StateKeys.TERM, Priority.LEASE_RENEWAL, scope.guard(term -> {
             if (term.outcome() == StateResult.Outcome.UNAVAILABLE) {
                 abandonCampaign();
                 return;
@@ -270,7 +270,7 @@
     }
 
     private void attempt(Transaction txn, LeaderRecord record, LevelRecord onRecord) {
-        state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
+        state.commit(txn, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
                 win(record, result.revision(), onRecord);
             } else if (result.outcome() == TransactionResult.Outcome.UNKNOWN && loop.nanos() < validUntil) {
