--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -170,7 +170,7 @@
     /** Deletes machines that have to be given up; the deletion proves that their tasks are gone. */
     private void deleteFailed() {
         List<Machine> overdue = failureDetector.withOverdueStops();
-        overdue.stream().filter(m -> !m.terminating()).forEach(this::logOverdue);
+        overdue.stream().filter(m -> !m.isTerminating()).forEach(this::logOverdue);
         returns.delete(overdue, "cancelled tasks that do not end");
         returns.delete(failureDetector.lost(), "lost or never up");
     }
@@ -186,7 +186,7 @@
                         b.phase(),
                         Durations.secondsSince(b.job().cancelledAt(), now),
                         Durations.secondsSince(b.job().cancellationHeardAt(), now),
-                        Durations.secondsSince(m.lastHeartbeat(), now)));
+                        Durations.secondsSince(m.lease().lastHeartbeat(), now)));
     }
 
     /** How long ago the job of the oldest stop that is not proven was cancelled, in seconds; 0 if there is none. */
@@ -204,7 +204,7 @@
         ScaleUpPlanner planner = new ScaleUpPlanner(cluster, rentals::available, smallestTask(plan, standingBy));
         List<Machine> here = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (m.terminating() || m.unschedulable()) {
+            if (m.isTerminating() || m.isUnschedulable()) {
                 continue;
             }
             if (m.hasReported()) {
@@ -261,14 +261,14 @@
     private void returnIdle(Set<Machine> kept, long now) {
         List<Machine> idle = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (m.terminating() || !m.hasReported() || !(m.bindings().isEmpty() || lateStartMayHarm(m))) {
+            if (m.isTerminating() || !m.hasReported() || !(m.bindings().isEmpty() || lateStartMayHarm(m))) {
                 continue;
             }
             double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
             boolean idleLong =
                     Durations.secondsSince(m.idleSince(), now) > policy.fleet().idleOfBoot() * bootS * cheapness(m)
                             && Durations.secondsSince(m.launchedAt(), now) > LEAST_PAID_S;
-            boolean useless = m.unschedulable() && !(m.suspectedUnreachable() && beingAsked(m, now));
+            boolean useless = m.isUnschedulable() && !(m.suspicion().isSuspect() && beingAsked(m, now));
             if (useless || (idleLong && !kept.contains(m) && !warmCapacity.learning(cluster, now))) {
                 idle.add(m);
             }
@@ -278,7 +278,7 @@
 
     /** Its reach came into doubt a moment ago, and it has been asked for a sign. */
     private boolean beingAsked(Machine m, long now) {
-        return Durations.secondsSince(m.unreachableSince(), now)
+        return Durations.secondsSince(m.unacknowledgedSince(), now)
                 < settings.workers().leaseS() / 2;
     }
 
@@ -291,10 +291,10 @@
 
     /** A start of a cancelled job may still be on its way to this machine: only its end makes sure. */
     private static boolean lateStartMayHarm(Machine m) {
-        return m.startUncertain()
+        return m.directCommands().hasUncertainStart()
                 && m.bindings().stream()
                         .anyMatch(b -> b.job().cancelled()
                                 && b.phase() == Binding.Phase.ABSENT
-                                && m.unresolvedStarts().contains(b.attempt()));
+                                && m.directCommands().isStartUnresolved(b.attempt()));
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -59,7 +59,7 @@
         long now = loop.nanos();
         List<Machine> expired = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (now - m.lastLeaseRenewal() > lease && hasOpenBinding(m)) {
+            if (now - m.lease().lastRenewal() > lease && hasOpenBinding(m)) {
                 expired.add(m);
             }
         }
@@ -129,7 +129,7 @@
                 ZoneCount count = zones.computeIfAbsent(m.zone(), z -> new ZoneCount());
                 count.machines++;
                 count.inTouch += outOfTouchS(m, now) < silentS() ? 1 : 0;
-                count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lastHeartbeat());
+                count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lease().lastHeartbeat());
             }
         }
         return zones;
@@ -151,7 +151,7 @@
         double leaseS = settings.workers().leaseS();
         double silentForS = outOfTouchS(m, now);
         // One that this leader has not heard at all may still be looking for it, with all the others.
-        boolean silent = silentForS > (m.fenced() ? silentS() : leaseS);
+        boolean silent = silentForS > (m.lease().isFenced() ? silentS() : leaseS);
         return silent && (inTouch(zone, now) || silentForS > LEASES_OF_A_CUT_ZONE * leaseS);
     }
 
@@ -167,9 +167,9 @@
 
     /** How long the machine has not been heard, or has been heard without doing as it was told. */
     private static double outOfTouchS(Machine m, long now) {
-        double silentS = Durations.secondsSince(m.lastHeartbeat(), now);
-        return m.unreachableSince() == Machine.NEVER
-                ? silentS
-                : Math.max(silentS, Durations.secondsSince(m.unreachableSince(), now));
+        double silentS = Durations.secondsSince(m.lease().lastHeartbeat(), now);
+        return m.awaitsAcknowledgement()
+                ? Math.max(silentS, Durations.secondsSince(m.unacknowledgedSince(), now))
+                : silentS;
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/MachineReturns.java
+++ b/src/main/java/org/spruceridge/autoscaling/MachineReturns.java
@@ -46,7 +46,7 @@
         }
         List<Machine> fresh = new ArrayList<>();
         for (Machine m : machines) {
-            m.terminating(true);
+            m.markTerminating();
             if (deleting.add(m.name())) {
                 fresh.add(m);
             }
--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -36,7 +36,7 @@
     private boolean pushed;
     private boolean stopPushed;
     private boolean gone;
-    private long commandSentAt = Machine.NEVER;
+    private long commandSentAt = EventTimes.NOT_HAPPENED;
     private long runningSince;
     private final long boundAt;
 
@@ -124,7 +124,7 @@
             runningSince = now;
         }
         if (seen != phase) {
-            commandSentAt = Machine.NEVER;
+            commandSentAt = EventTimes.NOT_HAPPENED;
         }
         phase = seen;
     }
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -18,10 +18,10 @@
     private final BitSet taken = new BitSet();
     private final Int2ObjectHashMap<Binding> bindings = new Int2ObjectHashMap<>();
     private final Set<String> faultyOn = new HashSet<>();
-    private long cancelledAt = Machine.NEVER;
-    private long cancellationHeardAt = Machine.NEVER;
+    private long cancelledAt = EventTimes.NOT_HAPPENED;
+    private long cancellationHeardAt = EventTimes.NOT_HAPPENED;
     private long retryAfter = Long.MIN_VALUE;
-    private long incompleteSince = Machine.NEVER;
+    private long incompleteSince = EventTimes.NOT_HAPPENED;
     private int earlyExits;
     private long lastEarlyExit = Long.MIN_VALUE / 2;
 
@@ -54,7 +54,7 @@
 
     /** True once a user has cancelled it. */
     public boolean cancelled() {
-        return cancelledAt != Machine.NEVER;
+        return EventTimes.hasHappened(cancelledAt);
     }
 
     /** Takes note that it was cancelled, at {@code earliest} or later, and that this is known since {@code now}. */
@@ -138,9 +138,14 @@
         return !bindings.isEmpty() || !done.isEmpty();
     }
 
+    /** True if all tasks were placed in this term, and one or more of them have been missing since. */
+    public boolean isIncompleteAgain() {
+        return EventTimes.hasHappened(incompleteSince);
+    }
+
     /**
-     * Since when a task of it has been missing after all had been placed, on the steady clock in nanoseconds; {@link
-     * Machine#NEVER} if not all have been placed in this term.
+     * Since when a task of it has been missing after all had been placed, on the steady clock in nanoseconds; meaningful
+     * only if {@link #isIncompleteAgain()}.
      */
     public long incompleteSince() {
         return incompleteSince;
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -1,52 +1,37 @@
 package org.spruceridge.cluster;
 
 import java.util.Collection;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
-import java.util.Map;
-import java.util.Set;
 
-/** A machine as the leader of this term knows it. */
+/**
+ * A machine as the leader of this term knows it. Its parts hold one concern each: the order of its heartbeats, its lease,
+ * what speaks against it, direct commands, the reclaim notice, and the capacity in use. All times are nanoseconds on the
+ * steady clock.
+ */
 public final class Machine {
-    /** A moment that has not come. */
-    public static final long NEVER = Long.MAX_VALUE;
-
     private final String name;
     private final MachineKind kind;
-    private final Map<TaskId, Binding> bindings = new LinkedHashMap<>();
-    private final Set<String> failedJobs = new HashSet<>();
+    private final long knownSince;
+    private final HeartbeatVersion heartbeatVersion = new HeartbeatVersion();
+    private final WorkerLease lease;
+    private final FailureSuspicion suspicion = new FailureSuspicion();
+    private final DirectCommands directCommands = new DirectCommands();
+    private final SpotReclaim reclaim = new SpotReclaim();
+    private final MachineAllocation allocation;
     private String address;
-    private Resources used = Resources.NONE;
-    private int replicas;
-    private long incarnation;
-    private long sequence;
-    private long lowestIncarnation;
-    private boolean fenced;
-    private long lastHeartbeat;
-    private long lastLeaseRenewal;
-    private boolean hasReported;
-    private long reclaimAt = Long.MAX_VALUE;
-    private long knownSince;
-    private boolean terminating;
-    private boolean suspectedFaulty;
-    private final Set<Long> unresolvedStarts = new HashSet<>();
-    private boolean startUncertain;
-    private long suspectedSince = NEVER;
-    private long fencingTokenSentAt = NEVER;
-    private long idleSince;
-    private long lastPreemption = Long.MIN_VALUE;
     private long launchedAt;
+    private boolean reported;
+    private boolean terminating;
+    private long lastPreemption = EventTimes.NOT_HAPPENED;
 
-    /** {@code answeredAt} is the last moment at which any entitled node can have answered a report of it. */
-    public Machine(String name, String address, MachineKind kind, long now, long answeredAt) {
+    /** {@code leaseRenewedAt} is the latest time at which any leader can have answered a heartbeat of it. */
+    public Machine(String name, String address, MachineKind kind, long now, long leaseRenewedAt) {
         this.name = name;
         this.address = address;
         this.kind = kind;
         this.knownSince = now;
         this.launchedAt = now;
-        this.lastHeartbeat = now;
-        this.lastLeaseRenewal = answeredAt;
-        this.idleSince = now;
+        this.lease = new WorkerLease(now, leaseRenewedAt);
+        this.allocation = new MachineAllocation(now);
     }
 
     /** The name that the cloud gave it. */
@@ -74,264 +59,189 @@
         return kind.zone();
     }
 
-    /** True if the cloud may take it back. */
+    /** True if the cloud may reclaim it. */
     public boolean spot() {
         return kind.spot();
     }
 
-    /** All that is bound to it. */
-    public Collection<Binding> bindings() {
-        return bindings.values();
+    /** The newest heartbeat that was accepted. */
+    public HeartbeatVersion heartbeatVersion() {
+        return heartbeatVersion;
     }
 
-    /** The binding of a task to this machine, or null. */
-    public Binding binding(TaskId task) {
-        return bindings.get(task);
+    /** The lease of its worker. */
+    public WorkerLease lease() {
+        return lease;
     }
 
-    void bind(Binding binding) {
-        bindings.put(binding.task(), binding);
-        replicas += binding.job().spec().isService() ? 1 : 0;
-        used = used.plus(binding.job().spec().task());
+    /** What speaks against it. */
+    public FailureSuspicion suspicion() {
+        return suspicion;
     }
 
-    void unbind(Binding binding, long now) {
-        vacate(binding);
-        if (bindings.remove(binding.task(), binding)) {
-            replicas -= binding.job().spec().isService() ? 1 : 0;
-        }
-        if (bindings.isEmpty()) {
-            idleSince = now;
-            used = Resources.NONE; // no rounding stays behind
-        }
+    /** The start commands that were sent directly to its worker. */
+    public DirectCommands directCommands() {
+        return directCommands;
     }
 
-    /** The task is gone, and its room may be used at once; its record is still to be written. */
-    void vacate(Binding binding) {
-        if (!binding.gone()) {
-            binding.goneNow();
-            used = used.minus(binding.job().spec().task());
-        }
+    /** The notice that the cloud reclaims it. */
+    public SpotReclaim reclaim() {
+        return reclaim;
     }
 
-    /** How many of its bindings are of replicas of services. */
-    public int replicas() {
-        return replicas;
-    }
-
-    /** What all tasks take together that may be on the machine. */
-    public Resources used() {
-        return used;
+    /** All that is bound to it. */
+    public Collection<Binding> bindings() {
+        return allocation.bindings();
     }
 
-    /** The session of its worker that was heard last. */
-    public long incarnation() {
-        return incarnation;
+    /** The binding of a task to this machine, or null. */
+    public Binding binding(TaskId task) {
+        return allocation.binding(task);
     }
 
-    /** True if (session, sequence) is newer than all that was heard, and not of a session known to be over. */
-    public boolean isNews(long heartbeatIncarnation, long heartbeatSequence) {
-        return heartbeatIncarnation >= lowestIncarnation
-                && (heartbeatIncarnation > incarnation
-                        || (heartbeatIncarnation == incarnation && heartbeatSequence > sequence));
+    /** How many of its bindings are of replicas of services. */
+    public int replicas() {
+        return allocation.replicas();
     }
 
-    /** It was up before this term, as its bindings tell: it is waited for like one that was heard. */
-    public void expected() {
-        hasReported = true;
+    /** What all tasks take together that may be on the machine. */
+    public Resources used() {
+        return allocation.used();
     }
 
-    /**
-     * Takes note of a report, sent by itself or with the answer to a push. The latter says nothing about whether the
-     * worker reaches a controller, on which its lease depends.
-     */
-    public void recordHeartbeat(
-            long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, boolean byItself, long now) {
-        if (!hasReported) {
-            idleSince = now;
-        }
-        if (heartbeatIncarnation > incarnation) {
-            voidPushes();
-            // The session began at some moment before now, and its lease with it. If the last answer to an earlier
-            // session counted, tasks that were pushed to this one would be taken for gone while they run.
-            lastLeaseRenewal = Math.max(lastLeaseRenewal, now);
-            // Its lease ran out: perhaps our answers do not reach it. It has to show that something does.
-            if (incarnation > 0 && suspectedSince == NEVER) {
-                suspectedSince = now;
-            }
-        }
-        incarnation = heartbeatIncarnation;
-        sequence = heartbeatSequence;
-        address = heartbeatAddress;
-        if (byItself) {
-            lastHeartbeat = now;
-        }
-        hasReported = true;
+    /** Since when it has had no binding. */
+    public long idleSince() {
+        return allocation.idleSince();
     }
 
-    /** The lease of the session ran out: what it may still have sent changes nothing. */
-    public void endIncarnation() {
-        lowestIncarnation = incarnation + 1;
-        fenced = false;
-        fencingTokenSentAt = NEVER;
-        voidPushes();
+    void bind(Binding binding) {
+        allocation.bind(binding);
     }
 
-    /** Attempts whose start was sent straight to the worker and may still be on its way. */
-    public Set<Long> unresolvedStarts() {
-        return unresolvedStarts;
+    void unbind(Binding binding, long now) {
+        allocation.unbind(binding, now);
     }
 
-    /** A push of this session was not answered: a start may come late. */
-    public boolean startUncertain() {
-        return startUncertain;
+    /** Frees the capacity of a task that is gone, while its record is still to be written. */
+    void vacate(Binding binding) {
+        allocation.vacate(binding);
     }
 
-    /** Takes note that a direct start was not answered. */
-    public void markStartUncertain() {
-        startUncertain = true;
+    /** The incarnation of the newest heartbeat. */
+    public long incarnation() {
+        return heartbeatVersion.incarnation();
     }
 
-    /** An order of ours was carried out or answered. */
-    public void recordAcknowledgement() {
-        suspectedSince = NEVER;
+    /** True once its worker has sent a heartbeat, in this term or earlier, as its bindings show. */
+    public boolean hasReported() {
+        return reported;
     }
 
-    /** It is heard, but there is reason to think that nothing we say reaches it. */
-    public boolean suspectedUnreachable() {
-        return suspectedSince != NEVER;
+    /** Records that its worker ran before this term, as its bindings show, so that its heartbeats are expected. */
+    public void expectHeartbeats() {
+        reported = true;
     }
 
-    /** Since when an order has been waiting for it, or its reach has been in doubt; {@link #NEVER} if neither. */
-    public long unreachableSince() {
-        long since = suspectedSince;
-        for (Binding b : bindings.values()) {
-            since = Math.min(since, b.commandSentAt());
-        }
-        return since;
+    /** Records a heartbeat that the worker sent by itself. */
+    public void recordHeartbeat(long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, long now) {
+        recordStatus(heartbeatIncarnation, heartbeatSequence, heartbeatAddress, now);
+        lease.recordHeartbeat(now);
     }
 
     /**
-     * Nothing more is placed here: it is taken for faulty, about to be taken away, perhaps out of reach, or a late start
-     * may come.
+     * Records the heartbeat that came with the result of a direct command. It does not show whether the worker reaches a
+     * controller, on which its lease depends.
      */
-    public boolean unschedulable() {
-        return suspectedFaulty || reclaimAnnounced() || startUncertain || suspectedUnreachable();
-    }
-
-    private void voidPushes() {
-        unresolvedStarts.clear();
-        startUncertain = false;
-    }
-
-    /** True once a report carried this term's token: no older leader's answer counts there any more. */
-    public boolean fenced() {
-        return fenced;
-    }
-
-    /** Takes note that its worker showed this term's token. */
-    public void fence() {
-        fenced = true;
-    }
-
-    /** When it last sent a report that was news. */
-    public long lastHeartbeat() {
-        return lastHeartbeat;
-    }
-
-    /** True once its worker has reported, in this term or as its bindings tell. */
-    public boolean hasReported() {
-        return hasReported;
-    }
-
-    /** The last moment at which a lease of its worker can have begun anew. */
-    public long lastLeaseRenewal() {
-        return lastLeaseRenewal;
-    }
-
-    /** Its report is answered; {@code known} if it showed this term's token. */
-    public void recordLeaseRenewal(long now, boolean known) {
-        lastLeaseRenewal = now;
-        fencingTokenSentAt = known ? NEVER : Math.min(fencingTokenSentAt, now);
+    public void recordStatus(long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, long now) {
+        if (!reported) {
+            allocation.restartIdleTime(now);
+        }
+        if (heartbeatVersion.isNewIncarnation(heartbeatIncarnation)) {
+            beginIncarnation(now);
+        }
+        heartbeatVersion.accept(heartbeatIncarnation, heartbeatSequence);
+        address = heartbeatAddress;
+        reported = true;
     }
 
-    /** A report of it was answered at this moment, before the failover made it known here. */
-    public void leaseRenewedDuringFailover(long at) {
-        lastLeaseRenewal = Math.max(lastLeaseRenewal, at);
+    private void beginIncarnation(long now) {
+        directCommands.clear();
+        lease.beginIncarnation(now);
+        if (heartbeatVersion.hasIncarnation()) {
+            // Its previous lease expired: answers may not reach it, until it acknowledges a command.
+            suspicion.suspect(now);
+        }
     }
 
-    /** When it was first handed this term's token that it has not shown since; {@link #NEVER} if it has. */
-    public long fencingTokenSentAt() {
-        return fencingTokenSentAt;
+    /** The lease of the present incarnation expired: heartbeats that it may still have sent are ignored. */
+    public void endIncarnation() {
+        heartbeatVersion.endIncarnation();
+        lease.endIncarnation();
+        directCommands.clear();
     }
 
-    /** When the cloud will take the machine away; Long.MAX_VALUE if no notice was given. */
-    public long reclaimAt() {
-        return reclaimAt;
+    /** True if a command has not been carried out, or the machine is suspect. */
+    public boolean awaitsAcknowledgement() {
+        return EventTimes.hasHappened(unacknowledgedSince());
     }
 
-    /** Takes note of when the cloud will take it away. */
-    public void reclaimAt(long moment) {
-        reclaimAt = moment;
+    /**
+     * Since when a command has not been carried out, or the machine has been suspect; meaningful only if {@link
+     * #awaitsAcknowledgement()}.
+     */
+    public long unacknowledgedSince() {
+        long since = suspicion.suspectSince();
+        for (Binding binding : allocation.bindings()) {
+            since = Math.min(since, binding.commandSentAt());
+        }
+        return since;
     }
 
-    /** True if the cloud has announced that it takes the machine away. */
-    public boolean reclaimAnnounced() {
-        return reclaimAt != Long.MAX_VALUE;
+    /** True if it gets no more tasks: it is cordoned, about to be reclaimed or suspect, or a late start may arrive. */
+    public boolean isUnschedulable() {
+        return suspicion.isCordoned()
+                || reclaim.isAnnounced()
+                || directCommands.hasUncertainStart()
+                || suspicion.isSuspect();
     }
 
-    /** Since when this leader has known it, on the steady clock in nanoseconds. */
+    /** Since when this leader has known it. */
     public long knownSince() {
         return knownSince;
     }
 
-    /** When it was rented, as far as is known. */
+    /** When it was launched, as far as is known. */
     public long launchedAt() {
         return launchedAt;
     }
 
-    /** Corrects when it was rented. */
-    public void launchedAt(long moment) {
-        launchedAt = moment;
+    /** Corrects when it was launched. */
+    public void launchedAt(long launchedAtNanos) {
+        launchedAt = launchedAtNanos;
     }
 
-    /** The machine is being given back: nothing is placed on it any more. */
-    public boolean terminating() {
+    /** True if its deletion was requested: it gets no more tasks. */
+    public boolean isTerminating() {
         return terminating;
     }
 
-    /** Begins to give it back. */
-    public void terminating(boolean value) {
-        terminating = value;
-    }
-
-    /** Jobs that failed on this machine since a task last completed on it. */
-    public Set<String> failedJobs() {
-        return failedJobs;
-    }
-
-    /** Tasks of several jobs failed here. */
-    public boolean suspectedFaulty() {
-        return suspectedFaulty;
+    /** Records that its deletion is requested. */
+    public void markTerminating() {
+        terminating = true;
     }
 
-    /** Begins or ceases to suspect it of failing the tasks that it is given. */
-    public void suspectedFaulty(boolean value) {
-        suspectedFaulty = value;
-    }
-
-    /** Since when it has had no binding. */
-    public long idleSince() {
-        return idleSince;
+    /** True once a task on it was preempted. */
+    public boolean hasPreempted() {
+        return EventTimes.hasHappened(lastPreemption);
     }
 
-    /** When a task was last stopped on it for another; {@code Long.MIN_VALUE} if never. */
+    /** When a task on it was last preempted; meaningful only if {@link #hasPreempted()}. */
     public long lastPreemption() {
         return lastPreemption;
     }
 
-    /** Takes note that a task is stopped on it for another. */
-    public void lastPreemption(long moment) {
-        lastPreemption = moment;
+    /** Records that a task on it is preempted. */
+    public void recordPreemption(long now) {
+        lastPreemption = now;
     }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/cluster/MachineAllocation.java
@@ -0,0 +1,65 @@
+package org.spruceridge.cluster;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** The bindings of one machine and the capacity that they take. */
+final class MachineAllocation {
+    private final Map<TaskId, Binding> bindings = new LinkedHashMap<>();
+    private Resources used = Resources.NONE;
+    private int replicas;
+    private long idleSince;
+
+    MachineAllocation(long now) {
+        this.idleSince = now;
+    }
+
+    Collection<Binding> bindings() {
+        return bindings.values();
+    }
+
+    Binding binding(TaskId task) {
+        return bindings.get(task);
+    }
+
+    Resources used() {
+        return used;
+    }
+
+    int replicas() {
+        return replicas;
+    }
+
+    long idleSince() {
+        return idleSince;
+    }
+
+    void restartIdleTime(long now) {
+        idleSince = now;
+    }
+
+    void bind(Binding binding) {
+        bindings.put(binding.task(), binding);
+        replicas += binding.job().spec().isService() ? 1 : 0;
+        used = used.plus(binding.job().spec().task());
+    }
+
+    void unbind(Binding binding, long now) {
+        vacate(binding);
+        if (bindings.remove(binding.task(), binding)) {
+            replicas -= binding.job().spec().isService() ? 1 : 0;
+        }
+        if (bindings.isEmpty()) {
+            idleSince = now;
+            used = Resources.NONE; // discards rounding errors of the sums
+        }
+    }
+
+    void vacate(Binding binding) {
+        if (!binding.gone()) {
+            binding.goneNow();
+            used = used.minus(binding.job().spec().task());
+        }
+    }
+}
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -63,7 +63,7 @@
 
     /** Pushes whatever is due on a machine, unless a push is on its way: then once that has been answered. */
     public void push(Machine m) {
-        if (!m.fenced() || m.address().isEmpty() || !leads.getAsBoolean()) {
+        if (!m.lease().isFenced() || m.address().isEmpty() || !leads.getAsBoolean()) {
             return; // the answers to its reports will do
         }
         if (busy.contains(m)) {
@@ -76,8 +76,10 @@
         for (Binding b : m.bindings()) {
             WorkerCommand command = heartbeatHandler.due(b);
             // Only the first start is pushed: what that did not bring about is left to the answers to reports.
-            boolean start =
-                    command != null && command.verb() == WorkerCommand.Verb.START && !b.pushed() && !m.startUncertain();
+            boolean start = command != null
+                    && command.verb() == WorkerCommand.Verb.START
+                    && !b.pushed()
+                    && !m.directCommands().hasUncertainStart();
             boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !b.stopPushed();
             if (start) {
                 starts.add(b);
@@ -107,16 +109,16 @@
         }
         busy.add(m);
         long incarnation = m.incarnation();
-        starts.forEach(b -> m.unresolvedStarts().add(b.attempt()));
+        starts.forEach(b -> m.directCommands().startSent(b.attempt()));
         workers.push(address, term, incarnation, commands, timeout, scope.guard(push -> {
             busy.remove(m);
             if (push.kind() == CommandResult.Kind.UNKNOWN) {
                 if (!starts.isEmpty() && m.incarnation() == incarnation) {
                     LOG.info("machine {} did not answer a push: it gets no more work", m.name());
-                    m.markStartUncertain();
+                    m.directCommands().markStartUncertain();
                 }
             } else {
-                starts.forEach(b -> m.unresolvedStarts().remove(b.attempt()));
+                starts.forEach(b -> m.directCommands().startResolved(b.attempt()));
             }
             if (push.heartbeat().isEmpty() && !stops.isEmpty()) {
                 // The answers to its reports repeat a stop; a machine that cannot report is told again from here.
@@ -124,8 +126,8 @@
                 scope.after(timeout, () -> push(m));
             }
             if (push.heartbeat().isPresent()) {
-                m.recordAcknowledgement();
-            } else if (m.suspectedUnreachable() && !m.terminating()) {
+                m.suspicion().recordAcknowledgement();
+            } else if (m.suspicion().isSuspect() && !m.isTerminating()) {
                 scope.after(timeout, () -> probe(m));
             }
             push.heartbeat().ifPresent(heartbeatHandler::apply);
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -117,7 +117,7 @@
         }
         for (Binding b : plan.stops()) {
             b.stopMode(Binding.StopMode.CHECKPOINT);
-            b.machine().lastPreemption(now);
+            b.machine().recordPreemption(now);
             LOG.info("stopping {} to make room for work of a higher rank", b);
             push.accept(b.machine());
         }
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -241,7 +241,7 @@
         if (machine == null) {
             // Any node entitled before this term can have answered it until the election.
             machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.since());
-            machine.expected();
+            machine.expectHeartbeats();
             cluster.add(machine);
         }
         records.bindings().put(machine, r.page());
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -271,7 +271,7 @@
     }
 
     private void available(Machine machine) {
-        if (machine.suspectedUnreachable()) {
+        if (machine.suspicion().isSuspect()) {
             commandSender.probe(machine);
         }
         schedulingLoop.request();
--- a/src/main/java/org/spruceridge/leader/StatusLogger.java
+++ b/src/main/java/org/spruceridge/leader/StatusLogger.java
@@ -53,7 +53,7 @@
             spot += m.spot() ? 1 : 0;
             ordinary += m.spot() ? 0 : 1;
             idle += m.bindings().isEmpty() ? 1 : 0;
-            leaving += m.terminating() || m.unschedulable() ? 1 : 0;
+            leaving += m.isTerminating() || m.isUnschedulable() ? 1 : 0;
             cpus += cluster.typeOf(m)
                     .map(MachineType::capacity)
                     .map(r -> r.cpus())
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -61,7 +61,7 @@
     private void acknowledge(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine != null) {
-            machine.recordLeaseRenewal(loop.nanos(), heartbeat.fencingToken() == term);
+            machine.lease().recordRenewal(loop.nanos(), heartbeat.fencingToken() == term);
         }
     }
 
@@ -87,7 +87,7 @@
         leaseRenewedDuringFailover.forEach((name, at) -> {
             Machine machine = cluster.machine(name);
             if (machine != null) {
-                machine.leaseRenewedDuringFailover(at);
+                machine.lease().recordRenewalDuringFailover(at);
             }
         });
         leaseRenewedDuringFailover.clear();
@@ -122,8 +122,9 @@
         // Not sooner: right after a failover answers may come too late for the workers, and then it is not they who are
         // at fault.
         long timeout = Durations.nanos(settings.workers().leaseS());
-        boolean unreachable = heartbeat.fencingToken() != term && loop.nanos() - machine.fencingTokenSentAt() > timeout;
-        return unreachable || (machine.terminating() && machine.unreachableSince() != Machine.NEVER);
+        boolean unreachable =
+                heartbeat.fencingToken() != term && machine.lease().isFencingOverdue(loop.nanos(), timeout);
+        return unreachable || (machine.isTerminating() && machine.awaitsAcknowledgement());
     }
 
     /** Takes the report into the cluster state that came with the answer to a push. */
@@ -139,17 +140,23 @@
             return Optional.empty();
         }
         Machine machine = machine(heartbeat);
-        if (!machine.isNews(heartbeat.incarnation(), heartbeat.sequence())) {
+        if (!machine.heartbeatVersion().isSupersededBy(heartbeat.incarnation(), heartbeat.sequence())) {
             return Optional.empty();
         }
         long now = loop.nanos();
-        boolean fresh = !machine.fenced() || heartbeat.incarnation() > machine.incarnation();
-        machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), byItself, now);
-        machine.fence();
-        machine.reclaimAt(
-                heartbeat.noticeS().isPresent()
-                        ? now + Durations.nanos(heartbeat.noticeS().getAsDouble())
-                        : Long.MAX_VALUE);
+        boolean fresh =
+                !machine.lease().isFenced() || machine.heartbeatVersion().isNewIncarnation(heartbeat.incarnation());
+        if (byItself) {
+            machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), now);
+        } else {
+            machine.recordStatus(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), now);
+        }
+        machine.lease().fence();
+        if (heartbeat.noticeS().isPresent()) {
+            machine.reclaim().announce(now + Durations.nanos(heartbeat.noticeS().getAsDouble()));
+        } else {
+            machine.reclaim().withdraw();
+        }
         Map<TaskId, TaskStatus> listed = new HashMap<>();
         List<TaskStatus> unbound = new ArrayList<>();
         for (TaskStatus task : heartbeat.tasks()) {
@@ -164,7 +171,7 @@
             Binding.Phase before = b.phase();
             reconcile(b, listed.get(b.task()), now);
             if (b.phase() != before && b.phase() != Binding.Phase.ABSENT) {
-                machine.recordAcknowledgement();
+                machine.suspicion().recordAcknowledgement();
             }
         }
         if (fresh) {
@@ -229,7 +236,7 @@
                 } else if (cause == ExitCause.ERROR) {
                     failed(job, machine, now);
                 } else {
-                    machine.failedJobs().clear();
+                    machine.suspicion().failedJobs().clear();
                     job.faultyOn().clear();
                 }
             }
@@ -257,11 +264,16 @@
     /** Errors of several jobs on one machine speak against the machine, those of one job everywhere against the job. */
     private void failed(Job job, Machine machine, long now) {
         job.faultyOn().add(machine.name());
-        machine.failedJobs().add(job.id());
+        machine.suspicion().failedJobs().add(job.id());
         LOG.info("job {} failed on machine {}", job.id(), machine.name());
-        if (!machine.suspectedFaulty() && machine.failedJobs().size() >= FAULTY_JOBS && !job.suspectedFaulty()) {
-            machine.suspectedFaulty(true);
-            LOG.info("machine {} is taken for faulty: {} failed on it", machine.name(), machine.failedJobs());
+        if (!machine.suspicion().isCordoned()
+                && machine.suspicion().failedJobs().size() >= FAULTY_JOBS
+                && !job.suspectedFaulty()) {
+            machine.suspicion().cordon();
+            LOG.info(
+                    "machine {} is taken for faulty: {} failed on it",
+                    machine.name(),
+                    machine.suspicion().failedJobs());
         }
         if (job.suspectedFaulty()) {
             double backoffS = settings.workers().heartbeatIntervalS()
@@ -295,17 +307,17 @@
 
     private static boolean mustNotStart(Binding b) {
         return b.stopMode() != Binding.StopMode.NONE
-                || b.machine().terminating()
-                || b.machine().reclaimAnnounced()
-                || b.machine().suspectedFaulty()
-                || b.machine().suspectedUnreachable();
+                || b.machine().isTerminating()
+                || b.machine().reclaim().isAnnounced()
+                || b.machine().suspicion().isCordoned()
+                || b.machine().suspicion().isSuspect();
     }
 
     private List<WorkerCommand> commands(Machine machine, List<TaskStatus> unbound, long now) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskStatus task : unbound) {
             if (task.state() == WorkerHeartbeat.TaskState.EXITED) {
-                if (machine.unresolvedStarts().contains(task.attempt())) {
+                if (machine.directCommands().isStartUnresolved(task.attempt())) {
                     continue; // while the worker knows the attempt, a late start of it does nothing
                 }
                 commands.add(WorkerCommand.forget(task.task(), task.attempt()));
@@ -345,7 +357,7 @@
 
     /** A start sent straight to the worker is still unresolved: that the task is absent proves nothing yet. */
     private static boolean startMayCome(Binding b) {
-        return b.machine().unresolvedStarts().contains(b.attempt());
+        return b.machine().directCommands().isStartUnresolved(b.attempt());
     }
 
     /** A running task that no record knows: it should not be. It is counted where it is, and stopped. */
@@ -366,11 +378,11 @@
     private void stopBeforeReclaim(Binding b, long now) {
         Machine machine = b.machine();
         boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.FETCHING;
-        if (!there || !machine.reclaimAnnounced() || b.stopMode() != Binding.StopMode.NONE) {
+        if (!there || !machine.reclaim().isAnnounced() || b.stopMode() != Binding.StopMode.NONE) {
             return;
         }
         JobSpec spec = b.job().spec();
-        double leftS = Durations.seconds(machine.reclaimAt() - now);
+        double leftS = Durations.seconds(machine.reclaim().reclaimAt() - now);
         // The next chance to say so is a report away, at the latest one and a quarter periods.
         double lastChanceS = 2.5 * settings.workers().heartbeatIntervalS()
                 + (spec.canCheckpoint() ? 1.5 * spec.checkpointDurationS() : 0);
@@ -381,8 +393,10 @@
 
     private double graceS(Binding b, long now) {
         double wanted = 2 * b.job().spec().checkpointDurationS() + 1;
-        return b.machine().reclaimAnnounced()
-                ? Math.max(0, Math.min(wanted, Durations.seconds(b.machine().reclaimAt() - now)))
+        return b.machine().reclaim().isAnnounced()
+                ? Math.max(
+                        0,
+                        Math.min(wanted, Durations.seconds(b.machine().reclaim().reclaimAt() - now)))
                 : wanted;
     }
 }
--- a/src/main/java/org/spruceridge/schedule/Candidate.java
+++ b/src/main/java/org/spruceridge/schedule/Candidate.java
@@ -1,7 +1,6 @@
 package org.spruceridge.schedule;
 
 import org.spruceridge.cluster.Job;
-import org.spruceridge.cluster.Machine;
 import org.spruceridge.net.Durations;
 
 /**
@@ -14,7 +13,7 @@
 public record Candidate(Job job, double elapsedS, double ageS, double slackS) {
     /** The waiting tasks of a job, at a moment of the steady clock and a time of day in milliseconds. */
     static Candidate waiting(Job job, long now, long wallMs) {
-        boolean missing = job.spec().isService() && job.incompleteSince() != Machine.NEVER;
+        boolean missing = job.spec().isService() && job.isIncompleteAgain();
         double ageS =
                 missing ? Durations.secondsSince(job.incompleteSince(), now) : (wallMs - job.submittedMs()) / 1000.0;
         return new Candidate(job, 0, ageS, (job.deadlineMs() - wallMs) / 1000.0);
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -63,10 +63,10 @@
     }
 
     private boolean usable(Machine machine) {
-        double silentS = Durations.secondsSince(machine.lastHeartbeat(), now);
-        return machine.fenced()
-                && !machine.terminating()
-                && !machine.unschedulable()
+        double silentS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
+        return machine.lease().isFenced()
+                && !machine.isTerminating()
+                && !machine.isUnschedulable()
                 && silentS < SILENCE_OF_REPORT * settings.workers().heartbeatIntervalS();
     }
 
@@ -161,7 +161,7 @@
     List<Binding> leavingReplicas() {
         List<Binding> leaving = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.reclaimAnnounced() && !machine.terminating()) {
+            if (machine.reclaim().isAnnounced() && !machine.isTerminating()) {
                 for (Binding b : machine.bindings()) {
                     boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.CHECKPOINTING;
                     if (b.job().spec().isService() && there && !b.job().cancelled()) {
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -53,8 +53,7 @@
     }
 
     private boolean mayStopOn(Machine machine) {
-        return machine.lastPreemption() == Long.MIN_VALUE
-                || Durations.secondsSince(machine.lastPreemption(), state.now()) >= perMachineS;
+        return !machine.hasPreempted() || Durations.secondsSince(machine.lastPreemption(), state.now()) >= perMachineS;
     }
 
     private void makeRoom(WaitingJob waiting) {
--- a/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
+++ b/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
@@ -37,8 +37,8 @@
     void addMachines() {
         for (int i = 0; i < MACHINES; i++) {
             Machine m = new Machine("i-" + i, "", new MachineKind("t", "a", true), loop.nanos(), loop.nanos());
-            m.recordHeartbeat(1, ++sequence, "", true, loop.nanos());
-            m.fence();
+            m.recordHeartbeat(1, ++sequence, "", loop.nanos());
+            m.lease().fence();
             cluster.add(m);
             machines.add(m);
         }
@@ -49,7 +49,7 @@
         for (int i = 0; i < seconds / REPORT_S * MACHINES; i++) {
             Machine m = machines.get(i % MACHINES);
             if (m != silent) {
-                m.recordHeartbeat(1, ++sequence, "", true, loop.nanos());
+                m.recordHeartbeat(1, ++sequence, "", loop.nanos());
             }
             loop.run(REPORT_S / MACHINES);
         }
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -178,8 +178,8 @@
                     new MachineKind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0),
                     loop.nanos(),
                     loop.nanos());
-            machine.recordHeartbeat(1, 1, "", true, loop.nanos());
-            machine.fence();
+            machine.recordHeartbeat(1, 1, "", loop.nanos());
+            machine.lease().fence();
             term.cluster.add(machine);
         }
     }
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -52,8 +52,8 @@
 
     private Machine machine(String name, String zone, boolean spot) {
         Machine m = new Machine(name, "", new MachineKind("t8", zone, spot), NOW, NOW);
-        m.recordHeartbeat(1, 1, "", true, NOW);
-        m.fence();
+        m.recordHeartbeat(1, 1, "", NOW);
+        m.lease().fence();
         cluster.add(m);
         return m;
     }
@@ -264,9 +264,9 @@
     void onlyMachinesThatThisTermHeardAreUsed() {
         Machine unheard = new Machine("unheard", "", new MachineKind("t8", "a", false), NOW, NOW);
         cluster.add(unheard);
-        machine("returning", "a", false).terminating(true);
-        machine("faulty", "a", false).suspectedFaulty(true);
-        machine("noticed", "a", true).reclaimAt(NOW + 1);
+        machine("returning", "a", false).markTerminating();
+        machine("faulty", "a", false).suspicion().cordon();
+        machine("noticed", "a", true).reclaim().announce(NOW + 1);
         job().add();
         assertEquals(List.of(), machines(plan()));
     }
@@ -289,7 +289,7 @@
         Plan plan = plan();
         assertEquals(1, plan.stops().size());
         plan.stops().get(0).stopMode(Binding.StopMode.CHECKPOINT);
-        m.lastPreemption(NOW);
+        m.recordPreemption(NOW);
         assertEquals(0, plan().stops().size());
     }
 
@@ -394,7 +394,7 @@
     void aReplicaMovesWhereRoomIsKeptForIt() {
         Machine leaving = machine("leaving", "a", false);
         Binding replica = running(service(1, 8).add(), 0, leaving);
-        leaving.reclaimAt(NOW + 60_000_000_000L);
+        leaving.reclaim().announce(NOW + 60_000_000_000L);
         assertEquals(List.of(), plan().moves());
         machine("other", "a", false);
         job().add();
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -85,8 +85,8 @@
             String type = random.nextBoolean() ? "t4" : "t8";
             String zone = random.nextBoolean() ? "a" : "b";
             Machine m = new Machine("m" + i, "", new MachineKind(type, zone, random.nextBoolean()), NOW, NOW);
-            m.recordHeartbeat(1, 1, "", true, NOW);
-            m.fence();
+            m.recordHeartbeat(1, 1, "", NOW);
+            m.lease().fence();
             cluster.add(m);
             machines.add(m);
             int there = random.nextInt(4);
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -59,8 +59,8 @@
         for (int i = 0; i < MACHINES; i++) {
             Machine machine =
                     new Machine("i-" + i, "", new MachineKind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0), NOW, NOW);
-            machine.recordHeartbeat(1, 1, "", true, NOW);
-            machine.fence();
+            machine.recordHeartbeat(1, 1, "", NOW);
+            machine.lease().fence();
             cluster.add(machine);
             Job running = i % 2 == 0 ? small : large;
             for (int k = 0; running.spec().task().fitsIn(cluster.free(machine)); k++) {
