--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -128,7 +128,7 @@
         }
         for (Binding binding : plan.stops()) {
             binding.stopMode(Binding.StopMode.CHECKPOINT);
-            binding.machine().lastPreemption(now);
+            binding.machine().recordPreemption(now);
             LOG.info("stopping {} to make room for work of a higher rank", binding);
             commandsDue.accept(binding.machine());
         }
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -61,7 +61,7 @@
     private void recordLeaseRenewal(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine != null) {
-            machine.recordLeaseRenewal(loop.nanos(), heartbeat.fencingToken() == term);
+            machine.lease().recordRenewal(loop.nanos(), heartbeat.fencingToken() == term);
         }
     }
 
@@ -87,7 +87,7 @@
         leaseRenewedDuringFailover.forEach((name, at) -> {
             Machine machine = cluster.machine(name);
             if (machine != null) {
-                machine.leaseRenewedDuringFailover(at);
+                machine.lease().recordRenewalDuringFailover(at);
             }
         });
         leaseRenewedDuringFailover.clear();
@@ -122,8 +122,9 @@
         // Not sooner: right after a failover answers may come too late for the workers, and then it is not they who are
         // at fault.
         long timeout = Durations.nanos(settings.workers().leaseS());
-        boolean unreachable = heartbeat.fencingToken() != term && loop.nanos() - machine.fencingTokenSentAt() > timeout;
-        return unreachable || (machine.terminating() && machine.unreachableSince() != Machine.NEVER);
+        boolean unreachable =
+                heartbeat.fencingToken() != term && machine.lease().isFencingOverdue(loop.nanos(), timeout);
+        return unreachable || (machine.isTerminating() && machine.awaitsAcknowledgement());
     }
 
     /** Takes the report into the cluster state that came with the answer to a push. */
@@ -139,17 +140,24 @@
             return Optional.empty();
         }
         Machine machine = machine(heartbeat);
-        if (!machine.isNews(heartbeat.incarnation(), heartbeat.sequence())) {
+        if (!machine.heartbeatVersion().isSupersededBy(heartbeat.incarnation(), heartbeat.sequence())) {
             return Optional.empty();
         }
         long now = loop.nanos();
-        boolean newlyAvailable = !machine.fenced() || heartbeat.incarnation() > machine.incarnation();
-        machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), sentByWorker, now);
-        machine.fence();
-        machine.reclaimAt(
-                heartbeat.reclaimNoticeS().isPresent()
-                        ? now + Durations.nanos(heartbeat.reclaimNoticeS().getAsDouble())
-                        : Long.MAX_VALUE);
+        boolean newlyAvailable =
+                !machine.lease().isFenced() || machine.heartbeatVersion().isNewIncarnation(heartbeat.incarnation());
+        if (sentByWorker) {
+            machine.recordHeartbeat(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), now);
+        } else {
+            machine.recordStatus(heartbeat.incarnation(), heartbeat.sequence(), heartbeat.address(), now);
+        }
+        machine.lease().fence();
+        if (heartbeat.reclaimNoticeS().isPresent()) {
+            machine.reclaim()
+                    .announce(now + Durations.nanos(heartbeat.reclaimNoticeS().getAsDouble()));
+        } else {
+            machine.reclaim().withdraw();
+        }
         Map<TaskId, TaskStatus> listed = new HashMap<>();
         List<TaskStatus> unbound = new ArrayList<>();
         for (TaskStatus task : heartbeat.tasks()) {
@@ -164,7 +172,7 @@
             Binding.Phase before = binding.phase();
             reconcile(binding, listed.get(binding.task()), now);
             if (binding.phase() != before && binding.phase() != Binding.Phase.ABSENT) {
-                machine.recordAcknowledgement();
+                machine.suspicion().recordAcknowledgement();
             }
         }
         if (newlyAvailable) {
@@ -231,7 +239,7 @@
                 } else if (cause == ExitCause.ERROR) {
                     recordFailure(job, machine, now);
                 } else {
-                    machine.failedJobs().clear();
+                    machine.suspicion().failedJobs().clear();
                     job.faultyOn().clear();
                 }
             }
@@ -259,13 +267,16 @@
     /** Errors of several jobs on one machine speak against the machine, those of one job everywhere against the job. */
     private void recordFailure(Job job, Machine machine, long now) {
         job.faultyOn().add(machine.name());
-        machine.failedJobs().add(job.id());
+        machine.suspicion().failedJobs().add(job.id());
         LOG.info("job {} failed on machine {}", job.id(), machine.name());
-        if (!machine.suspectedFaulty()
-                && machine.failedJobs().size() >= FAILED_JOBS_BEFORE_CORDON
+        if (!machine.suspicion().isCordoned()
+                && machine.suspicion().failedJobs().size() >= FAILED_JOBS_BEFORE_CORDON
                 && !job.suspectedFaulty()) {
-            machine.suspectedFaulty(true);
-            LOG.info("machine {} is taken for faulty: {} failed on it", machine.name(), machine.failedJobs());
+            machine.suspicion().cordon();
+            LOG.info(
+                    "machine {} is taken for faulty: {} failed on it",
+                    machine.name(),
+                    machine.suspicion().failedJobs());
         }
         if (job.suspectedFaulty()) {
             double backoffS = settings.workers().heartbeatIntervalS()
@@ -302,17 +313,17 @@
 
     private static boolean isStartForbidden(Binding binding) {
         return binding.stopMode() != Binding.StopMode.NONE
-                || binding.machine().terminating()
-                || binding.machine().reclaimAnnounced()
-                || binding.machine().suspectedFaulty()
-                || binding.machine().suspectedUnreachable();
+                || binding.machine().isTerminating()
+                || binding.machine().reclaim().isAnnounced()
+                || binding.machine().suspicion().isCordoned()
+                || binding.machine().suspicion().isSuspect();
     }
 
     private List<WorkerCommand> selectCommands(Machine machine, List<TaskStatus> unbound, long now) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskStatus task : unbound) {
             if (task.state() == WorkerHeartbeat.TaskState.EXITED) {
-                if (machine.unresolvedStarts().contains(task.attempt())) {
+                if (machine.directCommands().isStartUnresolved(task.attempt())) {
                     continue; // while the worker knows the attempt, a late start of it does nothing
                 }
                 commands.add(WorkerCommand.forget(task.task(), task.attempt()));
@@ -353,7 +364,7 @@
 
     /** A start sent straight to the worker is still unresolved: that the task is absent proves nothing yet. */
     private static boolean isStartUnresolved(Binding binding) {
-        return binding.machine().unresolvedStarts().contains(binding.attempt());
+        return binding.machine().directCommands().isStartUnresolved(binding.attempt());
     }
 
     /** A running task that no record knows: it should not be. It is counted where it is, and stopped. */
@@ -374,11 +385,11 @@
     private void checkpointBeforeReclaim(Binding binding, long now) {
         Machine machine = binding.machine();
         boolean present = binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.FETCHING;
-        if (!present || !machine.reclaimAnnounced() || binding.stopMode() != Binding.StopMode.NONE) {
+        if (!present || !machine.reclaim().isAnnounced() || binding.stopMode() != Binding.StopMode.NONE) {
             return;
         }
         JobSpec spec = binding.job().spec();
-        double remainingS = Durations.seconds(machine.reclaimAt() - now);
+        double remainingS = Durations.seconds(machine.reclaim().reclaimAt() - now);
         // The next chance to say so is a report away, at the latest one and a quarter periods.
         double lastChanceS = 2.5 * settings.workers().heartbeatIntervalS()
                 + (spec.canCheckpoint() ? 1.5 * spec.checkpointDurationS() : 0);
@@ -389,9 +400,12 @@
 
     private double checkpointGraceS(Binding binding, long now) {
         double wanted = 2 * binding.job().spec().checkpointDurationS() + 1;
-        return binding.machine().reclaimAnnounced()
+        return binding.machine().reclaim().isAnnounced()
                 ? Math.max(
-                        0, Math.min(wanted, Durations.seconds(binding.machine().reclaimAt() - now)))
+                        0,
+                        Math.min(
+                                wanted,
+                                Durations.seconds(binding.machine().reclaim().reclaimAt() - now)))
                 : wanted;
     }
 }
