--- a/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
+++ b/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
@@ -4,9 +4,9 @@
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.RateLimiter.Priority;
-import org.spruceridge.record.Keys;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 
@@ -61,11 +61,11 @@
 
     private void raise() {
         Transaction txn = Transaction.builder()
-                .guard(Keys.LEADER, leaderRevision)
-                .set(Keys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
+                .compare(StateKeys.LEADER, leaderRevision)
+                .put(StateKeys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
                 .build();
-        state.commit(txn, Priority.DECISIONS, scope.guard(result -> {
-            if (result.kind() == TransactionResult.Kind.COMMITTED) {
+        state.commit(txn, Priority.SCHEDULING, scope.guard(result -> {
+            if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
                 onRecord = new LevelRecord(FeatureLevel.SUPPORTED, result.revision());
                 level.raised(FeatureLevel.SUPPORTED);
                 raised.run();
@@ -77,14 +77,14 @@
 
     /** Refused, or unknown and perhaps carried out: the record tells. */
     private void readAgain() {
-        level.read(Priority.DECISIONS, scope.guard(found -> {
+        level.read(Priority.SCHEDULING, scope.guard(found -> {
             if (found.isOk()) {
                 onRecord = found.value();
                 if (onRecord.level().includes(FeatureLevel.SUPPORTED)) {
                     raised.run();
                 }
             }
-            if (found.kind() != Result.Kind.INVALID) {
+            if (found.outcome() != StateResult.Outcome.UNSUPPORTED_VALUE) {
                 start();
             }
         }));
