--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -92,7 +92,7 @@
     private void refreshCatalogue() {
         cloud.catalogue(scope.guard(answer -> {
             answer.ifPresent(types -> {
-                cluster.types(types);
+                cluster.updateTypes(types);
                 changed.run();
             });
             scope.after(answer.isPresent() ? CATALOGUE_EVERY : CloudAccess.RETRY, this::refreshCatalogue);
@@ -144,7 +144,7 @@
                 failed.add(host.name());
                 continue;
             }
-            if (machine == null && !cluster.isGone(host.name())) {
+            if (machine == null && !cluster.wasRemoved(host.name())) {
                 machine = new Machine(
                         host.name(), host.address(), new MachineKind(host.type(), host.zone(), host.spot()), now, now);
                 cluster.add(machine);
@@ -178,14 +178,14 @@
     private void logOverdue(Machine m) {
         long now = loop.nanos();
         m.bindings().stream()
-                .filter(b -> b.job().cancelled())
+                .filter(b -> b.job().isCancelled())
                 .min(Comparator.comparingLong(b -> b.job().cancelledAt()))
                 .ifPresent(b -> LOG.info(
                         "stop overdue: {}, {}, cancelled {} s ago, heard of {} s ago; the machine was last heard {} s ago",
                         b,
                         b.phase(),
                         Durations.secondsSince(b.job().cancelledAt(), now),
-                        Durations.secondsSince(b.job().cancellationHeardAt(), now),
+                        Durations.secondsSince(b.job().cancellationLearnedAt(), now),
                         Durations.secondsSince(m.lease().lastHeartbeat(), now)));
     }
 
@@ -234,7 +234,7 @@
         Stream<JobSpec> specs = Stream.concat(
                 plan.unplaced().keySet().stream().map(Job::spec),
                 standingBy.stream().map(WarmCapacity.Wanted::example));
-        return Resources.leastOf(specs.map(JobSpec::task));
+        return Resources.minOf(specs.map(JobSpec::task));
     }
 
     /** What the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
@@ -244,7 +244,7 @@
         for (Binding b : m.bindings()) {
             double remainingS = b.job().spec().estimateS() - b.elapsedS(now);
             boolean runs = b.phase() == Binding.Phase.RUNNING;
-            if (runs && b.ends() && remainingS < bootS && !b.gone()) {
+            if (runs && b.isExpectedToEnd() && remainingS < bootS && !b.isProvenGone()) {
                 freed = freed.plus(b.job().spec().task());
             }
         }
@@ -285,7 +285,7 @@
     /** The lowest price of a machine's type against its own: the dearer it is, the sooner it is given back. */
     private double cheapness(Machine m) {
         return cluster.typeOf(m)
-                .map(t -> Math.min(t.price(), t.spotPrice()) / t.price(m.spot()))
+                .map(t -> Math.min(t.price(), t.spotPrice()) / t.price(m.isSpot()))
                 .orElse(1.0);
     }
 
@@ -293,7 +293,7 @@
     private static boolean lateStartMayHarm(Machine m) {
         return m.directCommands().hasUncertainStart()
                 && m.bindings().stream()
-                        .anyMatch(b -> b.job().cancelled()
+                        .anyMatch(b -> b.job().isCancelled()
                                 && b.phase() == Binding.Phase.ABSENT
                                 && m.directCommands().isStartUnresolved(b.attempt()));
     }
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -93,14 +93,14 @@
     }
 
     private static boolean stopUnproven(Binding b) {
-        return b.job().cancelled() && b.stage() != Binding.Stage.PROPOSED && !b.gone();
+        return b.job().isCancelled() && b.stage() != Binding.Stage.PROPOSED && !b.isProvenGone();
     }
 
     private boolean stopOverdue(Binding b, long now) {
         Job job = b.job();
         return stopUnproven(b)
                 && Durations.secondsSince(job.cancelledAt(), now) > times.unprovenStopTimeoutS()
-                && Durations.secondsSince(job.cancellationHeardAt(), now) > times.stopProofTimeoutS();
+                && Durations.secondsSince(job.cancellationLearnedAt(), now) > times.stopProofTimeoutS();
     }
 
     /**
--- a/src/main/java/org/spruceridge/autoscaling/RentalRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/RentalRequests.java
@@ -94,7 +94,7 @@
         long now = access.loop().nanos();
         MachineKind offer = claim.offer;
         for (String id : rental.machines()) {
-            if (cluster.machine(id) == null && !cluster.isGone(id)) {
+            if (cluster.machine(id) == null && !cluster.wasRemoved(id)) {
                 Machine m = new Machine(id, "", offer, now, now);
                 m.launchedAt(claim.askedAt);
                 cluster.add(m);
--- a/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
@@ -47,7 +47,7 @@
 
     /** Capacity on a machine that is there. */
     void add(Machine machine) {
-        addIfUseful(machine.kind(), cluster.free(machine), machine);
+        addIfUseful(machine.kind(), cluster.freeCapacity(machine), machine);
     }
 
     /** Capacity that will have fallen free on a machine by the time a new one would be up. */
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -88,7 +88,7 @@
             }
         }
         for (Job job : cluster.jobs()) {
-            if (!job.cancelled()) {
+            if (!job.isCancelled()) {
                 add(job, demands, wallMs - bootS * 1000);
             }
         }
--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -1,53 +1,54 @@
 package org.spruceridge.cluster;
 
 /**
- * One task on one machine, from the moment the leader proposes it until proof that the task is not there. Whatever is
- * counted over bindings is counted over a superset of what really runs.
+ * One task on one machine, from the proposal of the leader until there is proof that the task is not on the machine.
+ * Whatever is counted over bindings therefore covers at least all tasks that run. All times are nanoseconds on the steady
+ * clock.
  */
 public final class Binding {
-    /** How far the record of this binding has come. */
+    /** The state of the record of a binding. */
     public enum Stage {
         /** Its transaction has not been committed: no start may be sent. */
         PROPOSED,
-        /** On record: starts may be sent. */
+        /** Its transaction was committed: starts may be sent. */
         COMMITTED,
-        /** Proof that the task is gone was seen; the record still holds the binding. */
+        /** There is proof that the task is gone; the record still contains the binding. */
         RELEASING,
-        /** Seen in a report without a record; halted, and counted until it is gone. */
+        /** A heartbeat listed the task, but no record has it; it is being stopped, and counts until it is gone. */
         ORPHANED
     }
 
-    /** Why the task is to be stopped, if it is. */
+    /** Whether and how the task is to be stopped. */
     public enum StopMode {
         NONE,
-        /** Let it save if it can. */
+        /** The task may save a checkpoint first. */
         CHECKPOINT,
-        /** At once: nobody has any use for what it does. */
+        /** The task is killed, because its result is not needed. */
         IMMEDIATE
     }
 
+    /** The state of the task in the last accepted heartbeat. */
+    public enum Phase {
+        ABSENT,
+        FETCHING,
+        RUNNING,
+        CHECKPOINTING,
+        ENDED
+    }
+
     private final TaskId task;
     private final long attempt;
     private final Machine machine;
     private final Job job;
+    private final long boundAt;
     private Stage stage;
     private StopMode stopMode = StopMode.NONE;
     private Phase phase = Phase.ABSENT;
-    private boolean pushed;
-    private boolean stopPushed;
-    private boolean gone;
+    private boolean startSent;
+    private boolean stopSent;
+    private boolean provenGone;
     private long commandSentAt = EventTimes.NOT_HAPPENED;
     private long runningSince;
-    private final long boundAt;
-
-    /** Where the worker's last authoritative report had the task. */
-    public enum Phase {
-        ABSENT,
-        FETCHING,
-        RUNNING,
-        CHECKPOINTING,
-        ENDED
-    }
 
     /** A binding that begins at {@code now}, on the steady clock in nanoseconds. */
     public Binding(Job job, int index, long attempt, Machine machine, Stage stage, long now) {
@@ -64,7 +65,7 @@
         return task;
     }
 
-    /** The number of the attempt, which grows over all terms. */
+    /** The number of the attempt, which increases over all terms. */
     public long attempt() {
         return attempt;
     }
@@ -79,94 +80,99 @@
         return job;
     }
 
-    /** How far the record of this binding has come. */
+    /** When the binding was proposed. */
+    public long boundAt() {
+        return boundAt;
+    }
+
+    /** The state of the record. */
     public Stage stage() {
         return stage;
     }
 
-    /** Moves on to the next stage of the record. */
-    public void stage(Stage next) {
+    /** Advances the state of the record. */
+    public void advanceTo(Stage next) {
         stage = next;
     }
 
-    /** There is proof that the task is not on its machine, though the record may still say so. */
-    public boolean gone() {
-        return gone;
+    /** True if there is proof that the task is not on its machine, even if the record still contains the binding. */
+    public boolean isProvenGone() {
+        return provenGone;
     }
 
-    void goneNow() {
-        gone = true;
+    void markProvenGone() {
+        provenGone = true;
     }
 
-    /** Whether and how the task is to be stopped; that of a cancelled job always at once. */
+    /** Whether and how the task is to be stopped; a task of a cancelled job always immediately. */
     public StopMode stopMode() {
-        return job.cancelled() ? StopMode.IMMEDIATE : stopMode;
+        return job.isCancelled() ? StopMode.IMMEDIATE : stopMode;
     }
 
     /** Decides that the task is to be stopped. */
-    public void stopMode(StopMode why) {
-        stopMode = why;
+    public void requestStop(StopMode mode) {
+        stopMode = mode;
     }
 
-    /** True if it can be expected to end: a replica of a service does so only when it is stopped. */
-    public boolean ends() {
+    /** True if the task can be expected to end: a replica of a service ends only when it is stopped. */
+    public boolean isExpectedToEnd() {
         return !job.spec().isService() || stopMode() != StopMode.NONE;
     }
 
-    /** Where the last authoritative report had the task. */
+    /** The state of the task in the last accepted heartbeat. */
     public Phase phase() {
         return phase;
     }
 
-    /** Takes over what a report said of the task. */
-    public void phase(Phase seen, long now) {
-        if (seen == Phase.RUNNING && phase != Phase.RUNNING) {
+    /** Records the state of the task in a heartbeat. A change shows that the worker carried out the pending command. */
+    public void recordPhase(Phase reported, long now) {
+        if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
             runningSince = now;
         }
-        if (seen != phase) {
+        if (reported != phase) {
             commandSentAt = EventTimes.NOT_HAPPENED;
         }
-        phase = seen;
+        phase = reported;
     }
 
-    /** Seconds that the task has been seen running. */
+    /** For how many seconds the task has been reported running; 0 if it is not. */
     public double elapsedS(long now) {
         return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? (now - runningSince) / 1e9 : 0;
     }
 
-    /** Since when the worker has had an order for this task that it has not carried out. */
-    public long commandSentAt() {
+    /** When the oldest pending command was sent; {@link EventTimes#NOT_HAPPENED} if no command is pending. */
+    long commandSentAt() {
         return commandSentAt;
     }
 
-    /** An order is on its way; the first that is not carried out counts. */
-    public void commandSent(long now) {
+    /** Records that a command for the task is sent; an earlier one that is still pending keeps its time. */
+    public void recordCommandSent(long now) {
         commandSentAt = Math.min(commandSentAt, now);
     }
 
-    /** A start was sent straight to the worker. */
-    public boolean pushed() {
-        return pushed;
+    /** True once a start was sent directly to the worker. */
+    public boolean isStartSent() {
+        return startSent;
     }
 
-    /** A stop was sent straight to the worker. */
-    public boolean stopPushed() {
-        return stopPushed;
+    /** Records that a start is sent directly to the worker; this is done once at most. */
+    public void recordStartSent() {
+        startSent = true;
     }
 
-    /** Takes note that a stop was sent directly, or that it has to be sent again. */
-    public void stopPushed(boolean value) {
-        stopPushed = value;
+    /** True if a stop was sent directly to the worker and need not be sent again. */
+    public boolean isStopSent() {
+        return stopSent;
     }
 
-    /** A start is sent straight to the worker, once at the most. */
-    public void startPushed() {
-        pushed = true;
+    /** Records that a stop is sent directly to the worker. */
+    public void recordStopSent() {
+        stopSent = true;
     }
 
-    /** When the binding was proposed, on the steady clock in nanoseconds. */
-    public long boundAt() {
-        return boundAt;
+    /** Records that the direct stop was not answered, so that it has to be sent again. */
+    public void recordStopUnanswered() {
+        stopSent = false;
     }
 
     @Override
--- a/src/main/java/org/spruceridge/cluster/BindingReleaser.java
+++ b/src/main/java/org/spruceridge/cluster/BindingReleaser.java
@@ -1,7 +1,7 @@
 package org.spruceridge.cluster;
 
-/** Where proof about machines goes on record. */
+/** Writes to the records that tasks have left their machines. */
 public interface BindingReleaser {
-    /** The task of the binding is certainly not on its machine; {@code done} if it completed. */
+    /** Releases a binding whose task is proven not to be on its machine; {@code done} if the task completed. */
     void release(Binding binding, boolean done);
 }
--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -11,13 +11,13 @@
 
 /** The cluster state as one term's leader knows it: jobs, machines, and the bindings between them. */
 public final class Cluster {
-    /** Names of machines that are gone, for as long as late reports and lagging lists may name them: twice a large fleet. */
-    private static final int GONE_KEPT = 10_000;
+    /** How many names of removed machines are kept, as late heartbeats and lists may contain them: twice a large fleet. */
+    private static final int MAX_REMOVED_NAMES = 10_000;
 
-    private final Set<String> gone = new LinkedHashSet<>();
+    private final Set<String> removedMachines = new LinkedHashSet<>();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Map<String, Resources> teamUse = new HashMap<>();
+    private final Map<String, Resources> teamUsage = new HashMap<>();
     private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
     /** All jobs that are open, or of which tasks are still bound. */
@@ -35,14 +35,14 @@
         jobs.put(job.id(), job);
     }
 
-    /** Lets go of a job that has ended and of which nothing is bound. */
-    public void removeIfOver(Job job, boolean ended) {
+    /** Removes a job that has ended, unless tasks of it are still bound. */
+    public void removeIfEnded(Job job, boolean ended) {
         if (ended && job.bindings().isEmpty()) {
             jobs.remove(job.id(), job);
         }
     }
 
-    /** All machines that are rented, as far as is known. */
+    /** All machines that exist, as far as is known. */
     public Collection<Machine> machines() {
         return machines.values();
     }
@@ -57,18 +57,18 @@
         machines.put(machine.name(), machine);
     }
 
-    /** Takes a machine that is gone out of the cluster state; its name is not used again. */
+    /** Removes a machine that no longer exists; the cloud does not use its name again. */
     public void remove(Machine machine) {
         machines.remove(machine.name(), machine);
-        gone.add(machine.name());
-        if (gone.size() > GONE_KEPT) {
-            gone.remove(gone.iterator().next());
+        removedMachines.add(machine.name());
+        if (removedMachines.size() > MAX_REMOVED_NAMES) {
+            removedMachines.remove(removedMachines.iterator().next());
         }
     }
 
-    /** True if the machine was known and is gone: late reports and lagging lists may still name it. */
-    public boolean isGone(String name) {
-        return gone.contains(name);
+    /** True if the machine was removed: late heartbeats and lagging lists may still contain it. */
+    public boolean wasRemoved(String name) {
+        return removedMachines.contains(name);
     }
 
     /** The machine types by name; empty until they are known. */
@@ -76,8 +76,8 @@
         return types;
     }
 
-    /** Takes over the machine types of the cloud. */
-    public void types(ImmutableMap<String, MachineType> catalogue) {
+    /** Replaces the machine types by those of the cloud. */
+    public void updateTypes(ImmutableMap<String, MachineType> catalogue) {
         types = catalogue;
     }
 
@@ -86,30 +86,32 @@
         return Optional.ofNullable(types.get(machine.type()));
     }
 
-    /** The room that a machine has left; none while its type is unknown. */
-    public Resources free(Machine machine) {
-        return typeOf(machine).map(t -> t.capacity().minus(machine.used())).orElse(Resources.NONE);
+    /** The capacity that a machine has left; none while its type is unknown. */
+    public Resources freeCapacity(Machine machine) {
+        return typeOf(machine)
+                .map(type -> type.capacity().minus(machine.used()))
+                .orElse(Resources.NONE);
     }
 
-    /** What all bindings of a team take together. */
+    /** The capacity that all bindings of a team take together. */
     public Resources usedBy(String team) {
-        return teamUse.getOrDefault(team, Resources.NONE);
+        return teamUsage.getOrDefault(team, Resources.NONE);
     }
 
-    /** Adds a binding to its job, its machine and the use of its team. */
+    /** Adds a binding to its job, its machine and the usage of its team. */
     public void bind(Binding binding) {
         binding.job().bind(binding);
         binding.machine().bind(binding);
-        teamUse.merge(binding.job().spec().team(), binding.job().spec().task(), Resources::plus);
+        teamUsage.merge(binding.job().spec().team(), binding.job().spec().task(), Resources::plus);
     }
 
     /**
-     * There is proof that the task is not on its machine. Its room is free; its job and its team count it until that is
-     * on record.
+     * Frees the capacity of a task that is proven not to be on its machine. Its job and its team count the binding until
+     * the release is on record.
      */
-    public void vacate(Binding binding) {
+    public void releaseCapacity(Binding binding) {
         if (binding.machine().binding(binding.task()) == binding) {
-            binding.machine().vacate(binding);
+            binding.machine().releaseCapacity(binding);
         }
     }
 
@@ -121,6 +123,6 @@
         binding.job().unbind(binding, now);
         binding.machine().unbind(binding, now);
         JobSpec spec = binding.job().spec();
-        teamUse.merge(spec.team(), spec.task(), (a, b) -> a.minus(b));
+        teamUsage.merge(spec.team(), spec.task(), Resources::minus);
     }
 }
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -6,20 +6,20 @@
 import java.util.Set;
 import org.agrona.collections.Int2ObjectHashMap;
 
-/** A job that is unfinished, or has ended while tasks of it may still be on machines. */
+/** A job that is open, or that has ended while tasks of it may still be on machines. */
 public final class Job {
-    /** Machines that a job must fail on before the fault is taken to be its own. */
-    private static final int MACHINES_TO_DOUBT = 3;
+    /** How many machines a job must fail on until the job is considered the cause. */
+    private static final int FAILED_MACHINES_BEFORE_BACKOFF = 3;
 
     private final JobSpec spec;
     private final long modRevision;
     private final long submittedMs;
     private final BitSet done = new BitSet();
-    private final BitSet taken = new BitSet();
+    private final BitSet doneOrBound = new BitSet();
     private final Int2ObjectHashMap<Binding> bindings = new Int2ObjectHashMap<>();
-    private final Set<String> faultyOn = new HashSet<>();
+    private final Set<String> failedMachines = new HashSet<>();
     private long cancelledAt = EventTimes.NOT_HAPPENED;
-    private long cancellationHeardAt = EventTimes.NOT_HAPPENED;
+    private long cancellationLearnedAt = EventTimes.NOT_HAPPENED;
     private long retryAfter = Long.MIN_VALUE;
     private long incompleteSince = EventTimes.NOT_HAPPENED;
     private int earlyExits;
@@ -53,24 +53,24 @@
     }
 
     /** True once a user has cancelled it. */
-    public boolean cancelled() {
+    public boolean isCancelled() {
         return EventTimes.hasHappened(cancelledAt);
     }
 
-    /** Takes note that it was cancelled, at {@code earliest} or later, and that this is known since {@code now}. */
+    /** Records that it was cancelled at {@code earliest} or later, and that this leader learned of it at {@code now}. */
     public void cancel(long earliest, long now) {
         cancelledAt = Math.min(earliest, now);
-        cancellationHeardAt = now;
+        cancellationLearnedAt = now;
     }
 
-    /** The earliest moment at which a user can have been told that it is cancelled. */
+    /** The earliest time at which a user can have been told that it is cancelled. */
     public long cancelledAt() {
         return cancelledAt;
     }
 
-    /** Since when its stops can have been ordered. */
-    public long cancellationHeardAt() {
-        return cancellationHeardAt;
+    /** When this leader learned of the cancellation: stops can have been sent since then. */
+    public long cancellationLearnedAt() {
+        return cancellationLearnedAt;
     }
 
     /** Tasks whose end is on record. */
@@ -83,10 +83,10 @@
         return done.cardinality();
     }
 
-    /** Takes note that the end of a task is on record. */
+    /** Records that the end of a task is on record. */
     public void markDone(int index) {
         done.set(index);
-        taken.set(index);
+        doneOrBound.set(index);
     }
 
     /** True if the end of this task is on record. */
@@ -106,7 +106,7 @@
 
     void bind(Binding binding) {
         bindings.put(binding.task().index(), binding);
-        taken.set(binding.task().index());
+        doneOrBound.set(binding.task().index());
     }
 
     void unbind(Binding binding, long now) {
@@ -117,24 +117,24 @@
                 incompleteSince = now;
             }
             if (!done.get(index)) {
-                taken.clear(index);
+                doneOrBound.clear(index);
             }
         }
     }
 
     /** Tasks that are neither done nor bound. */
     public int waiting() {
-        return cancelled() ? 0 : spec.tasks() - taken.cardinality();
+        return isCancelled() ? 0 : spec.tasks() - doneOrBound.cardinality();
     }
 
     /** The first task from {@code from} on that is neither done nor bound, or -1. */
     public int nextWaiting(int from) {
-        int next = taken.nextClearBit(from);
+        int next = doneOrBound.nextClearBit(from);
         return next < spec.tasks() ? next : -1;
     }
 
-    /** True once a task of it has been bound that was not given up since, or has completed. */
-    public boolean begun() {
+    /** True if a task of it is bound or has completed. */
+    public boolean hasStarted() {
         return !bindings.isEmpty() || !done.isEmpty();
     }
 
@@ -151,58 +151,61 @@
         return incompleteSince;
     }
 
-    /** Replicas that ended by themselves, each soon after its start, since one last ran for long. */
+    /** How many replicas in a row ended by themselves soon after their start. */
     public int earlyExits() {
         return earlyExits;
     }
 
-    /** Counts a replica that ended by itself soon after its start; what is older than {@code memory} is forgotten. */
-    public void countEarlyExit(long now, long memory) {
-        earlyExits = now - lastEarlyExit > memory ? 1 : earlyExits + 1;
+    /**
+     * Counts a replica that ended by itself soon after its start. The count restarts if the last such end is longer ago
+     * than {@code memoryNanos}.
+     */
+    public void countEarlyExit(long now, long memoryNanos) {
+        earlyExits = now - lastEarlyExit > memoryNanos ? 1 : earlyExits + 1;
         lastEarlyExit = now;
     }
 
-    /** A replica has run for long: what went wrong before says nothing about the job. */
-    public void provenToRun() {
+    /** Records that a replica has run for a long time: earlier failures no longer count against the job. */
+    public void recordStableRun() {
         earlyExits = 0;
-        faultyOn.clear();
+        failedMachines.clear();
     }
 
-    /** Tasks that a report showed running. */
+    /** How many tasks the last heartbeats showed running. */
     public int running() {
-        int n = 0;
-        for (Binding b : bindings.values()) {
-            if (b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.CHECKPOINTING) {
-                n++;
+        int count = 0;
+        for (Binding binding : bindings.values()) {
+            if (binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.CHECKPOINTING) {
+                count++;
             }
         }
-        return n;
+        return count;
     }
 
-    /** Machines on which a task of this job failed since one last completed. */
-    public Set<String> faultyOn() {
-        return faultyOn;
+    /** The names of the machines on which a task of this job failed since one last completed. */
+    public Set<String> failedMachines() {
+        return failedMachines;
     }
 
     /**
-     * Its tasks fail on one machine after another: likely it was submitted with a mistake. Not so a service of which other
-     * replicas run: then it is the machines.
+     * True if its tasks fail on one machine after another, so that the job is the likely cause. A service with running
+     * replicas is not: then the machines are the likely cause.
      */
-    public boolean suspectedFaulty() {
-        return faultyOn.size() >= MACHINES_TO_DOUBT && !(spec.isService() && running() > 0);
+    public boolean failsOnManyMachines() {
+        return failedMachines.size() >= FAILED_MACHINES_BEFORE_BACKOFF && !(spec.isService() && running() > 0);
     }
 
-    /** No task of the job is placed before this moment, after errors. */
+    /** Before this time no task of the job is placed, after failures. */
     public long retryAfter() {
         return retryAfter;
     }
 
-    /** Places no task of the job before this moment. */
-    public void retryAfter(long moment) {
-        retryAfter = moment;
+    /** Sets the time before which no task of the job is placed. */
+    public void retryAfter(long retryAfterNanos) {
+        retryAfter = retryAfterNanos;
     }
 
-    /** The moment, in milliseconds of the epoch, at which the job should be complete; infinite if it need not be. */
+    /** The deadline in milliseconds of the epoch; infinite if there is none. */
     public double deadlineMs() {
         return spec.deadlineS().isPresent() && !spec.isService()
                 ? submittedMs + spec.deadlineS().getAsDouble() * 1000
--- a/src/main/java/org/spruceridge/cluster/JobKind.java
+++ b/src/main/java/org/spruceridge/cluster/JobKind.java
@@ -1,9 +1,9 @@
 package org.spruceridge.cluster;
 
-/** Whether a job's tasks come to an end by themselves. */
+/** Whether the tasks of a job complete by themselves. */
 public enum JobKind {
-    /** Independent tasks, each of which runs to completion. */
+    /** A job array: independent tasks, each of which runs to completion. */
     ARRAY,
-    /** Replicas that run until the job is cancelled; the job is never done. */
+    /** Replicas that run until the job is cancelled; the job never completes. */
     SERVICE
 }
--- a/src/main/java/org/spruceridge/cluster/JobPriority.java
+++ b/src/main/java/org/spruceridge/cluster/JobPriority.java
@@ -1,13 +1,13 @@
 package org.spruceridge.cluster;
 
-/** A job's priority, the highest first. */
+/** The priority of a job, the highest first. */
 public enum JobPriority {
     PRODUCTION,
     HIGH,
     NORMAL,
     LOW;
 
-    /** True if work of this rank may have work of the other stopped. */
+    /** True if jobs of this priority may preempt jobs of the other. */
     public boolean outranks(JobPriority other) {
         return ordinal() < other.ordinal();
     }
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -60,7 +60,7 @@
     }
 
     /** True if the cloud may reclaim it. */
-    public boolean spot() {
+    public boolean isSpot() {
         return kind.spot();
     }
 
@@ -123,8 +123,8 @@
     }
 
     /** Frees the capacity of a task that is gone, while its record is still to be written. */
-    void vacate(Binding binding) {
-        allocation.vacate(binding);
+    void releaseCapacity(Binding binding) {
+        allocation.releaseCapacity(binding);
     }
 
     /** The incarnation of the newest heartbeat. */
--- a/src/main/java/org/spruceridge/cluster/MachineAllocation.java
+++ b/src/main/java/org/spruceridge/cluster/MachineAllocation.java
@@ -46,7 +46,7 @@
     }
 
     void unbind(Binding binding, long now) {
-        vacate(binding);
+        releaseCapacity(binding);
         if (bindings.remove(binding.task(), binding)) {
             replicas -= binding.job().spec().isService() ? 1 : 0;
         }
@@ -56,9 +56,9 @@
         }
     }
 
-    void vacate(Binding binding) {
-        if (!binding.gone()) {
-            binding.goneNow();
+    void releaseCapacity(Binding binding) {
+        if (!binding.isProvenGone()) {
+            binding.markProvenGone();
             used = used.minus(binding.job().spec().task());
         }
     }
--- a/src/main/java/org/spruceridge/cluster/MachineKind.java
+++ b/src/main/java/org/spruceridge/cluster/MachineKind.java
@@ -1,7 +1,8 @@
 package org.spruceridge.cluster;
 
-/** What machines are alike in for whoever rents or places: their type, their zone, and whether they are spot machines. */
+/** The properties by which machines are launched and tasks placed: type, zone, and whether it is a spot machine. */
 public record MachineKind(String type, String zone, boolean spot) {
+    // Written out for the same reason as in TaskId.
     @Override
     public boolean equals(Object other) {
         return other instanceof MachineKind that
--- a/src/main/java/org/spruceridge/cluster/Resources.java
+++ b/src/main/java/org/spruceridge/cluster/Resources.java
@@ -2,11 +2,12 @@
 
 import java.util.stream.Stream;
 
-/** CPUs, GPUs and memory, as an amount that a machine has or a task takes. */
+/** CPUs, GPUs and memory: the capacity of a machine, or the request of a task. */
 public record Resources(double cpus, double gpus, double memGb) {
+    /** No capacity at all. */
     public static final Resources NONE = new Resources(0, 0, 0);
-    /** Amounts are decimal numbers; sums of them may be off in the last places. */
-    private static final double SLACK = 1e-6;
+    /** Tolerates the rounding errors of sums. */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     /** The sum, by each resource. */
     public Resources plus(Resources other) {
@@ -18,37 +19,39 @@
         return new Resources(cpus - other.cpus, gpus - other.gpus, memGb - other.memGb);
     }
 
-    /** True if a task of this size goes into that room. */
-    public boolean fitsIn(Resources room) {
-        return fitsIn(room.cpus, room.gpus, room.memGb);
+    /** True if a task of this size fits into that capacity. */
+    public boolean fitsIn(Resources capacity) {
+        return fitsIn(capacity.cpus, capacity.gpus, capacity.memGb);
     }
 
-    /** The same, for amounts that are summed up without an object for each sum. */
-    public boolean fitsIn(double roomCpus, double roomGpus, double roomMemGb) {
-        return cpus <= roomCpus + SLACK && gpus <= roomGpus + SLACK && memGb <= roomMemGb + SLACK;
+    /** The same for a capacity given by its parts, so that a caller need not allocate an object. */
+    public boolean fitsIn(double freeCpus, double freeGpus, double freeMemGb) {
+        return cpus <= freeCpus + ROUNDING_TOLERANCE
+                && gpus <= freeGpus + ROUNDING_TOLERANCE
+                && memGb <= freeMemGb + ROUNDING_TOLERANCE;
     }
 
-    /** What so many tasks of this size take together. */
+    /** The total of so many tasks of this size. */
     public Resources times(int count) {
         return new Resources(cpus * count, gpus * count, memGb * count);
     }
 
-    /** The smaller of two amounts, each for itself. */
-    public Resources least(Resources other) {
+    /** The minimum of two amounts, by each resource. */
+    public Resources min(Resources other) {
         return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memGb, other.memGb));
     }
 
-    /** The least of each resource among several amounts; none if there are none. */
-    public static Resources leastOf(Stream<Resources> amounts) {
-        return amounts.reduce(Resources::least).orElse(NONE);
+    /** The minimum of several amounts, by each resource; {@link #NONE} if there are none. */
+    public static Resources minOf(Stream<Resources> amounts) {
+        return amounts.reduce(Resources::min).orElse(NONE);
     }
 
-    /** How many tasks of the given size go in. */
+    /** How many tasks of the given size fit into this capacity. */
     public int holds(Resources task) {
-        double n = Integer.MAX_VALUE;
-        n = task.cpus > 0 ? Math.min(n, (cpus + SLACK) / task.cpus) : n;
-        n = task.gpus > 0 ? Math.min(n, (gpus + SLACK) / task.gpus) : n;
-        n = task.memGb > 0 ? Math.min(n, (memGb + SLACK) / task.memGb) : n;
-        return (int) Math.max(0, Math.floor(n));
+        double count = Integer.MAX_VALUE;
+        count = task.cpus > 0 ? Math.min(count, (cpus + ROUNDING_TOLERANCE) / task.cpus) : count;
+        count = task.gpus > 0 ? Math.min(count, (gpus + ROUNDING_TOLERANCE) / task.gpus) : count;
+        count = task.memGb > 0 ? Math.min(count, (memGb + ROUNDING_TOLERANCE) / task.memGb) : count;
+        return (int) Math.max(0, Math.floor(count));
     }
 }
--- a/src/main/java/org/spruceridge/cluster/TaskId.java
+++ b/src/main/java/org/spruceridge/cluster/TaskId.java
@@ -1,9 +1,9 @@
 package org.spruceridge.cluster;
 
-/** A task: its job and its number in it. */
+/** A task, named by the id of its job and its index in the job. */
 public record TaskId(String job, int index) {
-    // Written out, as for the other keys of maps that every report asks: what the compiler links for a record costs
-    // some milliseconds at its first use and runs through method handles ever after.
+    // Written out, because every heartbeat looks up keys of this type: the generated methods of a record cost some
+    // milliseconds at their first use and go through method handles on each call.
     @Override
     public boolean equals(Object other) {
         return other instanceof TaskId that && index == that.index && job.equals(that.job);
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -78,20 +78,20 @@
             // Only the first start is pushed: what that did not bring about is left to the answers to reports.
             boolean start = command != null
                     && command.verb() == WorkerCommand.Verb.START
-                    && !binding.pushed()
+                    && !binding.isStartSent()
                     && !machine.directCommands().hasUncertainStart();
-            boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !binding.stopPushed();
+            boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !binding.isStopSent();
             if (start) {
                 starts.add(binding);
-                binding.startPushed();
+                binding.recordStartSent();
             }
             if (stop) {
                 stops.add(binding);
-                binding.stopPushed(true);
+                binding.recordStopSent();
             }
             if (start || stop) {
                 commands.add(command);
-                binding.commandSent(loop.nanos());
+                binding.recordCommandSent(loop.nanos());
             }
         }
         if (commands.isEmpty()) {
@@ -122,7 +122,7 @@
             }
             if (result.heartbeat().isEmpty() && !stops.isEmpty()) {
                 // The answers to its reports repeat a stop; a machine that cannot report is told again from here.
-                stops.forEach(binding -> binding.stopPushed(false));
+                stops.forEach(binding -> binding.recordStopUnanswered());
                 scope.after(timeoutNanos, () -> sendDueCommands(machine));
             }
             if (result.heartbeat().isPresent()) {
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -127,13 +127,13 @@
             recordWriter.bind(binding);
         }
         for (Binding binding : plan.stops()) {
-            binding.stopMode(Binding.StopMode.CHECKPOINT);
+            binding.requestStop(Binding.StopMode.CHECKPOINT);
             binding.machine().recordPreemption(now);
             LOG.info("stopping {} to make room for work of a higher rank", binding);
             commandsDue.accept(binding.machine());
         }
         for (Binding binding : plan.moves()) {
-            binding.stopMode(Binding.StopMode.CHECKPOINT);
+            binding.requestStop(Binding.StopMode.CHECKPOINT);
             LOG.info("stopping {} to move it: its machine is about to be taken away", binding);
             commandsDue.accept(binding.machine());
         }
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -212,7 +212,7 @@
     /** Takes over what is known of the machine types, unless the autoscaler has asked the cloud itself by now. */
     public void types(ImmutableMap<String, MachineType> types) {
         if (cluster.types().isEmpty()) {
-            cluster.types(types);
+            cluster.updateTypes(types);
         }
     }
 
--- a/src/main/java/org/spruceridge/leader/StatusLogger.java
+++ b/src/main/java/org/spruceridge/leader/StatusLogger.java
@@ -50,8 +50,8 @@
                 coming++;
                 continue;
             }
-            spot += m.spot() ? 1 : 0;
-            ordinary += m.spot() ? 0 : 1;
+            spot += m.isSpot() ? 1 : 0;
+            ordinary += m.isSpot() ? 0 : 1;
             idle += m.bindings().isEmpty() ? 1 : 0;
             leaving += m.isTerminating() || m.isUnschedulable() ? 1 : 0;
             cpus += cluster.typeOf(m)
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -320,7 +320,7 @@
         if (leader != null && election.leads()) {
             term = leader.term();
             for (Job job : leader.cluster().jobs()) {
-                if (!job.cancelled()) {
+                if (!job.isCancelled()) {
                     progress.put(job.id(), new PeerHeartbeat.Progress(job.doneCount(), job.running()));
                 }
             }
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -121,8 +121,8 @@
             settle(binding.job());
             return;
         }
-        binding.stage(Binding.Stage.RELEASING);
-        cluster.vacate(binding);
+        binding.advanceTo(Binding.Stage.RELEASING);
+        cluster.releaseCapacity(binding);
         waiting.merge(binding, done ? Write.END : Write.RELEASE, (a, b) -> a == Write.END ? a : b);
         pump();
     }
@@ -242,7 +242,7 @@
         ImmutableSet.Builder<Machine> bound = ImmutableSet.builder();
         for (Binding b : batch.bound()) {
             if (b.stage() == Binding.Stage.PROPOSED) {
-                b.stage(Binding.Stage.COMMITTED);
+                b.advanceTo(Binding.Stage.COMMITTED);
                 latencies.record(Latencies.Kind.COMMITS, now - b.boundAt());
                 bound.add(b.machine());
             }
@@ -256,7 +256,7 @@
         });
         for (Job job : batch.finished()) {
             records.forget(job);
-            cluster.removeIfOver(job, true);
+            cluster.removeIfEnded(job, true);
         }
         records.tidy(batch.released().keySet());
         pump();
@@ -289,7 +289,7 @@
         for (Binding b : batch.bound()) {
             // A job that was cancelled meanwhile has let go of its proposals already, of this one not, as it was on its
             // way. Put back, it would make this and every later transaction fail: nothing would ever be bound again.
-            if (b.stage() == Binding.Stage.PROPOSED && !b.job().cancelled()) {
+            if (b.stage() == Binding.Stage.PROPOSED && !b.job().isCancelled()) {
                 waiting.put(b, Write.BIND);
             } else {
                 since.remove(b); // released or cancelled meanwhile, and never on record
@@ -304,6 +304,6 @@
 
     /** A cancelled job leaves the cluster state with its last binding. */
     private void settle(Job job) {
-        cluster.removeIfOver(job, job.cancelled());
+        cluster.removeIfEnded(job, job.isCancelled());
     }
 }
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -127,7 +127,7 @@
             return false; // it is split first
         }
         Job job = b.job();
-        boolean ends = done && !job.cancelled();
+        boolean ends = done && !job.isCancelled();
         int index = b.task().index();
         int inBatch = newlyDone.getOrDefault(job, 0) + (job.isDone(index) ? 0 : 1);
         boolean last = ends && job.doneCount() + inBatch == job.spec().tasks();
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -107,7 +107,7 @@
 
     private boolean isOpen(String id) {
         Job job = cluster.job(id);
-        return job != null && !job.cancelled();
+        return job != null && !job.isCancelled();
     }
 
     /**
@@ -136,7 +136,7 @@
     private Optional<List<WorkerCommand>> apply(WorkerHeartbeat heartbeat, boolean sentByWorker) {
         // A report with another token may be a copy of any age, of a machine that is gone: it tells nothing. The answer
         // brings this term's token, and the next report with it. A machine that was given back stays so.
-        if (heartbeat.fencingToken() != term || cluster.isGone(heartbeat.machine())) {
+        if (heartbeat.fencingToken() != term || cluster.wasRemoved(heartbeat.machine())) {
             return Optional.empty();
         }
         Machine machine = machine(heartbeat);
@@ -194,7 +194,7 @@
 
     private void reconcile(Binding binding, TaskStatus reported, long now) {
         if (reported == null) {
-            binding.phase(Binding.Phase.ABSENT, now);
+            binding.recordPhase(Binding.Phase.ABSENT, now);
             if (binding.stage() == Binding.Stage.ORPHANED) {
                 removeOrphan(binding, now);
             } else if (binding.stage() == Binding.Stage.COMMITTED
@@ -205,7 +205,7 @@
             return;
         }
         switch (reported.state()) {
-            case FETCHING -> binding.phase(Binding.Phase.FETCHING, now);
+            case FETCHING -> binding.recordPhase(Binding.Phase.FETCHING, now);
             case RUNNING -> {
                 if (binding.phase() != Binding.Phase.RUNNING) {
                     LOG.debug(
@@ -215,9 +215,9 @@
                             (loop.wallMillis() - binding.job().submittedMs()) / 1000.0,
                             Durations.seconds(now - binding.boundAt()));
                 }
-                binding.phase(Binding.Phase.RUNNING, now);
+                binding.recordPhase(Binding.Phase.RUNNING, now);
             }
-            case CHECKPOINTING -> binding.phase(Binding.Phase.CHECKPOINTING, now);
+            case CHECKPOINTING -> binding.recordPhase(Binding.Phase.CHECKPOINTING, now);
             case EXITED -> applyExit(binding, reported.cause(), now);
             default -> throw new IllegalStateException("no such state: " + reported.state());
         }
@@ -228,7 +228,7 @@
             return; // its release is on the way
         }
         double elapsedS = binding.elapsedS(now);
-        binding.phase(Binding.Phase.ENDED, now);
+        binding.recordPhase(Binding.Phase.ENDED, now);
         LOG.debug("{} ended: {} after {} s", binding, cause, elapsedS);
         Job job = binding.job();
         Machine machine = binding.machine();
@@ -240,7 +240,7 @@
                     recordFailure(job, machine, now);
                 } else {
                     machine.suspicion().failedJobs().clear();
-                    job.faultyOn().clear();
+                    job.failedMachines().clear();
                 }
             }
             case NO_ROOM, BUSY, UNKNOWN -> {
@@ -261,26 +261,26 @@
     /** An orphan is gone: no record of it has to be released. */
     private void removeOrphan(Binding orphan, long now) {
         cluster.unbind(orphan, now);
-        cluster.removeIfOver(orphan.job(), orphan.job().cancelled());
+        cluster.removeIfEnded(orphan.job(), orphan.job().isCancelled());
     }
 
     /** Errors of several jobs on one machine speak against the machine, those of one job everywhere against the job. */
     private void recordFailure(Job job, Machine machine, long now) {
-        job.faultyOn().add(machine.name());
+        job.failedMachines().add(machine.name());
         machine.suspicion().failedJobs().add(job.id());
         LOG.info("job {} failed on machine {}", job.id(), machine.name());
         if (!machine.suspicion().isCordoned()
                 && machine.suspicion().failedJobs().size() >= FAILED_JOBS_BEFORE_CORDON
-                && !job.suspectedFaulty()) {
+                && !job.failsOnManyMachines()) {
             machine.suspicion().cordon();
             LOG.info(
                     "machine {} is taken for faulty: {} failed on it",
                     machine.name(),
                     machine.suspicion().failedJobs());
         }
-        if (job.suspectedFaulty()) {
+        if (job.failsOnManyMachines()) {
             double backoffS = settings.workers().heartbeatIntervalS()
-                    * Math.pow(2, job.faultyOn().size());
+                    * Math.pow(2, job.failedMachines().size());
             delayRetry(job, now, Math.min(backoffS, settings.workers().cancelS()));
         }
     }
@@ -291,7 +291,7 @@
      */
     private void recordReplicaExit(Job job, Machine machine, double elapsedS, long now) {
         if (elapsedS >= settings.workers().leaseS()) {
-            job.provenToRun();
+            job.recordStableRun();
             return;
         }
         recordFailure(job, machine, now);
@@ -336,7 +336,7 @@
             checkpointBeforeReclaim(binding, now);
             WorkerCommand command = dueCommand(binding);
             if (command != null) {
-                binding.commandSent(now);
+                binding.recordCommandSent(now);
                 commands.add(command);
             }
         }
@@ -377,7 +377,7 @@
             return;
         }
         Binding binding = new Binding(job, task.task().index(), task.attempt(), machine, Binding.Stage.ORPHANED, now);
-        binding.stopMode(Binding.StopMode.IMMEDIATE);
+        binding.requestStop(Binding.StopMode.IMMEDIATE);
         cluster.bind(binding);
     }
 
@@ -394,7 +394,7 @@
         double lastChanceS = 2.5 * settings.workers().heartbeatIntervalS()
                 + (spec.canCheckpoint() ? 1.5 * spec.checkpointDurationS() : 0);
         if (remainingS <= lastChanceS) {
-            binding.stopMode(Binding.StopMode.CHECKPOINT);
+            binding.requestStop(Binding.StopMode.CHECKPOINT);
         }
     }
 
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -108,7 +108,7 @@
 
     /** Marks a job as cancelled by its user: what waits is withdrawn, what runs is stopped. */
     public void markCancelled(Job job, CancellationSource source) {
-        if (!job.cancelled()) {
+        if (!job.isCancelled()) {
             job.cancel(viewCompleteUpTo, loop.nanos());
             recordWriter.withdraw(job);
             List<Machine> machines =
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -164,7 +164,7 @@
             if (machine.reclaim().isAnnounced() && !machine.isTerminating()) {
                 for (Binding b : machine.bindings()) {
                     boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.CHECKPOINTING;
-                    if (b.job().spec().isService() && there && !b.job().cancelled()) {
+                    if (b.job().spec().isService() && there && !b.job().isCancelled()) {
                         leaving.add(b);
                     }
                 }
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -59,9 +59,9 @@
 
     /** True unless tasks of this job failed on the machine and the machine is to blame. */
     boolean accepts(Job job) {
-        return job.faultyOn().isEmpty()
-                || job.suspectedFaulty()
-                || !job.faultyOn().contains(machine.name());
+        return job.failedMachines().isEmpty()
+                || job.failsOnManyMachines()
+                || !job.failedMachines().contains(machine.name());
     }
 
     boolean fits(Resources task) {
@@ -90,7 +90,7 @@
     /** Keeps what is free, up to the size of one task, from the candidates that follow in this cycle. */
     void reserve(Resources task) {
         reserved = true;
-        free = free.minus(free.least(task));
+        free = free.minus(free.min(task));
     }
 
     /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never do. */
@@ -115,7 +115,7 @@
     private List<Departure> departures(Estimates estimates, long now) {
         List<Departure> leaving = new ArrayList<>(machine.bindings().size());
         for (Binding b : machine.bindings()) {
-            if (!b.gone() && b.ends()) {
+            if (!b.isProvenGone() && b.isExpectedToEnd()) {
                 double remainingS = estimates.remainingS(b.job().spec().estimateS(), b.elapsedS(now));
                 leaving.add(new Departure(remainingS, b.job().spec().task()));
             }
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -38,7 +38,7 @@
 
     /** Only machines that can be of use to one of the jobs are looked at for each of them. */
     private void findSites(Collection<WaitingJob> pressing) {
-        smallestTask = Resources.leastOf(
+        smallestTask = Resources.minOf(
                 pressing.stream().map(waiting -> waiting.job().spec().task()));
         for (WaitingJob waiting : pressing) {
             JobPriority priority = waiting.job().spec().priority();
--- a/src/main/java/org/spruceridge/schedule/PreemptionSite.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionSite.java
@@ -31,7 +31,7 @@
         Resources room = capacity.free();
         for (Binding b : capacity.machine().bindings()) {
             boolean leaving = b.stopMode() != Binding.StopMode.NONE || b.phase() == Binding.Phase.ENDED;
-            room = leaving && !b.gone() ? room.plus(b.job().spec().task()) : room;
+            room = leaving && !b.isProvenGone() ? room.plus(b.job().spec().task()) : room;
         }
         return room;
     }
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -70,7 +70,7 @@
 
     /** At most what any waiting task takes, by each resource: where this does not fit, none does. */
     private Resources smallestTask() {
-        return Resources.leastOf(
+        return Resources.minOf(
                 waitingJobs.keySet().stream().map(job -> job.spec().task()));
     }
 
@@ -176,7 +176,7 @@
         ImmutableMap.Builder<Job, Integer> unplaced = ImmutableMap.builder();
         for (WaitingJob waiting : waitingJobs.values()) {
             Job job = waiting.job();
-            int wanted = job.suspectedFaulty() ? 0 : Math.min(waiting.remaining(), state.teamAdmits(job.spec()));
+            int wanted = job.failsOnManyMachines() ? 0 : Math.min(waiting.remaining(), state.teamAdmits(job.spec()));
             if (wanted > 0) {
                 unplaced.put(job, wanted);
             }
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -19,7 +19,7 @@
 
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
-        boolean begun = row.candidate().job().begun();
+        boolean begun = row.candidate().job().hasStarted();
         double from = targetStartDelayS * (begun ? BEGUN_FROM : FROM);
         double until = targetStartDelayS * (begun ? BEGUN_UNTIL : UNTIL);
         return Math.max(0, Math.min(1, (row.candidate().ageS() - from) / (until - from)));
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
@@ -130,7 +130,7 @@
     private void addMachines() {
         ImmutableList<String> zones = settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
         MachineType type = new MachineType("warm-up", new Resources(CPUS, 0, MEMORY_GB), 1, 1, 0.25, 20, zones);
-        cluster.types(ImmutableMap.of(type.name(), type));
+        cluster.updateTypes(ImmutableMap.of(type.name(), type));
         for (int i = 0; i < MACHINES; i++) {
             MachineKind kind = new MachineKind(type.name(), zones.get(i % zones.size()), i % 2 == 0);
             Machine machine = new Machine("i-" + i, "10.0.0.1:9000", kind, loop.nanos(), loop.nanos());
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -102,7 +102,7 @@
                     new Latencies(loop),
                     new LeaderMetrics());
             cluster = context.cluster();
-            cluster.types(ImmutableMap.of(
+            cluster.updateTypes(ImmutableMap.of(
                     "t4",
                     new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
             HttpClient http =
--- a/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -161,7 +161,7 @@
         running.subList(0, 4 * 970).forEach(b -> recordWriter.release(b, false));
         assertEquals(
                 4 * 1460 - 4 * 970,
-                job.bindings().stream().filter(b -> !b.gone()).count());
+                job.bindings().stream().filter(b -> !b.isProvenGone()).count());
         loop.run(8);
         assertEquals(0, recordWriter.backlog());
         assertTrue(revision - before <= 20, (revision - before) + " transactions");
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -73,7 +73,7 @@
     private static void commit(WriteBatch batch, long revision) {
         batch.transaction();
         batch.written(revision);
-        batch.bound().forEach(b -> b.stage(Binding.Stage.COMMITTED));
+        batch.bound().forEach(b -> b.advanceTo(Binding.Stage.COMMITTED));
     }
 
     /** A fleet of both deployments, at half as many machines again as they have now. */
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -46,7 +46,7 @@
 
     @BeforeEach
     void catalogue() {
-        cluster.types(ImmutableMap.of(
+        cluster.updateTypes(ImmutableMap.of(
                 "t8", new MachineType("t8", new Resources(8, 0, 32), 1, 1, 0.3, 20, ImmutableList.of("a", "b"))));
     }
 
@@ -115,7 +115,7 @@
 
     private Binding running(Job job, int index, Machine m) {
         Binding b = new Binding(job, index, 1, m, Binding.Stage.COMMITTED, NOW);
-        b.phase(Binding.Phase.RUNNING, NOW);
+        b.recordPhase(Binding.Phase.RUNNING, NOW);
         cluster.bind(b);
         return b;
     }
@@ -149,7 +149,7 @@
         limited.tasks = 6;
         Job job = limited.add();
         Binding leaving = running(job, 0, a);
-        leaving.stage(Binding.Stage.RELEASING); // until its release is on record it may still be there
+        leaving.advanceTo(Binding.Stage.RELEASING); // until its release is on record it may still be there
         Plan plan = plan();
         assertEquals(2, plan.placements().size());
         assertTrue(plan.unplaced().isEmpty(), "what the limit keeps back needs no machine");
@@ -208,12 +208,12 @@
         next.cpus = 8;
         next.add();
         assertEquals(List.of(), machines(plan()));
-        gone.stage(Binding.Stage.RELEASING);
-        cluster.vacate(gone);
-        cluster.vacate(gone); // proof may come twice; room is given once
+        gone.advanceTo(Binding.Stage.RELEASING);
+        cluster.releaseCapacity(gone);
+        cluster.releaseCapacity(gone); // proof may come twice; room is given once
         assertEquals(List.of("m"), machines(plan()));
         cluster.unbind(gone, NOW);
-        assertEquals(new Resources(8, 0, 32), cluster.free(m));
+        assertEquals(new Resources(8, 0, 32), cluster.freeCapacity(m));
     }
 
     @Test
@@ -288,7 +288,7 @@
         high.add();
         Plan plan = plan();
         assertEquals(1, plan.stops().size());
-        plan.stops().get(0).stopMode(Binding.StopMode.CHECKPOINT);
+        plan.stops().get(0).requestStop(Binding.StopMode.CHECKPOINT);
         m.recordPreemption(NOW);
         assertEquals(0, plan().stops().size());
     }
@@ -401,7 +401,7 @@
         Plan plan = plan();
         assertEquals(List.of(replica), plan.moves());
         assertEquals(List.of(), machines(plan));
-        replica.stopMode(Binding.StopMode.CHECKPOINT);
+        replica.requestStop(Binding.StopMode.CHECKPOINT);
         Plan next = plan();
         assertEquals(List.of(), next.moves());
         assertEquals(List.of(), machines(next), "the room is kept until the replica is gone");
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -79,7 +79,7 @@
     }
 
     private void picture(SplittableRandom random, int machineCount, int jobCount) {
-        cluster.types(TYPES);
+        cluster.updateTypes(TYPES);
         Job running = job(random, 10_000, WALL - 5000);
         for (int i = 0; i < machineCount; i++) {
             String type = random.nextBoolean() ? "t4" : "t8";
@@ -90,7 +90,7 @@
             cluster.add(m);
             machines.add(m);
             int there = random.nextInt(4);
-            for (int k = 0; k < there && running.spec().task().fitsIn(cluster.free(m)); k++) {
+            for (int k = 0; k < there && running.spec().task().fitsIn(cluster.freeCapacity(m)); k++) {
                 int index = running.nextWaiting(0);
                 cluster.bind(new Binding(running, index, 1, m, Binding.Stage.COMMITTED, NOW));
             }
@@ -112,27 +112,27 @@
         double dearest = 0;
         for (Machine m : machines) {
             MachineType t = TYPES.get(m.type());
-            free.put(m, cluster.free(m));
-            fullness.put(m, 1 - cluster.free(m).cpus() / t.capacity().cpus());
-            dearest = Math.max(dearest, t.price(m.spot()) / t.capacity().cpus());
+            free.put(m, cluster.freeCapacity(m));
+            fullness.put(m, 1 - cluster.freeCapacity(m).cpus() / t.capacity().cpus());
+            dearest = Math.max(dearest, t.price(m.isSpot()) / t.capacity().cpus());
         }
         double longestS = 0;
         for (Job job : jobs) {
-            longestS = job.cancelled() ? longestS : Math.max(longestS, estimates.remainingS(candidate(job)));
+            longestS = job.isCancelled() ? longestS : Math.max(longestS, estimates.remainingS(candidate(job)));
         }
         List<Pair> pairs = new ArrayList<>();
         for (Job job : jobs) {
             for (Machine m : machines) {
                 MachineType t = TYPES.get(m.type());
-                if (job.cancelled()
-                        || !job.spec().allows(m.type(), m.zone(), m.spot())
+                if (job.isCancelled()
+                        || !job.spec().allows(m.type(), m.zone(), m.isSpot())
                         || !job.spec().task().fitsIn(t.capacity())) {
                     continue;
                 }
                 Candidate c = candidate(job);
                 double remainingS = estimates.remainingS(c);
                 double urgency = Deadline.urgency(c.slackS(), remainingS);
-                double price = t.price(m.spot()) / t.capacity().cpus() / dearest;
+                double price = t.price(m.isSpot()) / t.capacity().cpus() / dearest;
                 double score = 15 * (1 - urgency) * urgency
                         + 8 * (1 - remainingS / longestS)
                         + 5 * c.ageS() / (c.ageS() + remainingS)
@@ -145,7 +145,7 @@
                 .thenComparingLong(p -> p.job.submittedMs())
                 .thenComparing(p -> p.job.id()));
         Map<Job, Integer> left = new HashMap<>();
-        jobs.forEach(j -> left.put(j, j.cancelled() ? 0 : j.spec().tasks()));
+        jobs.forEach(j -> left.put(j, j.isCancelled() ? 0 : j.spec().tasks()));
         double[] blue = {cluster.usedBy("blue").cpus()};
         List<String> bound = new ArrayList<>();
         for (int i = 0; i < pairs.size(); ) {
@@ -193,8 +193,9 @@
         picture(new SplittableRandom(1), 1500, 60);
         List<MachineGroup> seen = new ArrayList<>();
         for (Machine m : machines) {
-            double full =
-                    1 - cluster.free(m).cpus() / TYPES.get(m.type()).capacity().cpus();
+            double full = 1
+                    - cluster.freeCapacity(m).cpus()
+                            / TYPES.get(m.type()).capacity().cpus();
             MachineGroup column = new MachineGroup(m.kind(), 1, full);
             if (!seen.contains(column)) {
                 seen.add(column);
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -52,7 +52,7 @@
 
     @BeforeEach
     void fullCluster() {
-        cluster.types(ImmutableMap.of(
+        cluster.updateTypes(ImmutableMap.of(
                 "t4", new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
         Job small = job(JobPriority.NORMAL, 10_000, 1, 60, 1e6);
         Job large = job(JobPriority.LOW, 10_000, 4, 60, 0);
@@ -63,9 +63,9 @@
             machine.lease().fence();
             cluster.add(machine);
             Job running = i % 2 == 0 ? small : large;
-            for (int k = 0; running.spec().task().fitsIn(cluster.free(machine)); k++) {
+            for (int k = 0; running.spec().task().fitsIn(cluster.freeCapacity(machine)); k++) {
                 Binding b = new Binding(running, running.nextWaiting(0), 1, machine, Binding.Stage.COMMITTED, NOW);
-                b.phase(Binding.Phase.RUNNING, NOW);
+                b.recordPhase(Binding.Phase.RUNNING, NOW);
                 cluster.bind(b);
             }
         }
