--- a/src/main/java/org/spruceridge/cluster/JobSpec.java
+++ b/src/main/java/org/spruceridge/cluster/JobSpec.java
@@ -4,7 +4,22 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** A job as its user submitted it. */
+/**
+ * A job as its user submitted it.
+ *
+ * @param jobClass the name that service-level objectives refer to
+ * @param task what each task requests
+ * @param types the machine types that are allowed; all if empty
+ * @param zone the only zone that is allowed; all if empty
+ * @param oneZone whether all tasks have to be in the same zone
+ * @param spread whether at most half of the tasks, rounded up, may be in one zone
+ * @param spot whether spot machines are allowed
+ * @param imageGb the size of the image in gigabytes
+ * @param estimateS the estimated run time of a task in seconds
+ * @param checkpointIntervalS how often a task saves a checkpoint, in seconds; 0 if it cannot
+ * @param checkpointDurationS how long that takes, in seconds
+ * @param deadlineS when the job should be complete, in seconds after its submission
+ */
 public record JobSpec(
         String id,
         String jobClass,
@@ -30,55 +45,41 @@
         return kind == JobKind.SERVICE;
     }
 
-    /** True if a stopped task can go on from where it was. */
+    /** True if a stopped task can resume from a checkpoint. */
     public boolean canCheckpoint() {
         return checkpointIntervalS > 0;
     }
 
-    /** The most tasks that may be in one zone at a time. */
+    /** The maximum number of tasks in one zone at a time. */
     public int zoneLimit() {
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
     /** The same job with other allowed types. */
     public JobSpec withTypes(Optional<ImmutableSet<String>> allowed) {
-        return new JobSpec(
-                id,
-                jobClass,
-                team,
-                kind,
-                priority,
-                tasks,
-                task,
-                allowed,
-                zone,
-                oneZone,
-                spread,
-                spot,
-                image,
-                imageGb,
-                estimateS,
-                checkpointIntervalS,
-                checkpointDurationS,
-                deadlineS);
+        return copy(jobClass, image, allowed);
     }
 
-    /** The same job with other names for its class and image, which matter to nobody once it has ended. */
+    /** The same job with other names for its class and image, which are not needed once it has ended. */
     public JobSpec withNames(String otherClass, String otherImage) {
+        return copy(otherClass, otherImage, types);
+    }
+
+    private JobSpec copy(String newClass, String newImage, Optional<ImmutableSet<String>> newTypes) {
         return new JobSpec(
                 id,
-                otherClass,
+                newClass,
                 team,
                 kind,
                 priority,
                 tasks,
                 task,
-                types,
+                newTypes,
                 zone,
                 oneZone,
                 spread,
                 spot,
-                otherImage,
+                newImage,
                 imageGb,
                 estimateS,
                 checkpointIntervalS,
@@ -86,7 +87,7 @@
                 deadlineS);
     }
 
-    /** True if the job allows this type, zone and kind of machine, its other tasks apart. */
+    /** True if the job allows machines of this type, zone and kind, regardless of where its other tasks are. */
     public boolean allows(String type, String machineZone, boolean spotMachine) {
         return (types.isEmpty() || types.get().contains(type))
                 && (zone.isEmpty() || zone.get().equals(machineZone))
