--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -27,7 +27,7 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
-import org.spruceridge.upgrade.ClusterLevel;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /** What users ask of any node: submissions, polls and cancellations, each decided by the job's record. */
@@ -39,7 +39,7 @@
 
     private final Loop loop;
     private final StateClient state;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final int valueBytes;
     private final Admission admission;
     private final Supplier<Optional<ImmutableMap<String, MachineType>>> catalogue;
@@ -56,7 +56,7 @@
     public JobsEndpoint(
             Loop loop,
             StateClient state,
-            ClusterLevel level,
+            ClusterFeatureLevel level,
             Settings settings,
             Supplier<Optional<ImmutableMap<String, MachineType>>> catalogue,
             Function<String, Progress> progress,
@@ -111,12 +111,12 @@
 
     /** Accepts a service unless nodes of an earlier version may still be around, which could not read its record. */
     private void ifServicesMayBeKept(JobSpec spec, Consumer<Response> answer) {
-        if (level.known().includes(FeatureLevel.SERVICES)) {
+        if (level.highestKnown().includes(FeatureLevel.SERVICES)) {
             accept(spec, answer);
             return;
         }
         level.read(Priority.SUBMISSIONS, found -> {
-            if (level.known().includes(FeatureLevel.SERVICES)) {
+            if (level.highestKnown().includes(FeatureLevel.SERVICES)) {
                 accept(spec, answer);
             } else {
                 lookUp(spec.id(), Response.later(RETRY_AFTER_S, "the cluster is being upgraded"), answer);
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -24,8 +24,8 @@
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.upgrade.ClusterLevel;
-import org.spruceridge.upgrade.LevelRecord;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
+import org.spruceridge.upgrade.StoredFeatureLevel;
 
 /**
  * Elects the leader by one guarded transaction on the state service, and keeps its grant alive. The term that the
@@ -41,10 +41,10 @@
     /** Hears of this node's terms. */
     public interface Listener {
         /** This node leads from now on. */
-        void won(LeaderTerm leaderTerm);
+        void leadershipAcquired(LeaderTerm leaderTerm);
 
         /** It no longer leads. */
-        void lost();
+        void leadershipLost();
     }
 
     private final Loop loop;
@@ -56,7 +56,7 @@
     private final long ttl;
     private final long renewEvery;
     private final Listener listener;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final CancellationScope scope;
     private Cancellable watch = () -> {};
     private Optional<LeaderRecord> known = Optional.empty();
@@ -71,7 +71,7 @@
     public Election(
             Loop loop,
             StateClient state,
-            ClusterLevel level,
+            ClusterFeatureLevel level,
             RandomGenerator random,
             RateLimitedWarnings warnings,
             Settings settings,
@@ -108,7 +108,7 @@
     }
 
     /** True while this node may act as leader: its grant certainly has not ended. */
-    public boolean leads() {
+    public boolean isLeader() {
         return leaderTerm != null && loop.nanos() < validUntil;
     }
 
@@ -250,7 +250,7 @@
     }
 
     /** Goes on with a campaign once the cluster feature level is known to be supported. */
-    private void campaign(long leaderRevision, LevelRecord onRecord) {
+    private void campaign(long leaderRevision, StoredFeatureLevel onRecord) {
         state.get(Keys.TERM, Priority.RENEWAL, scope.guard(term -> {
             if (term.kind() == Result.Kind.UNAVAILABLE) {
                 abandonCampaign();
@@ -268,7 +268,7 @@
         }));
     }
 
-    private void attempt(Transaction txn, LeaderRecord record, LevelRecord onRecord) {
+    private void attempt(Transaction txn, LeaderRecord record, StoredFeatureLevel onRecord) {
         state.commit(txn, Priority.RENEWAL, scope.guard(result -> {
             if (result.kind() == TransactionResult.Kind.COMMITTED) {
                 win(record, result.revision(), onRecord);
@@ -290,13 +290,13 @@
         scheduleRetry();
     }
 
-    private void win(LeaderRecord record, long modRevision, LevelRecord onRecord) {
+    private void win(LeaderRecord record, long modRevision, StoredFeatureLevel onRecord) {
         campaigning = false;
         known = Optional.of(record);
         leaderTerm = new LeaderTerm(record.term(), modRevision, loop.nanos(), onRecord);
         LOG.info("term {}: this node leads", record.term());
         scope.after(renewEvery, () -> renewLease(record.term()));
-        listener.won(leaderTerm);
+        listener.leadershipAcquired(leaderTerm);
     }
 
     private void renewLease(long term) {
@@ -327,10 +327,10 @@
         LOG.info(
                 "term {}: this node no longer leads after {} s: {}",
                 leaderTerm.term(),
-                Durations.secondsSince(leaderTerm.since(), loop.nanos()),
+                Durations.secondsSince(leaderTerm.electedAtNanos(), loop.nanos()),
                 why);
         leaderTerm = null;
         leaseId = 0;
-        listener.lost();
+        listener.leadershipLost();
     }
 }
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -55,13 +55,13 @@
     /** Hears how far the failover has come. */
     public interface Listener {
         /** Something was read. */
-        default void read(Step step) {}
+        default void stepCompleted(Step step) {}
 
         /** The open jobs are known as of this moment: a task of any other job has no business on a machine. */
-        void jobsKnown(long asOf);
+        void openJobsLoaded(long asOfNanos);
 
         /** All is known; changes of jobs have to be followed from this revision on. */
-        void ready(long revision);
+        void completed(long revision);
     }
 
     private record Recorded(PageIndex.Page<Machine> page, BindingsRecord.OnMachine record) {}
@@ -83,7 +83,7 @@
         long asked = loop.nanos();
         list(Keys.OPEN, open -> {
             addJobs(open);
-            listener.jobsKnown(asked);
+            listener.openJobsLoaded(asked);
             list(
                     Keys.FINISHED,
                     finished -> list(Keys.BINDINGS, machines -> {
@@ -93,7 +93,7 @@
                             recorded.forEach(this::addMachine);
                             // Only from now on can reports prove the stops.
                             endedJobs.forEach(job -> job.cancel(job.cancelledAt(), loop.nanos()));
-                            listener.ready(open.revision());
+                            listener.completed(open.revision());
                         });
                     }));
         });
@@ -107,7 +107,7 @@
         state.list(prefix, Priority.RENEWAL, scope.guard(result -> {
             if (result.isOk()) {
                 Listing listing = result.value();
-                listener.read(new Step(
+                listener.stepCompleted(new Step(
                         listing.entries().size() + " entries under " + prefix + ", " + listing.bytes() + " bytes",
                         loop.nanos() - since));
                 next.accept(listing);
@@ -174,7 +174,7 @@
                     .mapToDouble(job -> Durations.secondsSince(job.cancelledAt(), loop.nanos()))
                     .max()
                     .orElse(0);
-            listener.read(new Step(
+            listener.stepCompleted(new Step(
                     ended.size() + " cancelled jobs with bound tasks, the oldest cancelled " + oldestS + " s ago",
                     loop.nanos() - since));
             next.run();
@@ -240,7 +240,7 @@
         Machine machine = cluster.machine(record.name());
         if (machine == null) {
             // Any node entitled before this term can have answered it until the election.
-            machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.since());
+            machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.electedAtNanos());
             machine.expected();
             cluster.add(machine);
         }
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -33,8 +33,8 @@
 import org.spruceridge.term.HeartbeatOutcome;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.upgrade.ClusterLevel;
-import org.spruceridge.upgrade.LevelRaiser;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
+import org.spruceridge.upgrade.FeatureLevelUpgrader;
 import org.spruceridge.worker.WorkerClient;
 import org.spruceridge.worker.WorkerCommand;
 import org.spruceridge.worker.WorkerHeartbeat;
@@ -57,7 +57,7 @@
     private final SchedulingLoop schedulingLoop;
     private final CommandSender commandSender;
     private final Autoscaler autoscaler;
-    private final LevelRaiser levelRaiser;
+    private final FeatureLevelUpgrader levelRaiser;
     private final LeaderTerm term;
     private final long idleCycle;
     private final Response nothingToDo;
@@ -97,7 +97,7 @@
             StateClient state,
             CloudClient cloud,
             WorkerClient workers,
-            ClusterLevel level,
+            ClusterFeatureLevel level,
             BooleanSupplier everyMemberSupportsLevel,
             Consumer<String> resign) {
         this.context = context;
@@ -118,11 +118,11 @@
         this.commandSender = new CommandSender(context, workers, heartbeatHandler, () -> schedulingLoop.request());
         this.watch = new JobWatcher(context, state, recordWriter, commandSender::push, () -> schedulingLoop.request());
         this.failover = new Failover(context, state, recordWriter.records());
-        this.levelRaiser = new LevelRaiser(
+        this.levelRaiser = new FeatureLevelUpgrader(
                 scope,
                 state,
                 level,
-                term.level(),
+                term.featureLevel(),
                 term.leaderRevision(),
                 everyMemberSupportsLevel,
                 recordWriter::levelRaised);
@@ -144,26 +144,26 @@
     public void start() {
         failover.start(new Failover.Listener() {
             @Override
-            public void read(Failover.Step step) {
+            public void stepCompleted(Failover.Step step) {
                 LOG.info("term {}: failover: {}, after {} ms", term.term(), step.what(), step.nanos() / 1_000_000);
             }
 
             @Override
-            public void jobsKnown(long asOf) {
-                watch.refreshed(asOf);
+            public void openJobsLoaded(long asOfNanos) {
+                watch.refreshed(asOfNanos);
             }
 
             @Override
-            public void ready(long revision) {
+            public void completed(long revision) {
                 ready = true;
                 heartbeatHandler.failoverCompleted();
-                context.metrics().failoverCompleted(ledFor());
+                context.metrics().failoverCompleted(termAgeNanos());
                 LOG.info(
                         "term {}: took over {} jobs and {} machines after {} ms",
                         term.term(),
                         cluster.jobs().size(),
                         cluster.machines().size(),
-                        ledFor() / 1_000_000);
+                        termAgeNanos() / 1_000_000);
                 recordWriter.failoverCompleted();
                 watch.start(revision);
                 autoscaler.start();
@@ -175,12 +175,12 @@
     }
 
     /** True while it knows enough of what users cancelled to answer workers. */
-    public boolean upToDate() {
+    public boolean mayAnswerWorkers() {
         return watch.upToDate();
     }
 
     /** A user was told that this job is cancelled: the watch will say so too, perhaps later. */
-    public void cancelled(String id) {
+    public void jobCancelled(String id) {
         Job job = cluster.job(id);
         if (ready && job != null) {
             watch.cancelled(job, CancellationSource.HEARTBEAT);
@@ -194,8 +194,8 @@
     }
 
     /** Nanoseconds since this node won the term. */
-    public long ledFor() {
-        return loop.nanos() - term.since();
+    public long termAgeNanos() {
+        return loop.nanos() - term.electedAtNanos();
     }
 
     /** The number of the term, which is the token of its commands. */
@@ -204,12 +204,12 @@
     }
 
     /** Reports come faster than this node can take them. */
-    public void fallsBehind() {
+    public void heartbeatsDropped() {
         autoscaler.fallsBehind();
     }
 
     /** Takes over what is known of the machine types, unless the autoscaler has asked the cloud itself by now. */
-    public void types(ImmutableMap<String, MachineType> types) {
+    public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
         if (cluster.types().isEmpty()) {
             cluster.types(types);
         }
@@ -229,7 +229,7 @@
             return answered(heartbeat, heartbeatHandler.handleDuringFailover(heartbeat));
         }
         if (heartbeatHandler.ignores(heartbeat)) {
-            context.metrics().count(HeartbeatOutcome.GIVEN_UP);
+            context.metrics().count(HeartbeatOutcome.DECLARED_DEAD);
             LOG.debug("term {}: {} is not answered: its lease is to run out", term.term(), heartbeat.machine());
             return Optional.empty();
         }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -41,7 +41,7 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.upgrade.ClusterLevel;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
 import org.spruceridge.upgrade.FeatureLevel;
 import org.spruceridge.warmup.LeaderWarmUp;
 import org.spruceridge.worker.WorkerClient;
@@ -84,7 +84,7 @@
     private final StateClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final MemberVersion version = MemberVersion.own();
     private final Election election;
     private final PeerMonitor peers;
@@ -116,7 +116,7 @@
         this.cloud = new CloudClient(http, settings.cloudAddress(), cloudLimiter, warnings);
         this.catalogue = new Catalogue(loop, cloud, state, warnings, this::learned);
         this.workers = new WorkerClient(http, warnings);
-        this.level = new ClusterLevel(state);
+        this.level = new ClusterFeatureLevel(state);
         state.onRateExceeded(this::rateExceeded);
         this.election = new Election(loop, state, level, random, warnings, settings, policy, this);
         this.peers = new PeerMonitor(loop, link, warnings, this::heartbeat, this::cancelled);
@@ -151,7 +151,7 @@
         boolean knowsLeader = leaderForWorkers()
                 .filter(name -> !name.equals(settings.hostName()))
                 .isPresent();
-        if (leader == null ? knowsLeader : leader.upToDate()) {
+        if (leader == null ? knowsLeader : leader.mayAnswerWorkers()) {
             ready.run();
         } else {
             scope.after(LOOK_WHETHER_READY, () -> lookWhetherReady(ready));
@@ -174,22 +174,22 @@
 
     /** True while this node may act as leader. */
     public boolean leads() {
-        return election.leads();
+        return election.isLeader();
     }
 
     @Override
-    public void won(LeaderTerm term) {
+    public void leadershipAcquired(LeaderTerm term) {
         warmUp.stop();
         shareLimits(true);
-        LeaderContext context =
-                LeaderContext.begin(loop, settings, policy, term, election::leads, warnings, latencies, leaderMetrics);
+        LeaderContext context = LeaderContext.begin(
+                loop, settings, policy, term, election::isLeader, warnings, latencies, leaderMetrics);
         leader = new Leader(context, state, cloud, workers, level, this::everyMemberSupportsLevel, election::resign);
-        catalogue.types().ifPresent(leader::types);
+        catalogue.types().ifPresent(leader::adoptMachineTypes);
         leader.start();
     }
 
     @Override
-    public void lost() {
+    public void leadershipLost() {
         shareLimits(false);
         if (leader != null) {
             leader.stop();
@@ -199,7 +199,7 @@
 
     private void learned(ImmutableMap<String, MachineType> types) {
         if (leader != null) {
-            leader.types(types);
+            leader.adoptMachineTypes(types);
         }
     }
 
@@ -223,10 +223,10 @@
      */
     private Response heartbeat(byte[] body) {
         lastReport = loop.nanos();
-        if (!election.leads() || leader == null) {
+        if (!election.isLeader() || leader == null) {
             return refuse(HeartbeatOutcome.NO_LEADER);
         }
-        if (!leader.upToDate()) {
+        if (!leader.mayAnswerWorkers()) {
             return refuse(HeartbeatOutcome.STALE_VIEW);
         }
         try {
@@ -251,7 +251,7 @@
     private void reportMissed() {
         lastReport = loop.nanos();
         if (leader != null) {
-            leader.fallsBehind();
+            leader.heartbeatsDropped();
         }
     }
 
@@ -275,13 +275,13 @@
     private boolean everyMemberSupportsLevel() {
         List<String> members =
                 settings.members().stream().map(Settings.Member::hostName).toList();
-        return peers.allSupport(FeatureLevel.SUPPORTED, members);
+        return peers.allPeersSupport(FeatureLevel.SUPPORTED, members);
     }
 
     private ObjectNode metrics() {
         ObjectNode out = latencies.toJson();
-        ObjectNode cluster =
-                out.putObject("cluster").put("featureLevel", level.known().number());
+        ObjectNode cluster = out.putObject("cluster")
+                .put("featureLevel", level.highestKnown().number());
         ObjectNode versions = cluster.putObject("versions").put(settings.hostName(), version.name());
         peers.versions().forEach((host, heard) -> versions.put(host, heard.name()));
         leaderMetrics.writeTo(out);
@@ -301,8 +301,8 @@
      * other is heard either. In an outage that all share, every node stays.
      */
     private boolean healthy() {
-        boolean alone = settings.nodeCount() > 1 && !peers.anyHeard();
-        return stateServes() || !(alone || peers.anyServed());
+        boolean alone = settings.nodeCount() > 1 && !peers.anyPeerAlive();
+        return stateServes() || !(alone || peers.anyPeerReachesStateService());
     }
 
     private boolean stateServes() {
@@ -312,7 +312,7 @@
     private PeerHeartbeat heartbeat() {
         ImmutableMap.Builder<String, PeerHeartbeat.Progress> progress = ImmutableMap.builder();
         long term = 0;
-        if (leader != null && election.leads()) {
+        if (leader != null && election.isLeader()) {
             term = leader.term();
             for (Job job : leader.cluster().jobs()) {
                 if (!job.cancelled()) {
@@ -333,7 +333,7 @@
     /** Another node told a user that this job is cancelled. */
     private void cancelled(String job) {
         if (leader != null) {
-            leader.cancelled(job);
+            leader.jobCancelled(job);
         }
     }
 
@@ -362,7 +362,10 @@
      */
     private void yieldIfCutOff() {
         long now = loop.nanos();
-        boolean cutOff = leader != null && leader.ledFor() > quietNanos() && !workersReach() && peers.anyReached();
+        boolean cutOff = leader != null
+                && leader.termAgeNanos() > quietNanos()
+                && !workersReach()
+                && peers.anyPeerReachedByWorkers();
         if (cutOff && now >= staysUntil) {
             staysUntil =
                     now + Durations.nanos(STAY_OF_LEASE * settings.workers().leaseS());
--- a/src/main/java/org/spruceridge/peer/MemberVersion.java
+++ b/src/main/java/org/spruceridge/peer/MemberVersion.java
@@ -5,12 +5,12 @@
 /**
  * What a node says of its own version.
  *
- * @param supports the number of the highest cluster feature level that it supports
+ * @param supportedLevel the number of the highest cluster feature level that it supports
  * @param name the version of its program, for display
  */
-public record MemberVersion(int supports, String name) {
+public record MemberVersion(int supportedLevel, String name) {
     /** Version 0.1 does not say. */
-    static final MemberVersion SILENT = new MemberVersion(FeatureLevel.BASE.number(), "0.1");
+    static final MemberVersion UNANNOUNCED = new MemberVersion(FeatureLevel.BASE.number(), "0.1");
 
     /** That of this program. */
     public static MemberVersion own() {
--- a/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
@@ -18,8 +18,8 @@
  */
 public record PeerHeartbeat(
         String hostName,
-        boolean stateServes,
-        boolean workersReach,
+        boolean stateServiceReachable,
+        boolean reachedByWorkers,
         long term,
         ImmutableMap<String, Progress> progress,
         ImmutableList<String> cancelled,
@@ -40,8 +40,8 @@
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             out.packArrayHeader(FIELDS);
             out.packString(hostName);
-            out.packBoolean(stateServes);
-            out.packBoolean(workersReach);
+            out.packBoolean(stateServiceReachable);
+            out.packBoolean(reachedByWorkers);
             out.packLong(term);
             int jobs = Math.min(MOST_JOBS, progress.size());
             out.packMapHeader(jobs);
@@ -58,7 +58,7 @@
             for (String id : cancelled) {
                 out.packString(id);
             }
-            out.packInt(version.supports());
+            out.packInt(version.supportedLevel());
             out.packString(version.name());
             return out.toByteArray();
         } catch (IOException e) {
@@ -89,7 +89,7 @@
                 cancelled.add(in.unpackString());
             }
             MemberVersion version =
-                    fields < FIELDS ? MemberVersion.SILENT : new MemberVersion(in.unpackInt(), in.unpackString());
+                    fields < FIELDS ? MemberVersion.UNANNOUNCED : new MemberVersion(in.unpackInt(), in.unpackString());
             return new PeerHeartbeat(
                     host, serves, reached, term, progress.buildKeepingLast(), cancelled.build(), version);
         } catch (IOException | MessagePackException e) {
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -32,7 +32,7 @@
     private final Consumer<String> cancelled;
     private final Map<String, Heard> heard = new HashMap<>();
     private PeerHeartbeat leader =
-            new PeerHeartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of(), MemberVersion.SILENT);
+            new PeerHeartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of(), MemberVersion.UNANNOUNCED);
 
     private record Heard(PeerHeartbeat heartbeat, long at) {}
 
@@ -63,12 +63,12 @@
     }
 
     /** True if another node lately said that the state service serves it. */
-    public boolean anyServed() {
-        return anyFresh(PeerHeartbeat::stateServes);
+    public boolean anyPeerReachesStateService() {
+        return anyFresh(PeerHeartbeat::stateServiceReachable);
     }
 
     /** True if another node was heard lately. */
-    public boolean anyHeard() {
+    public boolean anyPeerAlive() {
         return anyFresh(heartbeat -> true);
     }
 
@@ -93,19 +93,19 @@
      * True if each of these nodes was heard a moment ago and announced that it supports the level. One that is silent may
      * be coming back with an earlier version.
      */
-    public boolean allSupport(FeatureLevel level, Collection<String> hosts) {
+    public boolean allPeersSupport(FeatureLevel level, Collection<String> hosts) {
         return hosts.stream().allMatch(host -> supports(heard.get(host), level));
     }
 
     private boolean supports(Heard last, FeatureLevel level) {
         return last != null
                 && loop.nanos() - last.at < FRESH
-                && last.heartbeat.version().supports() >= level.number();
+                && last.heartbeat.version().supportedLevel() >= level.number();
     }
 
     /** True if workers lately reached another node. */
-    public boolean anyReached() {
-        return anyFresh(PeerHeartbeat::workersReach);
+    public boolean anyPeerReachedByWorkers() {
+        return anyFresh(PeerHeartbeat::reachedByWorkers);
     }
 
     private boolean anyFresh(Predicate<PeerHeartbeat> says) {
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -80,7 +80,7 @@
         this.listener = listener;
         this.latencies = context.latencies();
         this.records = new RecordPages(
-                context.settings().state(), context.term().level().level());
+                context.settings().state(), context.term().featureLevel().level());
     }
 
     /** What is kept on which page. */
--- a/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
+++ b/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
@@ -17,7 +17,7 @@
     /** Refused, for the worker has seen a newer term. */
     NEWER_TERM,
     /** Not answered, so that the lease of a worker that is not reached runs out. */
-    GIVEN_UP,
+    DECLARED_DEAD,
     /** Not a report. */
     UNREADABLE
 }
--- a/src/main/java/org/spruceridge/upgrade/ClusterLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/ClusterFeatureLevel.java
@@ -11,44 +11,44 @@
 import org.spruceridge.state.StateClient;
 
 /** What this node knows of the cluster feature level. */
-public final class ClusterLevel {
-    private static final Logger LOG = LoggerFactory.getLogger(ClusterLevel.class);
+public final class ClusterFeatureLevel {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterFeatureLevel.class);
 
     private final StateClient state;
-    private FeatureLevel known = FeatureLevel.BASE;
+    private FeatureLevel highestKnown = FeatureLevel.BASE;
     private String lastComplaint = "";
 
     /** The level is read from {@code state}. */
-    public ClusterLevel(StateClient state) {
+    public ClusterFeatureLevel(StateClient state) {
         this.state = state;
     }
 
     /** The highest level that was found on record so far; as levels are never lowered, it holds. */
-    public FeatureLevel known() {
-        return known;
+    public FeatureLevel highestKnown() {
+        return highestKnown;
     }
 
     /**
      * Reads the record. INVALID means that it cannot be understood: a newer version wrote it, or it is damaged, and this
      * node must neither lead nor guess.
      */
-    public void read(Priority priority, Consumer<Result<LevelRecord>> done) {
+    public void read(Priority priority, Consumer<Result<StoredFeatureLevel>> done) {
         state.get(Keys.FEATURE_LEVEL, priority, found -> {
             if (found.kind() == Result.Kind.UNAVAILABLE) {
                 done.accept(Result.failed(Result.Kind.UNAVAILABLE));
             } else if (found.isOk()) {
                 done.accept(understand(found.value().value(), found.value().modRevision()));
             } else {
-                done.accept(Result.ok(new LevelRecord(FeatureLevel.BASE, 0)));
+                done.accept(Result.ok(new StoredFeatureLevel(FeatureLevel.BASE, 0)));
             }
         });
     }
 
-    private Result<LevelRecord> understand(JsonNode value, long modRevision) {
+    private Result<StoredFeatureLevel> understand(JsonNode value, long modRevision) {
         try {
             FeatureLevel level = FeatureLevel.read(value);
             raised(level);
-            return Result.ok(new LevelRecord(level, modRevision));
+            return Result.ok(new StoredFeatureLevel(level, modRevision));
         } catch (BadMessageException e) {
             complain(e.getMessage());
             return Result.failed(Result.Kind.INVALID);
@@ -65,9 +65,9 @@
 
     /** This level is on record. */
     void raised(FeatureLevel level) {
-        if (!known.includes(level)) {
+        if (!highestKnown.includes(level)) {
             LOG.info("cluster feature level {}", level.number());
-            known = level;
+            highestKnown = level;
         }
     }
 }
--- a/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
@@ -15,26 +15,26 @@
  * the next. The transaction is guarded by the leader key, so that only the present leader raises it, and by the stamp of
  * the level, so that a late copy of it changes nothing.
  */
-public final class LevelRaiser {
+public final class FeatureLevelUpgrader {
     private static final long LOOK_AGAIN = Durations.millis(500);
 
     private final CancellationScope scope;
     private final StateClient state;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final BooleanSupplier everyMemberSupports;
     private final long leaderRevision;
     private final Runnable raised;
-    private LevelRecord onRecord;
+    private StoredFeatureLevel onRecord;
 
     /**
      * {@code onRecord} is the level that the election found; {@code everyMemberSupports} tells whether all members were
      * heard with {@link FeatureLevel#SUPPORTED}; {@code raised} runs once the level is on record.
      */
-    public LevelRaiser(
+    public FeatureLevelUpgrader(
             CancellationScope scope,
             StateClient state,
-            ClusterLevel level,
-            LevelRecord onRecord,
+            ClusterFeatureLevel level,
+            StoredFeatureLevel onRecord,
             long leaderRevision,
             BooleanSupplier everyMemberSupports,
             Runnable raised) {
@@ -66,7 +66,7 @@
                 .build();
         state.commit(txn, Priority.DECISIONS, scope.guard(result -> {
             if (result.kind() == TransactionResult.Kind.COMMITTED) {
-                onRecord = new LevelRecord(FeatureLevel.SUPPORTED, result.revision());
+                onRecord = new StoredFeatureLevel(FeatureLevel.SUPPORTED, result.revision());
                 level.raised(FeatureLevel.SUPPORTED);
                 raised.run();
             } else {
--- a/src/main/java/org/spruceridge/upgrade/LevelRecord.java
+++ b/src/main/java/org/spruceridge/upgrade/StoredFeatureLevel.java
@@ -1,4 +1,4 @@
 package org.spruceridge.upgrade;
 
 /** The cluster feature level as it was found on record, with the stamp of its key, 0 if there is none yet. */
-public record LevelRecord(FeatureLevel level, long modRevision) {}
+public record StoredFeatureLevel(FeatureLevel level, long modRevision) {}
--- a/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
@@ -10,7 +10,7 @@
  * Goes through a leader's code while this node follows, so that the virtual machine has compiled it when the node is
  * elected: interpreted, it takes ten to twenty times as long, just when every worker asks for the new leader.
  *
- * <p>It works on a {@link WarmUpLeader} of its own and on nothing else, sends nothing, is bounded in steps, takes a small
+ * <p>It works on a {@link SyntheticLeader} of its own and on nothing else, sends nothing, is bounded in steps, takes a small
  * share of the processor, and makes way for any request that waits.
  */
 public final class LeaderWarmUp {
@@ -26,7 +26,7 @@
     private final CancellationScope scope;
     private final Settings settings;
     private final Policy policy;
-    private WarmUpLeader leader;
+    private SyntheticLeader leader;
     private boolean started;
     private int steps;
 
@@ -65,7 +65,7 @@
         }
         long begun = loop.nanos();
         if (leader == null) {
-            leader = new WarmUpLeader(settings, policy);
+            leader = new SyntheticLeader(settings, policy);
         }
         leader.step();
         if (++steps < STEPS) {
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
@@ -55,7 +55,7 @@
  * step lets some workers report and does what a leader does then: it decodes, schedules, records and answers. Nothing
  * of it is shared with the node's own state.
  */
-final class WarmUpLeader {
+final class SyntheticLeader {
     private static final int MACHINES = 32;
     private static final int JOBS = 8;
     private static final int TASKS_PER_JOB = 24;
@@ -81,7 +81,7 @@
     private long sequence;
     private int steps;
 
-    WarmUpLeader(Settings settings, Policy policy) {
+    SyntheticLeader(Settings settings, Policy policy) {
         this.settings = settings;
         this.context = LeaderContext.begin(
                 loop,
@@ -217,10 +217,10 @@
                 context.with(new Cluster()), state, new RecordPages(settings.state(), FeatureLevel.SUPPORTED));
         failover.start(new Failover.Listener() {
             @Override
-            public void jobsKnown(long asOf) {}
+            public void openJobsLoaded(long asOfNanos) {}
 
             @Override
-            public void ready(long revision) {}
+            public void completed(long revision) {}
         });
         loop.advance(Durations.millis(1));
     }
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -254,10 +254,10 @@
         boolean[] ready = new boolean[1];
         new Failover(second.context, second.client, second.recordWriter.records()).start(new Failover.Listener() {
             @Override
-            public void jobsKnown(long asOf) {}
+            public void openJobsLoaded(long asOfNanos) {}
 
             @Override
-            public void ready(long revision) {
+            public void completed(long revision) {
                 ready[0] = true;
             }
         });
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -203,7 +203,7 @@
         byte[] theirs = java.util.Arrays.copyOf(ours, ours.length - "0.2.0".length() - 2);
         theirs[0] = (byte) 0x96;
         assertEquals(
-                FeatureLevel.BASE.number(), PeerHeartbeat.read(theirs).version().supports());
+                FeatureLevel.BASE.number(), PeerHeartbeat.read(theirs).version().supportedLevel());
     }
 
     @Test
--- a/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
@@ -58,7 +58,7 @@
     /** Otherwise it warms up nothing: heartbeats are handled, tasks bound, recorded, started and ended, and jobs finish. */
     @Test
     void itDoesAllThatALeaderDoes() {
-        WarmUpLeader leader = new WarmUpLeader(SETTINGS, Policy.defaults());
+        SyntheticLeader leader = new SyntheticLeader(SETTINGS, Policy.defaults());
         for (int i = 0; i < LeaderWarmUp.STEPS; i++) {
             leader.step();
         }
