--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -65,10 +65,10 @@
         this.latencies = context.latencies();
         this.commandsDue = commandsDue;
         this.minCycleSpacingNanos =
-                Durations.nanos(context.policy().scheduling().spacingOfReport()
+                Durations.nanos(context.policy().scheduling().minCycleIntervalHeartbeats()
                         * context.settings().workers().heartbeatIntervalS());
         this.maxDecisionDelayNanos =
-                Durations.nanos(context.settings().workers().mostDecisionDelayS());
+                Durations.nanos(context.settings().workers().maxDecisionDelayS());
         this.lastCycleAt = context.loop().nanos() - minCycleSpacingNanos;
     }
 
