--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -93,7 +93,7 @@
         }
         Optional<ImmutableMap<String, MachineType>> types = catalogue.get();
         if (types.isEmpty()) {
-            lookUp(spec.id(), Response.later(RETRY_AFTER_S, "machine types not known yet"), answer);
+            lookUp(spec.id(), Response.unavailable(RETRY_AFTER_S, "machine types not known yet"), answer);
             return;
         }
         Optional<String> objection = admission.objection(spec, types.get());
@@ -119,7 +119,7 @@
             if (level.known().includes(FeatureLevel.SERVICES)) {
                 accept(spec, answer);
             } else {
-                lookUp(spec.id(), Response.later(RETRY_AFTER_S, "the cluster is being upgraded"), answer);
+                lookUp(spec.id(), Response.unavailable(RETRY_AFTER_S, "the cluster is being upgraded"), answer);
             }
         });
     }
@@ -274,7 +274,7 @@
     }
 
     private static Response later() {
-        return Response.later(RETRY_AFTER_S, "the state service does not answer now");
+        return Response.unavailable(RETRY_AFTER_S, "the state service does not answer now");
     }
 
     private static Response tooLarge() {
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -60,7 +60,7 @@
         if (request.path().equals(REPORTS)) {
             reportsMissed.run();
         }
-        return Response.later(RETRY_AFTER_S, "too busy");
+        return Response.unavailable(RETRY_AFTER_S, "too busy");
     }
 
     @Override
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -55,7 +55,8 @@
 
     /** Machines that nobody can have answered for a whole lease: they have killed their tasks. */
     List<Machine> withExpiredLeases() {
-        long lease = Durations.nanos(settings.workers().leaseS() * (1 + 2 * Durations.DRIFT) + LEASE_MARGIN_S);
+        long lease = Durations.nanos(
+                settings.workers().leaseS() * (1 + 2 * Durations.MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_S);
         long now = loop.nanos();
         List<Machine> expired = new ArrayList<>();
         for (Machine m : cluster.machines()) {
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -110,7 +110,7 @@
                 Json.text(item, "endpoint"),
                 Json.text(item, "build"),
                 Json.text(item, "grove"),
-                Json.flag(item, "windfall"),
+                Json.bool(item, "windfall"),
                 stage,
                 Json.number(item, "heldS"));
     }
--- a/src/main/java/org/spruceridge/config/CancellationTimes.java
+++ b/src/main/java/org/spruceridge/config/CancellationTimes.java
@@ -23,7 +23,7 @@
 
     /** How long a worker's tasks may outlive the last report of it that was answered. */
     public double fullLeaseS() {
-        return leaseS * (1 + 2 * Durations.DRIFT);
+        return leaseS * (1 + 2 * Durations.MAX_CLOCK_DRIFT_RATIO);
     }
 
     /**
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -115,13 +115,13 @@
             cluster.bind(b);
             recordWriter.bind(b);
         }
-        for (Binding b : plan.stops()) {
+        for (Binding b : plan.preemptions()) {
             b.stopMode(Binding.StopMode.CHECKPOINT);
             b.machine().lastPreemption(now);
             LOG.info("stopping {} to make room for work of a higher rank", b);
             push.accept(b.machine());
         }
-        for (Binding b : plan.moves()) {
+        for (Binding b : plan.evictions()) {
             b.stopMode(Binding.StopMode.CHECKPOINT);
             LOG.info("stopping {} to move it: its machine is about to be taken away", b);
             push.accept(b.machine());
@@ -130,9 +130,9 @@
             LOG.debug(
                     "cycle: {} placed, {} stopped, {} jobs left waiting for room, {} groups, {} us",
                     plan.placements().size(),
-                    plan.stops().size(),
+                    plan.preemptions().size(),
                     plan.unplaced().size(),
-                    plan.groups(),
+                    plan.machineGroups(),
                     (loop.nanos() - now) / 1000);
         }
     }
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -320,7 +320,7 @@
     }
 
     private long validity(long sentAt) {
-        return sentAt + (long) (ttl * (1 - Durations.DRIFT - SAFETY));
+        return sentAt + (long) (ttl * (1 - Durations.MAX_CLOCK_DRIFT_RATIO - SAFETY));
     }
 
     private void stepDown(String why) {
--- a/src/main/java/org/spruceridge/net/CancellationScope.java
+++ b/src/main/java/org/spruceridge/net/CancellationScope.java
@@ -35,7 +35,7 @@
     }
 
     /** True once it has been closed. */
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
--- a/src/main/java/org/spruceridge/net/Durations.java
+++ b/src/main/java/org/spruceridge/net/Durations.java
@@ -3,7 +3,7 @@
 /** Durations of the settings, in seconds, as nanoseconds. */
 public final class Durations {
     /** The most that two steady clocks drift apart. */
-    public static final double DRIFT = 0.0005;
+    public static final double MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
     private Durations() {}
 
--- a/src/main/java/org/spruceridge/net/Json.java
+++ b/src/main/java/org/spruceridge/net/Json.java
@@ -106,7 +106,7 @@
     }
 
     /** A field that holds a whole number of at least 0. */
-    public static long whole(JsonNode node, String name) throws BadMessageException {
+    public static long nonNegativeLong(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isIntegralNumber() || !child.canConvertToLong() || child.longValue() < 0) {
             throw new BadMessageException(name + " is not a count");
@@ -124,7 +124,7 @@
     }
 
     /** A field that holds true or false. */
-    public static boolean flag(JsonNode node, String name) throws BadMessageException {
+    public static boolean bool(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isBoolean()) {
             throw new BadMessageException(name + " is not true or false");
--- a/src/main/java/org/spruceridge/net/NettyHttpClient.java
+++ b/src/main/java/org/spruceridge/net/NettyHttpClient.java
@@ -70,7 +70,7 @@
         if (reused != null) {
             reused.send(exchange);
         } else if (connectionLimiter.exhausted()) {
-            loop.execute(() -> exchange.finish(HttpAnswer.unsent()));
+            loop.execute(() -> exchange.finish(HttpAnswer.notSent()));
         } else {
             connect(exchange);
         }
@@ -143,7 +143,7 @@
         exchange.connection = connection;
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
-                exchange.finish(HttpAnswer.unsent());
+                exchange.finish(HttpAnswer.notSent());
             } else if (exchange.over) {
                 connection.close();
             } else {
@@ -171,7 +171,7 @@
             if (!over) {
                 boolean sent = connection != null && connection.current == this;
                 drop();
-                finish(sent ? HttpAnswer.silence() : HttpAnswer.unsent());
+                finish(sent ? HttpAnswer.noResponse() : HttpAnswer.notSent());
             }
         }
 
@@ -270,7 +270,7 @@
             if (exchange == null || response.decoderResult().isFailure()) {
                 ctx.close();
                 if (exchange != null) {
-                    exchange.finish(HttpAnswer.silence());
+                    exchange.finish(HttpAnswer.noResponse());
                 }
                 return;
             }
@@ -302,7 +302,7 @@
             Exchange exchange = current;
             current = null;
             if (exchange != null) {
-                exchange.finish(HttpAnswer.silence());
+                exchange.finish(HttpAnswer.noResponse());
             }
         }
     }
--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -48,7 +48,7 @@
      * Changes the rates, as when this node begins or ceases to lead. Users come together: a node that has been idle takes
      * {@code usersBurst} changes of theirs at once.
      */
-    public void rates(double requestsPerS, double changesPerS, double usersChangesPerS, double usersBurst) {
+    public void setRates(double requestsPerS, double changesPerS, double usersChangesPerS, double usersBurst) {
         long now = loop.nanos();
         requests.rate(requestsPerS, now);
         changes.rate(changesPerS, now);
--- a/src/main/java/org/spruceridge/net/Response.java
+++ b/src/main/java/org/spruceridge/net/Response.java
@@ -15,7 +15,7 @@
     }
 
     /** The service cannot take the request now; the caller should come back after the given time. */
-    public static Response later(int retryAfterS, String why) {
+    public static Response unavailable(int retryAfterS, String why) {
         return new Response(503, Json.bytes(Json.object().put("error", why)), retryAfterS);
     }
 }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -212,9 +212,9 @@
         double usersShare = USERS_SHARE / nodes;
         // A follower has next to nothing of its own to write: an election, the catalogue.
         double ownShare = leading ? 1 - USERS_SHARE : usersShare;
-        stateLimiter.rates(reads, writes * ownShare, writes * usersShare, writes * USERS_BURST_S);
+        stateLimiter.setRates(reads, writes * ownShare, writes * usersShare, writes * USERS_BURST_S);
         double cloudShare = nodes == 1 ? 1 : leading ? 0.8 : 0.2 / (nodes - 1);
-        cloudLimiter.rates(settings.cloud().rps() * HEADROOM * cloudShare, 1, 1, 1);
+        cloudLimiter.setRates(settings.cloud().rps() * HEADROOM * cloudShare, 1, 1, 1);
     }
 
     /**
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -160,7 +160,7 @@
                 records.likelyChanges(),
                 () -> {
                     waitsForTurn = false;
-                    inFlight = scope.closed() ? null : compose();
+                    inFlight = scope.isClosed() ? null : compose();
                     return inFlight == null ? null : inFlight.transaction();
                 },
                 scope.guard(result -> {
--- a/src/main/java/org/spruceridge/record/JobRecord.java
+++ b/src/main/java/org/spruceridge/record/JobRecord.java
@@ -78,7 +78,7 @@
                 };
         return new JobRecord(
                 SpecMessage.read(value.path("spec")),
-                Json.whole(value, "at"),
+                Json.nonNegativeLong(value, "at"),
                 stage,
                 value.path("ended_at").asLong());
     }
--- a/src/main/java/org/spruceridge/record/LeaderRecord.java
+++ b/src/main/java/org/spruceridge/record/LeaderRecord.java
@@ -9,7 +9,8 @@
 public record LeaderRecord(String hostName, String incarnation, long term) {
     /** Reads the record. */
     public static LeaderRecord read(JsonNode value) throws BadMessageException {
-        return new LeaderRecord(Json.text(value, "host"), Json.text(value, "incarnation"), Json.whole(value, "term"));
+        return new LeaderRecord(
+                Json.text(value, "host"), Json.text(value, "incarnation"), Json.nonNegativeLong(value, "term"));
     }
 
     /** The record as JSON. */
--- a/src/main/java/org/spruceridge/record/SpecMessage.java
+++ b/src/main/java/org/spruceridge/record/SpecMessage.java
@@ -41,7 +41,7 @@
             throw new BadMessageException("nameId is not of the form j-000412");
         }
         JobKind kind = kind(Json.text(body, "shape"));
-        long tasks = Json.whole(body, "parts");
+        long tasks = Json.nonNegativeLong(body, "parts");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new BadMessageException("parts is out of range");
         }
@@ -58,9 +58,9 @@
                 new Resources(positive(body, "cpus"), notNegative(body, "accelerators"), positive(body, "memGb")),
                 types(body),
                 Optional.ofNullable(zone),
-                Json.flag(body, "samePlace"),
-                Json.flag(body, "scatter"),
-                Json.flag(body, "windfall"),
+                Json.bool(body, "samePlace"),
+                Json.bool(body, "scatter"),
+                Json.bool(body, "windfall"),
                 name(body, "bundle"),
                 notNegative(body, "pullGb"),
                 kind == JobKind.SERVICE ? zero(body, "expectS") : positive(body, "expectS"),
--- a/src/main/java/org/spruceridge/schedule/Aging.java
+++ b/src/main/java/org/spruceridge/schedule/AntiAging.java
@@ -1,7 +1,7 @@
 package org.spruceridge.schedule;
 
 /** The Anti-aging term, equation 13. */
-public final class Aging implements Heuristic {
+public final class AntiAging implements Heuristic {
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
         double ageS = Math.max(0, row.candidate().ageS());
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -25,29 +25,29 @@
  */
 final class CycleState {
     /** A machine that has been silent for this many report periods gets no work. */
-    private static final double SILENCE_OF_REPORT = 2.5;
+    private static final double MAX_HEARTBEAT_AGE_INTERVALS = 2.5;
 
     private final Cluster cluster;
     private final Settings settings;
-    private final int mostBindings;
+    private final int maxBindingsPerMachine;
     private final long now;
     private final List<MachineKind> kinds = new ArrayList<>();
     private final List<MachineCapacity> machines = new ArrayList<>();
     private final Map<String, Resources> teamUse = new HashMap<>();
-    private final Set<String> reservedTeams = new HashSet<>();
+    private final Set<String> teamsWithReservedQuota = new HashSet<>();
     private final Map<Job, Map<String, Integer>> zones = new HashMap<>();
     private final Map<Job, Map<Machine, Integer>> replicas = new HashMap<>();
 
-    /** {@code mostBindings} is what the record of one machine can hold. */
-    CycleState(Cluster cluster, Settings settings, int mostBindings, long now) {
+    /** {@code maxBindingsPerMachine} is what the record of one machine can hold. */
+    CycleState(Cluster cluster, Settings settings, int maxBindingsPerMachine, long now) {
         this.cluster = cluster;
         this.settings = settings;
-        this.mostBindings = mostBindings;
+        this.maxBindingsPerMachine = maxBindingsPerMachine;
         this.now = now;
         Map<MachineKind, Integer> kindIndexes = new HashMap<>();
         for (Machine machine : cluster.machines()) {
             MachineType type = cluster.types().get(machine.type());
-            if (type != null && usable(machine)) {
+            if (type != null && isSchedulable(machine)) {
                 int kindIndex = kindIndexes.computeIfAbsent(machine.kind(), this::addKind);
                 machines.add(new MachineCapacity(machine, type, kindIndex));
             }
@@ -62,12 +62,12 @@
         return kinds.size() - 1;
     }
 
-    private boolean usable(Machine machine) {
+    private boolean isSchedulable(Machine machine) {
         double silentS = Durations.secondsSince(machine.lastHeartbeat(), now);
         return machine.fenced()
                 && !machine.terminating()
                 && !machine.unschedulable()
-                && silentS < SILENCE_OF_REPORT * settings.workers().heartbeatIntervalS();
+                && silentS < MAX_HEARTBEAT_AGE_INTERVALS * settings.workers().heartbeatIntervalS();
     }
 
     /** All machines that may get work, in the cluster's order. */
@@ -121,12 +121,12 @@
     }
 
     /** True if the job allows the machine's kind and nothing but free capacity can keep its tasks from it. */
-    boolean eligible(WaitingJob waiting, MachineCapacity capacity) {
-        return mayRunOn(waiting, capacity)
-                && zoneAllowed(waiting.job(), capacity.machine().zone());
+    boolean isEligible(WaitingJob waiting, MachineCapacity capacity) {
+        return canRunOn(waiting, capacity)
+                && isZoneAllowed(waiting.job(), capacity.machine().zone());
     }
 
-    private boolean zoneAllowed(Job job, String zone) {
+    private boolean isZoneAllowed(Job job, String zone) {
         JobSpec spec = job.spec();
         if (!spec.oneZone() && !spec.spread()) {
             return true;
@@ -138,7 +138,7 @@
 
     private static Map<String, Integer> zonesOf(Job job) {
         Map<String, Integer> used = new HashMap<>();
-        job.bindings().forEach(b -> used.merge(b.machine().zone(), 1, Integer::sum));
+        job.bindings().forEach(binding -> used.merge(binding.machine().zone(), 1, Integer::sum));
         return used;
     }
 
@@ -153,38 +153,41 @@
 
     private static Map<Machine, Integer> replicasOf(Job service) {
         Map<Machine, Integer> counts = new HashMap<>();
-        service.bindings().forEach(b -> counts.merge(b.machine(), 1, Integer::sum));
+        service.bindings().forEach(binding -> counts.merge(binding.machine(), 1, Integer::sum));
         return counts;
     }
 
     /** Replicas of services that have to leave their machine, because the cloud takes it away. */
-    List<Binding> leavingReplicas() {
-        List<Binding> leaving = new ArrayList<>();
+    List<Binding> replicasToEvict() {
+        List<Binding> evicted = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
             if (machine.reclaimAnnounced() && !machine.terminating()) {
-                for (Binding b : machine.bindings()) {
-                    boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.CHECKPOINTING;
-                    if (b.job().spec().isService() && there && !b.job().cancelled()) {
-                        leaving.add(b);
+                for (Binding binding : machine.bindings()) {
+                    boolean there =
+                            binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.CHECKPOINTING;
+                    if (binding.job().spec().isService()
+                            && there
+                            && !binding.job().cancelled()) {
+                        evicted.add(binding);
                     }
                 }
             }
         }
-        return leaving;
+        return evicted;
     }
 
     /**
      * Keeps room for a replica that leaves its machine, where it may run once it has left; false if there is none. Its
      * team and its zone count it already.
      */
-    boolean keepRoomFor(Binding leaving) {
-        Job job = leaving.job();
+    boolean reserveReplacement(Binding evicted) {
+        Job job = evicted.job();
         WaitingJob replica = new WaitingJob(Candidate.waiting(job, now, 0), allowedKinds(job.spec()));
-        String zone = leaving.machine().zone();
+        String zone = evicted.machine().zone();
         for (MachineCapacity capacity : machines) {
             boolean zoneFits = capacity.machine().zone().equals(zone)
-                    || zoneAllowed(job, capacity.machine().zone());
-            if (zoneFits && capacity.fits(job.spec().task()) && mayRunOn(replica, capacity)) {
+                    || isZoneAllowed(job, capacity.machine().zone());
+            if (zoneFits && capacity.fits(job.spec().task()) && canRunOn(replica, capacity)) {
                 capacity.takeReplica(job.spec().task());
                 return true;
             }
@@ -192,16 +195,16 @@
         return false;
     }
 
-    private boolean mayRunOn(WaitingJob waiting, MachineCapacity capacity) {
+    private boolean canRunOn(WaitingJob waiting, MachineCapacity capacity) {
         return waiting.allows(capacity.kindIndex())
                 && capacity.accepts(waiting.job())
-                && capacity.bindingCount() < mostBindings;
+                && capacity.bindingCount() < maxBindingsPerMachine;
     }
 
     /** How many more tasks of this size the team's limit admits. */
-    int teamAdmits(JobSpec spec) {
+    int tasksWithinQuota(JobSpec spec) {
         Team team = settings.teams().get(spec.team());
-        if (team == null || reservedTeams.contains(spec.team())) {
+        if (team == null || teamsWithReservedQuota.contains(spec.team())) {
             return 0;
         }
         if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
@@ -216,12 +219,12 @@
     }
 
     /** Keeps what is left of a team's limit from the candidates that follow in this cycle. */
-    void reserveTeam(String team) {
-        reservedTeams.add(team);
+    void reserveQuota(String team) {
+        teamsWithReservedQuota.add(team);
     }
 
-    boolean teamReserved(String team) {
-        return reservedTeams.contains(team);
+    boolean isQuotaReserved(String team) {
+        return teamsWithReservedQuota.contains(team);
     }
 
     /** Counts one task of the job as placed on the machine. */
--- a/src/main/java/org/spruceridge/schedule/Deadline.java
+++ b/src/main/java/org/spruceridge/schedule/Deadline.java
@@ -4,11 +4,11 @@
 public final class Deadline implements Heuristic {
     /** Equations 4 and 5: 0 with more than one spare run time left, 1 once the deadline cannot be met. */
     public static double urgency(double slackS, double remainingS) {
-        double lastS = slackS - remainingS;
-        if (remainingS <= lastS) {
+        double latestStartS = slackS - remainingS;
+        if (remainingS <= latestStartS) {
             return 0;
         }
-        return remainingS <= slackS ? (remainingS - lastS) / remainingS : 1;
+        return remainingS <= slackS ? (remainingS - latestStartS) / remainingS : 1;
     }
 
     @Override
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -38,17 +38,17 @@
 
     /**
      * The machine that carries most replicas of any service among those that can take one more of this service and have
-     * fewer than {@code most} of it, or null.
+     * fewer than {@code max} of it, or null.
      */
-    MachineCapacity mostReplicasFor(WaitingJob service, CycleState state, int most) {
+    MachineCapacity mostReplicasFor(WaitingJob service, CycleState state, int max) {
         Resources task = service.job().spec().task();
         MachineCapacity best = null;
         for (MachineCapacity capacity : open) {
-            boolean better = best == null || capacity.replicas() > best.replicas();
-            if (better
+            boolean isBetter = best == null || capacity.replicas() > best.replicas();
+            if (isBetter
                     && capacity.fits(task)
-                    && state.eligible(service, capacity)
-                    && state.replicasOn(capacity.machine(), service.job()) < most) {
+                    && state.isEligible(service, capacity)
+                    && state.replicasOn(capacity.machine(), service.job()) < max) {
                 best = capacity;
             }
         }
@@ -60,9 +60,9 @@
         Resources task = waiting.job().spec().task();
         MachineCapacity best = null;
         for (MachineCapacity capacity : open) {
-            boolean fuller =
+            boolean isFuller =
                     best == null || capacity.free().cpus() < best.free().cpus();
-            if (fuller && capacity.fits(task) && state.eligible(waiting, capacity)) {
+            if (isFuller && capacity.fits(task) && state.isEligible(waiting, capacity)) {
                 best = capacity;
             }
         }
--- a/src/main/java/org/spruceridge/schedule/Heuristic.java
+++ b/src/main/java/org/spruceridge/schedule/Heuristic.java
@@ -14,7 +14,7 @@
      * A candidate with the figures that its terms share.
      *
      * @param urgency the mean of {@link Deadline#urgency} over all machines that can run it (equation 7)
-     * @param longestS the longest remaining time of all candidates (of equation 12)
+     * @param longestRemainingS the longest remaining time of all candidates (of equation 12)
      */
-    record Row(Candidate candidate, double urgency, double longestS) {}
+    record Row(Candidate candidate, double urgency, double longestRemainingS) {}
 }
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -12,7 +12,7 @@
 /** The free capacity of one machine in the working copy of a scheduling cycle. */
 final class MachineCapacity {
     /** Sums of decimal amounts may be off in the last places. */
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_STEP = 1e-6;
 
     private final Machine machine;
     private final MachineType type;
@@ -21,10 +21,10 @@
     private int bindingCount;
     private int replicas;
     private boolean reserved;
-    private List<Departure> departures;
+    private List<ExpectedRelease> releases;
 
     /** A running task: when it is expected to end, and what it will leave. */
-    private record Departure(double inSeconds, Resources resources) {}
+    private record ExpectedRelease(double inS, Resources resources) {}
 
     /** {@code kindIndex} numbers the machine's kind within the cycle. */
     MachineCapacity(Machine machine, MachineType type, int kindIndex) {
@@ -54,7 +54,7 @@
 
     /** The share of the machine's CPUs that is taken, without rounding errors. */
     double fullness() {
-        return Math.rint((1 - free.cpus() / type.capacity().cpus()) / ROUNDING) * ROUNDING;
+        return Math.rint((1 - free.cpus() / type.capacity().cpus()) / ROUNDING_STEP) * ROUNDING_STEP;
     }
 
     /** True unless tasks of this job failed on the machine and the machine is to blame. */
@@ -95,32 +95,34 @@
 
     /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never do. */
     double secondsUntilFit(Resources task, Estimates estimates, long now) {
-        if (departures == null) {
-            departures = departures(estimates, now);
+        if (releases == null) {
+            releases = releases(estimates, now);
         }
         double cpus = free.cpus();
         double gpus = free.gpus();
         double memGb = free.memGb();
-        for (Departure next : departures) {
+        for (ExpectedRelease next : releases) {
             cpus += next.resources.cpus();
             gpus += next.resources.gpus();
             memGb += next.resources.memGb();
             if (task.fitsIn(cpus, gpus, memGb)) {
-                return next.inSeconds;
+                return next.inS;
             }
         }
         return Double.POSITIVE_INFINITY;
     }
 
-    private List<Departure> departures(Estimates estimates, long now) {
-        List<Departure> leaving = new ArrayList<>(machine.bindings().size());
-        for (Binding b : machine.bindings()) {
-            if (!b.gone() && b.ends()) {
-                double remainingS = estimates.remainingS(b.job().spec().estimateS(), b.elapsedS(now));
-                leaving.add(new Departure(remainingS, b.job().spec().task()));
+    private List<ExpectedRelease> releases(Estimates estimates, long now) {
+        List<ExpectedRelease> expectedReleases =
+                new ArrayList<>(machine.bindings().size());
+        for (Binding binding : machine.bindings()) {
+            if (!binding.gone() && binding.ends()) {
+                double remainingS = estimates.remainingS(binding.job().spec().estimateS(), binding.elapsedS(now));
+                expectedReleases.add(
+                        new ExpectedRelease(remainingS, binding.job().spec().task()));
             }
         }
-        leaving.sort(Comparator.comparingDouble(Departure::inSeconds));
-        return leaving;
+        expectedReleases.sort(Comparator.comparingDouble(ExpectedRelease::inS));
+        return expectedReleases;
     }
 }
--- a/src/main/java/org/spruceridge/schedule/Matching.java
+++ b/src/main/java/org/spruceridge/schedule/Matching.java
@@ -14,13 +14,13 @@
     private final Policy policy;
     private final Estimates estimates;
     private final PriorityMatrix matrix;
-    private final int mostBindings;
+    private final int maxBindingsPerMachine;
 
-    /** {@code mostBindings} is what the record of one machine can hold. */
-    public Matching(Settings settings, Policy policy, int mostBindings) {
+    /** {@code maxBindingsPerMachine} is what the record of one machine can hold. */
+    public Matching(Settings settings, Policy policy, int maxBindingsPerMachine) {
         this.settings = settings;
         this.policy = policy;
-        this.mostBindings = mostBindings;
+        this.maxBindingsPerMachine = maxBindingsPerMachine;
         this.estimates = new Estimates(policy.scheduling().remainingFloorS());
         this.matrix = new PriorityMatrix(
                 policy.weights(), estimates, policy.scheduling().beginWithinS());
@@ -28,7 +28,7 @@
 
     /** Plans one scheduling cycle, at a moment of the steady clock and of the time of day. */
     public Plan plan(Cluster cluster, long now, long wallMs) {
-        CycleState state = new CycleState(cluster, settings, mostBindings, now);
+        CycleState state = new CycleState(cluster, settings, maxBindingsPerMachine, now);
         return new SchedulingCycle(state, matrix, estimates, policy, wallMs).run();
     }
 }
--- a/src/main/java/org/spruceridge/schedule/Overhead.java
+++ b/src/main/java/org/spruceridge/schedule/OverheadMinimization.java
@@ -1,7 +1,7 @@
 package org.spruceridge.schedule;
 
 /** The Overhead minimization term, equation 8. */
-public final class Overhead implements Heuristic {
+public final class OverheadMinimization implements Heuristic {
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
         double elapsedS = row.candidate().elapsedS();
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -9,17 +9,17 @@
 /**
  * What a cycle decided.
  *
- * @param stops tasks to be stopped for waiting ones
- * @param moves replicas to be stopped where they are, for which there is room elsewhere
+ * @param preemptions tasks to be stopped for waiting ones
+ * @param evictions replicas to be stopped where they are, for which there is room elsewhere
  * @param unplaced tasks of each job for which only room was lacking, the most urgent job first
- * @param groups how many machine groups the matrix had, which is what a cycle costs
+ * @param machineGroups how many machine groups the matrix had, which is what a cycle costs
  */
 public record Plan(
         ImmutableList<Placement> placements,
-        ImmutableList<Binding> stops,
-        ImmutableList<Binding> moves,
+        ImmutableList<Binding> preemptions,
+        ImmutableList<Binding> evictions,
         ImmutableMap<Job, Integer> unplaced,
-        int groups) {
+        int machineGroups) {
 
     /** A waiting task to be bound to a machine. */
     public record Placement(Job job, int index, Machine machine) {}
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -10,79 +10,80 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.net.Durations;
-import org.spruceridge.schedule.PreemptionSite.Victim;
+import org.spruceridge.schedule.PreemptionTarget.Victim;
 
 /** Chooses running tasks to stop for waiting ones of a higher rank that would otherwise miss their deadline. */
 final class Preemption {
     private final CycleState state;
-    private final double perMachineS;
-    private final List<PreemptionSite> sites = new ArrayList<>();
-    private final List<Binding> stops = new ArrayList<>();
+    private final double minIntervalPerMachineS;
+    private final List<PreemptionTarget> targets = new ArrayList<>();
+    private final List<Binding> preempted = new ArrayList<>();
     private Resources smallestTask = Resources.NONE;
-    private JobPriority highestRank = JobPriority.LOW;
+    private JobPriority highestPriority = JobPriority.LOW;
 
-    /** {@code perMachineS} is the least time between two stops on one machine. */
-    Preemption(CycleState state, double perMachineS) {
+    /** {@code minIntervalPerMachineS} is the least time between two stops on one machine. */
+    Preemption(CycleState state, double minIntervalPerMachineS) {
         this.state = state;
-        this.perMachineS = perMachineS;
+        this.minIntervalPerMachineS = minIntervalPerMachineS;
     }
 
     /** The tasks to stop for these jobs, the most urgent of which comes first. */
-    List<Binding> stopsFor(Collection<WaitingJob> pressing) {
-        if (!pressing.isEmpty()) {
-            findSites(pressing);
-            pressing.forEach(this::makeRoom);
+    List<Binding> planFor(Collection<WaitingJob> urgentJobs) {
+        if (!urgentJobs.isEmpty()) {
+            findTargets(urgentJobs);
+            urgentJobs.forEach(this::preemptFor);
         }
-        return stops;
+        return preempted;
     }
 
     /** Only machines that can be of use to one of the jobs are looked at for each of them. */
-    private void findSites(Collection<WaitingJob> pressing) {
+    private void findTargets(Collection<WaitingJob> urgentJobs) {
         smallestTask = Resources.leastOf(
-                pressing.stream().map(waiting -> waiting.job().spec().task()));
-        for (WaitingJob waiting : pressing) {
+                urgentJobs.stream().map(waiting -> waiting.job().spec().task()));
+        for (WaitingJob waiting : urgentJobs) {
             JobPriority priority = waiting.job().spec().priority();
-            highestRank = priority.outranks(highestRank) ? priority : highestRank;
+            highestPriority = priority.outranks(highestPriority) ? priority : highestPriority;
         }
         for (MachineCapacity capacity : state.machines()) {
-            PreemptionSite site = new PreemptionSite(capacity, mayStopOn(capacity.machine()), state.now());
-            if (site.isOfUse(smallestTask, highestRank)) {
-                sites.add(site);
+            PreemptionTarget target = new PreemptionTarget(capacity, canPreemptOn(capacity.machine()), state.now());
+            if (target.canHost(smallestTask, highestPriority)) {
+                targets.add(target);
             }
         }
     }
 
-    private boolean mayStopOn(Machine machine) {
+    private boolean canPreemptOn(Machine machine) {
         return machine.lastPreemption() == Long.MIN_VALUE
-                || Durations.secondsSince(machine.lastPreemption(), state.now()) >= perMachineS;
+                || Durations.secondsSince(machine.lastPreemption(), state.now()) >= minIntervalPerMachineS;
     }
 
-    private void makeRoom(WaitingJob waiting) {
+    private void preemptFor(WaitingJob waiting) {
         JobSpec spec = waiting.job().spec();
-        int wanted = Math.min(waiting.remaining(), state.teamAdmits(spec));
+        int wanted = Math.min(waiting.remaining(), state.tasksWithinQuota(spec));
         List<Victim> victims = new ArrayList<>();
-        for (PreemptionSite site : sites) {
+        for (PreemptionTarget target : targets) {
             if (wanted <= 0) {
                 return;
             }
-            if (!state.eligible(waiting, site.capacity())) {
+            if (!state.isEligible(waiting, target.capacity())) {
                 continue;
             }
-            int claimed = site.claimExpected(spec.task(), wanted);
+            int claimed = target.claim(spec.task(), wanted);
             wanted -= claimed;
-            Victim victim = claimed > 0 ? null : site.cheapestVictim(spec);
+            Victim victim = claimed > 0 ? null : target.cheapestVictim(spec);
             if (victim != null) {
                 victims.add(victim);
             }
         }
-        stopCheapest(victims, wanted, spec);
+        preemptCheapest(victims, wanted, spec);
     }
 
     /** Room for a replica is made on machines that have to be kept for replicas anyway. */
-    private void stopCheapest(List<Victim> victims, int wanted, JobSpec spec) {
-        Comparator<Victim> order = Comparator.comparingDouble(Victim::lossS);
+    private void preemptCheapest(List<Victim> victims, int wanted, JobSpec spec) {
+        Comparator<Victim> order = Comparator.comparingDouble(Victim::lostWorkS);
         if (spec.isService()) {
-            order = Comparator.comparingInt((Victim v) -> -v.site().capacity().replicas())
+            order = Comparator.comparingInt(
+                            (Victim victim) -> -victim.target().capacity().replicas())
                     .thenComparing(order);
         }
         victims.sort(order);
@@ -91,9 +92,9 @@
             if (left <= 0) {
                 break;
             }
-            stops.add(victim.binding());
-            left -= victim.site().stop(victim, spec.task(), left);
+            preempted.add(victim.binding());
+            left -= victim.target().preempt(victim, spec.task(), left);
         }
-        sites.removeIf(site -> !site.isOfUse(smallestTask, highestRank));
+        targets.removeIf(target -> !target.canHost(smallestTask, highestPriority));
     }
 }
--- a/src/main/java/org/spruceridge/schedule/PreemptionSite.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -9,7 +9,7 @@
 import org.spruceridge.cluster.Resources;
 
 /** One machine as the preemption of a cycle sees it: what will be free there, and which tasks may be stopped. */
-final class PreemptionSite {
+final class PreemptionTarget {
     private final MachineCapacity capacity;
     /** The tasks that may be stopped, the one that loses least work first. */
     private final List<Victim> victims;
@@ -17,44 +17,46 @@
     private Resources expectedFree;
 
     /** A running task that may be stopped, and what stopping it throws away, in seconds of work. */
-    record Victim(PreemptionSite site, Binding binding, double lossS) {}
+    record Victim(PreemptionTarget target, Binding binding, double lostWorkS) {}
 
-    /** {@code mayStop} is false while the machine had a task stopped too recently. */
-    PreemptionSite(MachineCapacity capacity, boolean mayStop, long now) {
+    /** {@code canPreempt} is false while the machine had a task stopped too recently. */
+    PreemptionTarget(MachineCapacity capacity, boolean canPreempt, long now) {
         this.capacity = capacity;
         this.expectedFree = expectedFree(capacity);
-        this.victims = mayStop ? victims(now) : new ArrayList<>();
+        this.victims = canPreempt ? victims(now) : new ArrayList<>();
     }
 
     /** What is free on the machine, or is being left by tasks that end. */
     private static Resources expectedFree(MachineCapacity capacity) {
-        Resources room = capacity.free();
-        for (Binding b : capacity.machine().bindings()) {
-            boolean leaving = b.stopMode() != Binding.StopMode.NONE || b.phase() == Binding.Phase.ENDED;
-            room = leaving && !b.gone() ? room.plus(b.job().spec().task()) : room;
+        Resources expected = capacity.free();
+        for (Binding binding : capacity.machine().bindings()) {
+            boolean isReleasing = binding.stopMode() != Binding.StopMode.NONE || binding.phase() == Binding.Phase.ENDED;
+            expected = isReleasing && !binding.gone()
+                    ? expected.plus(binding.job().spec().task())
+                    : expected;
         }
-        return room;
+        return expected;
     }
 
     private List<Victim> victims(long now) {
-        List<Victim> found = new ArrayList<>(capacity.machine().bindings().size());
-        for (Binding b : capacity.machine().bindings()) {
-            boolean there = b.phase() == Binding.Phase.RUNNING || b.phase() == Binding.Phase.FETCHING;
-            if (there && b.stopMode() == Binding.StopMode.NONE) {
-                found.add(new Victim(this, b, lossS(b, now)));
+        List<Victim> preemptible = new ArrayList<>(capacity.machine().bindings().size());
+        for (Binding binding : capacity.machine().bindings()) {
+            boolean isRunning = binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.FETCHING;
+            if (isRunning && binding.stopMode() == Binding.StopMode.NONE) {
+                preemptible.add(new Victim(this, binding, lostWorkS(binding, now)));
             }
         }
-        found.sort(Comparator.comparingDouble(Victim::lossS));
-        return found;
+        preemptible.sort(Comparator.comparingDouble(Victim::lostWorkS));
+        return preemptible;
     }
 
     /** What stopping the task throws away: the time it takes to save, or all that it has run. Services are stopped last. */
-    private static double lossS(Binding b, long now) {
-        JobSpec spec = b.job().spec();
+    private static double lostWorkS(Binding binding, long now) {
+        JobSpec spec = binding.job().spec();
         if (spec.isService()) {
             return Double.POSITIVE_INFINITY;
         }
-        return spec.canCheckpoint() ? spec.checkpointDurationS() : b.elapsedS(now);
+        return spec.canCheckpoint() ? spec.checkpointDurationS() : binding.elapsedS(now);
     }
 
     MachineCapacity capacity() {
@@ -62,13 +64,13 @@
     }
 
     /** True if a task of this size and rank may find room here, with or without a stop. */
-    boolean isOfUse(Resources smallestTask, JobPriority highestRank) {
+    boolean canHost(Resources smallestTask, JobPriority highestPriority) {
         if (smallestTask.fitsIn(expectedFree)) {
             return true;
         }
         // By index, here and below: an iterator for each machine and job is most of what a cycle would allocate.
         for (int i = 0; i < victims.size(); i++) {
-            if (highestRank.outranks(victims.get(i).binding.job().spec().priority())) {
+            if (highestPriority.outranks(victims.get(i).binding.job().spec().priority())) {
                 return true;
             }
         }
@@ -76,7 +78,7 @@
     }
 
     /** Counts on what will be free there anyway for at most {@code wanted} tasks; returns for how many it is enough. */
-    int claimExpected(Resources task, int wanted) {
+    int claim(Resources task, int wanted) {
         if (!task.fitsIn(expectedFree)) {
             return 0;
         }
@@ -90,8 +92,8 @@
     /** The task that loses least work among those whose stop makes room for such a task, or null. */
     Victim cheapestVictim(JobSpec spec) {
         for (int i = 0; i < victims.size(); i++) {
-            JobSpec stopped = victims.get(i).binding.job().spec();
-            if (spec.priority().outranks(stopped.priority()) && fitsAfter(spec.task(), stopped.task())) {
+            JobSpec victimSpec = victims.get(i).binding.job().spec();
+            if (spec.priority().outranks(victimSpec.priority()) && fitsAfter(spec.task(), victimSpec.task())) {
                 return victims.get(i);
             }
         }
@@ -109,9 +111,9 @@
      * The victim is stopped for at most {@code wanted} tasks of this size; returns for how many it makes room. Nothing else
      * is stopped here in this cycle.
      */
-    int stop(Victim victim, Resources task, int wanted) {
+    int preempt(Victim victim, Resources task, int wanted) {
         expectedFree = expectedFree.plus(victim.binding.job().spec().task());
         victims.clear();
-        return claimExpected(task, wanted);
+        return claim(task, wanted);
     }
 }
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -20,18 +20,18 @@
     /** One entry of the matrix. */
     public record Entry(Candidate candidate, MachineGroup group, double score, double urgency) {}
 
-    /** {@code beginWithinS} is the time, in seconds, within which each job should have begun. */
-    public PriorityMatrix(Weights weights, Estimates estimates, double beginWithinS) {
+    /** {@code targetStartWithinS} is the time, in seconds, within which each job should have begun. */
+    public PriorityMatrix(Weights weights, Estimates estimates, double targetStartWithinS) {
         this.estimates = estimates;
         ImmutableList<Term> terms = ImmutableList.of(
                 new Term(new Deadline(), weights.deadline()),
-                new Term(new Overhead(), weights.overhead()),
-                new Term(new Wait(), weights.waiting()),
-                new Term(new Aging(), weights.aging()),
-                new Term(new StarvationPrevention(beginWithinS), weights.starvation()),
-                new Term(new Availability(estimates.floorS()), weights.availability()),
+                new Term(new OverheadMinimization(), weights.overhead()),
+                new Term(new WaitMinimization(), weights.waiting()),
+                new Term(new AntiAging(), weights.aging()),
+                new Term(new StarvationPrevention(targetStartWithinS), weights.starvation()),
+                new Term(new ServiceAvailability(estimates.floorS()), weights.availability()),
                 new Term(new MachinePrice(), weights.spotPreference()),
-                new Term(new Packing(), weights.packing()));
+                new Term(new BinPacking(), weights.packing()));
         this.jobTerms = select(terms, false);
         this.machineTerms = select(terms, true);
     }
@@ -52,16 +52,16 @@
             BiPredicate<Candidate, MachineGroup> eligible,
             BiPredicate<Candidate, MachineGroup> hasRoom) {
         List<List<MachineGroup>> eligibleGroups = new ArrayList<>(candidates.size());
-        double longestS = 0;
+        double longestRemainingS = 0;
         for (Candidate candidate : candidates) {
             List<MachineGroup> row =
                     groups.stream().filter(g -> eligible.test(candidate, g)).toList();
             eligibleGroups.add(row);
-            longestS = Math.max(longestS, row.isEmpty() ? 0 : estimates.remainingS(candidate));
+            longestRemainingS = Math.max(longestRemainingS, row.isEmpty() ? 0 : estimates.remainingS(candidate));
         }
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < candidates.size(); i++) {
-            addRow(entries, candidates.get(i), eligibleGroups.get(i), longestS, hasRoom);
+            addRow(entries, candidates.get(i), eligibleGroups.get(i), longestRemainingS, hasRoom);
         }
         return entries;
     }
@@ -70,28 +70,29 @@
             List<Entry> entries,
             Candidate candidate,
             List<MachineGroup> groups,
-            double longestS,
+            double longestRemainingS,
             BiPredicate<Candidate, MachineGroup> hasRoom) {
         double remainingS = estimates.remainingS(candidate);
         // Equation 7 takes the mean over the machines of the row, on which the remaining time is the same.
-        Heuristic.Row row = new Heuristic.Row(candidate, Deadline.urgency(candidate.slackS(), remainingS), longestS);
+        Heuristic.Row row =
+                new Heuristic.Row(candidate, Deadline.urgency(candidate.slackS(), remainingS), longestRemainingS);
         Entry best = null;
         boolean bestHasRoom = false;
         double jobScore = groups.isEmpty() ? 0 : sum(jobTerms, row, groups.get(0), remainingS);
         for (MachineGroup group : groups) {
             double score = jobScore + sum(machineTerms, row, group, remainingS);
-            boolean room = hasRoom.test(candidate, group);
-            boolean better = best == null || score > best.score;
-            if (!room && !better) {
+            boolean hasRoomNow = hasRoom.test(candidate, group);
+            boolean isBest = best == null || score > best.score;
+            if (!hasRoomNow && !isBest) {
                 continue;
             }
             Entry entry = new Entry(candidate, group, score, row.urgency());
-            if (room) {
+            if (hasRoomNow) {
                 entries.add(entry);
             }
-            if (better) {
+            if (isBest) {
                 best = entry;
-                bestHasRoom = room;
+                bestHasRoom = hasRoomNow;
             }
         }
         if (best != null && !bestHasRoom) {
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -12,34 +12,34 @@
 final class Reservations {
     private final CycleState state;
     private final Estimates estimates;
-    private final int most;
-    private int made;
+    private final int max;
+    private int reservationsMade;
 
     /** A machine that will have room after some time. */
-    private record FutureFit(MachineCapacity capacity, double inSeconds) {}
+    private record FutureFit(MachineCapacity capacity, double inS) {}
 
     /** {@code share} is the part of all machines on which capacity may be reserved. */
     Reservations(CycleState state, Estimates estimates, double share) {
         this.state = state;
         this.estimates = estimates;
-        this.most = (int) Math.ceil(state.machines().size() * share);
+        this.max = (int) Math.ceil(state.machines().size() * share);
     }
 
     /** Reserves for those tasks of a job that the walk will not place, before it places the others. */
     void reserveFor(WaitingJob waiting) {
-        int admitted = state.teamAdmits(waiting.job().spec());
+        int admitted = state.tasksWithinQuota(waiting.job().spec());
         if (admitted == 0) {
-            reserveTeamLimit(waiting);
+            reserveTeamQuota(waiting);
             return;
         }
-        if (made >= most) {
+        if (reservationsMade >= max) {
             return;
         }
         int wanted = Math.min(waiting.remaining(), admitted);
-        List<FutureFit> future = new ArrayList<>();
+        List<FutureFit> futureFits = new ArrayList<>();
         Resources task = waiting.job().spec().task();
         for (MachineCapacity capacity : state.machines()) {
-            if (!state.eligible(waiting, capacity)) {
+            if (!state.isEligible(waiting, capacity)) {
                 continue;
             }
             if (capacity.fits(task)) {
@@ -48,37 +48,37 @@
                     return;
                 }
             } else if (!capacity.reserved()) {
-                double inSeconds = capacity.secondsUntilFit(task, estimates, state.now());
-                if (inSeconds < Double.POSITIVE_INFINITY) {
-                    future.add(new FutureFit(capacity, inSeconds));
+                double inS = capacity.secondsUntilFit(task, estimates, state.now());
+                if (inS < Double.POSITIVE_INFINITY) {
+                    futureFits.add(new FutureFit(capacity, inS));
                 }
             }
         }
-        reserveSoonest(future, task, wanted);
+        reserveSoonest(futureFits, task, wanted);
     }
 
-    private void reserveSoonest(List<FutureFit> future, Resources task, int wanted) {
-        future.sort(Comparator.comparingDouble(FutureFit::inSeconds));
-        int count = Math.min(future.size(), Math.min(wanted, most - made));
-        for (FutureFit fit : future.subList(0, count)) {
+    private void reserveSoonest(List<FutureFit> futureFits, Resources task, int wanted) {
+        futureFits.sort(Comparator.comparingDouble(FutureFit::inS));
+        int count = Math.min(futureFits.size(), Math.min(wanted, max - reservationsMade));
+        for (FutureFit fit : futureFits.subList(0, count)) {
             fit.capacity.reserve(task);
         }
-        made += count;
+        reservationsMade += count;
     }
 
     /**
      * Where the team's limit alone keeps a job back, what is left of the limit is reserved like capacity on a machine:
      * else each piece that becomes free goes to a smaller task of the team, and a large one never begins.
      */
-    private void reserveTeamLimit(WaitingJob waiting) {
+    private void reserveTeamQuota(WaitingJob waiting) {
         String team = waiting.job().spec().team();
-        if (most == 0 || state.teamReserved(team)) {
+        if (max == 0 || state.isQuotaReserved(team)) {
             return;
         }
         Resources task = waiting.job().spec().task();
         for (MachineCapacity capacity : state.machines()) {
-            if (capacity.fits(task) && state.eligible(waiting, capacity)) {
-                state.reserveTeam(team);
+            if (capacity.fits(task) && state.isEligible(waiting, capacity)) {
+                state.reserveQuota(team);
                 return;
             }
         }
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -43,9 +43,9 @@
     }
 
     Plan run() {
-        ImmutableList<Binding> moves = moves();
+        ImmutableList<Binding> evictions = evictions();
         if (waitingJobs.isEmpty()) {
-            return new Plan(ImmutableList.of(), ImmutableList.of(), moves, ImmutableMap.of(), groups.size());
+            return new Plan(ImmutableList.of(), ImmutableList.of(), evictions, ImmutableMap.of(), groups.size());
         }
         Resources smallestTask = smallestTask();
         groups.values().forEach(group -> group.dropFull(smallestTask));
@@ -62,8 +62,8 @@
         }
         return new Plan(
                 ImmutableList.copyOf(placements),
-                ImmutableList.copyOf(preemption.stopsFor(pressing(entries))),
-                moves,
+                ImmutableList.copyOf(preemption.planFor(urgentJobs(entries))),
+                evictions,
                 unplaced(),
                 groups.size());
     }
@@ -91,14 +91,14 @@
      * Replicas to be stopped because their machine is about to be taken away: those for which there is room elsewhere. The
      * room is kept in each cycle until the replica is gone and is placed like any that is missing.
      */
-    private ImmutableList<Binding> moves() {
-        ImmutableList.Builder<Binding> moves = ImmutableList.builder();
-        for (Binding leaving : state.leavingReplicas()) {
-            if (state.keepRoomFor(leaving) && leaving.stopMode() == Binding.StopMode.NONE) {
-                moves.add(leaving);
+    private ImmutableList<Binding> evictions() {
+        ImmutableList.Builder<Binding> evictions = ImmutableList.builder();
+        for (Binding evicted : state.replicasToEvict()) {
+            if (state.reserveReplacement(evicted) && evicted.stopMode() == Binding.StopMode.NONE) {
+                evictions.add(evicted);
             }
         }
-        return moves.build();
+        return evictions.build();
     }
 
     /**
@@ -113,20 +113,20 @@
                 .map(entry -> groups.get(entry.group()))
                 .toList();
         int tasks = service.job().spec().tasks();
-        for (int most = 1; mayPlace(service) && most < 2 * tasks; most *= 2) {
-            MachineCapacity next = nextFor(service, ranked, most);
+        for (int max = 1; canPlace(service) && max < 2 * tasks; max *= 2) {
+            MachineCapacity next = nextFor(service, ranked, max);
             while (next != null) {
                 place(service, next);
-                next = mayPlace(service) ? nextFor(service, ranked, most) : null;
+                next = canPlace(service) ? nextFor(service, ranked, max) : null;
             }
         }
         ranked.forEach(group -> group.dropFull(smallestTask));
     }
 
-    private MachineCapacity nextFor(WaitingJob service, List<GroupCapacity> ranked, int most) {
+    private MachineCapacity nextFor(WaitingJob service, List<GroupCapacity> ranked, int max) {
         MachineCapacity best = null;
         for (GroupCapacity group : ranked) {
-            MachineCapacity candidate = group.mostReplicasFor(service, state, most);
+            MachineCapacity candidate = group.mostReplicasFor(service, state, max);
             if (candidate != null && (best == null || candidate.replicas() > best.replicas())) {
                 best = candidate;
             }
@@ -142,41 +142,41 @@
     /** Binds what the machines of one group take, always on the fullest that still has room. */
     private void placeIn(GroupCapacity group, WaitingJob waiting, Resources smallestTask) {
         Job job = waiting.job();
-        while (mayPlace(waiting)) {
+        while (canPlace(waiting)) {
             MachineCapacity fullest = group.fullestFor(waiting, state);
             if (fullest == null) {
                 return;
             }
             // It stays the fullest until no more of these tasks fit.
-            while (mayPlace(waiting) && fullest.fits(job.spec().task()) && state.eligible(waiting, fullest)) {
+            while (canPlace(waiting) && fullest.fits(job.spec().task()) && state.isEligible(waiting, fullest)) {
                 place(waiting, fullest);
             }
             group.dropFull(smallestTask);
         }
     }
 
-    private boolean mayPlace(WaitingJob waiting) {
-        return waiting.remaining() > 0 && state.teamAdmits(waiting.job().spec()) > 0;
+    private boolean canPlace(WaitingJob waiting) {
+        return waiting.remaining() > 0 && state.tasksWithinQuota(waiting.job().spec()) > 0;
     }
 
     /** Services that miss replicas, and jobs that can still meet their deadline if they begin now, the best score first. */
-    private List<WaitingJob> pressing(List<Entry> entries) {
-        Map<Job, WaitingJob> pressing = new LinkedHashMap<>();
+    private List<WaitingJob> urgentJobs(List<Entry> entries) {
+        Map<Job, WaitingJob> urgentJobs = new LinkedHashMap<>();
         for (Entry entry : entries) {
             WaitingJob waiting = waitingJobs.get(entry.candidate().job());
-            boolean presses = waiting.job().spec().isService() || (entry.urgency() > 0 && entry.urgency() < 1);
-            if (presses && waiting.remaining() > 0) {
-                pressing.putIfAbsent(waiting.job(), waiting);
+            boolean urgent = waiting.job().spec().isService() || (entry.urgency() > 0 && entry.urgency() < 1);
+            if (urgent && waiting.remaining() > 0) {
+                urgentJobs.putIfAbsent(waiting.job(), waiting);
             }
         }
-        return List.copyOf(pressing.values());
+        return List.copyOf(urgentJobs.values());
     }
 
     private ImmutableMap<Job, Integer> unplaced() {
         ImmutableMap.Builder<Job, Integer> unplaced = ImmutableMap.builder();
         for (WaitingJob waiting : waitingJobs.values()) {
             Job job = waiting.job();
-            int wanted = job.suspectedFaulty() ? 0 : Math.min(waiting.remaining(), state.teamAdmits(job.spec()));
+            int wanted = job.suspectedFaulty() ? 0 : Math.min(waiting.remaining(), state.tasksWithinQuota(job.spec()));
             if (wanted > 0) {
                 unplaced.put(job, wanted);
             }
--- a/src/main/java/org/spruceridge/schedule/Availability.java
+++ b/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
@@ -5,10 +5,10 @@
  * deadline; a service has none, and each second without a replica is lost. The term is 0 for all other jobs, at least a
  * half for a service, and grows with the time that the replica has been missing, in the shape of equation 13.
  *
- * @param halfS the time after which half of the growth is reached
+ * @param halfGrowthS the time after which half of the growth is reached
  */
-public record Availability(double halfS) implements Heuristic {
-    private static final double LEAST = 0.5;
+public record ServiceAvailability(double halfGrowthS) implements Heuristic {
+    private static final double MIN_SERVICE_VALUE = 0.5;
 
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
@@ -16,6 +16,6 @@
             return 0;
         }
         double missingS = Math.max(0, row.candidate().ageS());
-        return LEAST + (1 - LEAST) * missingS / (missingS + halfS);
+        return MIN_SERVICE_VALUE + (1 - MIN_SERVICE_VALUE) * missingS / (missingS + halfGrowthS);
     }
 }
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -5,23 +5,23 @@
  * has waited long without any of its tasks begun comes first in the end, and so does, later, one that has begun. It is 0
  * for everything younger.
  *
- * @param beginWithinS the time within which every job should have begun
+ * @param targetStartWithinS the time within which every job should have begun
  */
-public record StarvationPrevention(double beginWithinS) implements Heuristic {
+public record StarvationPrevention(double targetStartWithinS) implements Heuristic {
     /** When it begins to count for a job that has not begun, and until when it grows, as shares of that time. */
-    private static final double FROM = 0.5;
+    private static final double GROWTH_START_RATIO = 0.5;
 
-    private static final double UNTIL = 0.75;
+    private static final double GROWTH_END_RATIO = 0.75;
     /** The same for a job that has begun. */
-    private static final double BEGUN_FROM = 1.5;
+    private static final double STARTED_GROWTH_START_RATIO = 1.5;
 
-    private static final double BEGUN_UNTIL = 3;
+    private static final double STARTED_GROWTH_END_RATIO = 3;
 
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
-        boolean begun = row.candidate().job().begun();
-        double from = beginWithinS * (begun ? BEGUN_FROM : FROM);
-        double until = beginWithinS * (begun ? BEGUN_UNTIL : UNTIL);
-        return Math.max(0, Math.min(1, (row.candidate().ageS() - from) / (until - from)));
+        boolean hasStarted = row.candidate().job().begun();
+        double startS = targetStartWithinS * (hasStarted ? STARTED_GROWTH_START_RATIO : GROWTH_START_RATIO);
+        double endS = targetStartWithinS * (hasStarted ? STARTED_GROWTH_END_RATIO : GROWTH_END_RATIO);
+        return Math.max(0, Math.min(1, (row.candidate().ageS() - startS) / (endS - startS)));
     }
 }
--- a/src/main/java/org/spruceridge/schedule/Wait.java
+++ b/src/main/java/org/spruceridge/schedule/WaitMinimization.java
@@ -1,9 +1,9 @@
 package org.spruceridge.schedule;
 
 /** The Wait minimization term, equation 12. */
-public final class Wait implements Heuristic {
+public final class WaitMinimization implements Heuristic {
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
-        return 1 - remainingS / row.longestS();
+        return 1 - remainingS / row.longestRemainingS();
     }
 }
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -100,9 +100,10 @@
             try {
                 JsonNode body = Json.object(answer.body());
                 for (JsonNode item : Json.list(body, "entries")) {
-                    read.entries.add(new Entry(Json.text(item, "k"), item.path("v"), Json.whole(item, "stamp")));
+                    read.entries.add(
+                            new Entry(Json.text(item, "k"), item.path("v"), Json.nonNegativeLong(item, "stamp")));
                 }
-                read.revision = Math.min(read.revision, Json.whole(body, "ring"));
+                read.revision = Math.min(read.revision, Json.nonNegativeLong(body, "ring"));
                 read.bytes += answer.body().length;
                 if (body.path("truncated").asBoolean() && !read.entries.isEmpty()) {
                     listPage(prefix, priority, read.lastKey(), read, done);
@@ -174,7 +175,7 @@
                 return;
             }
             try {
-                done.accept(Result.ok(Json.whole(Json.object(answer.body()), "permit")));
+                done.accept(Result.ok(Json.nonNegativeLong(Json.object(answer.body()), "permit")));
             } catch (BadMessageException e) {
                 unreadable(e);
                 done.accept(Result.failed(Result.Kind.UNAVAILABLE));
@@ -264,7 +265,7 @@
 
     private Consumer<HttpAnswer> served(Consumer<HttpAnswer> done) {
         return answer -> {
-            if (answer.answered() && answer.status() != 503) {
+            if (answer.hasResponse() && answer.status() != 503) {
                 lastServed = loop.nanos();
                 everServed = true;
             }
@@ -284,7 +285,7 @@
         }
         try {
             JsonNode body = Json.object(answer.body());
-            return Result.ok(new Entry(key, body.path("v"), Json.whole(body, "stamp")));
+            return Result.ok(new Entry(key, body.path("v"), Json.nonNegativeLong(body, "stamp")));
         } catch (BadMessageException e) {
             unreadable(e);
             return Result.failed(Result.Kind.UNAVAILABLE);
@@ -297,7 +298,7 @@
                 case 200:
                     return new TransactionResult(
                             TransactionResult.Kind.COMMITTED,
-                            Json.whole(Json.object(answer.body()), "ring"),
+                            Json.nonNegativeLong(Json.object(answer.body()), "ring"),
                             ImmutableList.of());
                 case 409:
                     ImmutableList.Builder<String> failed = ImmutableList.builder();
@@ -331,9 +332,9 @@
             for (JsonNode item : Json.list(body, "log")) {
                 boolean set = item.has("set");
                 String key = Json.text(item, set ? "set" : "drop");
-                out.add(new Change(key, set ? item.path("v") : null, Json.whole(item, "stamp")));
+                out.add(new Change(key, set ? item.path("v") : null, Json.nonNegativeLong(item, "stamp")));
             }
-            return Result.ok(new Changes(out.build(), Json.whole(body, "ring")));
+            return Result.ok(new Changes(out.build(), Json.nonNegativeLong(body, "ring")));
         } catch (BadMessageException e) {
             unreadable(e);
             return Result.failed(Result.Kind.UNAVAILABLE);
--- a/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
@@ -43,7 +43,7 @@
 
     /** Reads the record; one that this version does not know is refused. */
     public static FeatureLevel read(JsonNode value) throws BadMessageException {
-        long number = Json.whole(value, FIELD);
+        long number = Json.nonNegativeLong(value, FIELD);
         for (FeatureLevel level : values()) {
             if (level.number == number) {
                 return level;
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -28,7 +28,7 @@
         // The leader hears of it from its watch well before it may answer no more.
         assertTrue(t.watchS() > 0 && t.watchS() < t.maxStalenessS() / 2);
         // The lease itself is never counted shorter than a worker's slowest clock has it.
-        assertTrue(t.fullLeaseS() >= leaseS * (1 + Durations.DRIFT));
+        assertTrue(t.fullLeaseS() >= leaseS * (1 + Durations.MAX_CLOCK_DRIFT_RATIO));
     }
 
     @ParameterizedTest
--- a/src/test/java/org/spruceridge/net/RateLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/RateLimiterTest.java
@@ -19,7 +19,7 @@
 
     @BeforeEach
     void usersHaveABurst() {
-        limiter.rates(10, 4, 2, 4);
+        limiter.setRates(10, 4, 2, 4);
     }
 
     private boolean submit(Priority priority, int changes, String name) {
@@ -72,12 +72,12 @@
     /** Users come together to one node that was idle; what is lent to them at once is not lent again. */
     @Test
     void usersThatComeTogetherAreTakenAtOnce() {
-        limiter.rates(100, 4, 1, 8);
+        limiter.setRates(100, 4, 1, 8);
         for (int i = 0; i < 5; i++) {
             submit(Priority.SUBMISSIONS, 2, "s" + i);
         }
         assertEquals(4, ran.size());
-        limiter.rates(100, 4, 1, 4);
+        limiter.setRates(100, 4, 1, 4);
         loop.run(20);
         ran.clear();
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
+++ b/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
@@ -52,7 +52,8 @@
     @CsvSource({"0, 40, 0", "10, 40, 0.25", "40, 40, 1", "90, 10, 1"})
     void overhead(double elapsedS, double remainingS, double expected) {
         Candidate c = new Candidate(job(1, 50, OptionalDouble.empty()), elapsedS, 0, 0);
-        assertEquals(expected, new Overhead().value(new Heuristic.Row(c, 0, 100), COLUMN, remainingS), 1e-9);
+        assertEquals(
+                expected, new OverheadMinimization().value(new Heuristic.Row(c, 0, 100), COLUMN, remainingS), 1e-9);
     }
 
     // Equation 12: 1 - remaining / longest remaining.
@@ -60,7 +61,8 @@
     @CsvSource({"10, 100, 0.9", "100, 100, 0", "25, 100, 0.75"})
     void waiting(double remainingS, double longestS, double expected) {
         Candidate c = new Candidate(job(1, 50, OptionalDouble.empty()), 0, 0, 0);
-        assertEquals(expected, new Wait().value(new Heuristic.Row(c, 0, longestS), COLUMN, remainingS), 1e-9);
+        assertEquals(
+                expected, new WaitMinimization().value(new Heuristic.Row(c, 0, longestS), COLUMN, remainingS), 1e-9);
     }
 
     // Equation 13: age / (age + remaining).
@@ -68,7 +70,7 @@
     @CsvSource({"0, 40, 0", "40, 40, 0.5", "120, 40, 0.75"})
     void aging(double ageS, double remainingS, double expected) {
         Candidate c = new Candidate(job(1, 50, OptionalDouble.empty()), 0, ageS, 0);
-        assertEquals(expected, new Aging().value(new Heuristic.Row(c, 0, 100), COLUMN, remainingS), 1e-9);
+        assertEquals(expected, new AntiAging().value(new Heuristic.Row(c, 0, 100), COLUMN, remainingS), 1e-9);
     }
 
     // Every job should have begun within 240 s: 0 until half of that, 1 from three quarters on; begun, from 360 to 720
@@ -89,7 +91,7 @@
     @CsvSource({"SERVICE, 0, 0.5", "SERVICE, 10, 0.75", "SERVICE, 90, 0.95", "ARRAY, 90, 0"})
     void availability(JobKind kind, double missingS, double expected) {
         Candidate c = new Candidate(Fixtures.job(1, kind, 4), 0, missingS, Double.POSITIVE_INFINITY);
-        assertEquals(expected, new Availability(10).value(new Heuristic.Row(c, 0, 100), COLUMN, 10), 1e-9);
+        assertEquals(expected, new ServiceAvailability(10).value(new Heuristic.Row(c, 0, 100), COLUMN, 10), 1e-9);
     }
 
     // A service of which a replica was lost 30 s ago has that age, whenever it was submitted; it has no deadline.
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -287,10 +287,10 @@
         high.deadlineS = OptionalDouble.of(40);
         high.add();
         Plan plan = plan();
-        assertEquals(1, plan.stops().size());
-        plan.stops().get(0).stopMode(Binding.StopMode.CHECKPOINT);
+        assertEquals(1, plan.preemptions().size());
+        plan.preemptions().get(0).stopMode(Binding.StopMode.CHECKPOINT);
         m.lastPreemption(NOW);
-        assertEquals(0, plan().stops().size());
+        assertEquals(0, plan().preemptions().size());
     }
 
     /** A stop that makes room for several tasks is enough for them: one for each would throw away work for nothing. */
@@ -311,7 +311,7 @@
         high.estimateS = 30;
         high.deadlineS = OptionalDouble.of(40);
         high.add();
-        assertEquals(2, plan().stops().size());
+        assertEquals(2, plan().preemptions().size());
     }
 
     private JobMaker service(int replicas, double cpus) {
@@ -344,7 +344,7 @@
                 List.of(service, service),
                 plan.placements().stream().map(Plan.Placement::job).toList());
         assertEquals(List.of("free", "free"), machines(plan));
-        assertEquals(1, plan.stops().size());
+        assertEquals(1, plan.preemptions().size());
     }
 
     /** Each on a machine of its own as long as there are any, and first on those that carry replicas already. */
@@ -395,15 +395,15 @@
         Machine leaving = machine("leaving", "a", false);
         Binding replica = running(service(1, 8).add(), 0, leaving);
         leaving.reclaimAt(NOW + 60_000_000_000L);
-        assertEquals(List.of(), plan().moves());
+        assertEquals(List.of(), plan().evictions());
         machine("other", "a", false);
         job().add();
         Plan plan = plan();
-        assertEquals(List.of(replica), plan.moves());
+        assertEquals(List.of(replica), plan.evictions());
         assertEquals(List.of(), machines(plan));
         replica.stopMode(Binding.StopMode.CHECKPOINT);
         Plan next = plan();
-        assertEquals(List.of(), next.moves());
+        assertEquals(List.of(), next.evictions());
         assertEquals(List.of(), machines(next), "the room is kept until the replica is gone");
     }
 
@@ -418,7 +418,7 @@
         JobMaker pressing = job();
         pressing.deadlineS = OptionalDouble.of(40);
         pressing.add();
-        assertTrue(plan().stops().isEmpty());
+        assertTrue(plan().preemptions().isEmpty());
     }
 
     @Test
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -203,6 +203,6 @@
         // Two types, two zones, spot or not, and four tasks' worth of fullness at most.
         assertTrue(seen.size() <= 2 * 2 * 2 * 4, "columns: " + seen.size());
         Plan plan = new Matching(MatchingTest.SETTINGS, Policy.defaults(), 50).plan(cluster, NOW, WALL);
-        assertEquals(seen.size(), plan.groups());
+        assertEquals(seen.size(), plan.machineGroups());
     }
 }
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -90,7 +90,7 @@
         }
         long bytes = (threads.getCurrentThreadAllocatedBytes() - before) / 10;
         assertEquals(0, plan.placements().size());
-        assertTrue(plan.stops().size() > 0, "no stop was planned");
+        assertTrue(plan.preemptions().size() > 0, "no stop was planned");
         assertTrue(bytes < MOST_BYTES, "bytes a cycle: " + bytes);
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -107,13 +107,13 @@
     private HttpAnswer rent(JsonNode body) throws BadMessageException {
         String claim = Json.text(body, "claim");
         if (!claims.containsKey(claim)) {
-            int n = (int) Math.min(Json.whole(body, "howMany"), capacity - hosts.size());
+            int n = (int) Math.min(Json.nonNegativeLong(body, "howMany"), capacity - hosts.size());
             if (n <= 0) {
                 return new HttpAnswer(503, Json.bytes(Json.object().put("error", "no capacity")));
             }
             List<String> names = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                names.add(boot(Json.text(body, "grove"), Json.flag(body, "windfall")));
+                names.add(boot(Json.text(body, "grove"), Json.bool(body, "windfall")));
             }
             claims.put(claim, names);
         }
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -110,7 +110,7 @@
             process.after(timeout, () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    done.accept(HttpAnswer.silence());
+                    done.accept(HttpAnswer.noResponse());
                 }
             });
             Fate fate = refused(from, to) ? Fate.REFUSED : weather.fate(from, to, call);
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -246,7 +246,7 @@
         ArrayNode failed = Json.array();
         for (JsonNode guard : Json.list(body, "guards")) {
             Value value = keys.get(Json.text(guard, "k"));
-            if ((value == null ? 0 : value.modRevision) != Json.whole(guard, "stamp")) {
+            if ((value == null ? 0 : value.modRevision) != Json.nonNegativeLong(guard, "stamp")) {
                 failed.add(Json.text(guard, "k"));
             }
         }
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -150,9 +150,10 @@
         }
         try {
             JsonNode body = Json.object(call.body());
-            boolean valid = Json.whole(body, "warrant") >= fencingToken && Json.whole(body, "watch") == incarnation;
+            boolean valid = Json.nonNegativeLong(body, "warrant") >= fencingToken
+                    && Json.nonNegativeLong(body, "watch") == incarnation;
             if (valid) {
-                fencingToken = Json.whole(body, "warrant");
+                fencingToken = Json.nonNegativeLong(body, "warrant");
                 for (JsonNode command : Json.list(body, "orders")) {
                     execute(command);
                 }
@@ -242,7 +243,7 @@
 
     private void answered(HttpAnswer answer, long sentAt, long sentIn) {
         if (frozen) {
-            held.add(() -> answered(HttpAnswer.silence(), sentAt, sentIn)); // by then it is too old
+            held.add(() -> answered(HttpAnswer.noResponse(), sentAt, sentIn)); // by then it is too old
             return;
         }
         if (answer.status() != 200) {
@@ -252,7 +253,7 @@
         }
         try {
             JsonNode body = Json.object(answer.body());
-            long given = Json.whole(body, "warrant");
+            long given = Json.nonNegativeLong(body, "warrant");
             if (given < fencingToken || sentIn != incarnation) {
                 return;
             }
@@ -285,7 +286,7 @@
 
     private void execute(JsonNode command) throws BadMessageException {
         String part = Json.text(command, "part");
-        long attempt = Json.whole(command, "try");
+        long attempt = Json.nonNegativeLong(command, "try");
         String key = part + "#" + attempt;
         Task task = tasks.get(key);
         switch (Json.text(command, "verb")) {
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -267,7 +267,7 @@
 
     @Test
     void aRefusalSaysWhyAndWhenToComeBack() {
-        Response response = Response.later(2, "too busy");
+        Response response = Response.unavailable(2, "too busy");
         assertEquals("503 {\"error\":\"too busy\"}", text(response));
         assertEquals(2, response.retryAfterS());
     }
