--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -64,7 +64,7 @@
         this.term = context.term().term();
         this.commandsDue = commandsDue;
         this.onJobsChanged = onJobsChanged;
-        this.watchDurationS = times.watchS();
+        this.watchDurationS = times.watchTimeoutS();
         this.maxViewAgeNanos = Durations.nanos(times.maxStalenessS());
     }
 
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -20,15 +20,15 @@
     /** One entry of the matrix. */
     public record Entry(Candidate candidate, MachineGroup group, double score, double urgency) {}
 
-    /** {@code targetStartWithinS} is the time, in seconds, within which each job should have begun. */
-    public PriorityMatrix(Weights weights, Estimates estimates, double targetStartWithinS) {
+    /** {@code targetStartDelayS} is the time, in seconds, within which each job should have begun. */
+    public PriorityMatrix(Weights weights, Estimates estimates, double targetStartDelayS) {
         this.estimates = estimates;
         ImmutableList<Term> terms = ImmutableList.of(
                 new Term(new Deadline(), weights.deadline()),
                 new Term(new OverheadMinimization(), weights.overhead()),
                 new Term(new WaitMinimization(), weights.waiting()),
                 new Term(new AntiAging(), weights.aging()),
-                new Term(new StarvationPrevention(targetStartWithinS), weights.starvation()),
+                new Term(new StarvationPrevention(targetStartDelayS), weights.starvation()),
                 new Term(new ServiceAvailability(estimates.floorS()), weights.availability()),
                 new Term(new MachinePrice(), weights.spotPreference()),
                 new Term(new BinPacking(), weights.packing()));
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -5,9 +5,9 @@
  * has waited long without any of its tasks begun comes first in the end, and so does, later, one that has begun. It is 0
  * for everything younger.
  *
- * @param targetStartWithinS the time within which every job should have begun
+ * @param targetStartDelayS the time within which every job should have begun
  */
-public record StarvationPrevention(double targetStartWithinS) implements Heuristic {
+public record StarvationPrevention(double targetStartDelayS) implements Heuristic {
     /** When it begins to count for a job that has not begun, and until when it grows, as shares of that time. */
     private static final double GROWTH_START_RATIO = 0.5;
 
@@ -20,8 +20,8 @@
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
         boolean hasStarted = row.candidate().job().begun();
-        double startS = targetStartWithinS * (hasStarted ? STARTED_GROWTH_START_RATIO : GROWTH_START_RATIO);
-        double endS = targetStartWithinS * (hasStarted ? STARTED_GROWTH_END_RATIO : GROWTH_END_RATIO);
+        double startS = targetStartDelayS * (hasStarted ? STARTED_GROWTH_START_RATIO : GROWTH_START_RATIO);
+        double endS = targetStartDelayS * (hasStarted ? STARTED_GROWTH_END_RATIO : GROWTH_END_RATIO);
         return Math.max(0, Math.min(1, (row.candidate().ageS() - startS) / (endS - startS)));
     }
 }
