--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -63,7 +63,7 @@
 
     /** Pushes whatever is due on a machine, unless a push is on its way: then once that has been answered. */
     public void sendDueCommands(Machine machine) {
-        if (!machine.fenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
+        if (!machine.lease().isFenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
             return; // the answers to its reports will do
         }
         if (awaitingReply.contains(machine)) {
@@ -79,7 +79,7 @@
             boolean start = command != null
                     && command.verb() == WorkerCommand.Verb.START
                     && !binding.pushed()
-                    && !machine.startUncertain();
+                    && !machine.directCommands().hasUncertainStart();
             boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !binding.stopPushed();
             if (start) {
                 starts.add(binding);
@@ -109,16 +109,16 @@
         }
         awaitingReply.add(machine);
         long incarnation = machine.incarnation();
-        starts.forEach(binding -> machine.unresolvedStarts().add(binding.attempt()));
+        starts.forEach(binding -> machine.directCommands().startSent(binding.attempt()));
         workers.send(address, term, incarnation, commands, timeoutNanos, scope.guard(result -> {
             awaitingReply.remove(machine);
             if (result.kind() == CommandResult.Kind.UNKNOWN) {
                 if (!starts.isEmpty() && machine.incarnation() == incarnation) {
                     LOG.info("machine {} did not answer a push: it gets no more work", machine.name());
-                    machine.markStartUncertain();
+                    machine.directCommands().markStartUncertain();
                 }
             } else {
-                starts.forEach(binding -> machine.unresolvedStarts().remove(binding.attempt()));
+                starts.forEach(binding -> machine.directCommands().startResolved(binding.attempt()));
             }
             if (result.heartbeat().isEmpty() && !stops.isEmpty()) {
                 // The answers to its reports repeat a stop; a machine that cannot report is told again from here.
@@ -126,8 +126,8 @@
                 scope.after(timeoutNanos, () -> sendDueCommands(machine));
             }
             if (result.heartbeat().isPresent()) {
-                machine.recordAcknowledgement();
-            } else if (machine.suspectedUnreachable() && !machine.terminating()) {
+                machine.suspicion().recordAcknowledgement();
+            } else if (machine.suspicion().isSuspect() && !machine.isTerminating()) {
                 scope.after(timeoutNanos, () -> probe(machine));
             }
             result.heartbeat().ifPresent(heartbeatHandler::apply);
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -63,10 +63,10 @@
     }
 
     private boolean isSchedulable(Machine machine) {
-        double silentS = Durations.secondsSince(machine.lastHeartbeat(), now);
-        return machine.fenced()
-                && !machine.terminating()
-                && !machine.unschedulable()
+        double silentS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
+        return machine.lease().isFenced()
+                && !machine.isTerminating()
+                && !machine.isUnschedulable()
                 && silentS < MAX_HEARTBEAT_AGE_INTERVALS * settings.workers().heartbeatIntervalS();
     }
 
@@ -161,7 +161,7 @@
     List<Binding> replicasToEvict() {
         List<Binding> evicted = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.reclaimAnnounced() && !machine.terminating()) {
+            if (machine.reclaim().isAnnounced() && !machine.isTerminating()) {
                 for (Binding binding : machine.bindings()) {
                     boolean there =
                             binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.CHECKPOINTING;
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -53,7 +53,7 @@
     }
 
     private boolean canPreemptOn(Machine machine) {
-        return machine.lastPreemption() == Long.MIN_VALUE
+        return !machine.hasPreempted()
                 || Durations.secondsSince(machine.lastPreemption(), state.now()) >= minIntervalPerMachineS;
     }
 
