--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -35,7 +35,7 @@
 import org.spruceridge.peer.PeerHeartbeat;
 import org.spruceridge.peer.PeerMonitor;
 import org.spruceridge.peer.PeerTransport;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.HeartbeatOutcome;
 import org.spruceridge.term.LeaderContext;
@@ -311,7 +311,7 @@
     }
 
     private boolean stateServiceReachable() {
-        return state.sinceServed() < STATE_OUTAGE_NANOS;
+        return state.nanosSinceLastServed() < STATE_OUTAGE_NANOS;
     }
 
     private PeerHeartbeat heartbeat() {
@@ -327,7 +327,7 @@
         }
         return new PeerHeartbeat(
                 settings.hostName(),
-                state.everServed() && stateServiceReachable(),
+                state.hasEverBeenServed() && stateServiceReachable(),
                 workersReachable(),
                 term,
                 progress.build(),
@@ -384,7 +384,7 @@
             warmUp.start();
         }
         state.get(
-                Keys.LEADER,
+                StateKeys.LEADER,
                 Priority.LEASE_RENEWAL,
                 scope.guard(found -> scope.after(STATE_PROBE_INTERVAL_NANOS, this::probeStateService)));
     }
