--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -126,13 +126,13 @@
             cluster.bind(binding);
             recordWriter.bind(binding);
         }
-        for (Binding binding : plan.stops()) {
+        for (Binding binding : plan.preemptions()) {
             binding.requestStop(Binding.StopMode.CHECKPOINT);
             binding.machine().recordPreemption(now);
             LOG.info("stopping {} to make room for work of a higher rank", binding);
             commandsDue.accept(binding.machine());
         }
-        for (Binding binding : plan.moves()) {
+        for (Binding binding : plan.evictions()) {
             binding.requestStop(Binding.StopMode.CHECKPOINT);
             LOG.info("stopping {} to move it: its machine is about to be taken away", binding);
             commandsDue.accept(binding.machine());
@@ -141,9 +141,9 @@
             LOG.debug(
                     "cycle: {} placed, {} stopped, {} jobs left waiting for room, {} groups, {} us",
                     plan.placements().size(),
-                    plan.stops().size(),
+                    plan.preemptions().size(),
                     plan.unplaced().size(),
-                    plan.groups(),
+                    plan.machineGroups(),
                     (loop.nanos() - now) / 1000);
         }
     }
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -21,11 +21,11 @@
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Change;
 import org.spruceridge.state.Entry;
-import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.term.LeaderContext;
 
 /** Learns of accepted and cancelled jobs by watching the open entries of unfinished jobs. */
@@ -84,7 +84,7 @@
     /** Follows all changes after a revision. The answer tells of all that came before it was asked for. */
     public void watchFrom(long revision) {
         long requestedAt = loop.nanos();
-        watch = state.watch(Keys.OPEN, revision, watchDurationS, scope.guard(result -> {
+        watch = state.watch(StateKeys.OPEN_JOBS_PREFIX, revision, watchDurationS, scope.guard(result -> {
             if (result.isOk()) {
                 result.value().changes().forEach(this::apply);
                 recordViewCompleteUpTo(requestedAt);
@@ -92,7 +92,7 @@
                     onJobsChanged.run();
                 }
                 watchFrom(result.value().revision());
-            } else if (result.kind() == Result.Kind.TOO_OLD) {
+            } else if (result.outcome() == StateResult.Outcome.REVISION_COMPACTED) {
                 relistOpenJobs();
             } else {
                 // Not the same watch again: should watches alone get no answer, a listing still tells.
@@ -110,7 +110,7 @@
     public void markCancelled(Job job, CancellationSource source) {
         if (!job.isCancelled()) {
             job.cancel(viewCompleteUpTo, loop.nanos());
-            recordWriter.withdraw(job);
+            recordWriter.withdrawCancelled(job);
             List<Machine> machines =
                     job.bindings().stream().map(Binding::machine).distinct().toList();
             log(job, source, machines.size());
@@ -142,7 +142,7 @@
     }
 
     private void apply(Change change) {
-        String id = change.key().substring(Keys.OPEN.length());
+        String id = change.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
         if (change.dropped()) {
             openEntryRemoved(id, CancellationSource.WATCH);
         } else {
@@ -152,7 +152,7 @@
 
     private void openEntryRemoved(String id, CancellationSource source) {
         Job job = cluster.job(id);
-        if (job != null && !recordWriter.finishing(job)) {
+        if (job != null && !recordWriter.isCompleting(job)) {
             markCancelled(job, source);
         }
     }
@@ -171,14 +171,14 @@
 
     private void relistOpenJobs() {
         long requestedAt = loop.nanos();
-        state.list(Keys.OPEN, Priority.HEARTBEATS, scope.guard(listing -> {
+        state.list(StateKeys.OPEN_JOBS_PREFIX, Priority.HEARTBEATS, scope.guard(listing -> {
             if (!listing.isOk()) {
                 scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
                 return;
             }
             Set<String> open = new HashSet<>();
             for (Entry entry : listing.value().entries()) {
-                String id = entry.key().substring(Keys.OPEN.length());
+                String id = entry.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
                 open.add(id);
                 add(id, entry.value(), entry.modRevision());
             }
--- a/src/main/java/org/spruceridge/record/SpecMessage.java
+++ b/src/main/java/org/spruceridge/record/JobSpecMessage.java
@@ -14,14 +14,14 @@
 import org.spruceridge.net.Json;
 
 /** A job in JSON, as users send it and as its record keeps it. */
-public final class SpecMessage {
+public final class JobSpecMessage {
     private static final Pattern ID = Pattern.compile("j-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 200;
     private static final String ARRAY = "sweep";
     private static final String SERVICE = "standing";
 
-    private SpecMessage() {}
+    private JobSpecMessage() {}
 
     /** True if the text has the form of a job's id. */
     public static boolean isId(String text) {
@@ -41,7 +41,7 @@
             throw new BadMessageException("nameId is not of the form j-000412");
         }
         JobKind kind = kind(Json.text(body, "shape"));
-        long tasks = Json.whole(body, "parts");
+        long tasks = Json.nonNegativeLong(body, "parts");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new BadMessageException("parts is out of range");
         }
@@ -58,9 +58,9 @@
                 new Resources(positive(body, "cpus"), notNegative(body, "accelerators"), positive(body, "memGb")),
                 types(body),
                 Optional.ofNullable(zone),
-                Json.flag(body, "samePlace"),
-                Json.flag(body, "scatter"),
-                Json.flag(body, "windfall"),
+                Json.bool(body, "samePlace"),
+                Json.bool(body, "scatter"),
+                Json.bool(body, "windfall"),
                 name(body, "bundle"),
                 notNegative(body, "pullGb"),
                 kind == JobKind.SERVICE ? zero(body, "expectS") : positive(body, "expectS"),
--- a/src/main/java/org/spruceridge/upgrade/LevelRaiser.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
@@ -4,9 +4,9 @@
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.RateLimiter.Priority;
-import org.spruceridge.record.Keys;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 
@@ -15,26 +15,26 @@
  * the next. The transaction is guarded by the leader key, so that only the present leader raises it, and by the stamp of
  * the level, so that a late copy of it changes nothing.
  */
-public final class LevelRaiser {
+public final class FeatureLevelUpgrader {
     private static final long LOOK_AGAIN = Durations.millis(500);
 
     private final CancellationScope scope;
     private final StateClient state;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final BooleanSupplier everyMemberSupports;
     private final long leaderRevision;
     private final Runnable raised;
-    private LevelRecord onRecord;
+    private StoredFeatureLevel onRecord;
 
     /**
      * {@code onRecord} is the level that the election found; {@code everyMemberSupports} tells whether all members were
      * heard with {@link FeatureLevel#SUPPORTED}; {@code raised} runs once the level is on record.
      */
-    public LevelRaiser(
+    public FeatureLevelUpgrader(
             CancellationScope scope,
             StateClient state,
-            ClusterLevel level,
-            LevelRecord onRecord,
+            ClusterFeatureLevel level,
+            StoredFeatureLevel onRecord,
             long leaderRevision,
             BooleanSupplier everyMemberSupports,
             Runnable raised) {
@@ -61,12 +61,12 @@
 
     private void raise() {
         Transaction txn = Transaction.builder()
-                .guard(Keys.LEADER, leaderRevision)
-                .set(Keys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
+                .compare(StateKeys.LEADER, leaderRevision)
+                .put(StateKeys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
                 .build();
         state.commit(txn, Priority.SCHEDULING, scope.guard(result -> {
-            if (result.kind() == TransactionResult.Kind.COMMITTED) {
-                onRecord = new LevelRecord(FeatureLevel.SUPPORTED, result.revision());
+            if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
+                onRecord = new StoredFeatureLevel(FeatureLevel.SUPPORTED, result.revision());
                 level.raised(FeatureLevel.SUPPORTED);
                 raised.run();
             } else {
@@ -84,7 +84,7 @@
                     raised.run();
                 }
             }
-            if (found.kind() != Result.Kind.INVALID) {
+            if (found.outcome() != StateResult.Outcome.UNSUPPORTED_VALUE) {
                 start();
             }
         }));
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
@@ -35,10 +35,10 @@
 import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.schedule.Matching;
-import org.spruceridge.state.AcceptingState;
 import org.spruceridge.state.Entry;
+import org.spruceridge.state.InProcessStateService;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
@@ -55,7 +55,7 @@
  * step lets some workers report and does what a leader does then: it decodes, schedules, records and answers. Nothing
  * of it is shared with the node's own state.
  */
-final class WarmUpLeader {
+final class SyntheticLeader {
     private static final int MACHINES = 32;
     private static final int JOBS = 8;
     private static final int TASKS_PER_JOB = 24;
@@ -81,7 +81,7 @@
     private long sequence;
     private int steps;
 
-    WarmUpLeader(Settings settings, Policy policy) {
+    SyntheticLeader(Settings settings, Policy policy) {
         this.settings = settings;
         this.context = LeaderContext.begin(
                 loop,
@@ -95,30 +95,32 @@
         this.cluster = context.cluster();
         this.state = new StateClient(
                 loop,
-                new AcceptingState(loop, this::recorded),
+                new InProcessStateService(loop, this::recorded),
                 settings.stateAddress(),
                 new RateLimiter(loop, PLENTY, PLENTY, PLENTY),
                 context.warnings(),
                 context.latencies());
         this.recordWriter = new RecordWriter(context, state, new RecordWriter.Listener() {
             @Override
-            public void committed(ImmutableSet<Machine> bound) {
+            public void onCommitted(ImmutableSet<Machine> bound) {
                 requestCycle();
             }
 
             @Override
-            public void cancelled(Job job) {
+            public void onJobCancelled(Job job) {
                 throw new IllegalStateException("nobody cancels " + job.id());
             }
 
             @Override
-            public void broken(String why) {
-                throw new IllegalStateException(why);
+            public void onWriteFailed(String reason) {
+                throw new IllegalStateException(reason);
             }
         });
         this.heartbeatHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
         Matching matching = new Matching(
-                settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
+                settings,
+                policy,
+                BindingsRecord.maxBindingsPerMachine(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {});
         addMachines();
     }
@@ -217,10 +219,10 @@
                 context.with(new Cluster()), state, new RecordPages(settings.state(), FeatureLevel.SUPPORTED));
         failover.start(new Failover.Listener() {
             @Override
-            public void jobsKnown(long asOf) {}
+            public void openJobsLoaded(long asOfNanos) {}
 
             @Override
-            public void ready(long revision) {}
+            public void completed(long revision) {}
         });
         loop.advance(Durations.millis(1));
     }
@@ -228,13 +230,13 @@
     /** What the state service would hold of this cluster. */
     private List<Entry> recorded(String prefix) {
         List<Entry> entries = new ArrayList<>();
-        if (prefix.equals(Keys.OPEN)) {
+        if (prefix.equals(StateKeys.OPEN_JOBS_PREFIX)) {
             for (Job job : cluster.jobs()) {
                 JobRecord record = JobRecord.open(job.spec(), job.submittedMs());
-                entries.add(new Entry(Keys.open(job.id()), record.write(), job.modRevision()));
+                entries.add(new Entry(StateKeys.openJob(job.id()), record.write(), job.modRevision()));
             }
-        } else if (prefix.equals(Keys.BINDINGS)) {
-            entries.add(new Entry(Keys.BINDINGS + 1, BindingsRecord.write("w1", machines, b -> true), 1));
+        } else if (prefix.equals(StateKeys.BINDINGS_PREFIX)) {
+            entries.add(new Entry(StateKeys.BINDINGS_PREFIX + 1, BindingsRecord.write("w1", machines, b -> true), 1));
         }
         return entries;
     }
