--- a/src/main/java/org/spruceridge/net/ConnectionLimiter.java
+++ b/src/main/java/org/spruceridge/net/ConnectionLimiter.java
@@ -11,11 +11,11 @@
     /** The rest is for listening, for the other nodes, and for connections that are closed and not gone yet. */
     private static final double USABLE_SHARE = 0.95;
     /** Idle connections of our own are kept only below this share, so that whoever comes finds room. */
-    private static final double IDLE_BELOW_SHARE = 0.9;
+    private static final double IDLE_ALLOWED_BELOW_SHARE = 0.9;
     /** What may come in; our own calls always have the rest. */
     private static final double INBOUND_SHARE = 0.75;
     /** What workers may hold of it; users and health checks always have the rest. */
-    private static final double WORKERS_SHARE = 0.65;
+    private static final double WORKER_SHARE = 0.65;
 
     private final int max;
     private BooleanSupplier closeIdle = () -> false;
@@ -26,16 +26,16 @@
         this.max = max;
     }
 
-    int mostInbound() {
+    int maxInbound() {
         return (int) (max * INBOUND_SHARE);
     }
 
-    int mostOfWorkers() {
-        return (int) (max * WORKERS_SHARE);
+    int maxWorkers() {
+        return (int) (max * WORKER_SHARE);
     }
 
     /** True if there is none left to open. */
-    boolean exhausted() {
+    boolean isExhausted() {
         return open >= max * USABLE_SHARE;
     }
 
@@ -60,7 +60,7 @@
 
     /** Closes idle connections of our own while there are too many in all. */
     void trim() {
-        while (open > max * IDLE_BELOW_SHARE && closeIdle.getAsBoolean()) {
+        while (open > max * IDLE_ALLOWED_BELOW_SHARE && closeIdle.getAsBoolean()) {
             // one less
         }
     }
--- a/src/main/java/org/spruceridge/net/RequestQueue.java
+++ b/src/main/java/org/spruceridge/net/RequestQueue.java
@@ -36,23 +36,23 @@
         void reject();
 
         /** True if nobody waits for it any more. */
-        boolean abandoned();
+        boolean isAbandoned();
     }
 
     /** As long as this is spent on requests before the network is looked at again: more may have come, or gone. */
-    private static final long SLICE = Durations.millis(50);
+    private static final long MAX_SLICE_NANOS = Durations.millis(50);
 
     private final Loop loop;
     private final Map<Priority, Deque<Waiting>> queues = new EnumMap<>(Priority.class);
-    private long idleFrom;
-    private long spent;
-    private boolean draining;
+    private long idleSince;
+    private long spentNanos;
+    private boolean isDraining;
 
-    private record Waiting(Work work, long since) {}
+    private record Waiting(Work work, long queuedAt) {}
 
     RequestQueue(Loop loop) {
         this.loop = loop;
-        this.idleFrom = loop.nanos();
+        this.idleSince = loop.nanos();
         for (Priority priority : Priority.values()) {
             queues.put(priority, new ArrayDeque<>());
         }
@@ -60,25 +60,25 @@
 
     void add(Priority priority, Work work) {
         long now = loop.nanos();
-        spent = Math.max(0, spent - (now - idleFrom)); // as long as it was idle, it has caught up
-        if (draining || spent > SLICE) {
+        spentNanos = Math.max(0, spentNanos - (now - idleSince)); // as long as it was idle, it has caught up
+        if (isDraining || spentNanos > MAX_SLICE_NANOS) {
             queues.get(priority).add(new Waiting(work, now));
             drainSoon();
         } else {
             work.run();
-            spent += loop.nanos() - now;
+            spentNanos += loop.nanos() - now;
         }
-        idleFrom = loop.nanos();
+        idleSince = loop.nanos();
     }
 
     /** True while requests wait for the processor. */
-    boolean waiting() {
-        return draining;
+    boolean hasQueuedRequests() {
+        return isDraining;
     }
 
     private void drainSoon() {
-        if (!draining) {
-            draining = true;
+        if (!isDraining) {
+            isDraining = true;
             loop.after(0, this::drain); // after the network has been looked at
         }
     }
@@ -88,19 +88,19 @@
         for (var queue : queues.entrySet()) {
             while (!queue.getValue().isEmpty()) {
                 long now = loop.nanos();
-                if (now - from > SLICE) {
+                if (now - from > MAX_SLICE_NANOS) {
                     loop.after(0, this::drain);
                     return;
                 }
                 Waiting next = queue.getValue().remove();
-                if (next.work.abandoned() || now - next.since > queue.getKey().timeoutNanos) {
+                if (next.work.isAbandoned() || now - next.queuedAt > queue.getKey().timeoutNanos) {
                     next.work.reject();
                 } else {
                     next.work.run();
                 }
             }
         }
-        draining = false;
-        spent = 0;
+        isDraining = false;
+        spentNanos = 0;
     }
 }
--- a/src/test/java/org/spruceridge/net/RequestQueueTest.java
+++ b/src/test/java/org/spruceridge/net/RequestQueueTest.java
@@ -17,7 +17,7 @@
     private final class Request implements RequestQueue.Work {
         private final String name;
         private final double costS;
-        private boolean abandoned;
+        private boolean isAbandoned;
 
         Request(String name, double costS) {
             this.name = name;
@@ -36,8 +36,8 @@
         }
 
         @Override
-        public boolean abandoned() {
-            return abandoned;
+        public boolean isAbandoned() {
+            return isAbandoned;
         }
     }
 
@@ -67,7 +67,7 @@
         Request gone = new Request("gone", 0.1);
         requestQueue.add(Priority.HEARTBEAT, gone);
         requestQueue.add(Priority.HEARTBEAT, new Request("report", 2.5));
-        gone.abandoned = true;
+        gone.isAbandoned = true;
         loop.run(10);
         assertEquals(List.of("first", "no gone", "report", "no user"), done);
         loop.run(1);
