--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -230,7 +230,7 @@
             loop.run(1);
         }
         assertEquals(TASKS, first.committed(), "bound");
-        assertEquals(0, state.rejected());
+        assertEquals(0, state.rejectedTransactions());
         // A page carries all that has gathered for it, and is written a few times at most.
         assertTrue(state.transactions() <= 4 * pages(), state.transactions() + " transactions, " + pages() + " pages");
         assertTrue(heap() - heapBefore < MOST_HEAP, "heap: " + (heap() - heapBefore));
@@ -268,7 +268,7 @@
                 MACHINES,
                 second.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
                 "ends that were taken over");
-        assertEquals(0, state.rejected());
+        assertEquals(0, state.rejectedTransactions());
     }
 
     /** The attempts of a term are numbers of 24 bits: before they are used up the leader gives the lead up. */
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -7,13 +7,13 @@
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
 import org.junit.jupiter.api.Test;
-import org.spruceridge.sim.SimNet.Fate;
+import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
  * Two faults at once, each time at a moment that differs by a counted step. The simulated cluster checks the rules
- * throughout; {@link SimulatedCluster#settle} then wants every accepted job to end, and to be answered for by every node.
+ * throughout; {@link SimulatedCluster#verifyRecovery} then wants every accepted job to end, and to be answered for by every node.
  */
 final class ConcurrentFaultsScenarioTest {
     private SimulatedCluster cluster;
@@ -21,59 +21,62 @@
     private void atEachStep(int steps, IntConsumer scenario) {
         for (int step = 0; step < steps; step++) {
             cluster = new SimulatedCluster(3);
-            cluster.until(() -> cluster.leader() != null, 10);
+            cluster.awaitLeader(10);
             try {
                 scenario.accept(step);
-                cluster.settle(240);
+                cluster.verifyRecovery(240);
             } catch (AssertionError e) {
                 throw new AssertionError("step " + step + ": " + e.getMessage(), e);
             }
         }
     }
 
-    private void runs(int number, int tasks, double seconds) {
+    private void startTasks(int number, int tasks, double seconds) {
         int before = cluster.running().size();
         cluster.submit(SimulatedCluster.job(number, tasks).put("expectS", seconds));
-        cluster.until(() -> cluster.running().size() == before + tasks, 40);
+        cluster.await(() -> cluster.running().size() == before + tasks, 40);
     }
 
-    private static boolean cloud(String host) {
+    private static boolean isCloud(String host) {
         return host.equals("10.2.0.2");
     }
 
-    private static boolean machine(String host) {
+    private static boolean isMachine(String host) {
         return host.startsWith("10.1.0.");
     }
 
     @Test
     void quotaHoldsWhenLeaderChangesWithUnreachableMachines() {
         atEachStep(6, step -> {
-            runs(1, 2, 300);
-            runs(2, 2, 40);
-            SimWorker away = cluster.cloud.workers().get(0);
-            cluster.net.weather((from, to, call) ->
-                    from.equals(away.name()) || to.host().equals("10.1.0." + away.name()) || cloud(to.host())
-                            ? Fate.LOST
-                            : Fate.DELIVERED);
+            startTasks(1, 2, 300);
+            startTasks(2, 2, 40);
+            SimWorker unreachable = cluster.cloud.workers().get(0);
+            cluster.net.injectFaults((from, to, call) -> from.equals(unreachable.name())
+                            || to.host().equals("10.1.0." + unreachable.name())
+                            || isCloud(to.host())
+                    ? Delivery.LOST
+                    : Delivery.DELIVERED);
             cluster.submit(SimulatedCluster.job(3, 4).put("expectS", 10.0));
             cluster.loop.run(step * 0.7);
             cluster.crashLeader(4);
             cluster.loop.run(step * 0.3);
-            cluster.until(() -> cluster.cancel(cluster.follower(), "j-000001").equals("cancelled"), 10);
-            cluster.loop.run(SimulatedCluster.CANCEL_S);
+            cluster.await(() -> cluster.cancel(cluster.follower(), "j-000001").equals("cancelled"), 10);
+            cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         });
     }
 
     @Test
     void allJobsCompleteWhenLeaderCrashesAndMachinesReceiveNothing() {
         atEachStep(6, step -> {
-            runs(1, 4, 60);
-            List<String> deaf = List.of(cluster.cloud.workers().get(0).name());
-            cluster.net.weather((from, to, call) -> {
-                if (deaf.contains(from)) {
-                    return step % 2 == 0 ? Fate.ANSWER_LOST : Fate.LOST;
+            startTasks(1, 4, 60);
+            List<String> unreachable = List.of(cluster.cloud.workers().get(0).name());
+            cluster.net.injectFaults((from, to, call) -> {
+                if (unreachable.contains(from)) {
+                    return step % 2 == 0 ? Delivery.ANSWER_LOST : Delivery.LOST;
                 }
-                return machine(to.host()) && deaf.contains(to.host().substring(7)) ? Fate.LOST : Fate.DELIVERED;
+                return isMachine(to.host()) && unreachable.contains(to.host().substring(7))
+                        ? Delivery.LOST
+                        : Delivery.DELIVERED;
             });
             cluster.loop.run(step);
             cluster.crashLeader(3);
@@ -84,9 +87,10 @@
     @Test
     void mixedPrioritiesBeyondCapacityCompleteOverLossyNetwork() {
         atEachStep(3, step -> {
-            cluster.cloud.capacity(2);
+            cluster.cloud.limitCapacity(2);
             SplittableRandom random = new SplittableRandom(step);
-            cluster.net.weather((from, to, call) -> random.nextInt(10) < 2 ? Fate.ANSWER_LOST : Fate.DELIVERED);
+            cluster.net.injectFaults(
+                    (from, to, call) -> random.nextInt(10) < 2 ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
             for (int i = 1; i <= 12; i++) {
                 String priority = i % 3 == 0 ? "production" : i % 3 == 1 ? "best_effort" : "normal";
                 cluster.submit(SimulatedCluster.job(i, 3).put("rank", priority).put("expectS", 4.0 + i));
@@ -99,15 +103,16 @@
     @Test
     void heartbeatsDelayedBeyondFailoverChangeNothing() {
         atEachStep(8, step -> {
-            runs(1, 2, 20);
+            startTasks(1, 2, 20);
             SimWorker worker = cluster.cloud.workers().get(0);
-            cluster.net.weather((from, to, call) -> from.equals(worker.name()) ? Fate.HELD : Fate.DELIVERED);
+            cluster.net.injectFaults(
+                    (from, to, call) -> from.equals(worker.name()) ? Delivery.HELD : Delivery.DELIVERED);
             cluster.loop.run(0.5 * step);
             cluster.crashLeader(2);
             cluster.loop.run(SimulatedCluster.LEASE_S + 5);
-            cluster.net.clear();
-            while (cluster.net.held() > 0) {
-                cluster.net.letOneGo();
+            cluster.net.clearFaults();
+            while (cluster.net.heldCount() > 0) {
+                cluster.net.deliverOldestHeld();
                 cluster.loop.run(0.3);
             }
         });
@@ -117,8 +122,8 @@
     void duplicateHeartbeatsArrivingLateChangeNothing() {
         atEachStep(4, step -> {
             SplittableRandom random = new SplittableRandom(step);
-            cluster.net.weather((from, to, call) ->
-                    from.startsWith("i-") && random.nextInt(10) < 4 ? Fate.COPIED_LATE : Fate.DELIVERED);
+            cluster.net.injectFaults((from, to, call) ->
+                    from.startsWith("i-") && random.nextInt(10) < 4 ? Delivery.DUPLICATED_LATE : Delivery.DELIVERED);
             for (int i = 1; i <= 6; i++) {
                 cluster.submit(SimulatedCluster.job(i, 2).put("expectS", 6.0));
                 cluster.loop.run(5);
@@ -134,9 +139,9 @@
     @Test
     void cancellationReachesMachinesThatCannotSendHeartbeats() {
         atEachStep(6, step -> {
-            runs(1, 3, 60);
-            List<String> mute = cluster.cloud.names();
-            cluster.net.weather((from, to, call) -> mute.contains(from) ? Fate.LOST : Fate.DELIVERED);
+            startTasks(1, 3, 60);
+            List<String> silent = cluster.cloud.machineNames();
+            cluster.net.injectFaults((from, to, call) -> silent.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(step);
             cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 10.0));
             cluster.loop.run(1);
@@ -144,24 +149,24 @@
             if (step % 2 == 0) {
                 cluster.crashLeader(5);
             }
-            cluster.loop.run(SimulatedCluster.CANCEL_S);
+            cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         });
     }
 
     @Test
     void machinesThatCannotSendHeartbeatsGetNoNewTasks() {
         atEachStep(1, step -> {
-            runs(1, 3, 60);
-            List<String> mute = cluster.cloud.names();
-            cluster.net.weather((from, to, call) -> mute.contains(from) ? Fate.LOST : Fate.DELIVERED);
-            cluster.loop.run(2.6 * SimulatedCluster.REPORT_S);
+            startTasks(1, 3, 60);
+            List<String> silent = cluster.cloud.machineNames();
+            cluster.net.injectFaults((from, to, call) -> silent.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
+            cluster.loop.run(2.6 * SimulatedCluster.HEARTBEAT_INTERVAL_S);
             // The answers to the stops show that they hear; their leases run out all the same.
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
-            cluster.until(() -> cluster.running().isEmpty(), 2);
+            cluster.await(() -> cluster.running().isEmpty(), 2);
             cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 5.0));
-            cluster.until(() -> cluster.starts().size() == 5, 40);
-            assertFalse(mute.contains(cluster.running().get("j-000002/0")));
-            assertFalse(mute.contains(cluster.running().get("j-000002/1")));
+            cluster.await(() -> cluster.starts().size() == 5, 40);
+            assertFalse(silent.contains(cluster.running().get("j-000002/0")));
+            assertFalse(silent.contains(cluster.running().get("j-000002/1")));
         });
     }
 
@@ -174,14 +179,14 @@
     @Test
     void tasksPushedToUnacknowledgedIncarnationAreNotReleased() {
         atEachStep(30, step -> {
-            runs(1, 1, 3);
-            cluster.until(() -> cluster.running().isEmpty(), 10);
-            cluster.cloud.capacity(cluster.cloud.rented());
+            startTasks(1, 1, 3);
+            cluster.await(() -> cluster.running().isEmpty(), 10);
+            cluster.cloud.limitCapacity(cluster.cloud.machineCount());
             String leader = cluster.leader();
-            cluster.net.weather(
+            cluster.net.injectFaults(
                     (from, to, call) -> call.target().equals("/txn") && new String(call.body()).contains("bound/")
-                            ? Fate.LOST
-                            : Fate.DELIVERED);
+                            ? Delivery.LOST
+                            : Delivery.DELIVERED);
             cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 60.0));
             cluster.loop.run(0.3);
             cluster.submit(SimulatedCluster.job(3, 1).put("expectS", 60.0));
@@ -189,10 +194,11 @@
             double outage = 2.5 * SimulatedCluster.LEASE_S + 0.07 * step;
             cluster.state.outage(outage);
             cluster.loop.run(outage - 1);
-            List<String> mute = cluster.cloud.names();
-            cluster.net.weather((from, to, call) ->
-                    mute.contains(from) ? Fate.LOST : call.target().equals("/txn") ? Fate.SLOW : Fate.DELIVERED);
-            cluster.cloud.capacity(Integer.MAX_VALUE);
+            List<String> silent = cluster.cloud.machineNames();
+            cluster.net.injectFaults((from, to, call) -> silent.contains(from)
+                    ? Delivery.LOST
+                    : call.target().equals("/txn") ? Delivery.SLOW : Delivery.DELIVERED);
+            cluster.cloud.limitCapacity(Integer.MAX_VALUE);
             cluster.loop.run(12);
             assertEquals(leader, cluster.leader());
         });
@@ -201,7 +207,7 @@
     @Test
     void tasksEndingUnderDifferentLeadersCompleteTheirJobs() {
         atEachStep(5, step -> {
-            cluster.cloud.capacity(1);
+            cluster.cloud.limitCapacity(1);
             cluster.submit(SimulatedCluster.job(1, 3).put("cpus", 8.0).put("expectS", 9.0));
             cluster.submit(SimulatedCluster.job(2, 2).put("cpus", 8.0).put("expectS", 7.0));
             for (int i = 0; i < 4; i++) {
@@ -214,33 +220,33 @@
     @Test
     void cancellationThroughNextLeaderHoldsWhenOldLeaderIsPartitioned() {
         atEachStep(5, step -> {
-            runs(1, 2, 600);
-            runs(2, 1, 30);
-            String cut = cluster.leader();
+            startTasks(1, 2, 600);
+            startTasks(2, 1, 30);
+            String isolated = cluster.leader();
             String other = cluster.follower();
-            cluster.cutPeers(cut);
-            cluster.net.refuse(cut, 25);
+            cluster.isolateFromPeers(isolated);
+            cluster.net.refuseStateRequests(isolated, 25);
             cluster.loop.run(step * 3);
             assertEquals("cancelled", cluster.cancel(other, "j-000001"));
-            cluster.loop.run(SimulatedCluster.CANCEL_S);
-            cluster.mendPeers(cut);
+            cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
+            cluster.reconnectToPeers(isolated);
         });
     }
 
     @Test
     void repeatedFailoversThenCrashOfAllNodesLoseNoTask() {
         atEachStep(6, step -> {
-            runs(1, 4, 40);
+            startTasks(1, 4, 40);
             String first = cluster.leader();
-            cluster.net.refuse(first, 9);
-            cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(first), 30);
+            cluster.net.refuseStateRequests(first, 9);
+            cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(first), 30);
             String second = cluster.leader();
-            cluster.net.refuse(second, 9);
-            cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(second), 30);
+            cluster.net.refuseStateRequests(second, 9);
+            cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(second), 30);
             List<String> all = List.of("n0", "n1", "n2");
             all.forEach(cluster::crash);
             cluster.loop.run(0.15 * step);
-            cluster.boot(second);
+            cluster.startNode(second);
             cluster.loop.run(3);
         });
     }
@@ -249,8 +255,8 @@
     void transactionsAppliedLateOverwriteNothingNewer() {
         atEachStep(6, step -> {
             SplittableRandom random = new SplittableRandom(step);
-            cluster.net.weather((from, to, call) ->
-                    call.target().equals("/txn") && random.nextInt(10) < 3 ? Fate.LATE : Fate.DELIVERED);
+            cluster.net.injectFaults((from, to, call) ->
+                    call.target().equals("/txn") && random.nextInt(10) < 3 ? Delivery.DELAYED : Delivery.DELIVERED);
             for (int i = 1; i <= 5; i++) {
                 cluster.submit(SimulatedCluster.job(i, 2).put("expectS", 5.0));
                 cluster.loop.run(3);
@@ -268,7 +274,7 @@
     @Test
     void tenFailoversInTwoMinutesWithOutageMeetCancellationDeadline() {
         atEachStep(4, step -> {
-            runs(1, 2, 600);
+            startTasks(1, 2, 600);
             cluster.submit(SimulatedCluster.job(2, 6).put("expectS", 12.0));
             for (int i = 0; i < 10; i++) {
                 cluster.loop.run(9 + step);
@@ -278,7 +284,7 @@
                 }
                 cluster.crashLeader(1 + 0.5 * step);
                 if (i == 6) {
-                    cluster.until(
+                    cluster.await(
                             () -> cluster.cancel(cluster.follower(), "j-000001").equals("cancelled"), 20);
                 }
             }
@@ -290,9 +296,9 @@
         atEachStep(4, step -> {
             cluster.submit(SimulatedCluster.job(1, 3).put("samePlace", true).put("expectS", 15.0));
             cluster.submit(SimulatedCluster.job(2, 1).put("grove", "z2").put("expectS", 15.0));
-            cluster.until(() -> cluster.running().size() == 4, 60);
+            cluster.await(() -> cluster.running().size() == 4, 60);
             cluster.loop.run(step);
-            List.copyOf(cluster.cloud.workers()).forEach(cluster.cloud::die);
+            List.copyOf(cluster.cloud.workers()).forEach(cluster.cloud::crash);
             if (step % 2 == 1) {
                 cluster.crashLeader(2);
             }
@@ -303,15 +309,15 @@
     @Test
     void partitionOfNodeAndMachinesBeyondLeaseLosesNoJob() {
         atEachStep(4, step -> {
-            runs(1, 4, 50);
+            startTasks(1, 4, 50);
             String inside = step % 2 == 0 ? cluster.leader() : cluster.follower();
             List<String> zone = List.of(inside, cluster.cloud.workers().get(0).name());
-            cluster.cutPeers(inside);
-            cluster.net.weather((from, to, call) -> {
+            cluster.isolateFromPeers(inside);
+            cluster.net.injectFaults((from, to, call) -> {
                 boolean here = zone.contains(from);
                 boolean there =
                         to.equals(SimulatedCluster.address(inside)) || to.host().equals("10.1.0." + zone.get(1));
-                return here == there ? Fate.DELIVERED : Fate.HELD;
+                return here == there ? Delivery.DELIVERED : Delivery.HELD;
             });
             cluster.loop.run(3);
             String outside = List.of("n0", "n1", "n2").stream()
@@ -322,52 +328,53 @@
                 cluster.cancel(outside, "j-000001");
             }
             cluster.loop.run(SimulatedCluster.LEASE_S + 10);
-            cluster.mendPeers(inside);
+            cluster.reconnectToPeers(inside);
         });
     }
 
     @Test
     void absenceOfAllNodesBeyondLeaseLosesNoJob() {
         atEachStep(3, step -> {
-            runs(1, 2, 30);
+            startTasks(1, 2, 30);
             cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 30.0));
             cluster.loop.run(step * 0.05);
             List<String> all = List.of("n0", "n1", "n2");
             all.forEach(cluster::crash);
             cluster.loop.run(SimulatedCluster.LEASE_S + 3);
-            all.forEach(cluster::boot);
+            all.forEach(cluster::startNode);
         });
     }
 
     @Test
     void delayedCommandOrAcknowledgementStartsNoTaskTwice() {
         atEachStep(6, step -> {
-            cluster.net.weather((from, to, call) ->
-                    call.target().equals("/do") ? step % 2 == 0 ? Fate.HELD : Fate.ANSWER_LOST : Fate.DELIVERED);
+            cluster.net.injectFaults((from, to, call) -> call.target().equals("/do")
+                    ? step % 2 == 0 ? Delivery.HELD : Delivery.ANSWER_LOST
+                    : Delivery.DELIVERED);
             cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 8.0));
             cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 300.0));
             cluster.loop.run(8 + step);
-            cluster.until(() -> cluster.cancel(cluster.follower(), "j-000002").equals("cancelled"), 10);
+            cluster.await(() -> cluster.cancel(cluster.follower(), "j-000002").equals("cancelled"), 10);
             cluster.loop.run(step);
-            cluster.net.letGo();
-            cluster.loop.run(SimulatedCluster.CANCEL_S);
+            cluster.net.deliverHeld();
+            cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         });
     }
 
     @Test
     void lossyStateServiceThatRefusesLeaderMeetsCancellationDeadline() {
         atEachStep(4, step -> {
-            runs(1, 2, 600);
+            startTasks(1, 2, 600);
             SplittableRandom random = new SplittableRandom(step);
-            cluster.net.weather((from, to, call) ->
-                    to.host().equals("10.2.0.1") && random.nextInt(10) < 3 ? Fate.ANSWER_LOST : Fate.DELIVERED);
-            cluster.net.refuse(cluster.leader(), 8);
+            cluster.net.injectFaults((from, to, call) ->
+                    to.host().equals("10.2.0.1") && random.nextInt(10) < 3 ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
+            cluster.net.refuseStateRequests(cluster.leader(), 8);
             for (int i = 0; i < 4; i++) {
                 cluster.cancel(cluster.follower(), "j-000001");
                 cluster.poll("j-000001");
             }
-            cluster.state.outage(SimulatedCluster.CANCEL_S + 3);
-            cluster.loop.run(SimulatedCluster.CANCEL_S + 3);
+            cluster.state.outage(SimulatedCluster.CANCELLATION_DEADLINE_S + 3);
+            cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 3);
             assertFalse(cluster.running().containsKey("j-000001/0"));
         });
     }
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.HttpCall;
-import org.spruceridge.sim.SimNet.Fate;
+import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimulatedCluster;
 
 /** Failovers that take long: workers are answered meanwhile. */
@@ -18,26 +18,27 @@
      */
     @Test
     void leasesRenewedDuringFailoverDelayReleaseOfTheirTasks() {
-        cluster.until(() -> cluster.leader() != null, 10);
+        cluster.awaitLeader(10);
         cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 90.0));
-        cluster.until(() -> cluster.running().size() == 2, 40);
-        Set<String> cutOff = Set.copyOf(cluster.running().values());
+        cluster.await(() -> cluster.running().size() == 2, 40);
+        Set<String> unreachableMachines = Set.copyOf(cluster.running().values());
         cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 10.0));
-        cluster.until(() -> cluster.running().size() == 4, 40);
-        cluster.net.weather((from, to, call) -> machinesAreListed(call) ? Fate.LOST : Fate.DELIVERED);
+        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.net.injectFaults((from, to, call) -> listsMachines(call) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.crashLeader(1);
-        cluster.until(() -> cluster.leader() != null, 10);
+        cluster.awaitLeader(10);
         cluster.loop.run(SimulatedCluster.LEASE_S - 2);
         assertTrue(cluster.completed().contains("j-000002/0"), "there is room on a machine that can be reached");
-        cluster.net.weather(
-                (from, to, call) -> cutOff.contains(from) || machinesAreListed(call) ? Fate.LOST : Fate.DELIVERED);
+        cluster.net.injectFaults((from, to, call) ->
+                unreachableMachines.contains(from) || listsMachines(call) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(4);
-        cluster.net.weather((from, to, call) -> cutOff.contains(from) ? Fate.LOST : Fate.DELIVERED);
+        cluster.net.injectFaults(
+                (from, to, call) -> unreachableMachines.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(2 * SimulatedCluster.LEASE_S);
-        cluster.settle(200);
+        cluster.verifyRecovery(200);
     }
 
-    private static boolean machinesAreListed(HttpCall call) {
+    private static boolean listsMachines(HttpCall call) {
         return call.target().startsWith("/store?starts=bound/");
     }
 }
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -12,13 +12,13 @@
 
     @Test
     void largestJobStartsDespiteStreamOfUrgentSmallJobs() {
-        cluster.until(() -> cluster.leader() != null, 10);
+        cluster.awaitLeader(10);
         // Two machines' worth of room, and small jobs of a higher rank that ask for more than that all the time.
         int number = 100;
         for (int i = 0; i < 12; i++) {
             submitUrgent(++number);
         }
-        cluster.until(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.running().size() == 4, 40);
         cluster.submit(SimulatedCluster.job(1, 30).put("rank", "best_effort").put("expectS", 60.0));
         long submitted = cluster.loop.nanos();
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
@@ -30,12 +30,12 @@
 
     @Test
     void largeTaskStartsDespiteSmallTasksFillingTeamQuota() {
-        cluster.until(() -> cluster.leader() != null, 10);
+        cluster.awaitLeader(10);
         int number = 100;
         for (int i = 0; i < 32; i++) {
             submitSmall(++number);
         }
-        cluster.until(() -> cluster.running().size() == (int) SimulatedCluster.TEAM_CPUS, 40);
+        cluster.await(() -> cluster.running().size() == (int) SimulatedCluster.TEAM_CPUS, 40);
         cluster.submit(SimulatedCluster.job(1, 2).put("cpus", 8.0).put("expectS", 10.0));
         long submitted = cluster.loop.nanos();
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
@@ -48,16 +48,16 @@
     /** Workers' reports come before decisions; but a leader that is never idle must decide all the same. */
     @Test
     void schedulingYieldsToPendingRequestsForBoundedTime() {
-        cluster.until(() -> cluster.leader() != null, 10);
+        cluster.awaitLeader(10);
         submitSmall(1);
-        cluster.until(() -> cluster.running().size() == 1, 40);
+        cluster.await(() -> cluster.running().size() == 1, 40);
         submitSmall(2);
-        cluster.until(() -> started("j-000002"), 1);
+        cluster.await(() -> started("j-000002"), 1);
         cluster.loop.busy(true);
         submitSmall(3);
         cluster.loop.run(0.08 * SimulatedCluster.LEASE_S);
         assertFalse(started("j-000003"), "reports come first");
-        cluster.until(() -> started("j-000003"), 0.1 * SimulatedCluster.LEASE_S);
+        cluster.await(() -> started("j-000003"), 0.1 * SimulatedCluster.LEASE_S);
     }
 
     private boolean started(String job) {
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.spruceridge.config.Address;
-import org.spruceridge.sim.SimNet.Fate;
+import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
@@ -40,27 +40,27 @@
     }
 
     /** Fills so many machines with the tasks of {@link #JOBS} jobs that run for long. */
-    private void allMachinesAreFull(int nodes, int machines) {
+    private void fillMachines(int nodes, int machines) {
         cluster = SimulatedCluster.ofSize(nodes, machines);
-        cluster.until(() -> cluster.leader() != null, 10);
+        cluster.awaitLeader(10);
         int tasks = 2 * machines / JOBS;
         List<ObjectNode> jobs = IntStream.range(0, JOBS)
                 .mapToObj(i -> SimulatedCluster.job(i, tasks).put("expectS", RUN_S))
                 .toList();
-        cluster.users.submit(jobs, cluster.nodes(node -> true));
-        cluster.until(() -> cluster.running().size() == JOBS * tasks, 200);
+        cluster.users.submit(jobs, cluster.runningNodes(node -> true));
+        cluster.await(() -> cluster.running().size() == JOBS * tasks, 200);
     }
 
     /** Cuts the leader off from the state service and from the other nodes, and names it. */
-    private String cutOffLeader() {
+    private String isolateLeader() {
         String leader = cluster.leader();
-        cutOff(leader);
+        isolate(leader);
         return leader;
     }
 
-    private void cutOff(String node) {
-        cluster.cutPeers(node);
-        cluster.net.refuse(node, 2 * SimulatedCluster.CANCEL_S);
+    private void isolate(String node) {
+        cluster.isolateFromPeers(node);
+        cluster.net.refuseStateRequests(node, 2 * SimulatedCluster.CANCELLATION_DEADLINE_S);
     }
 
     /**
@@ -70,14 +70,16 @@
      */
     @Test
     void leadersShorterThanAHeartbeatIntervalStopCancelledTasks() {
-        allMachinesAreFull(5, JOBS);
+        fillMachines(5, JOBS);
         cluster.crashLeader(0.2);
-        cluster.users.cancel(ids(0, FEW), cluster.nodes(node -> true));
-        for (double s = 0; s < SimulatedCluster.CANCEL_S + 5; s += SimulatedCluster.REPORT_S / 2) {
-            cluster.loop.run(SimulatedCluster.REPORT_S / 2);
+        cluster.users.cancel(ids(0, FEW), cluster.runningNodes(node -> true));
+        for (double s = 0;
+                s < SimulatedCluster.CANCELLATION_DEADLINE_S + 5;
+                s += SimulatedCluster.HEARTBEAT_INTERVAL_S / 2) {
+            cluster.loop.run(SimulatedCluster.HEARTBEAT_INTERVAL_S / 2);
             cluster.crashLeader(0.2);
         }
-        cluster.settle(600);
+        cluster.verifyRecovery(600);
     }
 
     /**
@@ -86,22 +88,23 @@
      */
     @Test
     void newLeadersStopCancelledTasksWhileReadingJobs() {
-        allMachinesAreFull(3, JOBS);
-        String first = cutOffLeader();
-        cluster.net.weather((from, to, call) -> call.target().startsWith("/store/job/") ? Fate.SLOW : Fate.DELIVERED);
-        cluster.users.cancel(ids(0, JOBS), cluster.nodes(node -> !node.equals(first)));
-        cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(first), 20);
+        fillMachines(3, JOBS);
+        String first = isolateLeader();
+        cluster.net.injectFaults(
+                (from, to, call) -> call.target().startsWith("/store/job/") ? Delivery.SLOW : Delivery.DELIVERED);
+        cluster.users.cancel(ids(0, JOBS), cluster.runningNodes(node -> !node.equals(first)));
+        cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(first), 20);
         String second = cluster.leader();
         cluster.loop.run(6);
         cluster.crash(second);
-        cluster.loop.run(SimulatedCluster.CANCEL_S);
+        cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertTrue(cluster.running().isEmpty());
         double failoverS = cluster.metrics(cluster.leader())
                 .path("failovers")
                 .path("lastS")
                 .asDouble();
         assertTrue(failoverS < SimulatedCluster.LEASE_S / 2, "failover: " + failoverS + " s");
-        cluster.settle(120);
+        cluster.verifyRecovery(120);
     }
 
     /**
@@ -110,15 +113,15 @@
      */
     @Test
     void newLeaderStopsCancelledTasksWhileOneRecordIsUnreadable() {
-        allMachinesAreFull(3, JOBS);
-        String first = cutOffLeader();
-        cluster.users.cancel(ids(0, CANCELLED_AT_ONCE), cluster.nodes(node -> !node.equals(first)));
-        cluster.until(() -> cluster.users.waiting() == 0, 6);
+        fillMachines(3, JOBS);
+        String first = isolateLeader();
+        cluster.users.cancel(ids(0, CANCELLED_AT_ONCE), cluster.runningNodes(node -> !node.equals(first)));
+        cluster.await(() -> cluster.users.unansweredCount() == 0, 6);
         assertEquals(first, cluster.leader(), "its grant still runs");
-        cluster.net.weather((from, to, call) ->
-                call.target().equals("/store/job/" + id(CANCELLED_AT_ONCE - 1)) ? Fate.LOST : Fate.DELIVERED);
-        cluster.loop.run(SimulatedCluster.CANCEL_S);
-        cluster.settle(600);
+        cluster.net.injectFaults((from, to, call) ->
+                call.target().equals("/store/job/" + id(CANCELLED_AT_ONCE - 1)) ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
+        cluster.verifyRecovery(600);
     }
 
     /**
@@ -128,40 +131,41 @@
     @ParameterizedTest
     @ValueSource(ints = {1640, 4000})
     void massCancellationDuringCombinedFaultsMeetsDeadline(int machines) {
-        allMachinesAreFull(5, machines);
-        String first = cutOffLeader();
+        fillMachines(5, machines);
+        String first = isolateLeader();
         List<SimWorker> workers = cluster.cloud.workers();
-        workers.stream().filter(w -> everyTenth(w, 0)).forEach(w -> w.frozen(true));
-        Set<String> deaf = names(workers, 1);
-        Set<Address> deafAt = deaf.stream().map(SimWorker::address).collect(Collectors.toSet());
-        Set<String> mute = names(workers, 2);
-        Set<String> cutOff = names(workers, 3);
-        String cutNode = cluster.follower();
-        cutOff(cutNode);
-        cluster.net.weather((from, to, call) -> {
-            boolean toCutNode = to.equals(SimulatedCluster.address(cutNode));
-            if (to.equals(SimulatedCluster.CLOUD)
-                    || mute.contains(from)
-                    || cutOff.contains(from) && !toCutNode
-                    || call.target().equals("/do") && deafAt.contains(to)) {
-                return Fate.LOST;
+        workers.stream().filter(w -> everyTenth(w, 0)).forEach(SimWorker::hang);
+        Set<String> unreachable = names(workers, 1);
+        Set<Address> unreachableAddresses =
+                unreachable.stream().map(SimWorker::address).collect(Collectors.toSet());
+        Set<String> silent = names(workers, 2);
+        Set<String> unreachableMachines = names(workers, 3);
+        String isolatedNode = cluster.follower();
+        isolate(isolatedNode);
+        cluster.net.injectFaults((from, to, call) -> {
+            boolean toIsolatedNode = to.equals(SimulatedCluster.address(isolatedNode));
+            if (to.equals(SimulatedCluster.CLOUD_ADDRESS)
+                    || silent.contains(from)
+                    || unreachableMachines.contains(from) && !toIsolatedNode
+                    || call.target().equals("/do") && unreachableAddresses.contains(to)) {
+                return Delivery.LOST;
             }
-            if (deaf.contains(from)) {
-                return Fate.ANSWER_LOST;
+            if (unreachable.contains(from)) {
+                return Delivery.ANSWER_LOST;
             }
-            return to.equals(SimulatedCluster.STATE) ? Fate.SLOW : Fate.DELIVERED;
+            return to.equals(SimulatedCluster.STATE_ADDRESS) ? Delivery.SLOW : Delivery.DELIVERED;
         });
-        List<String> serving = cluster.nodes(node -> !node.equals(first) && !node.equals(cutNode));
+        List<String> serving = cluster.runningNodes(node -> !node.equals(first) && !node.equals(isolatedNode));
         cluster.users.cancel(ids(0, MOST), serving);
         for (int i = 0; i < 3; i++) {
-            cluster.until(() -> cluster.leader() != null && !cluster.leader().equals(first), SimulatedCluster.LEASE_S);
-            cluster.loop.run(SimulatedCluster.REPORT_S);
+            cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(first), SimulatedCluster.LEASE_S);
+            cluster.loop.run(SimulatedCluster.HEARTBEAT_INTERVAL_S);
             cluster.crash(cluster.leader());
             cluster.loop.run(1);
-            serving.forEach(cluster::bootIfDead);
+            serving.forEach(cluster::startIfStopped);
         }
-        cluster.loop.run(SimulatedCluster.CANCEL_S);
-        assertEquals(0, cluster.users.waiting(), "cancellations that were not confirmed");
+        cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
+        assertEquals(0, cluster.users.unansweredCount(), "cancellations that were not confirmed");
         Set<String> cancelled = Set.copyOf(ids(0, MOST));
         assertTrue(cluster.running().keySet().stream().noneMatch(part -> cancelled.contains(part.split("/")[0])));
     }
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.spruceridge.net.Response;
-import org.spruceridge.sim.SimNet.Fate;
+import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimulatedCluster;
 
 /** What users see. */
@@ -49,7 +49,7 @@
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
         cluster.loop.run(90);
-        assertEquals(0, cluster.cloud.rented());
+        assertEquals(0, cluster.cloud.machineCount());
     }
 
     @Test
@@ -62,7 +62,7 @@
         small.loop.run(200);
         assertEquals(40, small.completed().size());
         assertEquals("done", small.poll("j-000007"));
-        assertTrue(small.recorded().isEmpty());
+        assertTrue(small.recordedBindings().isEmpty());
         assertTrue(small.state.keys("open/").isEmpty());
     }
 
@@ -73,7 +73,7 @@
         assertEquals(200, cluster.submit(job));
         runUntilDone("j-000001");
         for (String node : List.of("n0", "n1", "n2")) {
-            Response again = cluster.ask(node, "POST", "/api/jobs", job);
+            Response again = cluster.request(node, "POST", "/api/jobs", job);
             assertEquals(200, again.status());
             assertEquals("done", SimulatedCluster.stage(again));
         }
@@ -85,7 +85,7 @@
         cluster.submit(SimulatedCluster.job(1, 1));
         assertEquals(
                 200,
-                cluster.ask(
+                cluster.request(
                                 "n1",
                                 "POST",
                                 "/api/jobs",
@@ -93,7 +93,7 @@
                         .status());
         assertEquals(
                 200,
-                cluster.ask(
+                cluster.request(
                                 "n2",
                                 "POST",
                                 "/api/jobs",
@@ -104,10 +104,10 @@
     @Test
     void lostAnswerOfStateServiceIsResolvedBeforeUserResponse() {
         int[] lost = new int[1];
-        cluster.net.weather((from, to, call) ->
+        cluster.net.injectFaults((from, to, call) ->
                 call.target().equals("/txn") && new String(call.body()).contains("job/j-000001") && lost[0]++ == 0
-                        ? Fate.ANSWER_LOST
-                        : Fate.DELIVERED);
+                        ? Delivery.ANSWER_LOST
+                        : Delivery.DELIVERED);
         assertEquals(200, cluster.submit(SimulatedCluster.job(1, 1)));
         runUntilDone("j-000001");
     }
@@ -118,7 +118,7 @@
         for (String node : List.of("n0", "n1", "n2")) {
             assertEquals(
                     200,
-                    cluster.ask(node, "GET", "/api/jobs/j-000001", (JsonNode) null)
+                    cluster.request(node, "GET", "/api/jobs/j-000001", (JsonNode) null)
                             .status());
         }
     }
@@ -127,7 +127,7 @@
     void unknownJobsAreNeverInvented() {
         assertEquals("404", cluster.poll("j-999999"));
         assertEquals("404", cluster.poll("job-1"));
-        Response abort = cluster.ask("n0", "POST", "/api/jobs/j-999999/abort", (JsonNode) null);
+        Response abort = cluster.request("n0", "POST", "/api/jobs/j-999999/abort", (JsonNode) null);
         assertEquals(404, abort.status());
     }
 
@@ -135,15 +135,15 @@
     void terminalStagesOfJobsNeverChange() {
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
-        assertEquals(
-                "done", SimulatedCluster.stage(cluster.ask("n1", "POST", "/api/jobs/j-000001/abort", (JsonNode) null)));
+        assertEquals("done", SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000001/abort", (JsonNode)
+                null)));
         cluster.submit(SimulatedCluster.job(2, 1));
         assertEquals(
                 "cancelled",
-                SimulatedCluster.stage(cluster.ask("n1", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
+                SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
         assertEquals(
                 "cancelled",
-                SimulatedCluster.stage(cluster.ask("n2", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
+                SimulatedCluster.stage(cluster.request("n2", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
         assertEquals(200, cluster.submit(SimulatedCluster.job(2, 1)));
         cluster.loop.run(60);
         assertEquals("cancelled", cluster.poll("j-000002"));
@@ -183,14 +183,14 @@
     void malformedJobIsRejectedWithBadRequest(String field, String value) {
         String body = new String(org.spruceridge.net.Json.bytes(SimulatedCluster.job(5, 1)), StandardCharsets.UTF_8);
         String broken = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
-        Response r = cluster.ask("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
+        Response r = cluster.request("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
         assertEquals(400, r.status(), broken);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "7", "null", "{} {}", "{\"nameId\":\"j-1\",\"nameId\":\"j-1\"}"})
     void bodyThatIsNoObjectIsRejected(String body) {
-        Response r = cluster.ask("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
+        Response r = cluster.request("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
         assertEquals(400, r.status());
     }
 
@@ -209,12 +209,17 @@
 
     @Test
     void wrongPathsAndMethodsGetDistinctStatuses() {
-        assertEquals(404, cluster.ask("n0", "GET", "/nothing", (JsonNode) null).status());
         assertEquals(
-                405, cluster.ask("n0", "DELETE", "/api/jobs", (JsonNode) null).status());
-        assertEquals(405, cluster.ask("n0", "GET", "/hello", (JsonNode) null).status());
-        assertEquals(400, cluster.ask("n0", "POST", "/hello", (JsonNode) null).status());
-        assertEquals(200, cluster.ask("n0", "GET", "/healthz", (JsonNode) null).status());
+                404, cluster.request("n0", "GET", "/nothing", (JsonNode) null).status());
+        assertEquals(
+                405,
+                cluster.request("n0", "DELETE", "/api/jobs", (JsonNode) null).status());
+        assertEquals(
+                405, cluster.request("n0", "GET", "/hello", (JsonNode) null).status());
+        assertEquals(
+                400, cluster.request("n0", "POST", "/hello", (JsonNode) null).status());
+        assertEquals(
+                200, cluster.request("n0", "GET", "/healthz", (JsonNode) null).status());
     }
 
     @Test
@@ -244,14 +249,17 @@
 
     @Test
     void nodeThatAloneLosesStateServiceIsUnhealthy() {
-        cluster.net.weather(
-                (from, to, call) -> from.equals("n1") && to.host().startsWith("10.2.0.1") ? Fate.LOST : Fate.DELIVERED);
+        cluster.net.injectFaults((from, to, call) ->
+                from.equals("n1") && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(8);
-        assertEquals(503, cluster.ask("n1", "GET", "/healthz", (JsonNode) null).status());
-        assertEquals(200, cluster.ask("n2", "GET", "/healthz", (JsonNode) null).status());
-        cluster.net.clear();
+        assertEquals(
+                503, cluster.request("n1", "GET", "/healthz", (JsonNode) null).status());
+        assertEquals(
+                200, cluster.request("n2", "GET", "/healthz", (JsonNode) null).status());
+        cluster.net.clearFaults();
         cluster.state.outage(10);
         cluster.loop.run(6);
-        assertEquals(200, cluster.ask("n2", "GET", "/healthz", (JsonNode) null).status(), "an outage is common to all");
+        assertEquals(
+                200, cluster.request("n2", "GET", "/healthz", (JsonNode) null).status(), "an outage is common to all");
     }
 }
--- a/src/test/java/org/spruceridge/sim/NodeSettings.java
+++ b/src/test/java/org/spruceridge/sim/NodeSettings.java
@@ -9,14 +9,14 @@
     private final List<String> names;
     private final double teamCpus;
     private final int sockets;
-    private final boolean limitsWillFall;
+    private final boolean announcesLowerLimits;
 
     /** {@code names} are those of all nodes; {@code teamCpus} is what the one team may use. */
-    NodeSettings(List<String> names, double teamCpus, int sockets, boolean limitsWillFall) {
+    NodeSettings(List<String> names, double teamCpus, int sockets, boolean announcesLowerLimits) {
         this.names = names;
         this.teamCpus = teamCpus;
         this.sockets = sockets;
-        this.limitsWillFall = limitsWillFall;
+        this.announcesLowerLimits = announcesLowerLimits;
     }
 
     /** The settings of one node. */
@@ -33,21 +33,21 @@
             }
         }
         root.putObject("endpoints")
-                .put("state", SimulatedCluster.STATE.toString())
-                .put("cloud", SimulatedCluster.CLOUD.toString());
+                .put("state", SimulatedCluster.STATE_ADDRESS.toString())
+                .put("cloud", SimulatedCluster.CLOUD_ADDRESS.toString());
         ObjectNode facts = root.putObject("facts");
         facts.putArray("zones").add("z1").add("z2");
         facts.putArray("teams").addObject().put("name", "red").put("cpus", 8).put("cpus_max", teamCpus);
         facts.putObject("workers")
-                .put("report_s", SimulatedCluster.REPORT_S)
+                .put("report_s", SimulatedCluster.HEARTBEAT_INTERVAL_S)
                 .put("lease_s", SimulatedCluster.LEASE_S)
-                .put("cancel_s", SimulatedCluster.CANCEL_S);
+                .put("cancel_s", SimulatedCluster.CANCELLATION_DEADLINE_S);
         ObjectNode limits = facts.putObject("state")
                 .put("rps", SimulatedCluster.STATE_RPS)
                 .put("write_rps", SimulatedCluster.STATE_WRITE_RPS)
                 .put("value_kb", SimulatedCluster.VALUE_KB)
                 .put("txn_ops", 12);
-        if (limitsWillFall) {
+        if (announcesLowerLimits) {
             limits.putObject("next")
                     .put("write_rps", SimulatedCluster.NEXT_WRITE_RPS)
                     .put("value_kb", SimulatedCluster.NEXT_VALUE_KB)
--- a/src/test/java/org/spruceridge/sim/RateLimit.java
+++ b/src/test/java/org/spruceridge/sim/RateLimit.java
@@ -5,33 +5,33 @@
 
 /** A rate limit of the settings, with bursts of some seconds' worth: exceeding it fails the scenario. */
 final class RateLimit {
-    private final String what;
-    private final double perS;
+    private final String unit;
+    private final double perSecond;
     private final double burst;
     private final LongSupplier clock;
-    private double left;
-    private long at;
+    private double available;
+    private long updatedAt;
 
-    RateLimit(String what, double perS, double burstS, LongSupplier clock) {
-        this.what = what;
-        this.perS = perS;
+    RateLimit(String unit, double perSecond, double burstS, LongSupplier clock) {
+        this.unit = unit;
+        this.perSecond = perSecond;
         this.clock = clock;
-        this.burst = perS * burstS;
-        this.left = burst;
-        this.at = clock.getAsLong();
+        this.burst = perSecond * burstS;
+        this.available = burst;
+        this.updatedAt = clock.getAsLong();
     }
 
     /** True if so many may be taken now. */
     boolean allows(int count) {
-        return Math.min(burst, left + Durations.seconds(clock.getAsLong() - at) * perS) >= count;
+        return Math.min(burst, available + Durations.seconds(clock.getAsLong() - updatedAt) * perSecond) >= count;
     }
 
     void take(int count) {
         long now = clock.getAsLong();
-        left = Math.min(burst, left + Durations.seconds(now - at) * perS) - count;
-        at = now;
-        if (left < 0) {
-            throw new AssertionError("limit: more than " + perS + " " + what + " a second");
+        available = Math.min(burst, available + Durations.seconds(now - updatedAt) * perSecond) - count;
+        updatedAt = now;
+        if (available < 0) {
+            throw new AssertionError("limit: more than " + perSecond + " " + unit + " a second");
         }
     }
 }
--- a/src/test/java/org/spruceridge/sim/RuleChecker.java
+++ b/src/test/java/org/spruceridge/sim/RuleChecker.java
@@ -26,19 +26,19 @@
     private final Map<String, ObjectNode> submitted = new HashMap<>();
     private final Set<String> accepted = new HashSet<>();
     private final Map<String, Long> cancelled = new HashMap<>();
-    private final Set<String> asked = new HashSet<>();
-    private final Map<String, String> ends = new HashMap<>();
-    private final Map<String, Place> places = new TreeMap<>();
+    private final Set<String> cancelRequested = new HashSet<>();
+    private final Map<String, String> terminalStages = new HashMap<>();
+    private final Map<String, Place> placements = new TreeMap<>();
     private final Set<String> completed = new HashSet<>();
     /** How many tasks of each job are on machines, and in each zone as "job zone". */
-    private final Multiset<String> there = HashMultiset.create();
+    private final Multiset<String> runningCounts = HashMultiset.create();
 
-    private final Multiset<String> completedOf = HashMultiset.create();
+    private final Multiset<String> completedCounts = HashMultiset.create();
 
     /** A job may wait so long beside room that fits it, once troubles are over. */
     private static final double WAIT_S = 90;
 
-    private final Map<String, Long> besideRoom = new HashMap<>();
+    private final Map<String, Long> waitingSince = new HashMap<>();
 
     private record Place(String machine, String zone) {}
 
@@ -48,7 +48,7 @@
         this.cancelS = cancelS;
     }
 
-    private static void broken(String rule, String what) {
+    private static void violation(String rule, String what) {
         throw new AssertionError(rule + ": " + what);
     }
 
@@ -56,47 +56,47 @@
         return job.path("shape").asText().equals("standing");
     }
 
-    private static String jobOf(String part) {
-        return part.substring(0, part.indexOf('/'));
+    private static String jobOf(String taskId) {
+        return taskId.substring(0, taskId.indexOf('/'));
     }
 
-    void submits(ObjectNode job) {
+    void recordSubmission(ObjectNode job) {
         submitted.putIfAbsent(job.path("nameId").asText(), job);
     }
 
-    void asksToCancel(String id) {
-        asked.add(id);
+    void recordCancelRequest(String id) {
+        cancelRequested.add(id);
     }
 
     /** A user was answered about a job; {@code stage} is that of a 200 or 201. */
-    void answered(String id, int status, String stage) {
+    void recordAnswer(String id, int status, String stage) {
         boolean known = status == 200 || status == 201;
         if (known && !submitted.containsKey(id)) {
-            broken("invented", id);
+            violation("invented", id);
         }
         if (accepted.contains(id) && (status == 404 || status == 400 || status == 422)) {
-            broken("forgotten", id + " got " + status);
+            violation("forgotten", id + " got " + status);
         }
         if (!known) {
             return;
         }
         accepted.add(id);
-        String end = ends.get(id);
+        String end = terminalStages.get(id);
         if (end != null && !end.equals(stage)) {
-            broken("went_back", id + " was " + end + " and is " + stage);
+            violation("went_back", id + " was " + end + " and is " + stage);
         }
-        if (stage.equals("cancelled") && !asked.contains(id)) {
-            broken("went_back", id + " is cancelled, which nobody asked for");
+        if (stage.equals("cancelled") && !cancelRequested.contains(id)) {
+            violation("went_back", id + " is cancelled, which nobody asked for");
         }
         if (stage.equals("done") && isService(submitted.get(id))) {
-            broken("not_done", id + " is a service");
+            violation("not_done", id + " is a service");
         }
         if (stage.equals("done")
                 && tasksCompleted(id) < submitted.get(id).path("parts").asInt()) {
-            broken("not_done", id);
+            violation("not_done", id);
         }
         if (stage.equals("done") || stage.equals("cancelled")) {
-            ends.put(id, stage);
+            terminalStages.put(id, stage);
         }
         if (stage.equals("cancelled")) {
             cancelled.putIfAbsent(id, clock.getAsLong());
@@ -108,80 +108,80 @@
         return at == null ? 0 : Durations.seconds(clock.getAsLong() - at);
     }
 
-    void starts(String part, String machine, String zone, boolean spot) {
-        String id = jobOf(part);
+    void recordStart(String taskId, String machine, String zone, boolean spot) {
+        String id = jobOf(taskId);
         ObjectNode job = submitted.get(id);
-        if (places.containsKey(part)) {
-            broken("ran_twice", part + " on " + places.get(part).machine + " and " + machine);
+        if (placements.containsKey(taskId)) {
+            violation("ran_twice", taskId + " on " + placements.get(taskId).machine + " and " + machine);
         }
         if (sinceCancelledS(id) > IN_FLIGHT_S) {
-            broken("ran_cancelled", part + " started " + sinceCancelledS(id) + " s after its cancellation");
+            violation("ran_cancelled", taskId + " started " + sinceCancelledS(id) + " s after its cancellation");
         }
         if (spot && !job.path("windfall").asBoolean()
                 || job.hasNonNull("grove") && !job.path("grove").asText().equals(zone)) {
-            broken("wrong_place", part + " in " + zone);
+            violation("wrong_place", taskId + " in " + zone);
         }
-        places.put(part, new Place(machine, zone));
-        there.add(id);
-        there.add(inZone(id, zone));
-        long ofJob = tasksThere(id);
-        long here = there.count(inZone(id, zone));
-        if (job.path("samePlace").asBoolean() && here < ofJob) {
-            broken("wrong_place", part + " in " + zone + ", the others elsewhere");
+        placements.put(taskId, new Place(machine, zone));
+        runningCounts.add(id);
+        runningCounts.add(zoneKey(id, zone));
+        long running = runningTasks(id);
+        long runningInZone = runningCounts.count(zoneKey(id, zone));
+        if (job.path("samePlace").asBoolean() && runningInZone < running) {
+            violation("wrong_place", taskId + " in " + zone + ", the others elsewhere");
         }
         int parts = job.path("parts").asInt();
-        if (job.path("scatter").asBoolean() && here > (parts + 1) / 2) {
-            broken("wrong_place", part + " in " + zone + " with too many");
+        if (job.path("scatter").asBoolean() && runningInZone > (parts + 1) / 2) {
+            violation("wrong_place", taskId + " in " + zone + " with too many");
         }
-        double cpus = cpusThere();
+        double cpus = runningCpus();
         if (cpus > teamCpus) {
-            broken("quota", cpus + " CPUs");
+            violation("quota", cpus + " CPUs");
         }
     }
 
-    void leaves(String part, String machine) {
-        Place place = places.get(part);
+    void recordStop(String taskId, String machine) {
+        Place place = placements.get(taskId);
         if (place != null && place.machine.equals(machine)) {
-            places.remove(part);
-            there.remove(jobOf(part));
-            there.remove(inZone(jobOf(part), place.zone));
+            placements.remove(taskId);
+            runningCounts.remove(jobOf(taskId));
+            runningCounts.remove(zoneKey(jobOf(taskId), place.zone));
         }
     }
 
-    private static String inZone(String job, String zone) {
+    private static String zoneKey(String job, String zone) {
         return job + " " + zone;
     }
 
-    void completes(String part) {
-        if (completed.add(part)) {
-            completedOf.add(jobOf(part));
+    void recordCompletion(String taskId) {
+        if (completed.add(taskId)) {
+            completedCounts.add(jobOf(taskId));
         }
     }
 
     /** To be called again and again: cancelled tasks must be gone in time, whether anybody can reach them or not. */
-    void watch() {
-        for (var e : places.entrySet()) {
+    void checkDeadlines() {
+        for (var e : placements.entrySet()) {
             if (sinceCancelledS(jobOf(e.getKey())) > cancelS) {
-                broken("ran_cancelled", e.getKey() + " still on " + e.getValue().machine);
+                violation("ran_cancelled", e.getKey() + " still on " + e.getValue().machine);
             }
         }
     }
 
     /** To be called when all should be over: each accepted job was cancelled or is complete, and nothing runs. */
-    void over() {
+    void checkAllFinished() {
         for (String id : unfinished()) {
-            broken("left waiting", id + " has " + tasksCompleted(id) + " tasks complete");
+            violation("left waiting", id + " has " + tasksCompleted(id) + " tasks complete");
         }
         List<String> left = leftRunning();
         if (!left.isEmpty()) {
-            broken("left running", left.toString());
+            violation("left running", left.toString());
         }
     }
 
     /** Tasks on machines that should not be there in the end: those of services that were not cancelled should. */
     private List<String> leftRunning() {
-        return places.keySet().stream()
-                .filter(part -> cancelled.containsKey(jobOf(part)) || !isService(submitted.get(jobOf(part))))
+        return placements.keySet().stream()
+                .filter(taskId -> cancelled.containsKey(jobOf(taskId)) || !isService(submitted.get(jobOf(taskId))))
                 .toList();
     }
 
@@ -189,63 +189,63 @@
     private List<String> unfinished() {
         return accepted.stream()
                 .filter(id -> !cancelled.containsKey(id))
-                .filter(id -> (isService(submitted.get(id)) ? tasksThere(id) : tasksCompleted(id))
+                .filter(id -> (isService(submitted.get(id)) ? runningTasks(id) : tasksCompleted(id))
                         < submitted.get(id).path("parts").asInt())
                 .toList();
     }
 
     /** Accepted jobs, not cancelled, of which a task is neither complete nor on a machine. */
-    List<String> waiting() {
+    List<String> waitingJobs() {
         return unfinished().stream()
-                .filter(id -> tasksCompleted(id) + tasksThere(id)
+                .filter(id -> tasksCompleted(id) + runningTasks(id)
                         < submitted.get(id).path("parts").asInt())
                 .toList();
     }
 
     /** True if the team's limit leaves room for one more task of the job. */
     boolean limitAllows(String id) {
-        return cpusThere() + submitted.get(id).path("cpus").asDouble() <= teamCpus;
+        return runningCpus() + submitted.get(id).path("cpus").asDouble() <= teamCpus;
     }
 
     /** The CPUs that tasks take on a machine. */
     double cpusOn(String machine) {
-        return places.entrySet().stream()
+        return placements.entrySet().stream()
                 .filter(e -> e.getValue().machine.equals(machine))
                 .mapToDouble(e -> submitted.get(jobOf(e.getKey())).path("cpus").asDouble())
                 .sum();
     }
 
     /** To be told again and again, once troubles are over, of each job that waits: is there room that fits it? */
-    void waits(String id, boolean besideRoomNow) {
-        if (!besideRoomNow) {
-            besideRoom.remove(id);
+    void checkWaiting(String id, boolean hasCapacity) {
+        if (!hasCapacity) {
+            waitingSince.remove(id);
             return;
         }
-        long since = besideRoom.computeIfAbsent(id, i -> clock.getAsLong());
+        long since = waitingSince.computeIfAbsent(id, i -> clock.getAsLong());
         if (Durations.seconds(clock.getAsLong() - since) > WAIT_S) {
-            broken("waits beside room", id);
+            violation("waits beside room", id);
         }
     }
 
     /** The CPUs that all tasks on machines take. */
-    private double cpusThere() {
-        return there.entrySet().stream()
+    private double runningCpus() {
+        return runningCounts.entrySet().stream()
                 .filter(e -> submitted.containsKey(e.getElement()))
                 .mapToDouble(e -> e.getCount()
                         * submitted.get(e.getElement()).path("cpus").asDouble())
                 .sum();
     }
 
-    private long tasksThere(String id) {
-        return there.count(id);
+    private long runningTasks(String id) {
+        return runningCounts.count(id);
     }
 
-    boolean allOver() {
+    boolean areAllFinished() {
         return leftRunning().isEmpty() && unfinished().isEmpty();
     }
 
     private long tasksCompleted(String id) {
-        return completedOf.count(id);
+        return completedCounts.count(id);
     }
 
     Set<String> accepted() {
@@ -263,7 +263,7 @@
     /** Tasks on machines now, with their machine. */
     Map<String, String> running() {
         Map<String, String> out = new TreeMap<>();
-        places.forEach((part, place) -> out.put(part, place.machine));
+        placements.forEach((taskId, place) -> out.put(taskId, place.machine));
         return out;
     }
 }
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -18,169 +18,169 @@
     private double nowS;
     private final RuleChecker rules = new RuleChecker(() -> Durations.nanos(nowS), 16, 30);
 
-    private void accepted(ObjectNode job) {
-        rules.submits(job);
-        rules.answered(job.path("nameId").asText(), 201, "pending");
+    private void accept(ObjectNode job) {
+        rules.recordSubmission(job);
+        rules.recordAnswer(job.path("nameId").asText(), 201, "pending");
     }
 
-    private void cancelled(String id) {
-        rules.asksToCancel(id);
-        rules.answered(id, 200, "cancelled");
+    private void cancel(String id) {
+        rules.recordCancelRequest(id);
+        rules.recordAnswer(id, 200, "cancelled");
     }
 
-    private static void breaks(String rule, Runnable step) {
+    private static void assertViolates(String rule, Runnable step) {
         AssertionError e = assertThrows(AssertionError.class, step::run);
         assertEquals(rule, e.getMessage().split(":")[0], e.getMessage());
     }
 
     @Test
     void validHistoryViolatesNoRule() {
-        accepted(SimulatedCluster.job(1, 2));
-        rules.starts(TASK, "m1", "z1", true);
-        rules.starts("j-000001/1", "m2", "z2", false);
-        rules.leaves(TASK, "m1");
-        rules.starts(TASK, "m2", "z2", false);
-        rules.leaves(TASK, "m2");
-        rules.completes(TASK);
-        rules.leaves("j-000001/1", "m2");
-        rules.completes("j-000001/1");
-        rules.answered(JOB, 200, "done");
-        rules.answered(JOB, 503, "");
-        rules.answered(JOB, 200, "done");
-        accepted(SimulatedCluster.job(2, 1));
-        rules.starts("j-000002/0", "m1", "z1", true);
-        cancelled("j-000002");
+        accept(SimulatedCluster.job(1, 2));
+        rules.recordStart(TASK, "m1", "z1", true);
+        rules.recordStart("j-000001/1", "m2", "z2", false);
+        rules.recordStop(TASK, "m1");
+        rules.recordStart(TASK, "m2", "z2", false);
+        rules.recordStop(TASK, "m2");
+        rules.recordCompletion(TASK);
+        rules.recordStop("j-000001/1", "m2");
+        rules.recordCompletion("j-000001/1");
+        rules.recordAnswer(JOB, 200, "done");
+        rules.recordAnswer(JOB, 503, "");
+        rules.recordAnswer(JOB, 200, "done");
+        accept(SimulatedCluster.job(2, 1));
+        rules.recordStart("j-000002/0", "m1", "z1", true);
+        cancel("j-000002");
         nowS = 29;
-        rules.watch();
-        rules.leaves("j-000002/0", "m1");
+        rules.checkDeadlines();
+        rules.recordStop("j-000002/0", "m1");
         nowS = 99;
-        rules.watch();
-        rules.over();
+        rules.checkDeadlines();
+        rules.checkAllFinished();
     }
 
     @Test
     void taskOnTwoMachinesViolatesRanTwice() {
-        accepted(SimulatedCluster.job(1, 1));
-        rules.starts(TASK, "m1", "z1", true);
-        breaks("ran_twice", () -> rules.starts(TASK, "m2", "z1", true));
+        accept(SimulatedCluster.job(1, 1));
+        rules.recordStart(TASK, "m1", "z1", true);
+        assertViolates("ran_twice", () -> rules.recordStart(TASK, "m2", "z1", true));
     }
 
     @Test
     void cpusBeyondTeamLimitViolateQuota() {
-        accepted(SimulatedCluster.job(1, 5));
+        accept(SimulatedCluster.job(1, 5));
         for (int i = 0; i < 4; i++) {
-            rules.starts(JOB + "/" + i, "m" + i, "z1", true);
+            rules.recordStart(JOB + "/" + i, "m" + i, "z1", true);
         }
-        breaks("quota", () -> rules.starts(JOB + "/4", "m4", "z1", true));
+        assertViolates("quota", () -> rules.recordStart(JOB + "/4", "m4", "z1", true));
     }
 
     @Test
     void taskInForbiddenZoneOrKindViolatesWrongPlace() {
-        accepted(SimulatedCluster.job(1, 2).put("windfall", false));
-        breaks("wrong_place", () -> rules.starts(TASK, "m1", "z1", true));
-        accepted(SimulatedCluster.job(2, 2).put("grove", "z1"));
-        breaks("wrong_place", () -> rules.starts("j-000002/0", "m1", "z2", true));
-        accepted(SimulatedCluster.job(3, 2).put("samePlace", true));
-        rules.starts("j-000003/0", "m1", "z1", true);
-        breaks("wrong_place", () -> rules.starts("j-000003/1", "m2", "z2", true));
+        accept(SimulatedCluster.job(1, 2).put("windfall", false));
+        assertViolates("wrong_place", () -> rules.recordStart(TASK, "m1", "z1", true));
+        accept(SimulatedCluster.job(2, 2).put("grove", "z1"));
+        assertViolates("wrong_place", () -> rules.recordStart("j-000002/0", "m1", "z2", true));
+        accept(SimulatedCluster.job(3, 2).put("samePlace", true));
+        rules.recordStart("j-000003/0", "m1", "z1", true);
+        assertViolates("wrong_place", () -> rules.recordStart("j-000003/1", "m2", "z2", true));
     }
 
     @Test
     void tooManyTasksInOneZoneViolateWrongPlace() {
-        accepted(SimulatedCluster.job(1, 3).put("scatter", true));
-        rules.starts(JOB + "/0", "m1", "z1", true);
-        rules.starts(JOB + "/1", "m1", "z1", true);
-        breaks("wrong_place", () -> rules.starts(JOB + "/2", "m1", "z1", true));
+        accept(SimulatedCluster.job(1, 3).put("scatter", true));
+        rules.recordStart(JOB + "/0", "m1", "z1", true);
+        rules.recordStart(JOB + "/1", "m1", "z1", true);
+        assertViolates("wrong_place", () -> rules.recordStart(JOB + "/2", "m1", "z1", true));
     }
 
     @Test
     void cancelledTaskBeyondDeadlineViolatesRanCancelled() {
-        accepted(SimulatedCluster.job(1, 1));
-        rules.starts(TASK, "m1", "z1", true);
-        cancelled(JOB);
+        accept(SimulatedCluster.job(1, 1));
+        rules.recordStart(TASK, "m1", "z1", true);
+        cancel(JOB);
         nowS = 31;
-        breaks("ran_cancelled", rules::watch);
+        assertViolates("ran_cancelled", rules::checkDeadlines);
     }
 
     @Test
     void startAfterCancellationViolatesRanCancelled() {
-        accepted(SimulatedCluster.job(1, 1));
-        cancelled(JOB);
+        accept(SimulatedCluster.job(1, 1));
+        cancel(JOB);
         nowS = 5;
-        breaks("ran_cancelled", () -> rules.starts(TASK, "m1", "z1", true));
+        assertViolates("ran_cancelled", () -> rules.recordStart(TASK, "m1", "z1", true));
     }
 
     @Test
     void unknownAcceptedJobViolatesForgotten() {
-        accepted(SimulatedCluster.job(1, 1));
+        accept(SimulatedCluster.job(1, 1));
         for (int status : new int[] {404, 400, 422}) {
-            breaks("forgotten", () -> rules.answered(JOB, status, ""));
+            assertViolates("forgotten", () -> rules.recordAnswer(JOB, status, ""));
         }
     }
 
     @Test
     void unsubmittedJobViolatesInvented() {
-        breaks("invented", () -> rules.answered(JOB, 200, "pending"));
+        assertViolates("invented", () -> rules.recordAnswer(JOB, 200, "pending"));
     }
 
     @Test
     void doneBeforeAllTasksViolatesNotDone() {
-        accepted(SimulatedCluster.job(1, 2));
-        rules.completes(TASK);
-        breaks("not_done", () -> rules.answered(JOB, 200, "done"));
+        accept(SimulatedCluster.job(1, 2));
+        rules.recordCompletion(TASK);
+        assertViolates("not_done", () -> rules.recordAnswer(JOB, 200, "done"));
     }
 
     @Test
     void revokedOrUnrequestedEndViolatesWentBack() {
-        accepted(SimulatedCluster.job(1, 1));
-        breaks("went_back", () -> rules.answered(JOB, 200, "cancelled"));
-        rules.asksToCancel(JOB);
-        rules.answered(JOB, 200, "cancelled");
-        breaks("went_back", () -> rules.answered(JOB, 200, "running"));
+        accept(SimulatedCluster.job(1, 1));
+        assertViolates("went_back", () -> rules.recordAnswer(JOB, 200, "cancelled"));
+        rules.recordCancelRequest(JOB);
+        rules.recordAnswer(JOB, 200, "cancelled");
+        assertViolates("went_back", () -> rules.recordAnswer(JOB, 200, "running"));
     }
 
     @Test
     void jobWaitingBesideFreeCapacityIsReported() {
-        accepted(SimulatedCluster.job(1, 5));
-        assertEquals(List.of(JOB), rules.waiting());
+        accept(SimulatedCluster.job(1, 5));
+        assertEquals(List.of(JOB), rules.waitingJobs());
         for (int i = 0; i < 4; i++) {
-            rules.starts(JOB + "/" + i, "m" + i / 2, "z1", true);
+            rules.recordStart(JOB + "/" + i, "m" + i / 2, "z1", true);
         }
         assertEquals(8, rules.cpusOn("m1"));
         assertFalse(rules.limitAllows(JOB));
-        rules.leaves(JOB + "/0", "m0");
+        rules.recordStop(JOB + "/0", "m0");
         assertTrue(rules.limitAllows(JOB));
-        rules.waits(JOB, true);
+        rules.checkWaiting(JOB, true);
         nowS = 80;
-        rules.waits(JOB, false); // for a moment there was none
+        rules.checkWaiting(JOB, false); // for a moment there was none
         nowS = 85;
-        rules.waits(JOB, true);
+        rules.checkWaiting(JOB, true);
         nowS = 175;
-        rules.waits(JOB, true);
+        rules.checkWaiting(JOB, true);
         nowS = 176;
-        breaks("waits beside room", () -> rules.waits(JOB, true));
+        assertViolates("waits beside room", () -> rules.checkWaiting(JOB, true));
     }
 
     @Test
     void unfinishedJobOrLeftoverTaskIsReported() {
-        accepted(SimulatedCluster.job(1, 1));
-        breaks("left waiting", rules::over);
-        rules.starts(TASK, "m1", "z1", true);
-        rules.completes(TASK);
-        breaks("left running", rules::over);
+        accept(SimulatedCluster.job(1, 1));
+        assertViolates("left waiting", rules::checkAllFinished);
+        rules.recordStart(TASK, "m1", "z1", true);
+        rules.recordCompletion(TASK);
+        assertViolates("left running", rules::checkAllFinished);
     }
 
     /** Neither a leader's bindings nor a worker's word count: a task that hangs, or that nobody bound, is on its machine. */
     @Test
     void oneCancelledTaskAmongFourThousandMachinesIsDetected() {
         for (int i = 0; i < 4000; i++) {
-            accepted(SimulatedCluster.job(i, 1).put("cpus", 0.001));
-            rules.starts(String.format("j-%06d/0", i), "m" + i, "z1", true);
+            accept(SimulatedCluster.job(i, 1).put("cpus", 0.001));
+            rules.recordStart(String.format("j-%06d/0", i), "m" + i, "z1", true);
         }
-        cancelled("j-003999");
+        cancel("j-003999");
         nowS = 30;
-        rules.watch();
+        rules.checkDeadlines();
         nowS = 30.1;
-        breaks("ran_cancelled", rules::watch);
+        assertViolates("ran_cancelled", rules::checkDeadlines);
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -24,8 +24,8 @@
     private final Map<String, List<String>> claims = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
     private final RateLimit calls;
-    private int count;
-    private int deletions;
+    private int launched;
+    private int deletionRequests;
     private int capacity = Integer.MAX_VALUE;
     private SimWorker.Behaviour behaviour = SimWorker.Behaviour.COMPLETES;
 
@@ -37,23 +37,23 @@
     }
 
     /** What tasks do on all machines, those to come included. */
-    public void behaviour(SimWorker.Behaviour next) {
+    public void setBehaviour(SimWorker.Behaviour next) {
         behaviour = next;
-        workers().forEach(w -> w.behaviour(next));
+        workers().forEach(w -> w.setBehaviour(next));
     }
 
     /** The most machines that can be rented at one time. */
-    public void capacity(int machines) {
+    public void limitCapacity(int machines) {
         capacity = machines;
     }
 
     /** Requests to give machines back. */
-    public int deletions() {
-        return deletions;
+    public int deletionRequests() {
+        return deletionRequests;
     }
 
     /** Machines rented and not given back. */
-    public int rented() {
+    public int machineCount() {
         return hosts.size();
     }
 
@@ -65,12 +65,12 @@
     }
 
     /** The names of the machines that are up. */
-    public List<String> names() {
+    public List<String> machineNames() {
         return workers().stream().map(SimWorker::name).toList();
     }
 
     /** Ends a machine as if it had lost power; the list shows it later. */
-    public void die(SimWorker worker) {
+    public void crash(SimWorker worker) {
         worker.kill();
         Host host = hosts.get(worker.name());
         cluster.loop.after(Durations.nanos(30), () -> host.stage[0] = "failed");
@@ -84,11 +84,11 @@
             if (path.equals("/flavors")) {
                 answer.accept(ok(catalogue()));
             } else if (path.equals("/hosts/delete")) {
-                deletions++;
+                deletionRequests++;
                 Json.list(Json.object(call.body()), "hosts").forEach(n -> remove(n.asText()));
                 answer.accept(ok(Json.object()));
             } else if (call.method().equals("POST")) {
-                answer.accept(rent(Json.object(call.body())));
+                answer.accept(launch(Json.object(call.body())));
             } else {
                 answer.accept(ok(list()));
             }
@@ -104,7 +104,7 @@
         }
     }
 
-    private HttpAnswer rent(JsonNode body) throws BadMessageException {
+    private HttpAnswer launch(JsonNode body) throws BadMessageException {
         String claim = Json.text(body, "claim");
         if (!claims.containsKey(claim)) {
             int n = (int) Math.min(Json.whole(body, "howMany"), capacity - hosts.size());
@@ -113,7 +113,7 @@
             }
             List<String> names = new ArrayList<>();
             for (int i = 0; i < n; i++) {
-                names.add(boot(Json.text(body, "grove"), Json.flag(body, "windfall")));
+                names.add(launchMachine(Json.text(body, "grove"), Json.flag(body, "windfall")));
             }
             claims.put(claim, names);
         }
@@ -122,14 +122,14 @@
         return ok(Json.object().set("hosts", names));
     }
 
-    private String boot(String zone, boolean spot) {
-        String name = String.format("i-%06d", count++);
+    private String launchMachine(String zone, boolean spot) {
+        String name = String.format("i-%06d", launched++);
         Host host = new Host(zone, spot, cluster.loop.nanos(), new SimWorker[1], new String[] {"booting"});
         hosts.put(name, host);
-        cluster.loop.after(Durations.nanos(SimulatedCluster.BOOT_S), () -> {
+        cluster.loop.after(Durations.nanos(SimulatedCluster.MACHINE_BOOT_S), () -> {
             if (hosts.containsKey(name)) {
                 host.worker[0] = new SimWorker(cluster, name, zone, spot);
-                host.worker[0].behaviour(behaviour);
+                host.worker[0].setBehaviour(behaviour);
                 host.stage[0] = "running";
             }
         });
@@ -161,7 +161,7 @@
                 .put("fetchGbPerS", 1.0)
                 .put("rate", 1.0)
                 .put("lowPrice", 0.3)
-                .put("startupS", SimulatedCluster.BOOT_S);
+                .put("startupS", SimulatedCluster.MACHINE_BOOT_S);
         type.putArray("groves").add("z1").add("z2");
         return out;
     }
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -58,32 +58,32 @@
     /** This loop as one process has it: from its end on nothing of it runs, and while it stands still all waits. */
     public static final class Process implements Loop {
         private final SimLoop loop;
-        private boolean dead;
-        private long stillUntil = Long.MIN_VALUE;
+        private boolean stopped;
+        private long pausedUntil = Long.MIN_VALUE;
 
         Process(SimLoop loop) {
             this.loop = loop;
         }
 
         /** Lets the process stand still while its clocks run on; then all that was due meanwhile runs, in order. */
-        void standStill(double seconds) {
-            stillUntil = loop.nanos() + Durations.nanos(seconds);
+        void pause(double seconds) {
+            pausedUntil = loop.nanos() + Durations.nanos(seconds);
         }
 
         private void run(Runnable work) {
-            if (loop.nanos() < stillUntil) {
-                loop.after(stillUntil - loop.nanos(), () -> run(work));
-            } else if (!dead) {
+            if (loop.nanos() < pausedUntil) {
+                loop.after(pausedUntil - loop.nanos(), () -> run(work));
+            } else if (!stopped) {
                 work.run();
             }
         }
 
         void kill() {
-            dead = true;
+            stopped = true;
         }
 
-        boolean dead() {
-            return dead;
+        boolean isStopped() {
+            return stopped;
         }
 
         @Override
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -18,7 +18,7 @@
     private static final long LATENCY = Durations.millis(1);
 
     /** What becomes of a request. */
-    public enum Fate {
+    public enum Delivery {
         DELIVERED,
         /** It arrives a tenth of a second later than others. */
         SLOW,
@@ -29,18 +29,18 @@
         /** Its sender gives up; it arrives when held messages are let go. */
         HELD,
         /** It arrives, and a copy of it when held messages are let go. */
-        COPIED,
+        DUPLICATED,
         /** It arrives, and a copy of it some seconds to more than a lease later. */
-        COPIED_LATE,
+        DUPLICATED_LATE,
         /** Its sender hears nothing; it arrives 2 to 12 seconds later. */
-        LATE,
+        DELAYED,
         /** It is answered 503. */
         REFUSED
     }
 
     /** Decides over requests. */
-    public interface Weather {
-        Fate fate(String from, Address to, HttpCall call);
+    public interface FaultPolicy {
+        Delivery deliveryOf(String from, Address to, HttpCall call);
     }
 
     /** Takes requests at an address. */
@@ -51,45 +51,46 @@
     private final List<Runnable> held = new ArrayList<>();
     private final SplittableRandom random = new SplittableRandom(1);
     private final Map<String, Long> refusedUntil = new HashMap<>();
-    private Weather weather = (from, to, call) -> Fate.DELIVERED;
+    private FaultPolicy faultPolicy = (from, to, call) -> Delivery.DELIVERED;
 
     SimNet(SimLoop loop) {
         this.loop = loop;
     }
 
-    public void weather(Weather next) {
-        weather = next;
+    public void injectFaults(FaultPolicy next) {
+        faultPolicy = next;
     }
 
     /** The state service refuses this node alone for a while; its open watches wait. */
-    public void refuse(String node, double seconds) {
+    public void refuseStateRequests(String node, double seconds) {
         refusedUntil.put(node, loop.nanos() + Durations.nanos(seconds));
     }
 
-    private boolean refused(String from, Address to) {
-        return to.equals(SimulatedCluster.STATE) && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
+    private boolean isRefused(String from, Address to) {
+        return to.equals(SimulatedCluster.STATE_ADDRESS)
+                && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
     }
 
     /** No message is lost or held any more, and no node refused. */
-    public void clear() {
+    public void clearFaults() {
         refusedUntil.clear();
-        weather = (from, to, call) -> Fate.DELIVERED;
+        faultPolicy = (from, to, call) -> Delivery.DELIVERED;
     }
 
     /** Messages that are held now. */
-    public int held() {
+    public int heldCount() {
         return held.size();
     }
 
     /** Delivers all held messages, late. */
-    public void letGo() {
+    public void deliverHeld() {
         List<Runnable> late = List.copyOf(held);
         held.clear();
         late.forEach(Runnable::run);
     }
 
     /** Delivers the message that has been held longest, if there is one. */
-    public void letOneGo() {
+    public void deliverOldestHeld() {
         if (!held.isEmpty()) {
             held.remove(0).run();
         }
@@ -113,14 +114,14 @@
                     done.accept(HttpAnswer.silence());
                 }
             });
-            Fate fate = refused(from, to) ? Fate.REFUSED : weather.fate(from, to, call);
-            boolean heard = fate == Fate.DELIVERED
-                    || fate == Fate.SLOW
-                    || fate == Fate.COPIED
-                    || fate == Fate.COPIED_LATE
-                    || fate == Fate.REFUSED;
+            Delivery delivery = isRefused(from, to) ? Delivery.REFUSED : faultPolicy.deliveryOf(from, to, call);
+            boolean isAnswered = delivery == Delivery.DELIVERED
+                    || delivery == Delivery.SLOW
+                    || delivery == Delivery.DUPLICATED
+                    || delivery == Delivery.DUPLICATED_LATE
+                    || delivery == Delivery.REFUSED;
             Consumer<HttpAnswer> back = answer -> process.after(LATENCY, () -> {
-                if (!over[0] && heard) {
+                if (!over[0] && isAnswered) {
                     over[0] = true;
                     done.accept(answer);
                 }
@@ -131,22 +132,22 @@
                     server.accept(call, answer -> answer(from, to, call, answer, back));
                 }
             };
-            switch (fate) {
+            switch (delivery) {
                 case DELIVERED, ANSWER_LOST -> loop.after(LATENCY, arrive);
                 case SLOW -> loop.after(Durations.millis(100), arrive);
                 case HELD -> held.add(arrive);
-                case COPIED -> {
+                case DUPLICATED -> {
                     loop.after(LATENCY, arrive);
                     held.add(arrive);
                 }
-                case COPIED_LATE -> {
+                case DUPLICATED_LATE -> {
                     loop.after(LATENCY, arrive);
                     loop.after(Durations.nanos(random.nextDouble(2, 1.5 * SimulatedCluster.LEASE_S)), arrive);
                 }
-                case LATE -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrive);
+                case DELAYED -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrive);
                 case REFUSED -> back.accept(new HttpAnswer(503, new byte[0]));
                 case LOST -> {}
-                default -> throw new IllegalStateException("no such fate: " + fate);
+                default -> throw new IllegalStateException("no such fate: " + delivery);
             }
             return () -> over[0] = true;
         };
@@ -154,7 +155,7 @@
 
     /** The watch of a node that is refused waits, as in an outage. */
     private void answer(String from, Address to, HttpCall call, HttpAnswer answer, Consumer<HttpAnswer> back) {
-        if (call.target().startsWith("/follow") && refused(from, to)) {
+        if (call.target().startsWith("/follow") && isRefused(from, to)) {
             loop.after(Durations.millis(50), () -> answer(from, to, call, answer, back));
         } else {
             back.accept(answer);
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -19,12 +19,12 @@
 /** The state service, written from its published protocol. */
 public final class SimState implements SimNet.Server {
     private final SimLoop loop;
-    private int txnOps;
+    private int maxOps;
     private double valueKb = SimulatedCluster.VALUE_KB;
-    private int rejected;
+    private int rejectedTransactions;
     private int transactions;
-    private int largest;
-    private int mostChanges;
+    private int largestValue;
+    private int largestTransactionOps;
     private final int pageSize;
     private final TreeMap<String, Value> keys = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
@@ -35,13 +35,13 @@
     private long outageUntil;
     private final RateLimit requests;
     private RateLimit writes;
-    private boolean writesRefused;
+    private boolean refusesExcessWrites;
 
     private record Value(JsonNode json, long modRevision, long leaseId) {}
 
     private static final class Lease {
         private final long ttl;
-        private long until;
+        private long expiresAt;
 
         Lease(long ttl) {
             this.ttl = ttl;
@@ -51,50 +51,50 @@
     private record Watch(String prefix, long from, Consumer<HttpAnswer> answer, boolean[] over) {}
 
     /** Takes values of 4 KiB and so many changes a transaction; listings come in pages of {@code pageSize}. */
-    public SimState(SimLoop loop, int txnOps, int pageSize) {
+    public SimState(SimLoop loop, int maxOps, int pageSize) {
         this.loop = loop;
-        this.txnOps = txnOps;
+        this.maxOps = maxOps;
         this.pageSize = pageSize;
         this.requests = new RateLimit("requests", SimulatedCluster.STATE_RPS, 1, loop::nanos);
         this.writes = new RateLimit("writes", SimulatedCluster.STATE_WRITE_RPS, 1, loop::nanos);
-        expire();
+        expireLeases();
     }
 
     /** Refuses everything for a while; grants get their full time back after it. */
     public void outage(double seconds) {
         outageUntil = loop.nanos() + Durations.nanos(seconds);
-        loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.until = loop.nanos() + g.ttl));
+        loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.expiresAt = loop.nanos() + g.ttl));
     }
 
     /** Takes less from now on: larger values and transactions get 400, changes beyond the rate 429. */
     public void lowerLimits(double nextValueKb, int nextTxnOps, double writeRps) {
         valueKb = nextValueKb;
-        txnOps = nextTxnOps;
+        maxOps = nextTxnOps;
         writes = new RateLimit("writes", writeRps, 1, loop::nanos);
-        refuseChangesBeyondTheRate();
+        refuseWritesBeyondRate();
     }
 
     /** Answers 429 to changes beyond the rate, as the service does, where a scenario would otherwise fail. */
-    public void refuseChangesBeyondTheRate() {
-        writesRefused = true;
+    public void refuseWritesBeyondRate() {
+        refusesExcessWrites = true;
     }
 
     /** Transactions that were refused because they, or a value in them, were too large. */
-    public int rejected() {
-        return rejected;
+    public int rejectedTransactions() {
+        return rejectedTransactions;
     }
 
     /** The largest value that was written since this was last asked for, in bytes. */
-    public int largestValue() {
-        int was = largest;
-        largest = 0;
+    public int largestValueBytes() {
+        int was = largestValue;
+        largestValue = 0;
         return was;
     }
 
     /** The most changes of one transaction since this was last asked for. */
-    public int mostChanges() {
-        int was = mostChanges;
-        mostChanges = 0;
+    public int largestTransactionOps() {
+        int was = largestTransactionOps;
+        largestTransactionOps = 0;
         return was;
     }
 
@@ -119,51 +119,51 @@
         return Set.copyOf(keys.subMap(prefix, prefix + '\uffff').keySet());
     }
 
-    private boolean out() {
+    private boolean isOut() {
         return loop.nanos() < outageUntil;
     }
 
-    private void expire() {
-        if (!out()) {
+    private void expireLeases() {
+        if (!isOut()) {
             for (long id : List.copyOf(leases.keySet())) {
-                if (leases.get(id).until < loop.nanos()) {
-                    end(id);
+                if (leases.get(id).expiresAt < loop.nanos()) {
+                    endLease(id);
                 }
             }
         }
-        loop.after(Durations.millis(20), this::expire);
+        loop.after(Durations.millis(20), this::expireLeases);
     }
 
-    private void end(long leaseId) {
+    private void endLease(long leaseId) {
         leases.remove(leaseId);
         for (String key : List.copyOf(keys.keySet())) {
             if (keys.get(key).leaseId == leaseId) {
                 revision++;
-                drop(key);
+                delete(key);
             }
         }
-        wake();
+        notifyWatches();
     }
 
     @Override
     public void accept(HttpCall call, Consumer<HttpAnswer> answer) {
         requests.take(1);
-        if (out()) {
+        if (isOut()) {
             answer.accept(new HttpAnswer(503, new byte[0]));
             return;
         }
         String path = call.target().split("\\?")[0];
         try {
             if (path.equals("/follow")) {
-                follow(call.target(), answer);
+                openWatch(call.target(), answer);
             } else if (path.equals("/txn")) {
                 if (call.body().length > 64 << 10) {
                     throw new BadMessageException("too large");
                 }
-                answer.accept(txn(Json.object(call.body())));
+                answer.accept(applyTransaction(Json.object(call.body())));
             } else if (path.equals("/grants")) {
                 Lease lease = new Lease(Durations.millis(Json.number(Json.object(call.body()), "ttlMs")));
-                lease.until = loop.nanos() + lease.ttl;
+                lease.expiresAt = loop.nanos() + lease.ttl;
                 leases.put(++lastLease, lease);
                 answer.accept(ok(Json.object().put("permit", lastLease)));
             } else if (path.startsWith("/grants/")) {
@@ -180,14 +180,14 @@
 
     private HttpAnswer lease(HttpCall call, long id) {
         if (call.method().equals("DELETE")) {
-            end(id);
+            endLease(id);
             return ok(Json.object());
         }
         Lease lease = leases.get(id);
         if (lease == null) {
             return new HttpAnswer(404, "{}".getBytes());
         }
-        lease.until = loop.nanos() + lease.ttl;
+        lease.expiresAt = loop.nanos() + lease.ttl;
         return ok(Json.object());
     }
 
@@ -218,23 +218,23 @@
         return ok(out.put("truncated", more));
     }
 
-    private HttpAnswer txn(JsonNode body) throws BadMessageException {
+    private HttpAnswer applyTransaction(JsonNode body) throws BadMessageException {
         JsonNode ops = body.path("then");
-        if (writesRefused && !writes.allows(ops.size())) {
+        if (refusesExcessWrites && !writes.allows(ops.size())) {
             return new HttpAnswer(429, new byte[0]);
         }
         writes.take(ops.size());
-        mostChanges = Math.max(mostChanges, ops.size());
+        largestTransactionOps = Math.max(largestTransactionOps, ops.size());
         transactions++;
-        if (ops.size() > txnOps || body.path("guards").size() > 4 * txnOps) {
-            rejected++;
+        if (ops.size() > maxOps || body.path("guards").size() > 4 * maxOps) {
+            rejectedTransactions++;
             throw new BadMessageException("too many");
         }
         for (JsonNode op : ops) {
             int bytes = Json.bytes(Json.object().set("v", op.path("v"))).length;
-            largest = Math.max(largest, bytes);
+            largestValue = Math.max(largestValue, bytes);
             if (bytes > valueKb * 1024) {
-                rejected++;
+                rejectedTransactions++;
                 throw new BadMessageException("too large");
             }
         }
@@ -264,37 +264,37 @@
                 change.set("v", op.get("v"));
                 log.add(change);
             } else {
-                drop(op.get("drop").asText());
+                delete(op.get("drop").asText());
             }
         }
-        wake();
+        notifyWatches();
         return ok(Json.object().put("ring", revision));
     }
 
-    private void drop(String key) {
+    private void delete(String key) {
         if (keys.remove(key) != null) {
             log.add(Json.object().put("drop", key).put("stamp", revision));
         }
     }
 
-    private void follow(String target, Consumer<HttpAnswer> answer) {
+    private void openWatch(String target, Consumer<HttpAnswer> answer) {
         Watch watch = new Watch(
                 query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer, new boolean[1]);
         watches.add(watch);
-        loop.after(Durations.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> runOut(watch));
-        wake();
+        loop.after(Durations.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> timeOut(watch));
+        notifyWatches();
     }
 
     /** Open watches stay open in an outage. */
-    private void runOut(Watch watch) {
-        if (out()) {
-            loop.after(outageUntil - loop.nanos(), () -> runOut(watch));
+    private void timeOut(Watch watch) {
+        if (isOut()) {
+            loop.after(outageUntil - loop.nanos(), () -> timeOut(watch));
         } else {
             answer(watch, true);
         }
     }
 
-    private void wake() {
+    private void notifyWatches() {
         List.copyOf(watches).forEach(w -> answer(w, false));
     }
 
--- a/src/test/java/org/spruceridge/sim/SimUsers.java
+++ b/src/test/java/org/spruceridge/sim/SimUsers.java
@@ -13,13 +13,13 @@
  * but the answer that it needs, or after five seconds of silence.
  */
 public final class SimUsers {
-    private static final double PATIENCE_S = 5;
-    private static final double PAUSE_S = 1;
+    private static final double ANSWER_TIMEOUT_S = 5;
+    private static final double RETRY_DELAY_S = 1;
 
     private final SimLoop loop;
     private final RuleChecker rules;
     private final Consumer<Call> send;
-    private int waiting;
+    private int unanswered;
 
     /** One request to one node, and who takes its answer. */
     record Call(String node, Request request, Consumer<Response> answer) {}
@@ -31,17 +31,17 @@
     }
 
     /** Requests that have not had the answer that they need. */
-    public int waiting() {
-        return waiting;
+    public int unansweredCount() {
+        return unanswered;
     }
 
     /** Submits these jobs, spread over these nodes. */
     public void submit(List<ObjectNode> jobs, List<String> nodes) {
         for (int i = 0; i < jobs.size(); i++) {
             ObjectNode job = jobs.get(i);
-            rules.submits(job);
+            rules.recordSubmission(job);
             Request request = new Request("POST", "/api/jobs", Json.bytes(job));
-            new User(job.path("nameId").asText(), request, nodes).ask(i);
+            new User(job.path("nameId").asText(), request, nodes).sendRequest(i);
         }
     }
 
@@ -49,8 +49,8 @@
     public void cancel(List<String> ids, List<String> nodes) {
         for (int i = 0; i < ids.size(); i++) {
             String id = ids.get(i);
-            rules.asksToCancel(id);
-            new User(id, new Request("POST", "/api/jobs/" + id + "/abort", new byte[0]), nodes).ask(i);
+            rules.recordCancelRequest(id);
+            new User(id, new Request("POST", "/api/jobs/" + id + "/abort", new byte[0]), nodes).sendRequest(i);
         }
     }
 
@@ -64,32 +64,32 @@
             this.job = job;
             this.request = request;
             this.nodes = nodes;
-            waiting++;
+            unanswered++;
         }
 
-        void ask(int turn) {
+        void sendRequest(int turn) {
             boolean[] over = new boolean[1];
-            loop.after(Durations.nanos(PATIENCE_S), () -> {
+            loop.after(Durations.nanos(ANSWER_TIMEOUT_S), () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    ask(turn + 1);
+                    sendRequest(turn + 1);
                 }
             });
             send.accept(new Call(nodes.get(turn % nodes.size()), request, response -> {
                 if (!over[0]) {
                     over[0] = true;
-                    answered(response, turn);
+                    onAnswer(response, turn);
                 }
             }));
         }
 
-        private void answered(Response response, int turn) {
-            boolean taken = response.status() == 200 || response.status() == 201;
-            rules.answered(job, response.status(), taken ? SimulatedCluster.stage(response) : "");
-            if (taken) {
-                waiting--;
+        private void onAnswer(Response response, int turn) {
+            boolean accepted = response.status() == 200 || response.status() == 201;
+            rules.recordAnswer(job, response.status(), accepted ? SimulatedCluster.stage(response) : "");
+            if (accepted) {
+                unanswered--;
             } else {
-                loop.after(Durations.nanos(PAUSE_S), () -> ask(turn + 1));
+                loop.after(Durations.nanos(RETRY_DELAY_S), () -> sendRequest(turn + 1));
             }
         }
     }
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -30,13 +30,13 @@
     private long incarnation = 1;
     private long sequence;
     private long fencingToken;
-    private long leaseFrom;
+    private long leaseStart;
     private long lastSent = Long.MIN_VALUE / 2;
-    private long tokenReportedAt = Long.MIN_VALUE / 2;
-    private boolean waiting;
-    private boolean frozen;
-    private final List<Runnable> held = new ArrayList<>();
-    private Double noticeS;
+    private long tokenAnnouncedAt = Long.MIN_VALUE / 2;
+    private boolean isAwaitingAnswer;
+    private boolean isHung;
+    private final List<Runnable> deferred = new ArrayList<>();
+    private Double interruptionNoticeS;
 
     /** What a started task does. */
     public enum Behaviour {
@@ -47,13 +47,13 @@
     }
 
     private static final class Task {
-        private final String part;
+        private final String id;
         private final long attempt;
         private String stage = "running";
         private String cause;
 
-        Task(String part, long attempt) {
-            this.part = part;
+        Task(String id, long attempt) {
+            this.id = id;
             this.attempt = attempt;
         }
     }
@@ -68,8 +68,8 @@
         this.zone = zone;
         this.spot = spot;
         this.nodes = cluster.nodeNames();
-        this.leaseFrom = cluster.loop.nanos();
-        cluster.net.serve(address(name), this::direct);
+        this.leaseStart = cluster.loop.nanos();
+        cluster.net.serve(address(name), this::acceptCommands);
         heartbeat();
         checkLease();
     }
@@ -78,7 +78,7 @@
         return name;
     }
 
-    public void behaviour(Behaviour next) {
+    public void setBehaviour(Behaviour next) {
         behaviour = next;
     }
 
@@ -90,42 +90,45 @@
     }
 
     /** Tells the controllers that the cloud will take the machine away. */
-    public void notice(double seconds) {
-        noticeS = seconds;
+    public void announceInterruption(double seconds) {
+        interruptionNoticeS = seconds;
     }
 
     /**
-     * Lets the machine hang, or go on with the commands that came meanwhile. It can go on with its tasks only within its
-     * lease, so they count as gone from the lease's end.
+     * Lets the machine hang: commands and answers that come meanwhile wait until {@link #resume}. It can go on with its
+     * tasks only within its lease, so they count as stopped from the lease's end.
      */
-    public void frozen(boolean value) {
-        frozen = value;
-        if (!frozen) {
-            List<Runnable> late = List.copyOf(held);
-            held.clear();
-            late.forEach(Runnable::run);
-        }
+    public void hang() {
+        isHung = true;
+    }
+
+    /** Ends {@link #hang}: the machine carries out what came meanwhile. */
+    public void resume() {
+        isHung = false;
+        List<Runnable> late = List.copyOf(deferred);
+        deferred.clear();
+        late.forEach(Runnable::run);
     }
 
     /** The machine is off and on again at once: its tasks are gone, and so is all that its worker knew. */
     public void restart() {
-        tasks.values().forEach(t -> cluster.ended(t.part, name));
+        tasks.values().forEach(t -> cluster.taskEnded(t.id, name));
         tasks.clear();
         incarnation++;
         fencingToken = 0;
-        leaseFrom = cluster.loop.nanos();
+        leaseStart = cluster.loop.nanos();
     }
 
     /** Lets a task run here that no leader has bound to this machine. */
-    public void startUnasked(String part, long attempt) {
-        start(new Task(part, attempt), part + "#" + attempt);
+    public void startUnboundTask(String id, long attempt) {
+        startTask(new Task(id, attempt), id + "#" + attempt);
     }
 
     /** Replicas of services on the machine come to their end by themselves. */
     public void endReplicas(String cause) {
         for (Task task : List.copyOf(tasks.values())) {
-            if (cluster.standing(task.part) && !task.stage.equals("ended")) {
-                end(task, cause);
+            if (cluster.isReplica(task.id) && !task.stage.equals("ended")) {
+                endTask(task, cause);
             }
         }
     }
@@ -134,7 +137,7 @@
     public List<String> running() {
         return tasks.values().stream()
                 .filter(t -> !t.stage.equals("ended"))
-                .map(t -> t.part)
+                .map(t -> t.id)
                 .toList();
     }
 
@@ -143,9 +146,9 @@
         return new Address("10.1.0." + name, 9000);
     }
 
-    private void direct(HttpCall call, Consumer<HttpAnswer> answer) {
-        if (frozen) {
-            held.add(() -> direct(call, answer));
+    private void acceptCommands(HttpCall call, Consumer<HttpAnswer> answer) {
+        if (isHung) {
+            deferred.add(() -> acceptCommands(call, answer));
             return;
         }
         try {
@@ -167,54 +170,54 @@
     void kill() {
         process.kill();
         cluster.net.remove(address(name));
-        tasks.values().forEach(t -> cluster.ended(t.part, name));
+        tasks.values().forEach(t -> cluster.taskEnded(t.id, name));
         tasks.clear();
     }
 
     private void checkLease() {
-        if (cluster.loop.nanos() - leaseFrom > Durations.nanos(SimulatedCluster.LEASE_S)) {
+        if (cluster.loop.nanos() - leaseStart > Durations.nanos(SimulatedCluster.LEASE_S)) {
             incarnation++;
-            leaseFrom = cluster.loop.nanos();
-            tasks.values().forEach(t -> cluster.ended(t.part, name));
+            leaseStart = cluster.loop.nanos();
+            tasks.values().forEach(t -> cluster.taskEnded(t.id, name));
             tasks.clear();
         }
         process.after(Durations.millis(50), this::checkLease);
     }
 
     private void heartbeat() {
-        process.after(Durations.nanos(SimulatedCluster.REPORT_S), this::heartbeat);
-        if (!frozen) {
+        process.after(Durations.nanos(SimulatedCluster.HEARTBEAT_INTERVAL_S), this::heartbeat);
+        if (!isHung) {
             send();
         }
     }
 
     /** A higher token is worth a report of its own once in half a lease, as the protocol has it. */
-    private void tokenChanged() {
+    private void announceToken() {
         long now = cluster.loop.nanos();
-        if (now - tokenReportedAt >= Durations.nanos(SimulatedCluster.LEASE_S / 2)) {
-            tokenReportedAt = now;
-            soon();
+        if (now - tokenAnnouncedAt >= Durations.nanos(SimulatedCluster.LEASE_S / 2)) {
+            tokenAnnouncedAt = now;
+            sendSoon();
         }
     }
 
-    private void soon() {
+    private void sendSoon() {
         long wait = lastSent + Durations.millis(500) - cluster.loop.nanos();
         process.after(Math.max(0, wait), this::send);
     }
 
     private void send() {
-        if (waiting || frozen) {
+        if (isAwaitingAnswer || isHung) {
             return;
         }
-        waiting = true;
+        isAwaitingAnswer = true;
         sequence++;
         long sentAt = cluster.loop.nanos();
         lastSent = sentAt;
-        long sentIn = incarnation;
+        long sentIncarnation = incarnation;
         Address to = SimulatedCluster.address(nodes.get(node));
         http.call(to, HttpCall.post("/hello", Json.bytes(body())), Durations.nanos(4), answer -> {
-            waiting = false;
-            answered(answer, sentAt, sentIn);
+            isAwaitingAnswer = false;
+            onAnswer(answer, sentAt, sentIncarnation);
         });
     }
 
@@ -228,11 +231,11 @@
                 .put("watch", incarnation)
                 .put("tally", sequence)
                 .put("warrant", fencingToken)
-                .put("warningS", noticeS);
+                .put("warningS", interruptionNoticeS);
         ArrayNode parts = out.putArray("parts");
         for (Task t : tasks.values()) {
             parts.addObject()
-                    .put("part", t.part)
+                    .put("part", t.id)
                     .put("try", t.attempt)
                     .put("stage", t.stage)
                     .put("cause", t.cause);
@@ -240,27 +243,27 @@
         return out;
     }
 
-    private void answered(HttpAnswer answer, long sentAt, long sentIn) {
-        if (frozen) {
-            held.add(() -> answered(HttpAnswer.silence(), sentAt, sentIn)); // by then it is too old
+    private void onAnswer(HttpAnswer answer, long sentAt, long sentIncarnation) {
+        if (isHung) {
+            deferred.add(() -> onAnswer(HttpAnswer.silence(), sentAt, sentIncarnation)); // by then it is too old
             return;
         }
         if (answer.status() != 200) {
-            node = next(answer);
+            node = nextNode(answer);
             process.after(Durations.millis(answer.status() == 421 ? 100 : 1000), this::send);
             return;
         }
         try {
             JsonNode body = Json.object(answer.body());
-            long given = Json.whole(body, "warrant");
-            if (given < fencingToken || sentIn != incarnation) {
+            long received = Json.whole(body, "warrant");
+            if (received < fencingToken || sentIncarnation != incarnation) {
                 return;
             }
-            if (given > fencingToken) {
-                fencingToken = given;
-                tokenChanged();
+            if (received > fencingToken) {
+                fencingToken = received;
+                announceToken();
             }
-            leaseFrom = sentAt;
+            leaseStart = sentAt;
             for (JsonNode command : Json.list(body, "orders")) {
                 execute(command);
             }
@@ -269,7 +272,7 @@
         }
     }
 
-    private int next(HttpAnswer answer) {
+    private int nextNode(HttpAnswer answer) {
         if (answer.status() == 421) {
             try {
                 JsonNode steward = Json.object(answer.body()).path("steward");
@@ -284,19 +287,19 @@
     }
 
     private void execute(JsonNode command) throws BadMessageException {
-        String part = Json.text(command, "part");
+        String id = Json.text(command, "part");
         long attempt = Json.whole(command, "try");
-        String key = part + "#" + attempt;
+        String key = id + "#" + attempt;
         Task task = tasks.get(key);
         switch (Json.text(command, "verb")) {
             case "start" -> {
                 if (task == null) {
-                    start(new Task(part, attempt), key);
+                    startTask(new Task(id, attempt), key);
                 }
             }
             case "halt" -> {
                 if (task != null && !task.stage.equals("ended")) {
-                    end(task, "stopped");
+                    endTask(task, "stopped");
                 }
             }
             case "forget" -> {
@@ -308,31 +311,31 @@
         }
     }
 
-    private void start(Task task, String key) {
+    private void startTask(Task task, String key) {
         tasks.put(key, task);
-        cluster.started(task.part, this, zone, spot);
-        soon();
-        boolean ends = !cluster.standing(task.part) || behaviour != Behaviour.COMPLETES;
+        cluster.taskStarted(task.id, this, zone, spot);
+        sendSoon();
+        boolean ends = !cluster.isReplica(task.id) || behaviour != Behaviour.COMPLETES;
         if (ends) {
-            process.after(Durations.nanos(cluster.runS(task.part)), () -> complete(task, key));
+            process.after(Durations.nanos(cluster.durationS(task.id)), () -> complete(task, key));
         }
     }
 
     private void complete(Task task, String key) {
-        if (frozen) {
-            held.add(() -> complete(task, key));
+        if (isHung) {
+            deferred.add(() -> complete(task, key));
         } else if (tasks.get(key) == task && !task.stage.equals("ended")) {
-            end(task, behaviour == Behaviour.FAILS ? "error" : "done");
+            endTask(task, behaviour == Behaviour.FAILS ? "error" : "done");
         }
     }
 
-    private void end(Task task, String cause) {
+    private void endTask(Task task, String cause) {
         task.stage = "ended";
         task.cause = cause;
-        cluster.ended(task.part, name);
-        if (cause.equals("done") && !cluster.standing(task.part)) {
-            cluster.completed(task.part);
+        cluster.taskEnded(task.id, name);
+        if (cause.equals("done") && !cluster.isReplica(task.id)) {
+            cluster.taskCompleted(task.id);
         }
-        soon();
+        sendSoon();
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -28,10 +28,10 @@
  * book by {@link RuleChecker}, which fails the scenario at the moment at which one breaks.
  */
 public final class SimulatedCluster {
-    public static final double REPORT_S = 2;
+    public static final double HEARTBEAT_INTERVAL_S = 2;
     public static final double LEASE_S = 14;
-    public static final double CANCEL_S = 30;
-    public static final double BOOT_S = 5;
+    public static final double CANCELLATION_DEADLINE_S = 30;
+    public static final double MACHINE_BOOT_S = 5;
     public static final double TEAM_CPUS = 16;
     static final int VALUE_KB = 4;
     static final double NEXT_VALUE_KB = 2;
@@ -41,8 +41,8 @@
     static final double STATE_WRITE_RPS = 100;
     static final double CLOUD_RPS = 10;
 
-    public static final Address STATE = new Address("10.2.0.1", 1);
-    public static final Address CLOUD = new Address("10.2.0.2", 1);
+    public static final Address STATE_ADDRESS = new Address("10.2.0.1", 1);
+    public static final Address CLOUD_ADDRESS = new Address("10.2.0.2", 1);
 
     public final SimLoop loop = new SimLoop();
     public final SimNet net = new SimNet(loop);
@@ -53,17 +53,17 @@
     public final SimUsers users;
     private final RuleChecker rules;
     private final List<String> starts = new ArrayList<>();
-    private final Set<String> ready = new HashSet<>();
-    private final Set<String> cutPeers = new HashSet<>();
-    private int lives;
+    private final Set<String> readyNodes = new HashSet<>();
+    private final Set<String> isolatedNodes = new HashSet<>();
+    private int incarnations;
 
-    private final Set<String> onProduction = new HashSet<>();
+    private final Set<String> productionNodes = new HashSet<>();
     private final NodeSettings settings;
 
     private record Running(SimNode node, SimLoop.Process process, Link link) {}
 
     /** The limits of the state service; whether the settings say that they will fall. */
-    private record Limits(int txnOps, int pageSize, boolean willFall) {}
+    private record Limits(int txnOps, int pageSize, boolean announcesLowerLimits) {}
 
     /** What the one team may use, and the sockets of a node. */
     private record Size(double teamCpus, int sockets) {}
@@ -94,31 +94,31 @@
         Size size = new Size(machines * SimCloud.CPUS, 2 * machines);
         SimulatedCluster cluster = new SimulatedCluster(nodeCount, new Limits(12, 1000, false), size, false);
         // Users come at once to all nodes, and the nodes' bursts together are more than the service's.
-        cluster.state.refuseChangesBeyondTheRate();
+        cluster.state.refuseWritesBeyondRate();
         return cluster;
     }
 
     private SimulatedCluster(int nodeCount, Limits limits, Size size, boolean production) {
-        this.settings = new NodeSettings(names, size.teamCpus, size.sockets, limits.willFall);
-        this.rules = new RuleChecker(loop::nanos, size.teamCpus, CANCEL_S);
+        this.settings = new NodeSettings(names, size.teamCpus, size.sockets, limits.announcesLowerLimits);
+        this.rules = new RuleChecker(loop::nanos, size.teamCpus, CANCELLATION_DEADLINE_S);
         this.users = new SimUsers(loop, rules, this::send);
         this.state = new SimState(loop, limits.txnOps, limits.pageSize);
         this.cloud = new SimCloud(this);
-        net.serve(STATE, state);
-        net.serve(CLOUD, cloud);
+        net.serve(STATE_ADDRESS, state);
+        net.serve(CLOUD_ADDRESS, cloud);
         for (int i = 0; i < nodeCount; i++) {
             names.add("n" + i);
         }
         if (production) {
-            onProduction.addAll(names);
+            productionNodes.addAll(names);
         }
-        names.forEach(this::boot);
-        watchRules();
+        names.forEach(this::startNode);
+        checkRulesPeriodically();
     }
 
-    private void watchRules() {
-        rules.watch();
-        loop.after(Durations.millis(100), this::watchRules);
+    private void checkRulesPeriodically() {
+        rules.checkDeadlines();
+        loop.after(Durations.millis(100), this::checkRulesPeriodically);
     }
 
     List<String> nodeNames() {
@@ -131,28 +131,28 @@
     }
 
     /** Starts a node, or starts it again after its end. */
-    public void boot(String name) {
+    public void startNode(String name) {
         SimLoop.Process process = new SimLoop.Process(loop);
         Link link = new Link(name);
         SimNode.Parts parts = new SimNode.Parts(
-                process, net.client(name, process), link, new SplittableRandom(++lives), settings.of(name));
-        SimNode node = onProduction.contains(name) ? ProductionVersion.node(parts) : SimNode.current(parts);
+                process, net.client(name, process), link, new SplittableRandom(++incarnations), settings.of(name));
+        SimNode node = productionNodes.contains(name) ? ProductionVersion.node(parts) : SimNode.current(parts);
         nodes.put(name, new Running(node, process, link));
         net.serve(
                 address(name),
                 (call, answer) -> process.after(
                         0,
                         () -> node.handle(new Request(call.method(), call.target(), call.body()), response -> {
-                            if (!process.dead()) {
+                            if (!process.isStopped()) {
                                 answer.accept(new HttpAnswer(response.status(), response.body()));
                             }
                         })));
-        process.after(0, () -> node.start(() -> ready.add(name)));
+        process.after(0, () -> node.start(() -> readyNodes.add(name)));
     }
 
     /** Ends a node as a kill without a signal does. */
     public void crash(String name) {
-        ready.remove(name);
+        readyNodes.remove(name);
         nodes.get(name).process.kill();
         net.remove(address(name));
     }
@@ -160,20 +160,20 @@
     /** Ends a node and starts it again with the new version after a while, as its turn in an upgrade. */
     public void upgrade(String name, double backAfterS) {
         crash(name);
-        onProduction.remove(name);
-        loop.after(Durations.nanos(backAfterS), () -> bootIfDead(name));
+        productionNodes.remove(name);
+        loop.after(Durations.nanos(backAfterS), () -> startIfStopped(name));
     }
 
     /** Ends a node and starts it again with the version in production. */
     public void downgrade(String name, double backAfterS) {
         crash(name);
-        onProduction.add(name);
-        loop.after(Durations.nanos(backAfterS), () -> bootIfDead(name));
+        productionNodes.add(name);
+        loop.after(Durations.nanos(backAfterS), () -> startIfStopped(name));
     }
 
     /** True if the node runs the version in production. */
-    public boolean onProduction(String name) {
-        return onProduction.contains(name);
+    public boolean runsProductionVersion(String name) {
+        return productionNodes.contains(name);
     }
 
     /** The state service takes less from now on, without notice. */
@@ -182,24 +182,24 @@
     }
 
     /** Lets a node stand still while its clocks run on. */
-    public void standStill(String name, double seconds) {
-        nodes.get(name).process.standStill(seconds);
+    public void pause(String name, double seconds) {
+        nodes.get(name).process.pause(seconds);
     }
 
     /** Cuts a node off from the other nodes, in both directions. */
-    public void cutPeers(String name) {
-        cutPeers.add(name);
+    public void isolateFromPeers(String name) {
+        isolatedNodes.add(name);
     }
 
     /** The other nodes reach it again, and it them. */
-    public void mendPeers(String name) {
-        cutPeers.remove(name);
+    public void reconnectToPeers(String name) {
+        isolatedNodes.remove(name);
     }
 
     /** The name of the node that leads, or null. */
     public String leader() {
         for (var e : nodes.entrySet()) {
-            if (!e.getValue().process.dead() && e.getValue().node.leads()) {
+            if (!e.getValue().process.isStopped() && e.getValue().node.leads()) {
                 return e.getKey();
             }
         }
@@ -207,38 +207,38 @@
     }
 
     /** True once the node has found out since its start where workers belong. */
-    public boolean ready(String name) {
-        return ready.contains(name);
+    public boolean isReady(String name) {
+        return readyNodes.contains(name);
     }
 
     /** A node that runs and does not lead. */
     public String follower() {
         return names.stream()
-                .filter(n -> !nodes.get(n).process.dead() && !n.equals(leader()))
+                .filter(n -> !nodes.get(n).process.isStopped() && !n.equals(leader()))
                 .findFirst()
                 .orElseThrow();
     }
 
     /** Sends a request to a node and lets time pass until it is answered; null after five seconds. */
-    public Response ask(String node, String method, String path, JsonNode body) {
-        return ask(node, method, path, body == null ? new byte[0] : Json.bytes(body));
+    public Response request(String node, String method, String path, JsonNode body) {
+        return request(node, method, path, body == null ? new byte[0] : Json.bytes(body));
     }
 
-    public Response ask(String node, String method, String path, byte[] body) {
-        Response[] got = new Response[1];
+    public Response request(String node, String method, String path, byte[] body) {
+        Response[] responses = new Response[1];
         String[] steps = path.split("/");
         String id = steps.length > 3 ? steps[3] : "";
         if (path.endsWith("/abort")) {
-            rules.asksToCancel(id);
+            rules.recordCancelRequest(id);
         }
-        nodes.get(node).node.handle(new Request(method, path, body), r -> got[0] = r);
-        for (int i = 0; i < 500 && got[0] == null; i++) {
+        nodes.get(node).node.handle(new Request(method, path, body), r -> responses[0] = r);
+        for (int i = 0; i < 500 && responses[0] == null; i++) {
             loop.run(0.01);
         }
-        if (got[0] != null && path.startsWith("/api/jobs/")) {
-            rules.answered(id, got[0].status(), got[0].status() == 200 ? stage(got[0]) : "");
+        if (responses[0] != null && path.startsWith("/api/jobs/")) {
+            rules.recordAnswer(id, responses[0].status(), responses[0].status() == 200 ? stage(responses[0]) : "");
         }
-        return got[0];
+        return responses[0];
     }
 
     private void send(SimUsers.Call call) {
@@ -246,19 +246,19 @@
     }
 
     /** The nodes that run, in the order of their names. */
-    public List<String> nodes(Predicate<String> which) {
+    public List<String> runningNodes(Predicate<String> which) {
         return names.stream()
-                .filter(name -> !nodes.get(name).process.dead() && which.test(name))
+                .filter(name -> !nodes.get(name).process.isStopped() && which.test(name))
                 .toList();
     }
 
     /** What a node tells operators. */
     public JsonNode metrics(String node) {
-        return json(ask(node, "GET", "/metrics", (JsonNode) null));
+        return json(request(node, "GET", "/metrics", (JsonNode) null));
     }
 
     /** Lets time pass until something holds. */
-    public void until(BooleanSupplier condition, double seconds) {
+    public void await(BooleanSupplier condition, double seconds) {
         for (int i = 0; i < seconds * 20 && !condition.getAsBoolean(); i++) {
             loop.run(0.05);
         }
@@ -267,19 +267,24 @@
         }
     }
 
+    /** Lets time pass until a node leads. */
+    public void awaitLeader(double seconds) {
+        await(() -> leader() != null, seconds);
+    }
+
     /** Ends the leader, if there is one, and starts it again after a while. */
     public void crashLeader(double backAfterS) {
         String name = leader();
         if (name != null) {
             crash(name);
-            loop.after(Durations.nanos(backAfterS), () -> bootIfDead(name));
+            loop.after(Durations.nanos(backAfterS), () -> startIfStopped(name));
         }
     }
 
     /** Starts a node again unless it runs. */
-    public void bootIfDead(String name) {
-        if (nodes.get(name).process.dead()) {
-            boot(name);
+    public void startIfStopped(String name) {
+        if (nodes.get(name).process.isStopped()) {
+            startNode(name);
         }
     }
 
@@ -289,17 +294,17 @@
     }
 
     public int submit(String node, ObjectNode job) {
-        rules.submits(job);
-        Response r = ask(node, "POST", "/api/jobs", job);
+        rules.recordSubmission(job);
+        Response r = request(node, "POST", "/api/jobs", job);
         int status = r == null ? 0 : r.status();
         boolean taken = status == 200 || status == 201;
-        rules.answered(job.path("nameId").asText(), status, taken ? stage(r) : "");
+        rules.recordAnswer(job.path("nameId").asText(), status, taken ? stage(r) : "");
         return status;
     }
 
     /** Cancels through a node; what it answered, or the status if that is not 200. */
     public String cancel(String node, String id) {
-        Response r = ask(node, "POST", "/api/jobs/" + id + "/abort", (JsonNode) null);
+        Response r = request(node, "POST", "/api/jobs/" + id + "/abort", (JsonNode) null);
         return r == null ? "none" : r.status() == 200 ? stage(r) : String.valueOf(r.status());
     }
 
@@ -307,20 +312,20 @@
      * All troubles are over: every accepted job has to come to its end within this time, and every node to answer for
      * each of them.
      */
-    public void settle(double seconds) {
-        net.clear();
-        net.letGo();
-        names.forEach(this::bootIfDead);
-        for (double s = 0; s < seconds && !rules.allOver(); s += 0.5) {
+    public void verifyRecovery(double seconds) {
+        net.clearFaults();
+        net.deliverHeld();
+        names.forEach(this::startIfStopped);
+        for (double s = 0; s < seconds && !rules.areAllFinished(); s += 0.5) {
             loop.run(0.5);
-            Set<String> waiting = Set.copyOf(rules.waiting());
-            rules.accepted().forEach(id -> rules.waits(id, waiting.contains(id) && roomFor(id)));
+            Set<String> waiting = Set.copyOf(rules.waitingJobs());
+            rules.accepted().forEach(id -> rules.checkWaiting(id, waiting.contains(id) && hasCapacityFor(id)));
         }
-        rules.over();
+        rules.checkAllFinished();
         loop.run(8);
         for (String id : rules.accepted()) {
             for (String name : names) {
-                Response r = ask(name, "GET", "/api/jobs/" + id, (JsonNode) null);
+                Response r = request(name, "GET", "/api/jobs/" + id, (JsonNode) null);
                 if (r == null || r.status() != 200) {
                     throw new AssertionError("forgotten: " + name + " gives no answer about " + id);
                 }
@@ -330,12 +335,12 @@
 
     /** What a node says of a job: its stage, or the status if that is not 200. */
     public String poll(String id) {
-        Response r = ask(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id, (JsonNode) null);
+        Response r = request(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id, (JsonNode) null);
         return r == null ? "none" : r.status() == 200 ? stage(r) : String.valueOf(r.status());
     }
 
     /** True if a machine that is up has room for one more task of the job, and its team too. */
-    private boolean roomFor(String id) {
+    private boolean hasCapacityFor(String id) {
         ObjectNode job = rules.job(id);
         return rules.limitAllows(id)
                 && cloud.workers().stream()
@@ -398,7 +403,7 @@
     }
 
     /** What the records say is bound to each machine. */
-    public List<BindingsRecord.OnMachine> recorded() {
+    public List<BindingsRecord.OnMachine> recordedBindings() {
         List<BindingsRecord.OnMachine> out = new ArrayList<>();
         for (String key : new TreeSet<>(state.keys("bound/"))) {
             try {
@@ -411,8 +416,8 @@
     }
 
     /** True if the records bind a task of this job to a machine. */
-    public boolean bound(String job) {
-        return recorded().stream()
+    public boolean hasBinding(String job) {
+        return recordedBindings().stream()
                 .flatMap(m -> m.bound().stream())
                 .anyMatch(b -> b.task().job().equals(job));
     }
@@ -447,30 +452,30 @@
     }
 
     /** True if the task is a replica of a service, which ends only when it is stopped. */
-    boolean standing(String part) {
-        return RuleChecker.isService(rules.job(part.split("/")[0]));
+    boolean isReplica(String taskId) {
+        return RuleChecker.isService(rules.job(taskId.split("/")[0]));
     }
 
-    double runS(String part) {
-        return rules.job(part.split("/")[0]).path("expectS").asDouble();
+    double durationS(String taskId) {
+        return rules.job(taskId.split("/")[0]).path("expectS").asDouble();
     }
 
-    void started(String part, SimWorker worker, String zone, boolean spot) {
-        rules.starts(part, worker.name(), zone, spot);
-        starts.add(part + "@" + worker.name());
+    void taskStarted(String taskId, SimWorker worker, String zone, boolean spot) {
+        rules.recordStart(taskId, worker.name(), zone, spot);
+        starts.add(taskId + "@" + worker.name());
     }
 
-    void ended(String part, String machine) {
-        rules.leaves(part, machine);
+    void taskEnded(String taskId, String machine) {
+        rules.recordStop(taskId, machine);
     }
 
-    void completed(String part) {
-        rules.completes(part);
+    void taskCompleted(String taskId) {
+        rules.recordCompletion(taskId);
     }
 
     private final class Link implements PeerTransport {
         private final String from;
-        private Consumer<byte[]> taker = frame -> {};
+        private Consumer<byte[]> receiver = frame -> {};
 
         Link(String from) {
             this.from = from;
@@ -478,14 +483,14 @@
 
         @Override
         public void start(Consumer<byte[]> next) {
-            taker = next;
+            receiver = next;
         }
 
         @Override
         public void broadcast(byte[] frame) {
             nodes.forEach((name, running) -> {
-                if (!name.equals(from) && !cutPeers.contains(from) && !cutPeers.contains(name)) {
-                    running.process.after(1_000_000, () -> running.link.taker.accept(frame));
+                if (!name.equals(from) && !isolatedNodes.contains(from) && !isolatedNodes.contains(name)) {
+                    running.process.after(1_000_000, () -> running.link.receiver.accept(frame));
                 }
             });
         }
