--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -59,7 +59,7 @@
         long now = loop.nanos();
         List<Machine> expired = new ArrayList<>();
         for (Machine m : cluster.machines()) {
-            if (now - m.lastLeaseRenewal() > lease && hasOpenBinding(m)) {
+            if (now - m.lease().lastRenewal() > lease && hasOpenBinding(m)) {
                 expired.add(m);
             }
         }
@@ -100,7 +100,7 @@
         Job job = b.job();
         return stopUnproven(b)
                 && Durations.secondsSince(job.cancelledAt(), now) > times.unprovenStopTimeoutS()
-                && Durations.secondsSince(job.cancellationHeardAt(), now) > times.proofS();
+                && Durations.secondsSince(job.cancellationHeardAt(), now) > times.stopProofTimeoutS();
     }
 
     /**
@@ -129,19 +129,19 @@
                 ZoneCount count = zones.computeIfAbsent(m.zone(), z -> new ZoneCount());
                 count.machines++;
                 count.inTouch += outOfTouchS(m, now) < silentS() ? 1 : 0;
-                count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lastHeartbeat());
+                count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lease().lastHeartbeat());
             }
         }
         return zones;
     }
 
     private double silentS() {
-        return policy.fleet().silentOfLease() * settings.workers().leaseS();
+        return policy.fleet().silenceTimeoutLeases() * settings.workers().leaseS();
     }
 
     private boolean neverCameUp(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-        return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().stuckOfBoot() * bootS
+        return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().bootTimeoutBoots() * bootS
                 && Durations.secondsSince(m.knownSince(), now)
                         > settings.workers().leaseS();
     }
@@ -151,7 +151,7 @@
         double leaseS = settings.workers().leaseS();
         double silentForS = outOfTouchS(m, now);
         // One that this leader has not heard at all may still be looking for it, with all the others.
-        boolean silent = silentForS > (m.fenced() ? silentS() : leaseS);
+        boolean silent = silentForS > (m.lease().isFenced() ? silentS() : leaseS);
         return silent && (inTouch(zone, now) || silentForS > LEASES_OF_A_CUT_ZONE * leaseS);
     }
 
@@ -167,9 +167,9 @@
 
     /** How long the machine has not been heard, or has been heard without doing as it was told. */
     private static double outOfTouchS(Machine m, long now) {
-        double silentS = Durations.secondsSince(m.lastHeartbeat(), now);
-        return m.unreachableSince() == Machine.NEVER
-                ? silentS
-                : Math.max(silentS, Durations.secondsSince(m.unreachableSince(), now));
+        double silentS = Durations.secondsSince(m.lease().lastHeartbeat(), now);
+        return m.awaitsAcknowledgement()
+                ? Math.max(silentS, Durations.secondsSince(m.unacknowledgedSince(), now))
+                : silentS;
     }
 }
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -67,7 +67,7 @@
         cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(old), 30);
         cluster.await(() -> cluster.running().size() == 2, 60);
         JsonNode leader = cluster.state.value("leader");
-        List<BindingsRecord.OnMachine> machines = cluster.recordedBindings();
+        List<BindingsRecord.MachineBindings> machines = cluster.recordedBindings();
         cluster.net.deliverHeld();
         cluster.loop.run(0.1);
         assertEquals(leader, cluster.state.value("leader"));
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -403,8 +403,8 @@
     }
 
     /** What the records say is bound to each machine. */
-    public List<BindingsRecord.OnMachine> recordedBindings() {
-        List<BindingsRecord.OnMachine> out = new ArrayList<>();
+    public List<BindingsRecord.MachineBindings> recordedBindings() {
+        List<BindingsRecord.MachineBindings> out = new ArrayList<>();
         for (String key : new TreeSet<>(state.keys("bound/"))) {
             try {
                 out.addAll(BindingsRecord.read(state.value(key)));
