--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -217,9 +217,9 @@
         double usersShare = USER_WRITES_SHARE / nodes;
         // A follower has next to nothing of its own to write: an election, the catalogue.
         double ownShare = leading ? 1 - USER_WRITES_SHARE : usersShare;
-        stateLimiter.rates(reads, writes * ownShare, writes * usersShare, writes * USER_WRITES_BURST_S);
+        stateLimiter.setRates(reads, writes * ownShare, writes * usersShare, writes * USER_WRITES_BURST_S);
         double cloudShare = nodes == 1 ? 1 : leading ? 0.8 : 0.2 / (nodes - 1);
-        cloudLimiter.rates(settings.cloud().rps() * USABLE_SHARE * cloudShare, 1, 1, 1);
+        cloudLimiter.setRates(settings.cloud().rps() * USABLE_SHARE * cloudShare, 1, 1, 1);
     }
 
     /**
--- a/src/test/java/org/spruceridge/record/StoredKeysTest.java
+++ b/src/test/java/org/spruceridge/record/StoredKeysTest.java
@@ -19,9 +19,9 @@
     /** Five tasks of which four run at a time: once the first have ended, every kind of record is stored. */
     @BeforeEach
     void runAJobHalfway() {
-        cluster.until(() -> cluster.state.value("feature-level") != null, 20);
+        cluster.await(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimulatedCluster.job(1, 5));
-        cluster.until(
+        cluster.await(
                 () -> !cluster.state.keys("parts/").isEmpty()
                         && !cluster.state.keys("bound/").isEmpty(),
                 60);
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -111,7 +111,7 @@
             process.after(timeout, () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    done.accept(HttpAnswer.silence());
+                    done.accept(HttpAnswer.noResponse());
                 }
             });
             Delivery delivery = isRefused(from, to) ? Delivery.REFUSED : faultPolicy.deliveryOf(from, to, call);
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -153,9 +153,10 @@
         }
         try {
             JsonNode body = Json.object(call.body());
-            boolean valid = Json.whole(body, "warrant") >= fencingToken && Json.whole(body, "watch") == incarnation;
+            boolean valid = Json.nonNegativeLong(body, "warrant") >= fencingToken
+                    && Json.nonNegativeLong(body, "watch") == incarnation;
             if (valid) {
-                fencingToken = Json.whole(body, "warrant");
+                fencingToken = Json.nonNegativeLong(body, "warrant");
                 for (JsonNode command : Json.list(body, "orders")) {
                     execute(command);
                 }
@@ -245,7 +246,7 @@
 
     private void onAnswer(HttpAnswer answer, long sentAt, long sentIncarnation) {
         if (isHung) {
-            deferred.add(() -> onAnswer(HttpAnswer.silence(), sentAt, sentIncarnation)); // by then it is too old
+            deferred.add(() -> onAnswer(HttpAnswer.noResponse(), sentAt, sentIncarnation)); // by then it is too old
             return;
         }
         if (answer.status() != 200) {
@@ -255,7 +256,7 @@
         }
         try {
             JsonNode body = Json.object(answer.body());
-            long received = Json.whole(body, "warrant");
+            long received = Json.nonNegativeLong(body, "warrant");
             if (received < fencingToken || sentIncarnation != incarnation) {
                 return;
             }
@@ -288,7 +289,7 @@
 
     private void execute(JsonNode command) throws BadMessageException {
         String id = Json.text(command, "part");
-        long attempt = Json.whole(command, "try");
+        long attempt = Json.nonNegativeLong(command, "try");
         String key = id + "#" + attempt;
         Task task = tasks.get(key);
         switch (Json.text(command, "verb")) {
