--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spruceridge.cloud.CloudClient;
-import org.spruceridge.cloud.HostInfo;
+import org.spruceridge.cloud.CloudMachine;
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.BindingReleaser;
 import org.spruceridge.cluster.Cluster;
@@ -32,9 +32,9 @@
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
     /** A deleted machine costs at least this long, so an idle one is not returned before. */
-    private static final double LEAST_PAID_S = 60;
+    private static final double MIN_BILLED_S = 60;
 
-    private static final long CATALOGUE_EVERY = Durations.nanos(60);
+    private static final long CATALOGUE_REFRESH_NANOS = Durations.nanos(60);
 
     private final Loop loop;
     private final CancellationScope scope;
@@ -47,8 +47,8 @@
     private final Runnable changed;
     private final FailureDetector failureDetector;
     private final WarmCapacity warmCapacity;
-    private final RentalRequests rentals;
-    private final MachineReturns returns;
+    private final ScaleOutRequests scaleOutRequests;
+    private final ScaleInRequests scaleInRequests;
     private long lastTick;
     private long lastPlanned = Long.MIN_VALUE / 2;
 
@@ -77,8 +77,9 @@
         this.failureDetector = new FailureDetector(loop, cluster, settings, policy);
         this.warmCapacity = new WarmCapacity(settings, loop.nanos());
         CloudAccess access = new CloudAccess(loop, scope, cloud, cluster, leads);
-        this.rentals = new RentalRequests(access, term, settings.workers().leaseS());
-        this.returns = new MachineReturns(access, recordWriter, changed);
+        this.scaleOutRequests =
+                new ScaleOutRequests(access, term, settings.workers().leaseS());
+        this.scaleInRequests = new ScaleInRequests(access, recordWriter, changed);
         this.lastTick = loop.nanos();
     }
 
@@ -95,7 +96,9 @@
                 cluster.updateTypes(types);
                 changed.run();
             });
-            scope.after(answer.isPresent() ? CATALOGUE_EVERY : CloudAccess.RETRY, this::refreshCatalogue);
+            scope.after(
+                    answer.isPresent() ? CATALOGUE_REFRESH_NANOS : CloudAccess.RETRY_INTERVAL_NANOS,
+                    this::refreshCatalogue);
         }));
     }
 
@@ -103,14 +106,17 @@
         cloud.machines(scope.guard(answer -> {
             answer.ifPresent(this::takeList);
             scope.after(
-                    Math.max(CloudAccess.RETRY, Durations.nanos(settings.cloud().listLagS() / 2)), this::refreshList);
+                    Math.max(
+                            CloudAccess.RETRY_INTERVAL_NANOS,
+                            Durations.nanos(settings.cloud().listLagS() / 2)),
+                    this::refreshList);
         }));
     }
 
     private void tick() {
         long now = loop.nanos();
         if (now - lastTick > Durations.nanos(settings.workers().heartbeatIntervalS())) {
-            fallsBehind();
+            recordOverload();
         }
         lastTick = now;
         if (leads.getAsBoolean()) {
@@ -127,19 +133,19 @@
     }
 
     /** This node does not keep up: what it has not heard yet may well have been said. */
-    public void fallsBehind() {
-        failureDetector.fallsBehind();
+    public void recordOverload() {
+        failureDetector.recordOverload();
     }
 
-    private void takeList(ImmutableList<HostInfo> list) {
+    private void takeList(ImmutableList<CloudMachine> list) {
         long now = loop.nanos();
         List<String> failed = new ArrayList<>();
-        for (HostInfo host : list) {
+        for (CloudMachine host : list) {
             Machine machine = cluster.machine(host.name());
-            if (host.stage() == HostInfo.Stage.FAILED) {
+            if (host.stage() == CloudMachine.Stage.FAILED) {
                 if (machine != null) {
                     LOG.info("machine {} has failed", machine.name());
-                    returns.gone(machine);
+                    scaleInRequests.recordDeletion(machine);
                 }
                 failed.add(host.name());
                 continue;
@@ -153,26 +159,26 @@
                 machine.launchedAt(Math.min(machine.launchedAt(), now - Durations.nanos(host.ageS())));
             }
         }
-        returns.unlist(failed);
+        scaleInRequests.removeFromList(failed);
     }
 
     private void endLeases() {
-        for (Machine m : failureDetector.withExpiredLeases()) {
+        for (Machine m : failureDetector.findExpiredLeases()) {
             LOG.info(
                     "machine {} has not reported for a lease: its {} tasks are gone",
                     m.name(),
                     m.bindings().size());
             m.endIncarnation();
-            returns.releaseAll(m);
+            scaleInRequests.releaseAll(m);
         }
     }
 
     /** Deletes machines that have to be given up; the deletion proves that their tasks are gone. */
     private void deleteFailed() {
-        List<Machine> overdue = failureDetector.withOverdueStops();
+        List<Machine> overdue = failureDetector.findOverdueStops();
         overdue.stream().filter(m -> !m.isTerminating()).forEach(this::logOverdue);
-        returns.delete(overdue, "cancelled tasks that do not end");
-        returns.delete(failureDetector.lost(), "lost or never up");
+        scaleInRequests.delete(overdue, "cancelled tasks that do not end");
+        scaleInRequests.delete(failureDetector.findDead(), "lost or never up");
     }
 
     private void logOverdue(Machine m) {
@@ -200,8 +206,9 @@
             return;
         }
         long now = loop.nanos();
-        List<WarmCapacity.Wanted> standingBy = warmCapacity.wanted(cluster, now, loop.wallMillis());
-        ScaleUpPlanner planner = new ScaleUpPlanner(cluster, rentals::available, smallestTask(plan, standingBy));
+        List<WarmCapacity.Reserve> standingBy = warmCapacity.reserves(cluster, now, loop.wallMillis());
+        ScaleOutPlanner planner =
+                new ScaleOutPlanner(cluster, scaleOutRequests::isAvailable, smallestTask(plan, standingBy));
         List<Machine> here = new ArrayList<>();
         for (Machine m : cluster.machines()) {
             if (m.isTerminating() || m.isUnschedulable()) {
@@ -213,7 +220,7 @@
                 planner.add(m);
             }
         }
-        rentals.forEachPending((offer, count) -> {
+        scaleOutRequests.forEachPending((offer, count) -> {
             for (int i = 0; i < count; i++) {
                 planner.add(offer);
             }
@@ -223,17 +230,17 @@
         }
         plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
         here.forEach(planner::add); // standing by may count on room that the cycle left free
-        standingBy.forEach(wanted ->
-                planner.place(wanted.example(), wanted.tasks(), ZoneAllowance.of(wanted.example(), wanted.tasks())));
-        planner.wanted().forEach(rentals::rent);
+        standingBy.forEach(reserves -> planner.place(
+                reserves.example(), reserves.tasks(), ZoneAllowance.of(reserves.example(), reserves.tasks())));
+        planner.launches().forEach(scaleOutRequests::launch);
         returnIdle(planner.kept(), now);
     }
 
     /** The least of each resource that any task to be placed takes. */
-    private static Resources smallestTask(Plan plan, List<WarmCapacity.Wanted> standingBy) {
+    private static Resources smallestTask(Plan plan, List<WarmCapacity.Reserve> standingBy) {
         Stream<JobSpec> specs = Stream.concat(
                 plan.unplaced().keySet().stream().map(Job::spec),
-                standingBy.stream().map(WarmCapacity.Wanted::example));
+                standingBy.stream().map(WarmCapacity.Reserve::example));
         return Resources.minOf(specs.map(JobSpec::task));
     }
 
@@ -267,13 +274,13 @@
             double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
             boolean idleLong = Durations.secondsSince(m.idleSince(), now)
                             > policy.fleet().idleTimeoutBoots() * bootS * cheapness(m)
-                    && Durations.secondsSince(m.launchedAt(), now) > LEAST_PAID_S;
+                    && Durations.secondsSince(m.launchedAt(), now) > MIN_BILLED_S;
             boolean useless = m.isUnschedulable() && !(m.suspicion().isSuspect() && beingAsked(m, now));
             if (useless || (idleLong && !kept.contains(m) && !warmCapacity.learning(cluster, now))) {
                 idle.add(m);
             }
         }
-        returns.delete(idle, "idle or of no use");
+        scaleInRequests.delete(idle, "idle or of no use");
     }
 
     /** Its reach came into doubt a moment ago, and it has been asked for a sign. */
--- a/src/main/java/org/spruceridge/autoscaling/CloudAccess.java
+++ b/src/main/java/org/spruceridge/autoscaling/CloudAccess.java
@@ -15,5 +15,5 @@
  */
 record CloudAccess(Loop loop, CancellationScope scope, CloudClient cloud, Cluster cluster, BooleanSupplier leads) {
     /** After this time a request that was not answered, or may not be sent now, is tried again. */
-    static final long RETRY = Durations.nanos(2);
+    static final long RETRY_INTERVAL_NANOS = Durations.nanos(2);
 }
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -21,22 +21,22 @@
     private static final double LEASE_MARGIN_S = 1;
 
     /** After this many leases a machine is given up even if most of its zone is silent too. */
-    private static final double LEASES_OF_A_CUT_ZONE = 4;
+    private static final double PARTITIONED_ZONE_LEASES = 4;
 
     private final Loop loop;
     private final Cluster cluster;
     private final Settings settings;
     private final Policy policy;
     private final CancellationTimes times;
-    private long behindUntil = Long.MIN_VALUE;
+    private long overloadedUntil = Long.MIN_VALUE;
 
     /** A zone from which nothing was heard for so many report periods is cut off, or this node is. */
-    private static final double CUT_OF_REPORT = 1.5;
+    private static final double PARTITIONED_ZONE_HEARTBEATS = 1.5;
 
     /** How many machines of a zone there are, how many of them are in touch, and when one was last heard. */
     private static final class ZoneCount {
         private int machines;
-        private int inTouch;
+        private int responsive;
         private long lastHeartbeat = Long.MIN_VALUE;
     }
 
@@ -49,12 +49,12 @@
     }
 
     /** This node does not keep up: what it has not heard yet may well have been said. */
-    void fallsBehind() {
-        behindUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
+    void recordOverload() {
+        overloadedUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
     }
 
     /** Machines that nobody can have answered for a whole lease: they have killed their tasks. */
-    List<Machine> withExpiredLeases() {
+    List<Machine> findExpiredLeases() {
         long lease = Durations.nanos(
                 settings.workers().leaseS() * (1 + 2 * Durations.MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_S);
         long now = loop.nanos();
@@ -75,7 +75,7 @@
      * Machines on which the stop of a cancelled task has gone unproven for too long: a machine that hangs or cannot be
      * reached keeps the task, and only its deletion is sure to come in time.
      */
-    List<Machine> withOverdueStops() {
+    List<Machine> findOverdueStops() {
         long now = loop.nanos();
         return cluster.machines().stream()
                 .filter(m -> m.bindings().stream().anyMatch(b -> stopOverdue(b, now)))
@@ -108,19 +108,19 @@
      * Machines that fell silent, that are heard but not reached, or that never came up; none while this node does not
      * keep up with the reports that come.
      */
-    List<Machine> lost() {
+    List<Machine> findDead() {
         long now = loop.nanos();
-        List<Machine> lost = new ArrayList<>();
-        if (now < behindUntil) {
-            return lost;
+        List<Machine> findDead = new ArrayList<>();
+        if (now < overloadedUntil) {
+            return findDead;
         }
         Map<String, ZoneCount> zones = zones(now);
         for (Machine m : cluster.machines()) {
-            if (m.hasReported() ? silentAlone(m, zones.get(m.zone()), now) : neverCameUp(m, now)) {
-                lost.add(m);
+            if (m.hasReported() ? isDead(m, zones.get(m.zone()), now) : failedToBoot(m, now)) {
+                findDead.add(m);
             }
         }
-        return lost;
+        return findDead;
     }
 
     private Map<String, ZoneCount> zones(long now) {
@@ -129,18 +129,18 @@
             if (m.hasReported()) {
                 ZoneCount count = zones.computeIfAbsent(m.zone(), z -> new ZoneCount());
                 count.machines++;
-                count.inTouch += outOfTouchS(m, now) < silentS() ? 1 : 0;
+                count.responsive += unresponsiveS(m, now) < deadAfterS() ? 1 : 0;
                 count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lease().lastHeartbeat());
             }
         }
         return zones;
     }
 
-    private double silentS() {
+    private double deadAfterS() {
         return policy.fleet().silenceTimeoutLeases() * settings.workers().leaseS();
     }
 
-    private boolean neverCameUp(Machine m, long now) {
+    private boolean failedToBoot(Machine m, long now) {
         double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
         return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().bootTimeoutBoots() * bootS
                 && Durations.secondsSince(m.knownSince(), now)
@@ -148,29 +148,29 @@
     }
 
     /** Where most machines of a zone are silent it is rather the network, and they may be back. */
-    private boolean silentAlone(Machine m, ZoneCount zone, long now) {
+    private boolean isDead(Machine m, ZoneCount zone, long now) {
         double leaseS = settings.workers().leaseS();
-        double silentForS = outOfTouchS(m, now);
+        double silentForS = unresponsiveS(m, now);
         // One that this leader has not heard at all may still be looking for it, with all the others.
-        boolean silent = silentForS > (m.lease().isFenced() ? silentS() : leaseS);
-        return silent && (inTouch(zone, now) || silentForS > LEASES_OF_A_CUT_ZONE * leaseS);
+        boolean silent = silentForS > (m.lease().isFenced() ? deadAfterS() : leaseS);
+        return silent && (responsive(zone, now) || silentForS > PARTITIONED_ZONE_LEASES * leaseS);
     }
 
     /**
      * True if most machines of a zone are in touch. That alone would not do: as a zone is cut off, those that reported
      * first are silent for long enough while most others are not yet.
      */
-    private boolean inTouch(ZoneCount zone, long now) {
+    private boolean responsive(ZoneCount zone, long now) {
         double quietS = Durations.secondsSince(zone.lastHeartbeat, now);
-        return zone.inTouch * 2 > zone.machines
-                && quietS < CUT_OF_REPORT * settings.workers().heartbeatIntervalS();
+        return zone.responsive * 2 > zone.machines
+                && quietS < PARTITIONED_ZONE_HEARTBEATS * settings.workers().heartbeatIntervalS();
     }
 
     /** How long the machine has not been heard, or has been heard without doing as it was told. */
-    private static double outOfTouchS(Machine m, long now) {
-        double silentS = Durations.secondsSince(m.lease().lastHeartbeat(), now);
+    private static double unresponsiveS(Machine m, long now) {
+        double deadAfterS = Durations.secondsSince(m.lease().lastHeartbeat(), now);
         return m.awaitsAcknowledgement()
-                ? Math.max(silentS, Durations.secondsSince(m.unacknowledgedSince(), now))
-                : silentS;
+                ? Math.max(deadAfterS, Durations.secondsSince(m.unacknowledgedSince(), now))
+                : deadAfterS;
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/MachineReturns.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
@@ -16,18 +16,18 @@
 import org.spruceridge.net.Durations;
 
 /** Gives machines back to the cloud. A deletion that was answered proves that nothing is left on them. */
-final class MachineReturns {
-    private static final Logger LOG = LoggerFactory.getLogger(MachineReturns.class);
+final class ScaleInRequests {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
     private final CloudAccess access;
     private final Cluster cluster;
     private final BindingReleaser releaser;
     private final Runnable changed;
     private final Set<String> deleting = new HashSet<>();
-    private final Set<String> unlisted = new HashSet<>();
+    private final Set<String> removedFromList = new HashSet<>();
 
     /** {@code changed} asks for a scheduling cycle. */
-    MachineReturns(CloudAccess access, BindingReleaser releaser, Runnable changed) {
+    ScaleInRequests(CloudAccess access, BindingReleaser releaser, Runnable changed) {
         this.access = access;
         this.cluster = access.cluster();
         this.releaser = releaser;
@@ -41,7 +41,7 @@
         }
         if (!access.leads().getAsBoolean()) {
             // Tried again after the grant is over: another may lead by now, and have given the machine work.
-            access.scope().after(CloudAccess.RETRY, () -> delete(machines, why));
+            access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(machines, why));
             return;
         }
         List<Machine> fresh = new ArrayList<>();
@@ -51,7 +51,7 @@
                 fresh.add(m);
             }
         }
-        for (List<Machine> part : Lists.partition(fresh, CloudClient.MOST_DELETED)) {
+        for (List<Machine> part : Lists.partition(fresh, CloudClient.MAX_DELETE_BATCH)) {
             deletePart(part, why);
         }
     }
@@ -69,27 +69,27 @@
                     ok ? "has deleted them" : "did not confirm the deletion",
                     Durations.secondsSince(asked, access.loop().nanos()));
             if (ok) {
-                part.forEach(this::gone);
+                part.forEach(this::recordDeletion);
             } else {
-                access.scope().after(CloudAccess.RETRY, () -> delete(part, why));
+                access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(part, why));
             }
         }));
     }
 
     /** Has machines that failed taken off the cloud's list, each once. */
-    void unlist(List<String> failed) {
-        List<String> fresh = failed.stream().filter(unlisted::add).toList();
-        for (List<String> part : Lists.partition(fresh, CloudClient.MOST_DELETED)) {
+    void removeFromList(List<String> failed) {
+        List<String> fresh = failed.stream().filter(removedFromList::add).toList();
+        for (List<String> part : Lists.partition(fresh, CloudClient.MAX_DELETE_BATCH)) {
             access.cloud().delete(part, access.scope().guard(ok -> {
                 if (!ok) {
-                    part.forEach(unlisted::remove);
+                    part.forEach(removedFromList::remove);
                 }
             }));
         }
     }
 
     /** There is proof that the machine is gone, with everything on it. */
-    void gone(Machine m) {
+    void recordDeletion(Machine m) {
         releaseAll(m);
         cluster.remove(m);
         changed.run();
--- a/src/main/java/org/spruceridge/autoscaling/ScaleUpPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
@@ -20,28 +20,28 @@
  * Packs tasks that found no room into machines that are coming, and then into machines yet to be rented, the cheapest
  * that fits and can be had. It only computes; what it asks for is the autoscaler's to rent.
  */
-final class ScaleUpPlanner {
-    private static final int MOST_NEW = 100;
+final class ScaleOutPlanner {
+    private static final int MAX_NEW_MACHINES = 100;
 
     private final Cluster cluster;
-    private final Predicate<MachineKind> available;
+    private final Predicate<MachineKind> isAvailable;
     private final Resources smallestTask;
     private final List<Bin> bins = new ArrayList<>();
-    private final Map<MachineKind, Integer> wanted = new HashMap<>();
-    private final Map<String, Integer> perZone = new HashMap<>();
+    private final Map<MachineKind, Integer> launches = new HashMap<>();
+    private final Map<String, Integer> machinesPerZone = new HashMap<>();
     private final Set<Machine> kept = new HashSet<>();
-    private int fresh;
+    private int newMachines;
 
     /**
-     * {@code available} tells which offers were not refused lately, {@code smallestTask} the least that any task to be
+     * {@code isAvailable} tells which offers were not refused lately, {@code smallestTask} the least that any task to be
      * placed takes of each resource: room in which that does not fit need not be looked at for each job.
      */
-    ScaleUpPlanner(Cluster cluster, Predicate<MachineKind> available, Resources smallestTask) {
+    ScaleOutPlanner(Cluster cluster, Predicate<MachineKind> isAvailable, Resources smallestTask) {
         this.cluster = cluster;
-        this.available = available;
+        this.isAvailable = isAvailable;
         this.smallestTask = smallestTask;
         for (Machine m : cluster.machines()) {
-            perZone.merge(m.zone(), 1, Integer::sum);
+            machinesPerZone.merge(m.zone(), 1, Integer::sum);
         }
     }
 
@@ -78,7 +78,7 @@
             }
             left -= bin.take(spec, left, zones);
         }
-        while (left > 0 && fresh < MOST_NEW) {
+        while (left > 0 && newMachines < MAX_NEW_MACHINES) {
             Optional<MachineKind> offer = cheapest(spec, zones);
             if (offer.isEmpty()) {
                 return;
@@ -86,16 +86,16 @@
             Bin bin =
                     new Bin(offer.get(), cluster.types().get(offer.get().type()).capacity(), null);
             bins.add(bin);
-            fresh++;
-            wanted.merge(offer.get(), 1, Integer::sum);
-            perZone.merge(offer.get().zone(), 1, Integer::sum);
+            newMachines++;
+            launches.merge(offer.get(), 1, Integer::sum);
+            machinesPerZone.merge(offer.get().zone(), 1, Integer::sum);
             left -= bin.take(spec, left, zones);
         }
     }
 
     /** Machines to be rented, by kind. */
-    Map<MachineKind, Integer> wanted() {
-        return wanted;
+    Map<MachineKind, Integer> launches() {
+        return launches;
     }
 
     /** Machines whose room was counted on. */
@@ -115,15 +115,15 @@
                 }
                 for (boolean spot : new boolean[] {true, false}) {
                     MachineKind offer = new MachineKind(type.name(), zone, spot);
-                    if (spec.allows(type.name(), zone, spot) && available.test(offer)) {
+                    if (spec.allows(type.name(), zone, spot) && isAvailable.test(offer)) {
                         offers.add(offer);
                     }
                 }
             }
         }
         return offers.stream()
-                .min(Comparator.comparingDouble((MachineKind o) -> pricePerTask(o, spec))
-                        .thenComparing(o -> perZone.getOrDefault(o.zone(), 0))
+                .min(Comparator.comparingDouble((MachineKind offer) -> pricePerTask(offer, spec))
+                        .thenComparing(offer -> machinesPerZone.getOrDefault(offer.zone(), 0))
                         .thenComparing(MachineKind::zone));
     }
 
@@ -148,15 +148,15 @@
             if (!spec.task().fitsIn(free) || !spec.allows(offer.type(), offer.zone(), offer.spot())) {
                 return 0;
             }
-            int n = Math.min(Math.min(most, zones.left(offer.zone())), free.holds(spec.task()));
-            zones.take(offer.zone(), n);
-            for (int i = 0; i < n; i++) {
+            int count = Math.min(Math.min(most, zones.left(offer.zone())), free.holds(spec.task()));
+            zones.take(offer.zone(), count);
+            for (int i = 0; i < count; i++) {
                 free = free.minus(spec.task());
             }
-            if (n > 0 && machine != null) {
+            if (count > 0 && machine != null) {
                 kept.add(machine);
             }
-            return n;
+            return count;
         }
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -19,17 +19,17 @@
  */
 final class WarmCapacity {
     /** How long a peak is remembered, in boot times. */
-    private static final double MEMORY_OF_BOOT = 15;
+    private static final double PEAK_MEMORY_BOOTS = 15;
 
     /** How long a new leader waits to see a class of which there is no job, in boot times. */
-    private static final double UNSEEN_OF_BOOT = 3;
+    private static final double LEARNING_BOOTS = 3;
 
     private final Settings settings;
     private final long since;
     private final Map<String, Peak> peaks = new HashMap<>();
 
     /** Capacity to be kept free for so many tasks like those of a job. */
-    record Wanted(JobSpec example, int tasks) {}
+    record Reserve(JobSpec example, int tasks) {}
 
     /** What the jobs of a class ask for now. */
     private static final class Demand {
@@ -54,17 +54,17 @@
     boolean learning(Cluster cluster, long now) {
         double bootS = bootS(cluster);
         return settings.objectives().stream()
-                .filter(aim -> needsRoom(aim, bootS))
-                .anyMatch(aim -> now - since < Durations.nanos(learningOfBoot(aim.jobClass()) * bootS));
+                .filter(objective -> needsWarmCapacity(objective, bootS))
+                .anyMatch(objective -> now - since < Durations.nanos(learningBoots(objective.jobClass()) * bootS));
     }
 
     /** What services need is known from their jobs, which are on record with the time of their submission. */
-    private double learningOfBoot(String jobClass) {
+    private double learningBoots(String jobClass) {
         Peak peak = peaks.get(jobClass);
         if (peak == null || peak.example == null) {
-            return UNSEEN_OF_BOOT;
+            return LEARNING_BOOTS;
         }
-        return peak.example.isService() ? 0 : MEMORY_OF_BOOT;
+        return peak.example.isService() ? 0 : PEAK_MEMORY_BOOTS;
     }
 
     private static double bootS(Cluster cluster) {
@@ -74,17 +74,17 @@
                 .orElse(0);
     }
 
-    private static boolean needsRoom(Settings.Objective aim, double bootS) {
-        return aim.kind().equals("wait") && aim.withinS() < bootS;
+    private static boolean needsWarmCapacity(Settings.Objective objective, double bootS) {
+        return objective.kind().equals("wait") && objective.withinS() < bootS;
     }
 
     /** Jobs of which capacity is kept free, and for how many of their tasks. */
-    List<Wanted> wanted(Cluster cluster, long now, long wallMs) {
+    List<Reserve> reserves(Cluster cluster, long now, long wallMs) {
         double bootS = bootS(cluster);
         Map<String, Demand> demands = new HashMap<>();
-        for (Settings.Objective aim : settings.objectives()) {
-            if (needsRoom(aim, bootS)) {
-                demands.put(aim.jobClass(), new Demand());
+        for (Settings.Objective objective : settings.objectives()) {
+            if (needsWarmCapacity(objective, bootS)) {
+                demands.put(objective.jobClass(), new Demand());
             }
         }
         for (Job job : cluster.jobs()) {
@@ -92,16 +92,16 @@
                 add(job, demands, wallMs - bootS * 1000);
             }
         }
-        List<Wanted> wanted = new ArrayList<>();
+        List<Reserve> reserves = new ArrayList<>();
         demands.forEach((jobClass, demand) -> {
             Peak peak = peaks.computeIfAbsent(jobClass, c -> new Peak());
-            peak.see(demand.example, demand.tasks, now, Durations.nanos(MEMORY_OF_BOOT * bootS));
+            peak.record(demand.example, demand.tasks, now, Durations.nanos(PEAK_MEMORY_BOOTS * bootS));
             if (peak.example != null) {
-                wanted.add(new Wanted(peak.example, peak.tasks));
+                reserves.add(new Reserve(peak.example, peak.tasks));
             }
         });
-        addLossOfOneMachine(cluster, wanted);
-        return wanted;
+        addLossOfOneMachine(cluster, reserves);
+        return reserves;
     }
 
     private static void add(Job job, Map<String, Demand> demands, double recentMs) {
@@ -115,7 +115,7 @@
     }
 
     /** Room for the replicas on that machine which carries most of them. */
-    private static void addLossOfOneMachine(Cluster cluster, List<Wanted> wanted) {
+    private static void addLossOfOneMachine(Cluster cluster, List<Reserve> reserves) {
         int most = 0;
         JobSpec example = null;
         for (Machine machine : cluster.machines()) {
@@ -129,7 +129,7 @@
             }
         }
         if (example != null) {
-            wanted.add(new Wanted(example, most));
+            reserves.add(new Reserve(example, most));
         }
     }
 
@@ -138,8 +138,8 @@
         private int tasks;
         private long at;
 
-        void see(JobSpec seen, int unfinished, long now, long memory) {
-            example = seen == null ? example : seen;
+        void record(JobSpec latest, int unfinished, long now, long memory) {
+            example = latest == null ? example : latest;
             if (unfinished >= tasks) {
                 tasks = unfinished;
                 at = now;
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -24,12 +24,12 @@
 /** The cloud's protocol with typed messages, within this node's share of its limit. */
 public final class CloudClient {
     /** The most machines that one rental may name. */
-    public static final int MOST_RENTED = 50;
+    public static final int MAX_LAUNCH_BATCH = 50;
     /** The most machines that one deletion may name. */
-    public static final int MOST_DELETED = 100;
+    public static final int MAX_DELETE_BATCH = 100;
 
-    private static final int PAGE = 500;
-    private static final long REQUEST_TIMEOUT = Durations.nanos(5);
+    private static final int PAGE_SIZE = 500;
+    private static final long REQUEST_TIMEOUT_NANOS = Durations.nanos(5);
 
     private final HttpClient http;
     private final Address address;
@@ -50,14 +50,14 @@
     }
 
     /** Asks for machines. The claim must be new, or that of a request that got no answer or a refusal. */
-    public void rent(String claim, String type, String zone, boolean spot, int count, Consumer<Rental> done) {
+    public void launch(String claim, String type, String zone, boolean spot, int count, Consumer<LaunchResult> done) {
         byte[] body = Json.bytes(Json.object()
                 .put("claim", claim)
                 .put("build", type)
                 .put("grove", zone)
                 .put("windfall", spot)
                 .put("howMany", count));
-        send(Priority.SCHEDULING, HttpCall.post("/hosts", body), answer -> done.accept(readRental(answer)));
+        send(Priority.SCHEDULING, HttpCall.post("/hosts", body), answer -> done.accept(readLaunchResult(answer)));
     }
 
     /** Gives machines back; true means that they are gone with all that was on them. */
@@ -69,12 +69,12 @@
     }
 
     /** All machines, page by page; empty if the cloud did not say. The list lags and may go backwards. */
-    public void machines(Consumer<Optional<ImmutableList<HostInfo>>> done) {
+    public void machines(Consumer<Optional<ImmutableList<CloudMachine>>> done) {
         page("", new ArrayList<>(), done);
     }
 
-    private void page(String from, List<HostInfo> sofar, Consumer<Optional<ImmutableList<HostInfo>>> done) {
-        String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE;
+    private void page(String from, List<CloudMachine> sofar, Consumer<Optional<ImmutableList<CloudMachine>>> done) {
+        String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE_SIZE;
         send(Priority.SCHEDULING, HttpCall.get(target), answer -> {
             if (answer.status() != 200) {
                 done.accept(Optional.empty());
@@ -97,15 +97,15 @@
         });
     }
 
-    private static HostInfo host(JsonNode item) throws BadMessageException {
-        HostInfo.Stage stage =
+    private static CloudMachine host(JsonNode item) throws BadMessageException {
+        CloudMachine.Stage stage =
                 switch (Json.text(item, "stage")) {
-                    case "booting" -> HostInfo.Stage.BOOTING;
-                    case "running" -> HostInfo.Stage.RUNNING;
-                    case "failed" -> HostInfo.Stage.FAILED;
+                    case "booting" -> CloudMachine.Stage.BOOTING;
+                    case "running" -> CloudMachine.Stage.RUNNING;
+                    case "failed" -> CloudMachine.Stage.FAILED;
                     default -> throw new BadMessageException("unknown state of a machine");
                 };
-        return new HostInfo(
+        return new CloudMachine(
                 Json.text(item, "nameId"),
                 Json.text(item, "endpoint"),
                 Json.text(item, "build"),
@@ -146,32 +146,32 @@
         }
     }
 
-    private Rental readRental(HttpAnswer answer) {
+    private LaunchResult readLaunchResult(HttpAnswer answer) {
         try {
             switch (answer.status()) {
                 case 200:
                     ImmutableList.Builder<String> names = ImmutableList.builder();
                     Json.list(Json.object(answer.body()), "hosts").forEach(n -> names.add(n.asText()));
-                    return new Rental(Rental.Kind.RENTED, names.build());
+                    return new LaunchResult(LaunchResult.Kind.LAUNCHED, names.build());
                 case 503:
                     boolean full =
                             Json.object(answer.body()).path("error").asText().contains("capacity");
-                    return Rental.of(full ? Rental.Kind.NO_CAPACITY : Rental.Kind.REFUSED);
+                    return LaunchResult.of(full ? LaunchResult.Kind.NO_CAPACITY : LaunchResult.Kind.REFUSED);
                 case 400:
-                    return Rental.of(Rental.Kind.REJECTED);
+                    return LaunchResult.of(LaunchResult.Kind.REJECTED);
                 case 429:
-                    return Rental.of(Rental.Kind.REFUSED);
+                    return LaunchResult.of(LaunchResult.Kind.REFUSED);
                 default:
-                    return Rental.of(Rental.Kind.UNKNOWN);
+                    return LaunchResult.of(LaunchResult.Kind.UNKNOWN);
             }
         } catch (BadMessageException e) {
             unreadable(e);
-            return Rental.of(answer.status() == 200 ? Rental.Kind.UNKNOWN : Rental.Kind.REFUSED);
+            return LaunchResult.of(answer.status() == 200 ? LaunchResult.Kind.UNKNOWN : LaunchResult.Kind.REFUSED);
         }
     }
 
     private void send(Priority priority, HttpCall call, Consumer<HttpAnswer> done) {
-        if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT, done))) {
+        if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT_NANOS, done))) {
             done.accept(new HttpAnswer(429, new byte[0]));
         }
     }
--- a/src/main/java/org/spruceridge/cloud/Rental.java
+++ b/src/main/java/org/spruceridge/cloud/LaunchResult.java
@@ -3,10 +3,10 @@
 import com.google.common.collect.ImmutableList;
 
 /** What came of a rental request. */
-public record Rental(Kind kind, ImmutableList<String> machines) {
+public record LaunchResult(Kind kind, ImmutableList<String> machines) {
     /** How it ended. */
     public enum Kind {
-        RENTED,
+        LAUNCHED,
         /** None of this type, zone and kind is to be had now. */
         NO_CAPACITY,
         /** Refused for now: too many requests, or an outage. */
@@ -17,7 +17,7 @@
         UNKNOWN
     }
 
-    static Rental of(Kind kind) {
-        return new Rental(kind, ImmutableList.of());
+    static LaunchResult of(Kind kind) {
+        return new LaunchResult(kind, ImmutableList.of());
     }
 }
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -206,7 +206,7 @@
 
     /** Reports come faster than this node can take them. */
     public void heartbeatsDropped() {
-        autoscaler.fallsBehind();
+        autoscaler.recordOverload();
     }
 
     /** Takes over what is known of the machine types, unless the autoscaler has asked the cloud itself by now. */
--- a/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
+++ b/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
@@ -59,9 +59,9 @@
     void aMachineThatIsSilentAloneIsGivenUpAfterHalfALease() {
         Machine silent = machines.get(3);
         reportsOfAllBut(silent, 5);
-        assertEquals(List.of(), detector.lost());
+        assertEquals(List.of(), detector.findDead());
         reportsOfAllBut(silent, 2);
-        assertEquals(List.of(silent), detector.lost());
+        assertEquals(List.of(silent), detector.findDead());
     }
 
     /** Those that reported first before the cut are silent for half a lease while most others are not yet. */
@@ -70,7 +70,7 @@
         reportsOfAllBut(null, 6);
         for (double s = 0; s < 3 * LEASE_S; s += 0.1) {
             loop.run(0.1);
-            assertEquals(List.of(), detector.lost(), s + " s after the cut");
+            assertEquals(List.of(), detector.findDead(), s + " s after the cut");
         }
     }
 }
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.cloud.CloudClient;
-import org.spruceridge.cloud.HostInfo;
-import org.spruceridge.cloud.Rental;
+import org.spruceridge.cloud.CloudMachine;
+import org.spruceridge.cloud.LaunchResult;
 import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.MachineType;
 import org.spruceridge.cluster.Resources;
@@ -208,13 +208,21 @@
     @Test
     void machinesAreRentedAndDeleted() {
         http.answer(200, "{\"hosts\":[\"i-1\",\"i-2\"]}");
-        cloud.rent("3-1", "t4", "a", true, 2, expect(new Rental(Rental.Kind.RENTED, ImmutableList.of("i-1", "i-2"))));
+        cloud.launch(
+                "3-1",
+                "t4",
+                "a",
+                true,
+                2,
+                expect(new LaunchResult(LaunchResult.Kind.LAUNCHED, ImmutableList.of("i-1", "i-2"))));
         assertRequest(
                 "POST /hosts {\"claim\":\"3-1\",\"build\":\"t4\",\"grove\":\"a\",\"windfall\":true,\"howMany\":2}");
         http.answer(503, "{\"error\":\"no capacity\"}");
-        cloud.rent("3-2", "t4", "a", true, 2, expect(new Rental(Rental.Kind.NO_CAPACITY, ImmutableList.of())));
+        cloud.launch(
+                "3-2", "t4", "a", true, 2, expect(new LaunchResult(LaunchResult.Kind.NO_CAPACITY, ImmutableList.of())));
         http.answer(503, "{\"error\":\"busy\"}");
-        cloud.rent("3-3", "t4", "a", true, 2, expect(new Rental(Rental.Kind.REFUSED, ImmutableList.of())));
+        cloud.launch(
+                "3-3", "t4", "a", true, 2, expect(new LaunchResult(LaunchResult.Kind.REFUSED, ImmutableList.of())));
         http.answer(200, "{}");
         cloud.delete(List.of("i-1", "i-2"), expect(true));
         loop.advance(1);
@@ -227,7 +235,7 @@
                 200,
                 "{\"hosts\":[{\"nameId\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
                         + "\"windfall\":true,\"stage\":\"booting\",\"heldS\":3.5}],\"truncated\":false}");
-        HostInfo host = new HostInfo("i-1", "10.0.0.1:9000", "t4", "a", true, HostInfo.Stage.BOOTING, 3.5);
+        CloudMachine host = new CloudMachine("i-1", "10.0.0.1:9000", "t4", "a", true, CloudMachine.Stage.BOOTING, 3.5);
         cloud.machines(expect(Optional.of(ImmutableList.of(host))));
         assertRequest("GET /hosts?limit=500");
     }
