--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -1,39 +1,21 @@
 package org.spruceridge.autoscaling;
 
-import com.google.common.collect.ImmutableList;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import java.util.stream.Stream;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.spruceridge.cloud.CloudClient;
-import org.spruceridge.cloud.CloudMachine;
-import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.BindingReleaser;
 import org.spruceridge.cluster.Cluster;
-import org.spruceridge.cluster.Job;
-import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.Machine;
-import org.spruceridge.cluster.MachineKind;
-import org.spruceridge.cluster.MachineType;
-import org.spruceridge.cluster.Resources;
-import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 import org.spruceridge.schedule.Plan;
+import org.spruceridge.term.LeaderContext;
 
-/** Keeps the machines: rents what the cycles lack, returns what idles, and finds out which are gone. */
+/** Runs the periodic work on machines: follows the cloud's lists, removes failed machines, scales out and in. */
 public final class Autoscaler {
-    private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
-    /** A deleted machine costs at least this long, so an idle one is not returned before. */
-    private static final double MIN_BILLED_S = 60;
-
     private static final long CATALOGUE_REFRESH_NANOS = Durations.nanos(60);
 
     private final Loop loop;
@@ -41,49 +23,51 @@
     private final CloudClient cloud;
     private final Cluster cluster;
     private final Settings settings;
-    private final Policy policy;
     private final BooleanSupplier leads;
     private final Supplier<Plan> lastPlan;
     private final Runnable changed;
     private final FailureDetector failureDetector;
-    private final WarmCapacity warmCapacity;
-    private final ScaleOutRequests scaleOutRequests;
-    private final ScaleInRequests scaleInRequests;
+    private final MachineListReconciler machineList;
+    private final FailedMachineRemoval failedMachineRemoval;
+    private final ScaleOutCycle scaleOut;
+    private final ScaleInCycle scaleIn;
     private long lastTick;
-    private long lastPlanned = Long.MIN_VALUE / 2;
-
-    /** {@code leads} tells whether the lease of the leader still holds; {@code changed} asks for a scheduling cycle. */
+    private long lastScaling = Long.MIN_VALUE / 2;
+
+    /**
+     * An autoscaler for one term.
+     *
+     * @param lastPlan the plan of the last scheduling cycle, or null before the first one
+     * @param changed asks for a scheduling cycle
+     */
     public Autoscaler(
-            Loop loop,
-            CancellationScope scope,
+            LeaderContext context,
             CloudClient cloud,
-            Cluster cluster,
-            BindingReleaser recordWriter,
-            Settings settings,
-            Policy policy,
-            long term,
-            BooleanSupplier leads,
+            BindingReleaser releaser,
             Supplier<Plan> lastPlan,
             Runnable changed) {
-        this.loop = loop;
-        this.scope = scope;
+        this.loop = context.loop();
+        this.scope = context.scope();
         this.cloud = cloud;
-        this.cluster = cluster;
-        this.settings = settings;
-        this.policy = policy;
-        this.leads = leads;
+        this.cluster = context.cluster();
+        this.settings = context.settings();
+        this.leads = context.leads();
         this.lastPlan = lastPlan;
         this.changed = changed;
-        this.failureDetector = new FailureDetector(loop, cluster, settings, policy);
-        this.warmCapacity = new WarmCapacity(settings, loop.nanos());
+        this.failureDetector = new FailureDetector(loop, cluster, settings, context.policy());
+        WarmCapacity warmCapacity = new WarmCapacity(settings, loop.nanos());
         CloudAccess access = new CloudAccess(loop, scope, cloud, cluster, leads);
-        this.scaleOutRequests =
-                new ScaleOutRequests(access, term, settings.workers().leaseS());
-        this.scaleInRequests = new ScaleInRequests(access, recordWriter, changed);
+        ScaleOutRequests scaleOutRequests = new ScaleOutRequests(
+                access, context.term().term(), settings.workers().leaseS());
+        ScaleInRequests scaleInRequests = new ScaleInRequests(access, releaser, changed);
+        this.machineList = new MachineListReconciler(loop, cluster, scaleInRequests);
+        this.failedMachineRemoval = new FailedMachineRemoval(loop, failureDetector, scaleInRequests);
+        this.scaleOut = new ScaleOutCycle(cluster, settings, warmCapacity, scaleOutRequests);
+        this.scaleIn = new ScaleInCycle(context, warmCapacity, scaleInRequests);
         this.lastTick = loop.nanos();
     }
 
-    /** Begins to follow the cloud's lists and to rent and return machines. */
+    /** Starts to follow the cloud's lists and to scale. */
     public void start() {
         refreshCatalogue();
         refreshList();
@@ -104,7 +88,7 @@
 
     private void refreshList() {
         cloud.machines(scope.guard(answer -> {
-            answer.ifPresent(this::takeList);
+            answer.ifPresent(machineList::reconcile);
             scope.after(
                     Math.max(
                             CloudAccess.RETRY_INTERVAL_NANOS,
@@ -120,188 +104,34 @@
         }
         lastTick = now;
         if (leads.getAsBoolean()) {
-            endLeases();
-            deleteFailed();
-            // While requests wait, what to rent is worked out less often: workers' reports come first.
-            double plannedAgoS = Durations.secondsSince(lastPlanned, now);
-            if (!loop.busy() || plannedAgoS > settings.workers().maxDecisionDelayS()) {
-                lastPlanned = now;
-                rentAndReturn();
+            failedMachineRemoval.run();
+            // While requests wait, scaling is decided less often: the heartbeats of workers come first.
+            double sinceScalingS = Durations.secondsSince(lastScaling, now);
+            if (!loop.busy() || sinceScalingS > settings.workers().maxDecisionDelayS()) {
+                lastScaling = now;
+                scale();
             }
         }
         scope.after(Durations.nanos(settings.workers().heartbeatIntervalS() / 3), this::tick);
     }
 
-    /** This node does not keep up: what it has not heard yet may well have been said. */
+    /** Records that this node does not keep up: heartbeats may have arrived that it has not handled yet. */
     public void recordOverload() {
         failureDetector.recordOverload();
     }
 
-    private void takeList(ImmutableList<CloudMachine> list) {
-        long now = loop.nanos();
-        List<String> failed = new ArrayList<>();
-        for (CloudMachine host : list) {
-            Machine machine = cluster.machine(host.name());
-            if (host.stage() == CloudMachine.Stage.FAILED) {
-                if (machine != null) {
-                    LOG.info("machine {} has failed", machine.name());
-                    scaleInRequests.recordDeletion(machine);
-                }
-                failed.add(host.name());
-                continue;
-            }
-            if (machine == null && !cluster.wasRemoved(host.name())) {
-                machine = new Machine(
-                        host.name(), host.address(), new MachineKind(host.type(), host.zone(), host.spot()), now, now);
-                cluster.add(machine);
-            }
-            if (machine != null) {
-                machine.launchedAt(Math.min(machine.launchedAt(), now - Durations.nanos(host.ageS())));
-            }
-        }
-        scaleInRequests.removeFromList(failed);
-    }
-
-    private void endLeases() {
-        for (Machine m : failureDetector.findExpiredLeases()) {
-            LOG.info(
-                    "machine {} has not reported for a lease: its {} tasks are gone",
-                    m.name(),
-                    m.bindings().size());
-            m.endIncarnation();
-            scaleInRequests.releaseAll(m);
-        }
-    }
-
-    /** Deletes machines that have to be given up; the deletion proves that their tasks are gone. */
-    private void deleteFailed() {
-        List<Machine> overdue = failureDetector.findOverdueStops();
-        overdue.stream().filter(m -> !m.isTerminating()).forEach(this::logOverdue);
-        scaleInRequests.delete(overdue, "cancelled tasks that do not end");
-        scaleInRequests.delete(failureDetector.findDead(), "lost or never up");
-    }
-
-    private void logOverdue(Machine m) {
-        long now = loop.nanos();
-        m.bindings().stream()
-                .filter(b -> b.job().isCancelled())
-                .min(Comparator.comparingLong(b -> b.job().cancelledAt()))
-                .ifPresent(b -> LOG.info(
-                        "stop overdue: {}, {}, cancelled {} s ago, heard of {} s ago; the machine was last heard {} s ago",
-                        b,
-                        b.phase(),
-                        Durations.secondsSince(b.job().cancelledAt(), now),
-                        Durations.secondsSince(b.job().cancellationLearnedAt(), now),
-                        Durations.secondsSince(m.lease().lastHeartbeat(), now)));
-    }
-
-    /** How long ago the job of the oldest stop that is not proven was cancelled, in seconds; 0 if there is none. */
-    public double oldestUnprovenStopS() {
-        return failureDetector.oldestUnprovenStopS();
-    }
-
-    private void rentAndReturn() {
+    private void scale() {
         Plan plan = lastPlan.get();
         if (plan == null || cluster.types().isEmpty()) {
             return;
         }
         long now = loop.nanos();
-        List<WarmCapacity.Reserve> standingBy = warmCapacity.reserves(cluster, now, loop.wallMillis());
-        ScaleOutPlanner planner =
-                new ScaleOutPlanner(cluster, scaleOutRequests::isAvailable, smallestTask(plan, standingBy));
-        List<Machine> here = new ArrayList<>();
-        for (Machine m : cluster.machines()) {
-            if (m.isTerminating() || m.isUnschedulable()) {
-                continue;
-            }
-            if (m.hasReported()) {
-                here.add(m);
-            } else if (comingSoon(m, now)) {
-                planner.add(m);
-            }
-        }
-        scaleOutRequests.forEachPending((offer, count) -> {
-            for (int i = 0; i < count; i++) {
-                planner.add(offer);
-            }
-        });
-        for (Machine m : here) {
-            planner.addFreed(m, freedWithinBoot(m, now));
-        }
-        plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
-        here.forEach(planner::add); // standing by may count on room that the cycle left free
-        standingBy.forEach(reserves -> planner.place(
-                reserves.example(), reserves.tasks(), ZoneAllowance.of(reserves.example(), reserves.tasks())));
-        planner.launches().forEach(scaleOutRequests::launch);
-        returnIdle(planner.kept(), now);
-    }
-
-    /** The least of each resource that any task to be placed takes. */
-    private static Resources smallestTask(Plan plan, List<WarmCapacity.Reserve> standingBy) {
-        Stream<JobSpec> specs = Stream.concat(
-                plan.unplaced().keySet().stream().map(Job::spec),
-                standingBy.stream().map(WarmCapacity.Reserve::example));
-        return Resources.minOf(specs.map(JobSpec::task));
-    }
-
-    /** What the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
-    private Resources freedWithinBoot(Machine m, long now) {
-        double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-        Resources freed = Resources.NONE;
-        for (Binding b : m.bindings()) {
-            double remainingS = b.job().spec().estimateS() - b.elapsedS(now);
-            boolean runs = b.phase() == Binding.Phase.RUNNING;
-            if (runs && b.isExpectedToEnd() && remainingS < bootS && !b.isProvenGone()) {
-                freed = freed.plus(b.job().spec().task());
-            }
-        }
-        return freed;
+        Set<Machine> needed = scaleOut.run(plan, now, loop.wallMillis());
+        scaleIn.run(needed, now);
     }
 
-    private boolean comingSoon(Machine m, long now) {
-        double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-        return Durations.secondsSince(m.launchedAt(), now) < 2 * bootS
-                || Durations.secondsSince(m.knownSince(), now)
-                        < 2 * settings.workers().heartbeatIntervalS();
-    }
-
-    private void returnIdle(Set<Machine> kept, long now) {
-        List<Machine> idle = new ArrayList<>();
-        for (Machine m : cluster.machines()) {
-            if (m.isTerminating() || !m.hasReported() || !(m.bindings().isEmpty() || lateStartMayHarm(m))) {
-                continue;
-            }
-            double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(0.0);
-            boolean idleLong = Durations.secondsSince(m.idleSince(), now)
-                            > policy.fleet().idleTimeoutBoots() * bootS * cheapness(m)
-                    && Durations.secondsSince(m.launchedAt(), now) > MIN_BILLED_S;
-            boolean useless = m.isUnschedulable() && !(m.suspicion().isSuspect() && beingAsked(m, now));
-            if (useless || (idleLong && !kept.contains(m) && !warmCapacity.learning(cluster, now))) {
-                idle.add(m);
-            }
-        }
-        scaleInRequests.delete(idle, "idle or of no use");
-    }
-
-    /** Its reach came into doubt a moment ago, and it has been asked for a sign. */
-    private boolean beingAsked(Machine m, long now) {
-        return Durations.secondsSince(m.unacknowledgedSince(), now)
-                < settings.workers().leaseS() / 2;
-    }
-
-    /** The lowest price of a machine's type against its own: the dearer it is, the sooner it is given back. */
-    private double cheapness(Machine m) {
-        return cluster.typeOf(m)
-                .map(t -> Math.min(t.price(), t.spotPrice()) / t.price(m.isSpot()))
-                .orElse(1.0);
-    }
-
-    /** A start of a cancelled job may still be on its way to this machine: only its end makes sure. */
-    private static boolean lateStartMayHarm(Machine m) {
-        return m.directCommands().hasUncertainStart()
-                && m.bindings().stream()
-                        .anyMatch(b -> b.job().isCancelled()
-                                && b.phase() == Binding.Phase.ABSENT
-                                && m.directCommands().isStartUnresolved(b.attempt()));
+    /** How long ago the job of the oldest stop that is not proven was cancelled, in seconds; 0 if there is none. */
+    public double oldestUnprovenStopS() {
+        return failureDetector.oldestUnprovenStopS();
     }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/autoscaling/FailedMachineRemoval.java
@@ -0,0 +1,69 @@
+package org.spruceridge.autoscaling;
+
+import java.util.Comparator;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.net.Durations;
+import org.spruceridge.net.Loop;
+
+/** Acts on the findings of the failure detector: releases the tasks of expired leases and deletes dead machines. */
+final class FailedMachineRemoval {
+    private static final Logger LOG = LoggerFactory.getLogger(FailedMachineRemoval.class);
+
+    private final Loop loop;
+    private final FailureDetector failureDetector;
+    private final ScaleInRequests scaleInRequests;
+
+    FailedMachineRemoval(Loop loop, FailureDetector failureDetector, ScaleInRequests scaleInRequests) {
+        this.loop = loop;
+        this.failureDetector = failureDetector;
+        this.scaleInRequests = scaleInRequests;
+    }
+
+    void run() {
+        endExpiredLeases();
+        deleteFailed();
+    }
+
+    private void endExpiredLeases() {
+        for (Machine machine : failureDetector.findExpiredLeases()) {
+            LOG.info(
+                    "machine lease expired, its tasks are released machine={} count={}",
+                    machine.name(),
+                    machine.bindings().size());
+            machine.endIncarnation();
+            scaleInRequests.releaseAll(machine);
+        }
+    }
+
+    /** Deletes machines that are declared dead; a confirmed deletion proves that their tasks are gone. */
+    private void deleteFailed() {
+        List<Machine> overdue = failureDetector.findOverdueStops();
+        overdue.stream().filter(machine -> !machine.isTerminating()).forEach(this::logOverdueStop);
+        scaleInRequests.delete(overdue, "stop-overdue");
+        scaleInRequests.delete(failureDetector.findDead(), "declared-dead");
+    }
+
+    private void logOverdueStop(Machine machine) {
+        long now = loop.nanos();
+        machine.bindings().stream()
+                .filter(binding -> binding.job().isCancelled())
+                .min(Comparator.comparingLong(binding -> binding.job().cancelledAt()))
+                .ifPresent(binding -> logOverdueStop(machine, binding, now));
+    }
+
+    private static void logOverdueStop(Machine machine, Binding binding, long now) {
+        LOG.info(
+                "stop overdue task={} attempt={} machine={} phase={} cancelledAgeS={} learnedAgeS={} heartbeatAgeS={}",
+                binding.task(),
+                binding.attempt(),
+                machine.name(),
+                binding.phase(),
+                Durations.secondsSince(binding.job().cancelledAt(), now),
+                Durations.secondsSince(binding.job().cancellationLearnedAt(), now),
+                Durations.secondsSince(machine.lease().lastHeartbeat(), now));
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
@@ -0,0 +1,102 @@
+package org.spruceridge.autoscaling;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Stream;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Cluster;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.cluster.MachineType;
+import org.spruceridge.cluster.Resources;
+import org.spruceridge.config.Settings;
+import org.spruceridge.net.Durations;
+import org.spruceridge.schedule.Plan;
+
+/** Decides how many machines to launch for the tasks that the last scheduling cycle could not place. */
+final class ScaleOutCycle {
+    private final Cluster cluster;
+    private final Settings settings;
+    private final WarmCapacity warmCapacity;
+    private final ScaleOutRequests scaleOutRequests;
+
+    ScaleOutCycle(Cluster cluster, Settings settings, WarmCapacity warmCapacity, ScaleOutRequests scaleOutRequests) {
+        this.cluster = cluster;
+        this.settings = settings;
+        this.warmCapacity = warmCapacity;
+        this.scaleOutRequests = scaleOutRequests;
+    }
+
+    /** Requests the machines that are missing, and returns the existing ones whose capacity is needed. */
+    Set<Machine> run(Plan plan, long now, long wallMs) {
+        List<WarmCapacity.Reserve> reserves = warmCapacity.reserves(cluster, now, wallMs);
+        ScaleOutPlanner planner =
+                new ScaleOutPlanner(cluster, scaleOutRequests::isAvailable, smallestTask(plan, reserves));
+        List<Machine> running = addBootingMachines(planner, now);
+        addPendingRequests(planner);
+        for (Machine machine : running) {
+            planner.addFreed(machine, freedWithinBoot(machine, now));
+        }
+        plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
+        running.forEach(planner::add); // warm capacity may use what the scheduling cycle left free
+        reserves.forEach(reserve -> planner.place(
+                reserve.example(), reserve.tasks(), ZoneAllowance.of(reserve.example(), reserve.tasks())));
+        planner.launches().forEach(scaleOutRequests::launch);
+        return planner.kept();
+    }
+
+    /** The minimum of each resource over all tasks to be placed. */
+    private static Resources smallestTask(Plan plan, List<WarmCapacity.Reserve> reserves) {
+        Stream<JobSpec> specs = Stream.concat(
+                plan.unplaced().keySet().stream().map(Job::spec),
+                reserves.stream().map(WarmCapacity.Reserve::example));
+        return Resources.minOf(specs.map(JobSpec::task));
+    }
+
+    /** Adds the machines that are about to come up, and returns those that are up. */
+    private List<Machine> addBootingMachines(ScaleOutPlanner planner, long now) {
+        List<Machine> running = new ArrayList<>();
+        for (Machine machine : cluster.machines()) {
+            if (machine.isTerminating() || machine.isUnschedulable()) {
+                continue;
+            }
+            if (machine.hasReported()) {
+                running.add(machine);
+            } else if (isBooting(machine, now)) {
+                planner.add(machine);
+            }
+        }
+        return running;
+    }
+
+    private void addPendingRequests(ScaleOutPlanner planner) {
+        scaleOutRequests.forEachPending((offer, count) -> {
+            for (int i = 0; i < count; i++) {
+                planner.add(offer);
+            }
+        });
+    }
+
+    private boolean isBooting(Machine machine, long now) {
+        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
+        return Durations.secondsSince(machine.launchedAt(), now) < 2 * bootS
+                || Durations.secondsSince(machine.knownSince(), now)
+                        < 2 * settings.workers().heartbeatIntervalS();
+    }
+
+    /** The capacity that the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
+    private Resources freedWithinBoot(Machine machine, long now) {
+        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
+        Resources freed = Resources.NONE;
+        for (Binding binding : machine.bindings()) {
+            double remainingS = binding.job().spec().estimateS() - binding.elapsedS(now);
+            boolean isRunning = binding.phase() == Binding.Phase.RUNNING;
+            if (isRunning && binding.isExpectedToEnd() && remainingS < bootS && !binding.isProvenGone()) {
+                freed = freed.plus(binding.job().spec().task());
+            }
+        }
+        return freed;
+    }
+}
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -127,18 +127,8 @@
                 term.leaderRevision(),
                 everyMemberSupportsLevel,
                 recordWriter::levelRaised);
-        this.autoscaler = new Autoscaler(
-                loop,
-                scope,
-                cloud,
-                cluster,
-                recordWriter,
-                settings,
-                context.policy(),
-                term.term(),
-                context.leads(),
-                schedulingLoop::lastPlan,
-                schedulingLoop::request);
+        this.autoscaler =
+                new Autoscaler(context, cloud, recordWriter, schedulingLoop::lastPlan, schedulingLoop::request);
     }
 
     /** Takes over from the records, and then begins to schedule. */
