--- a/src/main/java/org/spruceridge/autoscaling/CloudAccess.java
+++ b/src/main/java/org/spruceridge/autoscaling/CloudAccess.java
@@ -8,12 +8,12 @@
 import org.spruceridge.net.Loop;
 
 /**
- * What all that asks the cloud for something shares.
+ * What all classes that send requests to the cloud share.
  *
  * @param scope all that is pending; closed at the end of the term
- * @param leads whether the lease of the leader key still holds: past it the cloud is asked for nothing
+ * @param leads whether the lease of the leader key still holds: after it no request is sent
  */
 record CloudAccess(Loop loop, CancellationScope scope, CloudClient cloud, Cluster cluster, BooleanSupplier leads) {
-    /** After this time a request that was not answered, or may not be sent now, is tried again. */
+    /** After this time a request that was not answered, or may not be sent now, is retried. */
     static final long RETRY_INTERVAL_NANOS = Durations.nanos(2);
 }
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -15,12 +15,12 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Finds the machines whose leases have run out, and those that have to be given up. It changes nothing itself. */
+/** Finds the machines whose leases have expired and those that are declared dead. It changes no state of the cluster. */
 final class FailureDetector {
-    /** Beyond a lease's drift: late timers, on both sides. */
+    /** Added to the lease beyond clock drift, for late timers on both sides. */
     private static final double LEASE_MARGIN_S = 1;
 
-    /** After this many leases a machine is given up even if most of its zone is silent too. */
+    /** After this many leases a machine is declared dead even if its zone seems to be partitioned. */
     private static final double PARTITIONED_ZONE_LEASES = 4;
 
     private final Loop loop;
@@ -30,10 +30,10 @@
     private final CancellationTimes times;
     private long overloadedUntil = Long.MIN_VALUE;
 
-    /** A zone from which nothing was heard for so many report periods is cut off, or this node is. */
+    /** A zone without a heartbeat for so many heartbeat intervals is partitioned, or this node is. */
     private static final double PARTITIONED_ZONE_HEARTBEATS = 1.5;
 
-    /** How many machines of a zone there are, how many of them are in touch, and when one was last heard. */
+    /** The machines of a zone, how many of them are responsive, and when one last sent a heartbeat. */
     private static final class ZoneCount {
         private int machines;
         private int responsive;
@@ -48,27 +48,27 @@
         this.times = CancellationTimes.of(settings.workers());
     }
 
-    /** This node does not keep up: what it has not heard yet may well have been said. */
+    /** Records that this node does not keep up: heartbeats may have arrived that it has not handled yet. */
     void recordOverload() {
         overloadedUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
     }
 
-    /** Machines that nobody can have answered for a whole lease: they have killed their tasks. */
+    /** Machines whose lease no leader can have renewed in time: their workers have killed all tasks. */
     List<Machine> findExpiredLeases() {
         long lease = Durations.nanos(
                 settings.workers().leaseS() * (1 + 2 * Durations.MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_S);
         long now = loop.nanos();
         List<Machine> expired = new ArrayList<>();
-        for (Machine m : cluster.machines()) {
-            if (now - m.lease().lastRenewal() > lease && hasOpenBinding(m)) {
-                expired.add(m);
+        for (Machine machine : cluster.machines()) {
+            if (now - machine.lease().lastRenewal() > lease && hasOpenBinding(machine)) {
+                expired.add(machine);
             }
         }
         return expired;
     }
 
-    private static boolean hasOpenBinding(Machine m) {
-        return m.bindings().stream().anyMatch(b -> b.stage() != Binding.Stage.RELEASING);
+    private static boolean hasOpenBinding(Machine machine) {
+        return machine.bindings().stream().anyMatch(binding -> binding.stage() != Binding.Stage.RELEASING);
     }
 
     /**
@@ -78,7 +78,7 @@
     List<Machine> findOverdueStops() {
         long now = loop.nanos();
         return cluster.machines().stream()
-                .filter(m -> m.bindings().stream().anyMatch(b -> stopOverdue(b, now)))
+                .filter(machine -> machine.bindings().stream().anyMatch(binding -> stopOverdue(binding, now)))
                 .toList();
     }
 
@@ -86,27 +86,27 @@
     double oldestUnprovenStopS() {
         long now = loop.nanos();
         return cluster.machines().stream()
-                .flatMap(m -> m.bindings().stream())
+                .flatMap(machine -> machine.bindings().stream())
                 .filter(FailureDetector::stopUnproven)
-                .mapToDouble(b -> Durations.secondsSince(b.job().cancelledAt(), now))
+                .mapToDouble(binding -> Durations.secondsSince(binding.job().cancelledAt(), now))
                 .max()
                 .orElse(0);
     }
 
-    private static boolean stopUnproven(Binding b) {
-        return b.job().isCancelled() && b.stage() != Binding.Stage.PROPOSED && !b.isProvenGone();
+    private static boolean stopUnproven(Binding binding) {
+        return binding.job().isCancelled() && binding.stage() != Binding.Stage.PROPOSED && !binding.isProvenGone();
     }
 
-    private boolean stopOverdue(Binding b, long now) {
-        Job job = b.job();
-        return stopUnproven(b)
+    private boolean stopOverdue(Binding binding, long now) {
+        Job job = binding.job();
+        return stopUnproven(binding)
                 && Durations.secondsSince(job.cancelledAt(), now) > times.unprovenStopTimeoutS()
                 && Durations.secondsSince(job.cancellationLearnedAt(), now) > times.stopProofTimeoutS();
     }
 
     /**
-     * Machines that fell silent, that are heard but not reached, or that never came up; none while this node does not
-     * keep up with the reports that come.
+     * Machines that stopped sending heartbeats, do not acknowledge commands, or failed to boot; none while this node does
+     * not keep up with the heartbeats that arrive.
      */
     List<Machine> findDead() {
         long now = loop.nanos();
@@ -115,9 +115,9 @@
             return findDead;
         }
         Map<String, ZoneCount> zones = zones(now);
-        for (Machine m : cluster.machines()) {
-            if (m.hasReported() ? isDead(m, zones.get(m.zone()), now) : failedToBoot(m, now)) {
-                findDead.add(m);
+        for (Machine machine : cluster.machines()) {
+            if (machine.hasReported() ? isDead(machine, zones.get(machine.zone()), now) : failedToBoot(machine, now)) {
+                findDead.add(machine);
             }
         }
         return findDead;
@@ -125,12 +125,13 @@
 
     private Map<String, ZoneCount> zones(long now) {
         Map<String, ZoneCount> zones = new HashMap<>();
-        for (Machine m : cluster.machines()) {
-            if (m.hasReported()) {
-                ZoneCount count = zones.computeIfAbsent(m.zone(), z -> new ZoneCount());
+        for (Machine machine : cluster.machines()) {
+            if (machine.hasReported()) {
+                ZoneCount count = zones.computeIfAbsent(machine.zone(), z -> new ZoneCount());
                 count.machines++;
-                count.responsive += unresponsiveS(m, now) < deadAfterS() ? 1 : 0;
-                count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lease().lastHeartbeat());
+                count.responsive += unresponsiveS(machine, now) < deadAfterS() ? 1 : 0;
+                count.lastHeartbeat =
+                        Math.max(count.lastHeartbeat, machine.lease().lastHeartbeat());
             }
         }
         return zones;
@@ -140,25 +141,26 @@
         return policy.fleet().silenceTimeoutLeases() * settings.workers().leaseS();
     }
 
-    private boolean failedToBoot(Machine m, long now) {
-        double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-        return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().bootTimeoutBoots() * bootS
-                && Durations.secondsSince(m.knownSince(), now)
+    private boolean failedToBoot(Machine machine, long now) {
+        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(Double.MAX_VALUE);
+        return Durations.secondsSince(machine.launchedAt(), now)
+                        > policy.fleet().bootTimeoutBoots() * bootS
+                && Durations.secondsSince(machine.knownSince(), now)
                         > settings.workers().leaseS();
     }
 
-    /** Where most machines of a zone are silent it is rather the network, and they may be back. */
-    private boolean isDead(Machine m, ZoneCount zone, long now) {
+    /** Where most machines of a zone are unresponsive, the network is the likely cause, and they may return. */
+    private boolean isDead(Machine machine, ZoneCount zone, long now) {
         double leaseS = settings.workers().leaseS();
-        double silentForS = unresponsiveS(m, now);
-        // One that this leader has not heard at all may still be looking for it, with all the others.
-        boolean silent = silentForS > (m.lease().isFenced() ? deadAfterS() : leaseS);
+        double silentForS = unresponsiveS(machine, now);
+        // A worker that has not sent a heartbeat to this leader yet may still be looking for it.
+        boolean silent = silentForS > (machine.lease().isFenced() ? deadAfterS() : leaseS);
         return silent && (responsive(zone, now) || silentForS > PARTITIONED_ZONE_LEASES * leaseS);
     }
 
     /**
-     * True if most machines of a zone are in touch. That alone would not do: as a zone is cut off, those that reported
-     * first are silent for long enough while most others are not yet.
+     * True if most machines of a zone are responsive and one sent a heartbeat lately. The majority alone is not enough:
+     * when a zone is partitioned, the machines that sent theirs first exceed the limit while most others do not yet.
      */
     private boolean responsive(ZoneCount zone, long now) {
         double quietS = Durations.secondsSince(zone.lastHeartbeat, now);
@@ -166,11 +168,11 @@
                 && quietS < PARTITIONED_ZONE_HEARTBEATS * settings.workers().heartbeatIntervalS();
     }
 
-    /** How long the machine has not been heard, or has been heard without doing as it was told. */
-    private static double unresponsiveS(Machine m, long now) {
-        double deadAfterS = Durations.secondsSince(m.lease().lastHeartbeat(), now);
-        return m.awaitsAcknowledgement()
-                ? Math.max(deadAfterS, Durations.secondsSince(m.unacknowledgedSince(), now))
+    /** For how many seconds the machine has sent no heartbeat, or has not acknowledged a command. */
+    private static double unresponsiveS(Machine machine, long now) {
+        double deadAfterS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
+        return machine.awaitsAcknowledgement()
+                ? Math.max(deadAfterS, Durations.secondsSince(machine.unacknowledgedSince(), now))
                 : deadAfterS;
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
@@ -53,7 +53,7 @@
     }
 
     private boolean isSurplus(Machine machine, Set<Machine> needed, long now) {
-        return isIdleLong(machine, now) && !needed.contains(machine) && !warmCapacity.learning(cluster, now);
+        return isIdleLong(machine, now) && !needed.contains(machine) && !warmCapacity.isLearning(cluster, now);
     }
 
     private boolean isIdleLong(Machine machine, long now) {
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
@@ -15,7 +15,7 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.net.Durations;
 
-/** Gives machines back to the cloud. A deletion that was answered proves that nothing is left on them. */
+/** Deletes machines at the cloud. A confirmed deletion proves that no task is left on them. */
 final class ScaleInRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
@@ -34,74 +34,74 @@
         this.changed = changed;
     }
 
-    /** Gives machines back, if there are any, and says why. */
-    void delete(List<Machine> machines, String why) {
+    /** Requests the deletion of machines, if there are any; {@code reason} is logged. */
+    void delete(List<Machine> machines, String reason) {
         if (machines.isEmpty()) {
             return;
         }
         if (!access.leads().getAsBoolean()) {
-            // Tried again after the grant is over: another may lead by now, and have given the machine work.
-            access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(machines, why));
+            // Retried only if the lease is renewed: otherwise another leader may have given the machines tasks by now.
+            access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(machines, reason));
             return;
         }
-        List<Machine> fresh = new ArrayList<>();
-        for (Machine m : machines) {
-            m.markTerminating();
-            if (deleting.add(m.name())) {
-                fresh.add(m);
+        List<Machine> notRequested = new ArrayList<>();
+        for (Machine machine : machines) {
+            machine.markTerminating();
+            if (deleting.add(machine.name())) {
+                notRequested.add(machine);
             }
         }
-        for (List<Machine> part : Lists.partition(fresh, CloudClient.MAX_DELETE_BATCH)) {
-            deletePart(part, why);
+        for (List<Machine> batch : Lists.partition(notRequested, CloudClient.MAX_DELETE_BATCH)) {
+            deleteBatch(batch, reason);
         }
     }
 
-    private void deletePart(List<Machine> part, String why) {
-        List<String> names = part.stream().map(Machine::name).toList();
-        LOG.info("returning {}: {}", names, why);
-        long asked = access.loop().nanos();
-        access.cloud().delete(names, access.scope().guard(ok -> {
+    private void deleteBatch(List<Machine> batch, String reason) {
+        List<String> names = batch.stream().map(Machine::name).toList();
+        LOG.info("deleting machines machines={} reason={}", names, reason);
+        long requestedAt = access.loop().nanos();
+        access.cloud().delete(names, access.scope().guard(confirmed -> {
             names.forEach(deleting::remove);
             LOG.info(
-                    "{} machines, {} the first: the cloud {} after {} s",
-                    names.size(),
+                    "machine deletion answered machine={} count={} outcome={} ageS={}",
                     names.get(0),
-                    ok ? "has deleted them" : "did not confirm the deletion",
-                    Durations.secondsSince(asked, access.loop().nanos()));
-            if (ok) {
-                part.forEach(this::recordDeletion);
+                    names.size(),
+                    confirmed ? "deleted" : "unconfirmed",
+                    Durations.secondsSince(requestedAt, access.loop().nanos()));
+            if (confirmed) {
+                batch.forEach(this::recordDeletion);
             } else {
-                access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(part, why));
+                access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(batch, reason));
             }
         }));
     }
 
-    /** Has machines that failed taken off the cloud's list, each once. */
+    /** Deletes machines that the cloud reports as failed from its list, each once. */
     void removeFromList(List<String> failed) {
-        List<String> fresh = failed.stream().filter(removedFromList::add).toList();
-        for (List<String> part : Lists.partition(fresh, CloudClient.MAX_DELETE_BATCH)) {
-            access.cloud().delete(part, access.scope().guard(ok -> {
-                if (!ok) {
-                    part.forEach(removedFromList::remove);
+        List<String> notRequested = failed.stream().filter(removedFromList::add).toList();
+        for (List<String> batch : Lists.partition(notRequested, CloudClient.MAX_DELETE_BATCH)) {
+            access.cloud().delete(batch, access.scope().guard(confirmed -> {
+                if (!confirmed) {
+                    batch.forEach(removedFromList::remove);
                 }
             }));
         }
     }
 
-    /** There is proof that the machine is gone, with everything on it. */
-    void recordDeletion(Machine m) {
-        releaseAll(m);
-        cluster.remove(m);
+    /** Removes a machine that is proven not to exist any more, and releases its tasks. */
+    void recordDeletion(Machine machine) {
+        releaseAll(machine);
+        cluster.remove(machine);
         changed.run();
     }
 
-    /** There is proof that nothing is left on the machine. */
-    void releaseAll(Machine m) {
-        for (Binding b : ImmutableList.copyOf(m.bindings())) {
-            if (b.stage() == Binding.Stage.ORPHANED) {
-                cluster.unbind(b, access.loop().nanos());
+    /** Releases all tasks of a machine on which they are proven not to run. */
+    void releaseAll(Machine machine) {
+        for (Binding binding : ImmutableList.copyOf(machine.bindings())) {
+            if (binding.stage() == Binding.Stage.ORPHANED) {
+                cluster.unbind(binding, access.loop().nanos());
             } else {
-                releaser.release(b, false);
+                releaser.release(binding, false);
             }
         }
     }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
@@ -17,8 +17,8 @@
 import org.spruceridge.cluster.Resources;
 
 /**
- * Packs tasks that found no room into machines that are coming, and then into machines yet to be rented, the cheapest
- * that fits and can be had. It only computes; what it asks for is the autoscaler's to rent.
+ * Packs tasks that found no capacity into existing and booting machines, and then into new ones of the cheapest kind that
+ * fits and is available. It only computes; {@link ScaleOutCycle} requests the machines.
  */
 final class ScaleOutPlanner {
     private static final int MAX_NEW_MACHINES = 100;
@@ -33,24 +33,24 @@
     private int newMachines;
 
     /**
-     * {@code isAvailable} tells which offers were not refused lately, {@code smallestTask} the least that any task to be
-     * placed takes of each resource: room in which that does not fit need not be looked at for each job.
+     * {@code isAvailable} is true for kinds that were not refused lately. {@code smallestTask} is the minimum of each
+     * resource over all tasks to be placed: capacity that it does not fit into is ignored.
      */
     ScaleOutPlanner(Cluster cluster, Predicate<MachineKind> isAvailable, Resources smallestTask) {
         this.cluster = cluster;
         this.isAvailable = isAvailable;
         this.smallestTask = smallestTask;
-        for (Machine m : cluster.machines()) {
-            machinesPerZone.merge(m.zone(), 1, Integer::sum);
+        for (Machine machine : cluster.machines()) {
+            machinesPerZone.merge(machine.zone(), 1, Integer::sum);
         }
     }
 
-    /** Capacity on a machine that is there. */
+    /** Adds the free capacity of an existing machine. */
     void add(Machine machine) {
         addIfUseful(machine.kind(), cluster.freeCapacity(machine), machine);
     }
 
-    /** Capacity that will have fallen free on a machine by the time a new one would be up. */
+    /** Adds the capacity that a machine will have free by the time a new one would have booted. */
     void addFreed(Machine machine, Resources freed) {
         addIfUseful(machine.kind(), freed, machine);
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Capacity on a machine that was asked for. */
+    /** Adds the capacity of a machine that was requested. */
     void add(MachineKind offer) {
         MachineType type = cluster.types().get(offer.type());
         if (type != null) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Finds room for tasks of a job, asking for machines where there is none. */
+    /** Places tasks of a job, and plans new machines for those that do not fit. */
     void place(JobSpec spec, int count, ZoneAllowance zones) {
         int left = count;
         for (Bin bin : bins) {
@@ -93,12 +93,12 @@
         }
     }
 
-    /** Machines to be rented, by kind. */
+    /** How many machines to launch, by kind. */
     Map<MachineKind, Integer> launches() {
         return launches;
     }
 
-    /** Machines whose room was counted on. */
+    /** The existing machines whose capacity is needed. */
     Set<Machine> kept() {
         return kept;
     }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
@@ -14,8 +14,8 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Asks the cloud for machines. A claim has a name that is used once; one without an answer is sent again under its name, so
- * that nothing is rented twice.
+ * Requests machines from the cloud. Each request has a name that is used once; a request without an answer is sent again
+ * under its name, which makes it idempotent.
  */
 final class ScaleOutRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
@@ -28,8 +28,8 @@
     private final Map<String, Request> pendingRequests = new LinkedHashMap<>();
     private long requestCount;
 
-    /** A request that is on its way. */
-    private record Request(MachineKind offer, int count, long askedAt) {}
+    /** A request without a result yet. */
+    private record Request(MachineKind offer, int count, long requestedAt) {}
 
     /** {@code leaseS} stands for the boot time of a type that is not known. */
     ScaleOutRequests(CloudAccess access, long term, double leaseS) {
@@ -39,18 +39,18 @@
         this.leaseS = leaseS;
     }
 
-    /** True unless the offer was refused a moment ago. */
+    /** True unless the cloud refused machines of this kind a short time ago. */
     boolean isAvailable(MachineKind offer) {
         return unavailableUntil.getOrDefault(offer, Long.MIN_VALUE)
                 <= access.loop().nanos();
     }
 
-    /** Tells what was asked for and not answered yet. */
+    /** Passes on what was requested and has no result yet. */
     void forEachPending(BiConsumer<MachineKind, Integer> consumer) {
         pendingRequests.values().forEach(request -> consumer.accept(request.offer, request.count));
     }
 
-    /** Asks for so many machines, or as many as go into one request. */
+    /** Requests so many machines, or as many as one request may name. */
     void launch(MachineKind offer, int count) {
         String name = term + "-" + (++requestCount);
         Request request = new Request(
@@ -59,18 +59,18 @@
                 access.loop().nanos());
         pendingRequests.put(name, request);
         LOG.info(
-                "renting {} {} in {}, {}, as {}",
+                "launching machines request={} count={} machineType={} zone={} spot={}",
+                name,
                 request.count,
                 offer.type(),
                 offer.zone(),
-                offer.spot() ? "spot" : "ordinary",
-                name);
-        ask(name, request);
+                offer.spot());
+        send(name, request);
     }
 
-    private void ask(String name, Request request) {
+    private void send(String name, Request request) {
         if (!access.leads().getAsBoolean()) {
-            access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> ask(name, request));
+            access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> send(name, request));
             return;
         }
         MachineKind offer = request.offer;
@@ -83,9 +83,8 @@
                         request.count,
                         access.scope().guard(result -> {
                             if (result.kind() == LaunchResult.Kind.UNKNOWN) {
-                                // Machines may have been rented: the same claim asks what came of it and rents nothing
-                                // twice.
-                                access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> ask(name, request));
+                                // Machines may have been launched: the same name returns them and launches none twice.
+                                access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> send(name, request));
                                 return;
                             }
                             pendingRequests.remove(name);
@@ -96,16 +95,16 @@
     private void recordResult(String name, Request request, LaunchResult result) {
         long now = access.loop().nanos();
         MachineKind offer = request.offer;
-        for (String id : result.machines()) {
-            if (cluster.machine(id) == null && !cluster.wasRemoved(id)) {
-                Machine m = new Machine(id, "", offer, now, now);
-                m.launchedAt(request.askedAt);
-                cluster.add(m);
+        for (String machineName : result.machines()) {
+            if (cluster.machine(machineName) == null && !cluster.wasRemoved(machineName)) {
+                Machine machine = new Machine(machineName, "", offer, now, now);
+                machine.launchedAt(request.requestedAt);
+                cluster.add(machine);
             }
         }
         if (result.machines().size() < request.count) {
             LOG.info(
-                    "claim {}: {}, {} machines",
+                    "fewer machines launched than requested request={} outcome={} count={}",
                     name,
                     result.kind(),
                     result.machines().size());
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -13,15 +13,15 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Capacity kept free for work that should start sooner than a machine boots. For a class of arrays with such an aim: as
- * much as the class has lately had unfinished at one time. For a class of services, each second without which counts: as
- * much as was lately submitted within one boot, and what the failure of one machine takes.
+ * Capacity kept free for tasks that should start sooner than a machine boots. For a class of job arrays with such an
+ * objective: the peak of its unfinished tasks in recent time. For a class of services: the peak of what was submitted within
+ * one boot time, and the replicas that the failure of one machine would stop.
  */
 final class WarmCapacity {
     /** How long a peak is remembered, in boot times. */
     private static final double PEAK_MEMORY_BOOTS = 15;
 
-    /** How long a new leader waits to see a class of which there is no job, in boot times. */
+    /** How long a new leader waits for jobs of a class that has none, in boot times. */
     private static final double LEARNING_BOOTS = 3;
 
     private final Settings settings;
@@ -31,7 +31,7 @@
     /** Capacity to be kept free for so many tasks like those of a job. */
     record Reserve(JobSpec example, int tasks) {}
 
-    /** What the jobs of a class ask for now. */
+    /** What the jobs of a class need now. */
     private static final class Demand {
         private JobSpec example;
         private int tasks;
@@ -48,17 +48,17 @@
     }
 
     /**
-     * True while a new leader has not watched for long enough to know how much room such classes need: it must not
-     * return what its predecessor kept for them.
+     * True while a new leader has not observed such classes for long enough to know their peaks: it must not delete what
+     * its predecessor kept for them.
      */
-    boolean learning(Cluster cluster, long now) {
+    boolean isLearning(Cluster cluster, long now) {
         double bootS = bootS(cluster);
         return settings.objectives().stream()
                 .filter(objective -> needsWarmCapacity(objective, bootS))
                 .anyMatch(objective -> now - since < Durations.nanos(learningBoots(objective.jobClass()) * bootS));
     }
 
-    /** What services need is known from their jobs, which are on record with the time of their submission. */
+    /** The needs of services are known at once, as the records of their jobs contain the time of submission. */
     private double learningBoots(String jobClass) {
         Peak peak = peaks.get(jobClass);
         if (peak == null || peak.example == null) {
@@ -78,7 +78,7 @@
         return objective.kind().equals("wait") && objective.withinS() < bootS;
     }
 
-    /** Jobs of which capacity is kept free, and for how many of their tasks. */
+    /** The capacity to keep free, as numbers of tasks like those of a job. */
     List<Reserve> reserves(Cluster cluster, long now, long wallMs) {
         double bootS = bootS(cluster);
         Map<String, Demand> demands = new HashMap<>();
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Room for the replicas on that machine which carries most of them. */
+    /** Adds capacity for the replicas of the machine that has most of them. */
     private static void addLossOfOneMachine(Cluster cluster, List<Reserve> reserves) {
         int most = 0;
         JobSpec example = null;
@@ -122,7 +122,7 @@
             if (machine.replicas() > most) {
                 most = machine.replicas();
                 example = machine.bindings().stream()
-                        .map(b -> b.job().spec())
+                        .map(binding -> binding.job().spec())
                         .filter(JobSpec::isService)
                         .findFirst()
                         .orElseThrow();
@@ -136,16 +136,16 @@
     private static final class Peak {
         private JobSpec example;
         private int tasks;
-        private long at;
+        private long peakAt;
 
         void record(JobSpec latest, int unfinished, long now, long memory) {
             example = latest == null ? example : latest;
             if (unfinished >= tasks) {
                 tasks = unfinished;
-                at = now;
-            } else if (now - at > memory) {
+                peakAt = now;
+            } else if (now - peakAt > memory) {
                 tasks = Math.max(1, tasks - 1);
-                at = now;
+                peakAt = now;
             }
         }
     }
--- a/src/main/java/org/spruceridge/autoscaling/ZoneAllowance.java
+++ b/src/main/java/org/spruceridge/autoscaling/ZoneAllowance.java
@@ -9,20 +9,20 @@
 /** How many more tasks of a job may be placed in each zone, given those that are bound. */
 final class ZoneAllowance {
     private final int limit;
-    private final boolean together;
+    private final boolean oneZone;
     private final Map<String, Integer> used = new HashMap<>();
 
-    private ZoneAllowance(int limit, boolean together) {
+    private ZoneAllowance(int limit, boolean oneZone) {
         this.limit = limit;
-        this.together = together;
+        this.oneZone = oneZone;
     }
 
-    /** For the tasks of a job that wait. */
+    /** For the waiting tasks of a job. */
     static ZoneAllowance of(Job job) {
         ZoneAllowance allowance =
                 new ZoneAllowance(job.spec().zoneLimit(), job.spec().oneZone());
-        for (Binding b : job.bindings()) {
-            allowance.used.merge(b.machine().zone(), 1, Integer::sum);
+        for (Binding binding : job.bindings()) {
+            allowance.used.merge(binding.machine().zone(), 1, Integer::sum);
         }
         return allowance;
     }
@@ -34,7 +34,7 @@
 
     /** How many more may be placed in the zone. */
     int left(String zone) {
-        if (together && !used.isEmpty() && !used.containsKey(zone)) {
+        if (oneZone && !used.isEmpty() && !used.containsKey(zone)) {
             return 0;
         }
         return Math.max(0, limit - used.getOrDefault(zone, 0));
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -21,11 +21,11 @@
 import org.spruceridge.net.RateLimiter;
 import org.spruceridge.net.RateLimiter.Priority;
 
-/** The cloud's protocol with typed messages, within this node's share of its limit. */
+/** The client of the cloud's API. It keeps to this node's share of the rate limit of the cloud. */
 public final class CloudClient {
-    /** The most machines that one rental may name. */
+    /** The maximum number of machines in one launch request. */
     public static final int MAX_LAUNCH_BATCH = 50;
-    /** The most machines that one deletion may name. */
+    /** The maximum number of machines in one deletion. */
     public static final int MAX_DELETE_BATCH = 100;
 
     private static final int PAGE_SIZE = 500;
@@ -44,15 +44,16 @@
         this.warnings = warnings;
     }
 
-    /** The machine types and their present prices; empty if the cloud did not say. */
+    /** Gets the machine types and their present prices; empty if there was no usable answer. */
     public void catalogue(Consumer<Optional<ImmutableMap<String, MachineType>>> done) {
         send(Priority.SCHEDULING, HttpCall.get("/flavors"), answer -> done.accept(readCatalogue(answer)));
     }
 
-    /** Asks for machines. The claim must be new, or that of a request that got no answer or a refusal. */
-    public void launch(String claim, String type, String zone, boolean spot, int count, Consumer<LaunchResult> done) {
+    /** Launches machines. The request id must be new, or that of a request that got no answer or was refused. */
+    public void launch(
+            String requestId, String type, String zone, boolean spot, int count, Consumer<LaunchResult> done) {
         byte[] body = Json.bytes(Json.object()
-                .put("claim", claim)
+                .put("claim", requestId)
                 .put("build", type)
                 .put("grove", zone)
                 .put("windfall", spot)
@@ -60,7 +61,7 @@
         send(Priority.SCHEDULING, HttpCall.post("/hosts", body), answer -> done.accept(readLaunchResult(answer)));
     }
 
-    /** Gives machines back; true means that they are gone with all that was on them. */
+    /** Deletes machines; true means that they are deleted with everything on them. */
     public void delete(List<String> machines, Consumer<Boolean> done) {
         ArrayNode names = Json.array();
         machines.forEach(names::add);
@@ -68,12 +69,12 @@
         send(Priority.HEARTBEATS, HttpCall.post("/hosts/delete", body), answer -> done.accept(answer.status() == 200));
     }
 
-    /** All machines, page by page; empty if the cloud did not say. The list lags and may go backwards. */
+    /** Lists all machines, page by page; empty if there was no usable answer. The list lags and may go backwards. */
     public void machines(Consumer<Optional<ImmutableList<CloudMachine>>> done) {
         page("", new ArrayList<>(), done);
     }
 
-    private void page(String from, List<CloudMachine> sofar, Consumer<Optional<ImmutableList<CloudMachine>>> done) {
+    private void page(String from, List<CloudMachine> listed, Consumer<Optional<ImmutableList<CloudMachine>>> done) {
         String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE_SIZE;
         send(Priority.SCHEDULING, HttpCall.get(target), answer -> {
             if (answer.status() != 200) {
@@ -83,15 +84,15 @@
             try {
                 JsonNode body = Json.object(answer.body());
                 for (JsonNode item : Json.list(body, "hosts")) {
-                    sofar.add(host(item));
+                    listed.add(host(item));
                 }
-                if (body.path("truncated").asBoolean() && !sofar.isEmpty()) {
-                    page(sofar.get(sofar.size() - 1).name(), sofar, done);
+                if (body.path("truncated").asBoolean() && !listed.isEmpty()) {
+                    page(listed.get(listed.size() - 1).name(), listed, done);
                 } else {
-                    done.accept(Optional.of(ImmutableList.copyOf(sofar)));
+                    done.accept(Optional.of(ImmutableList.copyOf(listed)));
                 }
             } catch (BadMessageException e) {
-                unreadable(e);
+                warnInvalid(e);
                 done.accept(Optional.empty());
             }
         });
@@ -122,36 +123,35 @@
         try {
             ImmutableMap.Builder<String, MachineType> out = ImmutableMap.builder();
             for (JsonNode item : Json.list(Json.object(answer.body()), "builds")) {
-                ImmutableList.Builder<String> zones = ImmutableList.builder();
-                Json.list(item, "groves").forEach(z -> zones.add(z.asText()));
-                String name = Json.text(item, "name");
-                out.put(
-                        name,
-                        new MachineType(
-                                name,
-                                new Resources(
-                                        Json.number(item, "cpus"),
-                                        Json.number(item, "accelerators"),
-                                        Json.number(item, "memGb")),
-                                Json.number(item, "fetchGbPerS"),
-                                Json.number(item, "rate"),
-                                Json.number(item, "lowPrice"),
-                                Json.number(item, "startupS"),
-                                zones.build()));
+                MachineType type = machineType(item);
+                out.put(type.name(), type);
             }
             return Optional.of(out.buildKeepingLast());
         } catch (BadMessageException e) {
-            unreadable(e);
+            warnInvalid(e);
             return Optional.empty();
         }
     }
 
+    private static MachineType machineType(JsonNode item) throws BadMessageException {
+        ImmutableList.Builder<String> zones = ImmutableList.builder();
+        Json.list(item, "groves").forEach(zone -> zones.add(zone.asText()));
+        return new MachineType(
+                Json.text(item, "name"),
+                new Resources(Json.number(item, "cpus"), Json.number(item, "accelerators"), Json.number(item, "memGb")),
+                Json.number(item, "fetchGbPerS"),
+                Json.number(item, "rate"),
+                Json.number(item, "lowPrice"),
+                Json.number(item, "startupS"),
+                zones.build());
+    }
+
     private LaunchResult readLaunchResult(HttpAnswer answer) {
         try {
             switch (answer.status()) {
                 case 200:
                     ImmutableList.Builder<String> names = ImmutableList.builder();
-                    Json.list(Json.object(answer.body()), "hosts").forEach(n -> names.add(n.asText()));
+                    Json.list(Json.object(answer.body()), "hosts").forEach(name -> names.add(name.asText()));
                     return new LaunchResult(LaunchResult.Kind.LAUNCHED, names.build());
                 case 503:
                     boolean full =
@@ -165,7 +165,7 @@
                     return LaunchResult.of(LaunchResult.Kind.UNKNOWN);
             }
         } catch (BadMessageException e) {
-            unreadable(e);
+            warnInvalid(e);
             return LaunchResult.of(answer.status() == 200 ? LaunchResult.Kind.UNKNOWN : LaunchResult.Kind.REFUSED);
         }
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    private void unreadable(BadMessageException e) {
-        warnings.warn("unreadable answer of the cloud", e.getMessage());
+    private void warnInvalid(BadMessageException e) {
+        warnings.warn("invalid cloud response", e.getMessage());
     }
 }
--- a/src/main/java/org/spruceridge/cloud/CloudMachine.java
+++ b/src/main/java/org/spruceridge/cloud/CloudMachine.java
@@ -1,9 +1,9 @@
 package org.spruceridge.cloud;
 
-/** A machine as the cloud's list has it. */
+/** A machine in the cloud's list; {@code ageS} is the time since its launch in seconds. */
 public record CloudMachine(
         String name, String address, String type, String zone, boolean spot, Stage stage, double ageS) {
-    /** How far it has come. */
+    /** Its state. */
     public enum Stage {
         BOOTING,
         RUNNING,
--- a/src/main/java/org/spruceridge/cloud/LaunchResult.java
+++ b/src/main/java/org/spruceridge/cloud/LaunchResult.java
@@ -2,18 +2,18 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** What came of a rental request. */
+/** The result of a launch request: its outcome, and the names of the machines that were launched. */
 public record LaunchResult(Kind kind, ImmutableList<String> machines) {
-    /** How it ended. */
+    /** The outcome. */
     public enum Kind {
         LAUNCHED,
-        /** None of this type, zone and kind is to be had now. */
+        /** The cloud has no machine of this type, zone and kind now. */
         NO_CAPACITY,
-        /** Refused for now: too many requests, or an outage. */
+        /** Refused for now: too many requests, or an outage. It may be retried. */
         REFUSED,
-        /** The request itself is wrong. */
+        /** The request is invalid. */
         REJECTED,
-        /** No answer: machines may have been rented; the same claim asks again. */
+        /** No answer: machines may have been launched. The same request id has to be sent again. */
         UNKNOWN
     }
 
--- a/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
+++ b/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
@@ -15,14 +15,14 @@
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
 
-/** Which machines are given up for their silence, and which are not. */
+/** Which machines are declared dead for missing heartbeats, and which are not. */
 final class FailureDetectorTest {
-    private static final double REPORT_S = 1.5;
+    private static final double HEARTBEAT_INTERVAL_S = 1.5;
     private static final double LEASE_S = 12;
     private static final int MACHINES = 15;
     private static final Settings SETTINGS = Fixtures.settings(
             ImmutableMap.of(),
-            new Settings.Workers(REPORT_S, LEASE_S, 32),
+            new Settings.Workers(HEARTBEAT_INTERVAL_S, LEASE_S, 32),
             new Settings.State(100, 100, 4, 12),
             new Settings.Cloud(1, 1),
             new Settings.Resources(1, 100, 1000));
@@ -36,38 +36,38 @@
     @BeforeEach
     void addMachines() {
         for (int i = 0; i < MACHINES; i++) {
-            Machine m = new Machine("i-" + i, "", new MachineKind("t", "a", true), loop.nanos(), loop.nanos());
-            m.recordHeartbeat(1, ++sequence, "", loop.nanos());
-            m.lease().fence();
-            cluster.add(m);
-            machines.add(m);
+            Machine machine = new Machine("i-" + i, "", new MachineKind("t", "a", true), loop.nanos(), loop.nanos());
+            machine.recordHeartbeat(1, ++sequence, "", loop.nanos());
+            machine.lease().fence();
+            cluster.add(machine);
+            machines.add(machine);
         }
     }
 
-    /** Each machine but one reports once a period, one after the other, for some seconds. */
-    private void reportsOfAllBut(Machine silent, double seconds) {
-        for (int i = 0; i < seconds / REPORT_S * MACHINES; i++) {
-            Machine m = machines.get(i % MACHINES);
-            if (m != silent) {
-                m.recordHeartbeat(1, ++sequence, "", loop.nanos());
+    /** Each machine but one sends a heartbeat once an interval, one after the other, for some seconds. */
+    private void heartbeatsOfAllBut(Machine silent, double seconds) {
+        for (int i = 0; i < seconds / HEARTBEAT_INTERVAL_S * MACHINES; i++) {
+            Machine machine = machines.get(i % MACHINES);
+            if (machine != silent) {
+                machine.recordHeartbeat(1, ++sequence, "", loop.nanos());
             }
-            loop.run(REPORT_S / MACHINES);
+            loop.run(HEARTBEAT_INTERVAL_S / MACHINES);
         }
     }
 
     @Test
-    void aMachineThatIsSilentAloneIsGivenUpAfterHalfALease() {
+    void aMachineSilentAloneIsDeclaredDeadAfterHalfALease() {
         Machine silent = machines.get(3);
-        reportsOfAllBut(silent, 5);
+        heartbeatsOfAllBut(silent, 5);
         assertEquals(List.of(), detector.findDead());
-        reportsOfAllBut(silent, 2);
+        heartbeatsOfAllBut(silent, 2);
         assertEquals(List.of(silent), detector.findDead());
     }
 
-    /** Those that reported first before the cut are silent for half a lease while most others are not yet. */
+    /** Those whose heartbeat came first before the partition exceed half a lease while most others do not yet. */
     @Test
-    void noneOfAZoneThatIsCutOffIsGivenUpBeforeTheOthers() {
-        reportsOfAllBut(null, 6);
+    void noMachineOfAPartitionedZoneIsDeclaredDeadWithinThreeLeases() {
+        heartbeatsOfAllBut(null, 6);
         for (double s = 0; s < 3 * LEASE_S; s += 0.1) {
             loop.run(0.1);
             assertEquals(List.of(), detector.findDead(), s + " s after the cut");
