--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -160,10 +160,11 @@
             }
             for (Change change : result.value().changes()) {
                 if (change.key().equals(StateKeys.LEADER)) {
-                    judge(
-                            change.dropped() ? Optional.empty() : Optional.of(parse(change.value())),
-                            change.dropped() ? 0 : change.modRevision(),
-                            change.modRevision());
+                    if (change instanceof Change.Put put) {
+                        judge(Optional.of(parse(put.value())), put.modRevision(), put.modRevision());
+                    } else {
+                        judge(Optional.empty(), 0, change.modRevision());
+                    }
                 }
             }
             watch(result.value().revision());
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.BindingReleaser;
 import org.spruceridge.cluster.Cluster;
@@ -161,7 +162,7 @@
                 () -> {
                     waitsForTurn = false;
                     inFlight = scope.closed() ? null : compose();
-                    return inFlight == null ? null : inFlight.transaction();
+                    return Optional.ofNullable(inFlight).map(WriteBatch::transaction);
                 },
                 scope.guard(result -> {
                     if (inFlight == null) { // it never had its turn
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -143,10 +143,10 @@
 
     private void apply(Change change) {
         String id = change.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
-        if (change.dropped()) {
-            openEntryRemoved(id, CancellationSource.WATCH);
+        if (change instanceof Change.Put put) {
+            add(id, put.value(), put.modRevision());
         } else {
-            add(id, change.value(), change.modRevision());
+            openEntryRemoved(id, CancellationSource.WATCH);
         }
     }
 
--- a/src/main/java/org/spruceridge/state/Change.java
+++ b/src/main/java/org/spruceridge/state/Change.java
@@ -2,10 +2,17 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** One change seen by a watch; a null value means that the key was dropped. */
-public record Change(String key, JsonNode value, long modRevision) {
-    /** True if the key was removed. */
-    public boolean dropped() {
-        return value == null;
-    }
+/** A change to one key, as a watch reports it. */
+public sealed interface Change {
+    /** The key that changed. */
+    String key();
+
+    /** The revision of the change. */
+    long modRevision();
+
+    /** The key was created, or its value replaced. */
+    record Put(String key, JsonNode value, long modRevision) implements Change {}
+
+    /** The key was removed, by a transaction or with its lease. */
+    record Delete(String key, long modRevision) implements Change {}
 }
--- a/src/main/java/org/spruceridge/state/InProcessStateService.java
+++ b/src/main/java/org/spruceridge/state/InProcessStateService.java
@@ -14,17 +14,15 @@
 import org.spruceridge.net.Loop;
 
 /**
- * A state service within the process, for warming up: it answers listings with given entries, says yes to every
- * transaction and keeps nothing. No connection is opened.
+ * An in-process stand-in for the state service, used by the warm-up: it answers listings with given entries, reports every
+ * transaction as committed and stores nothing. It opens no connection.
  */
 public final class InProcessStateService implements HttpClient {
-    private static final String LIST = "/store?starts=";
-
     private final Loop loop;
     private final Function<String, List<Entry>> entries;
     private long revision;
 
-    /** {@code entries} gives the content of a key prefix. */
+    /** {@code entries} returns the entries under a key prefix. */
     public InProcessStateService(Loop loop, Function<String, List<Entry>> entries) {
         this.loop = loop;
         this.entries = entries;
@@ -32,14 +30,14 @@
 
     @Override
     public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done) {
-        boolean lists = call.target().startsWith(LIST);
-        ObjectNode body = lists ? listing(call.target()) : Json.object().put("ring", ++revision);
+        boolean isListing = call.target().startsWith(StateRequests.LIST_TARGET);
+        ObjectNode body = isListing ? listing(call.target()) : Json.object().put("ring", ++revision);
         byte[] bytes = Json.bytes(body);
         return loop.after(0, () -> done.accept(new HttpAnswer(200, bytes)));
     }
 
     private ObjectNode listing(String target) {
-        String prefix = target.substring(LIST.length(), target.indexOf('&'));
+        String prefix = target.substring(StateRequests.LIST_TARGET.length(), target.indexOf('&'));
         ObjectNode body = Json.object();
         ArrayNode list = body.putArray("entries");
         for (Entry entry : entries.apply(prefix)) {
--- a/src/main/java/org/spruceridge/state/Listing.java
+++ b/src/main/java/org/spruceridge/state/Listing.java
@@ -3,8 +3,9 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * All entries under a prefix; every change after {@code revision} may be missing from them.
+ * All entries under a prefix.
  *
- * @param bytes the size of the answers that brought them
+ * @param revision changes after it may be missing from the entries
+ * @param bytes the size of the responses
  */
 public record Listing(ImmutableList<Entry> entries, long revision, long bytes) {}
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -1,46 +1,44 @@
 package org.spruceridge.state;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.google.common.collect.ImmutableList;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Address;
-import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Cancellable;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpClient;
-import org.spruceridge.net.Json;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter;
 import org.spruceridge.net.RateLimiter.Priority;
 
-/** The state service's protocol with typed messages, within this node's share of its limits. */
+/**
+ * Client of the state service, the consensus-backed key-value store. Every request waits until this node's rate limiter
+ * admits it. Requests are not retried here: callers decide what an unknown outcome means to them. All callbacks run on
+ * the event loop.
+ */
 public final class StateClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
-    private static final int PAGE = 500;
-    private static final int TOO_MANY_REQUESTS = 429;
     /** Responses usually take under 10 ms and occasionally a few hundred. */
-    private static final long REQUEST_TIMEOUT = Durations.millis(1000);
-    /** A watch may answer this much after the time that it was asked to wait. */
-    private static final long WATCH_SLACK = Durations.nanos(5);
+    private static final long REQUEST_TIMEOUT_NANOS = Durations.millis(1000);
+    /** A watch may be answered this much later than the time it was asked to wait. */
+    private static final long WATCH_TIMEOUT_SLACK_NANOS = Durations.nanos(5);
+
+    private static final HttpAnswer NOT_ADMITTED = new HttpAnswer(StateResponses.TOO_MANY_REQUESTS, new byte[0]);
 
     private final Loop loop;
     private final HttpClient http;
     private final Address address;
     private final RateLimiter limiter;
-    private final RateLimitedWarnings warnings;
     private final Latencies latencies;
+    private final StateResponses responses;
+    private final ServiceAvailability availability;
     private Runnable rateExceeded = () -> {};
-    private long lastServed;
-    private boolean hasEverBeenServed;
 
     /** Requests go to {@code address}, within the limits of {@code limiter}. */
     public StateClient(
@@ -54,294 +52,153 @@
         this.http = http;
         this.address = address;
         this.limiter = limiter;
-        this.warnings = warnings;
         this.latencies = latencies;
-        this.lastServed = loop.nanos();
+        this.responses = new StateResponses(warnings);
+        this.availability = new ServiceAvailability(loop);
     }
 
-    /** {@code listener} runs whenever the service says that it was asked for more than its limits. */
+    /** {@code listener} runs whenever the service answers 429, that its limits were exceeded. */
     public void onRateExceeded(Runnable listener) {
         rateExceeded = listener;
     }
 
-    /** Nanoseconds since the service last carried out or judged a request of ours. */
+    /** Nanoseconds since the service last executed or judged a request of this node. */
     public long nanosSinceLastServed() {
-        return loop.nanos() - lastServed;
+        return availability.nanosSinceLastServed();
     }
 
-    /** True once the service has answered at all. */
+    /** True once the service has executed or judged a request of this node. */
     public boolean hasEverBeenServed() {
-        return hasEverBeenServed;
+        return availability.hasEverServed();
     }
 
     /** Reads one key. */
     public void get(String key, Priority priority, Consumer<StateResult<Entry>> done) {
-        send(
-                priority,
-                0,
-                HttpCall.get("/store/" + key),
-                REQUEST_TIMEOUT,
-                answer -> done.accept(readEntry(key, answer)));
+        send(priority, 0, StateRequests.get(key), answer -> done.accept(responses.entry(key, answer)));
     }
 
     /** Reads all keys under a prefix, page by page. */
     public void list(String prefix, Priority priority, Consumer<StateResult<Listing>> done) {
-        listPage(prefix, priority, "", new PartialListing(), done);
-    }
-
-    private void listPage(
-            String prefix, Priority priority, String from, PartialListing read, Consumer<StateResult<Listing>> done) {
-        String target = "/store?starts=" + prefix + (from.isEmpty() ? "" : "&from=" + from) + "&limit=" + PAGE;
-        send(priority, 0, HttpCall.get(target), REQUEST_TIMEOUT, answer -> {
-            if (answer.status() != 200) {
-                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
-                return;
-            }
-            try {
-                JsonNode body = Json.object(answer.body());
-                for (JsonNode item : Json.list(body, "entries")) {
-                    read.entries.add(new Entry(Json.text(item, "k"), item.path("v"), Json.whole(item, "stamp")));
-                }
-                read.revision = Math.min(read.revision, Json.whole(body, "ring"));
-                read.bytes += answer.body().length;
-                if (body.path("truncated").asBoolean() && !read.entries.isEmpty()) {
-                    listPage(prefix, priority, read.lastKey(), read, done);
-                } else {
-                    done.accept(StateResult.ok(read.complete()));
-                }
-            } catch (BadMessageException e) {
-                unreadable(e);
-                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
-            }
-        });
-    }
-
-    /** The pages of a listing that have come so far. */
-    private static final class PartialListing {
-        private final List<Entry> entries = new ArrayList<>();
-        private long revision = Long.MAX_VALUE;
-        private long bytes;
-
-        String lastKey() {
-            return entries.get(entries.size() - 1).key();
-        }
-
-        Listing complete() {
-            return new Listing(ImmutableList.copyOf(entries), revision, bytes);
-        }
+        new ListRequest(prefix, (call, onAnswer) -> send(priority, 0, call, onAnswer), responses, done).start();
     }
 
     /** Commits a transaction. */
-    public void commit(Transaction txn, Priority priority, Consumer<TransactionResult> done) {
-        send(priority, txn.changeCount(), HttpCall.post("/txn", txn.body()), REQUEST_TIMEOUT, judged(done));
+    public void commit(Transaction transaction, Priority priority, Consumer<TransactionResult> done) {
+        send(priority, transaction.changeCount(), StateRequests.commit(transaction), transactionCallback(done));
     }
 
     /**
-     * Commits a transaction that is made only when its turn comes, of at most so many changes, so that it carries all
-     * that has gathered by then. With null nothing is sent, and {@code done} is not called.
+     * Commits a transaction that is composed only once the rate limiter admits it, so that it carries everything gathered
+     * by then; it has at most {@code maxChanges} changes. If {@code composer} returns none, nothing is sent and
+     * {@code done} is not called.
      */
     public void commitWhenAdmitted(
-            Priority priority, int mostChanges, Supplier<Transaction> make, Consumer<TransactionResult> done) {
-        boolean taken = limiter.submit(priority, mostChanges, () -> {
-            Transaction txn = make.get();
-            if (txn == null) {
+            Priority priority,
+            int maxChanges,
+            Supplier<Optional<Transaction>> composer,
+            Consumer<TransactionResult> done) {
+        boolean queued = limiter.submit(priority, maxChanges, () -> {
+            Optional<Transaction> transaction = composer.get();
+            if (transaction.isEmpty()) {
                 return 0;
             }
-            http.call(address, HttpCall.post("/txn", txn.body()), REQUEST_TIMEOUT, timed(served(judged(done))));
-            return txn.changeCount();
+            sendNow(StateRequests.commit(transaction.get()), transactionCallback(done));
+            return transaction.get().changeCount();
         });
-        if (!taken) {
+        if (!queued) {
             done.accept(TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED));
         }
     }
 
-    private Consumer<HttpAnswer> judged(Consumer<TransactionResult> done) {
-        return answer -> {
-            TransactionResult result = readTxn(answer);
-            if (result.outcome() == TransactionResult.Outcome.MALFORMED) {
-                LOG.error("the state service calls a transaction malformed: {}", new String(answer.body()));
-            }
-            done.accept(result);
-        };
-    }
-
-    /** Asks for a grant of this time to live. */
+    /** Creates a lease with this time to live; the result is its id. */
     public void createLease(long ttlMillis, Consumer<StateResult<Long>> done) {
-        byte[] body = Json.bytes(Json.object().put("ttlMs", ttlMillis));
-        send(Priority.LEASE_RENEWAL, 0, HttpCall.post("/grants", body), REQUEST_TIMEOUT, answer -> {
-            if (answer.status() != 200) {
-                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
-                return;
-            }
-            try {
-                done.accept(StateResult.ok(Json.whole(Json.object(answer.body()), "permit")));
-            } catch (BadMessageException e) {
-                unreadable(e);
-                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
-            }
-        });
+        send(
+                Priority.LEASE_RENEWAL,
+                0,
+                StateRequests.createLease(ttlMillis),
+                answer -> done.accept(responses.createdLease(answer)));
     }
 
-    /** Renews a grant; MISSING means that it has ended. The answer carries the moment at which the call was sent. */
-    public void renewLease(long leaseId, long timeout, Consumer<StateResult<Long>> done) {
-        HttpCall call = HttpCall.post("/grants/" + leaseId + "/renew", new byte[0]);
-        long[] sent = new long[1];
-        submit(Priority.LEASE_RENEWAL, 0, done, () -> {
-            sent[0] = loop.nanos();
-            http.call(address, call, timeout, served(answer -> {
-                if (answer.status() == 200) {
-                    done.accept(StateResult.ok(sent[0]));
-                } else {
-                    done.accept(StateResult.failed(
-                            answer.status() == 404 ? StateResult.Outcome.NOT_FOUND : StateResult.Outcome.UNAVAILABLE));
-                }
-            }));
+    /**
+     * Renews a lease; NOT_FOUND means that it has expired. The result is the time at which the request was sent, in
+     * nanoseconds: the lease is valid from then at least.
+     */
+    public void renewLease(long leaseId, long timeoutNanos, Consumer<StateResult<Long>> done) {
+        boolean queued = limiter.submit(Priority.LEASE_RENEWAL, 0, () -> {
+            long sentAt = loop.nanos();
+            http.call(
+                    address,
+                    StateRequests.renewLease(leaseId),
+                    timeoutNanos,
+                    observed(answer -> done.accept(StateResponses.renewedLease(answer, sentAt))));
         });
+        if (!queued) {
+            done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
+        }
     }
 
-    /** Ends a grant, and with it the keys attached to it; nothing depends on whether it works. */
+    /** Revokes a lease, which removes the keys attached to it; nothing depends on whether it works. */
     public void revokeLease(long leaseId) {
-        send(
-                Priority.LEASE_RENEWAL,
-                0,
-                new HttpCall("DELETE", "/grants/" + leaseId, new byte[0]),
-                REQUEST_TIMEOUT,
-                answer -> {});
+        send(Priority.LEASE_RENEWAL, 0, StateRequests.revokeLease(leaseId), answer -> {});
     }
 
-    /** Waits for changes after a revision. */
-    public Cancellable watch(String prefix, long from, double blockS, Consumer<StateResult<Changes>> done) {
+    /** Waits up to {@code blockS} seconds for changes of keys with the prefix after a revision. */
+    public Cancellable watch(String prefix, long fromRevision, double blockS, Consumer<StateResult<Changes>> done) {
         long blockMs = (long) (blockS * 1000);
-        String target = "/follow?starts=" + prefix + "&from=" + from + "&blockMs=" + blockMs;
-        CancelLater later = new CancelLater();
-        boolean taken = limiter.submit(Priority.LEASE_RENEWAL, 0, () -> {
-            if (!later.cancelled) {
-                later.call = http.call(
+        WatchRequest watch = new WatchRequest();
+        boolean queued = limiter.submit(Priority.LEASE_RENEWAL, 0, () -> {
+            if (!watch.isCancelled()) {
+                watch.sent(http.call(
                         address,
-                        HttpCall.get(target),
-                        Durations.millis(blockMs) + WATCH_SLACK,
-                        served(answer -> done.accept(readChanges(answer))));
+                        StateRequests.watch(prefix, fromRevision, blockMs),
+                        Durations.millis(blockMs) + WATCH_TIMEOUT_SLACK_NANOS,
+                        observed(answer -> done.accept(responses.changes(answer)))));
             }
         });
-        if (!taken) {
-            loop.after(REQUEST_TIMEOUT, () -> done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE)));
+        if (!queued) {
+            loop.after(REQUEST_TIMEOUT_NANOS, () -> done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE)));
         }
-        return later;
+        return watch;
     }
 
-    private static final class CancelLater implements Cancellable {
-        private boolean cancelled;
-        private Cancellable call;
-
-        @Override
-        public void cancel() {
-            cancelled = true;
-            if (call != null) {
-                call.cancel();
+    private Consumer<HttpAnswer> transactionCallback(Consumer<TransactionResult> done) {
+        return answer -> {
+            TransactionResult result = responses.transaction(answer);
+            if (result.outcome() == TransactionResult.Outcome.MALFORMED) {
+                LOG.error("transaction rejected as malformed reason={}", StateResponses.text(answer));
             }
-        }
+            done.accept(result);
+        };
     }
 
-    private void send(Priority priority, int changes, HttpCall call, long timeout, Consumer<HttpAnswer> done) {
-        boolean taken = limiter.submit(priority, changes, () -> http.call(address, call, timeout, timed(served(done))));
-        if (!taken) {
-            done.accept(new HttpAnswer(429, new byte[0])); // as good as refused: it was never sent
+    private void send(Priority priority, int changes, HttpCall call, Consumer<HttpAnswer> done) {
+        boolean queued = limiter.submit(priority, changes, () -> sendNow(call, done));
+        if (!queued) {
+            done.accept(NOT_ADMITTED); // equals a refusal by the service: it was never sent
         }
     }
 
-    private <T> void submit(Priority priority, int changes, Consumer<StateResult<T>> done, Runnable work) {
-        if (!limiter.submit(priority, changes, work)) {
-            done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
-        }
+    private void sendNow(HttpCall call, Consumer<HttpAnswer> done) {
+        http.call(address, call, REQUEST_TIMEOUT_NANOS, timed(observed(done)));
     }
 
+    /** Records the latency, without the wait for the rate limiter. Watches and renewals are not recorded. */
     private Consumer<HttpAnswer> timed(Consumer<HttpAnswer> done) {
-        long sent = loop.nanos();
+        long sentAt = loop.nanos();
         return answer -> {
-            latencies.record(Latencies.Kind.STATE, loop.nanos() - sent);
+            latencies.record(Latencies.Kind.STATE, loop.nanos() - sentAt);
             done.accept(answer);
         };
     }
 
-    private Consumer<HttpAnswer> served(Consumer<HttpAnswer> done) {
+    /** Records whether the service is available, and whether its limits were exceeded. */
+    private Consumer<HttpAnswer> observed(Consumer<HttpAnswer> done) {
         return answer -> {
-            if (answer.answered() && answer.status() != 503) {
-                lastServed = loop.nanos();
-                hasEverBeenServed = true;
-            }
-            if (answer.status() == TOO_MANY_REQUESTS) {
+            availability.record(answer);
+            if (answer.status() == StateResponses.TOO_MANY_REQUESTS) {
                 rateExceeded.run();
             }
             done.accept(answer);
         };
     }
-
-    private StateResult<Entry> readEntry(String key, HttpAnswer answer) {
-        if (answer.status() == 404) {
-            return StateResult.failed(StateResult.Outcome.NOT_FOUND);
-        }
-        if (answer.status() != 200) {
-            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
-        }
-        try {
-            JsonNode body = Json.object(answer.body());
-            return StateResult.ok(new Entry(key, body.path("v"), Json.whole(body, "stamp")));
-        } catch (BadMessageException e) {
-            unreadable(e);
-            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
-        }
-    }
-
-    private TransactionResult readTxn(HttpAnswer answer) {
-        try {
-            switch (answer.status()) {
-                case 200:
-                    return new TransactionResult(
-                            TransactionResult.Outcome.COMMITTED,
-                            Json.whole(Json.object(answer.body()), "ring"),
-                            ImmutableList.of());
-                case 409:
-                    ImmutableList.Builder<String> failed = ImmutableList.builder();
-                    Json.list(Json.object(answer.body()), "failed").forEach(k -> failed.add(k.asText()));
-                    return new TransactionResult(TransactionResult.Outcome.CONFLICT, 0, failed.build());
-                case 400:
-                    boolean noGrant = new String(answer.body()).contains("no such lease");
-                    return TransactionResult.of(
-                            noGrant ? TransactionResult.Outcome.LEASE_NOT_FOUND : TransactionResult.Outcome.MALFORMED);
-                case TOO_MANY_REQUESTS, 503:
-                    return TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED);
-                default:
-                    return TransactionResult.of(TransactionResult.Outcome.UNKNOWN);
-            }
-        } catch (BadMessageException e) {
-            unreadable(e);
-            return TransactionResult.of(TransactionResult.Outcome.UNKNOWN);
-        }
-    }
-
-    private StateResult<Changes> readChanges(HttpAnswer answer) {
-        if (answer.status() == 410) {
-            return StateResult.failed(StateResult.Outcome.REVISION_COMPACTED);
-        }
-        if (answer.status() != 200) {
-            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
-        }
-        try {
-            JsonNode body = Json.object(answer.body());
-            ImmutableList.Builder<Change> out = ImmutableList.builder();
-            for (JsonNode item : Json.list(body, "log")) {
-                boolean set = item.has("set");
-                String key = Json.text(item, set ? "set" : "drop");
-                out.add(new Change(key, set ? item.path("v") : null, Json.whole(item, "stamp")));
-            }
-            return StateResult.ok(new Changes(out.build(), Json.whole(body, "ring")));
-        } catch (BadMessageException e) {
-            unreadable(e);
-            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
-        }
-    }
-
-    private void unreadable(BadMessageException e) {
-        warnings.warn("unreadable answer of the state service", e.getMessage());
-    }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/state/StateRequests.java
@@ -0,0 +1,46 @@
+package org.spruceridge.state;
+
+import org.spruceridge.net.HttpCall;
+import org.spruceridge.net.Json;
+
+/** The HTTP requests of the state service's protocol. The names on the wire are those of the protocol. */
+final class StateRequests {
+    /** The start of the target of every listing. */
+    static final String LIST_TARGET = "/store?starts=";
+
+    private static final int LIST_PAGE_ENTRIES = 500;
+    private static final byte[] EMPTY_BODY = new byte[0];
+
+    private StateRequests() {}
+
+    static HttpCall get(String key) {
+        return HttpCall.get("/store/" + key);
+    }
+
+    /** One page of a listing; {@code afterKey} is the last key of the page before, empty for the first page. */
+    static HttpCall list(String prefix, String afterKey) {
+        String from = afterKey.isEmpty() ? "" : "&from=" + afterKey;
+        return HttpCall.get(LIST_TARGET + prefix + from + "&limit=" + LIST_PAGE_ENTRIES);
+    }
+
+    static HttpCall commit(Transaction transaction) {
+        return HttpCall.post("/txn", transaction.body());
+    }
+
+    static HttpCall createLease(long ttlMillis) {
+        return HttpCall.post("/grants", Json.bytes(Json.object().put("ttlMs", ttlMillis)));
+    }
+
+    static HttpCall renewLease(long leaseId) {
+        return HttpCall.post("/grants/" + leaseId + "/renew", EMPTY_BODY);
+    }
+
+    static HttpCall revokeLease(long leaseId) {
+        return new HttpCall("DELETE", "/grants/" + leaseId, EMPTY_BODY);
+    }
+
+    /** The service answers once there is a change after the revision, or after {@code blockMs} milliseconds. */
+    static HttpCall watch(String prefix, long fromRevision, long blockMs) {
+        return HttpCall.get("/follow?starts=" + prefix + "&from=" + fromRevision + "&blockMs=" + blockMs);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/state/StateResponses.java
@@ -0,0 +1,133 @@
+package org.spruceridge.state;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.google.common.collect.ImmutableList;
+import java.nio.charset.StandardCharsets;
+import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.HttpAnswer;
+import org.spruceridge.net.Json;
+import org.spruceridge.net.RateLimitedWarnings;
+
+/** Reads the state service's responses. One that cannot be read counts as no response, and leaves a warning. */
+final class StateResponses {
+    static final int TOO_MANY_REQUESTS = 429;
+    static final int SERVICE_UNAVAILABLE = 503;
+
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int CONFLICT = 409;
+    private static final int GONE = 410;
+
+    private final RateLimitedWarnings warnings;
+
+    StateResponses(RateLimitedWarnings warnings) {
+        this.warnings = warnings;
+    }
+
+    /** One page of a listing; {@code bytes} is the size of the response. */
+    record ListingPage(ImmutableList<Entry> entries, long revision, boolean truncated, long bytes) {}
+
+    /** Reads the body of a response with status 200. */
+    private interface BodyReader<T> {
+        T read(JsonNode body) throws BadMessageException;
+    }
+
+    StateResult<Entry> entry(String key, HttpAnswer answer) {
+        if (answer.status() == NOT_FOUND) {
+            return StateResult.failed(StateResult.Outcome.NOT_FOUND);
+        }
+        return read(answer, body -> new Entry(key, body.path("v"), Json.whole(body, "stamp")));
+    }
+
+    StateResult<ListingPage> listingPage(HttpAnswer answer) {
+        return read(answer, body -> {
+            ImmutableList.Builder<Entry> entries = ImmutableList.builder();
+            for (JsonNode item : Json.list(body, "entries")) {
+                entries.add(new Entry(Json.text(item, "k"), item.path("v"), Json.whole(item, "stamp")));
+            }
+            long revision = Json.whole(body, "ring");
+            boolean truncated = body.path("truncated").asBoolean();
+            return new ListingPage(entries.build(), revision, truncated, answer.body().length);
+        });
+    }
+
+    StateResult<Long> createdLease(HttpAnswer answer) {
+        return read(answer, body -> Json.whole(body, "permit"));
+    }
+
+    /** The value of a successful renewal is the time at which the request was sent. */
+    static StateResult<Long> renewedLease(HttpAnswer answer, long sentAtNanos) {
+        return switch (answer.status()) {
+            case OK -> StateResult.ok(sentAtNanos);
+            case NOT_FOUND -> StateResult.failed(StateResult.Outcome.NOT_FOUND);
+            default -> StateResult.failed(StateResult.Outcome.UNAVAILABLE);
+        };
+    }
+
+    StateResult<Changes> changes(HttpAnswer answer) {
+        if (answer.status() == GONE) {
+            return StateResult.failed(StateResult.Outcome.REVISION_COMPACTED);
+        }
+        return read(answer, body -> {
+            ImmutableList.Builder<Change> changes = ImmutableList.builder();
+            for (JsonNode item : Json.list(body, "log")) {
+                changes.add(change(item));
+            }
+            return new Changes(changes.build(), Json.whole(body, "ring"));
+        });
+    }
+
+    private static Change change(JsonNode item) throws BadMessageException {
+        if (item.has("set")) {
+            return new Change.Put(Json.text(item, "set"), item.path("v"), Json.whole(item, "stamp"));
+        }
+        return new Change.Delete(Json.text(item, "drop"), Json.whole(item, "stamp"));
+    }
+
+    TransactionResult transaction(HttpAnswer answer) {
+        try {
+            return switch (answer.status()) {
+                case OK -> TransactionResult.committed(Json.whole(Json.object(answer.body()), "ring"));
+                case CONFLICT -> TransactionResult.conflict(conflictingKeys(answer));
+                case BAD_REQUEST -> TransactionResult.of(
+                        text(answer).contains("no such lease")
+                                ? TransactionResult.Outcome.LEASE_NOT_FOUND
+                                : TransactionResult.Outcome.MALFORMED);
+                case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> TransactionResult.of(
+                        TransactionResult.Outcome.NOT_EXECUTED);
+                default -> TransactionResult.of(TransactionResult.Outcome.UNKNOWN);
+            };
+        } catch (BadMessageException e) {
+            warnUnreadable(e);
+            return TransactionResult.of(TransactionResult.Outcome.UNKNOWN);
+        }
+    }
+
+    private static ImmutableList<String> conflictingKeys(HttpAnswer answer) throws BadMessageException {
+        ImmutableList.Builder<String> keys = ImmutableList.builder();
+        Json.list(Json.object(answer.body()), "failed").forEach(key -> keys.add(key.asText()));
+        return keys.build();
+    }
+
+    /** The body as text, for messages of errors. */
+    static String text(HttpAnswer answer) {
+        return new String(answer.body(), StandardCharsets.UTF_8);
+    }
+
+    private <T> StateResult<T> read(HttpAnswer answer, BodyReader<T> reader) {
+        if (answer.status() != OK) {
+            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
+        }
+        try {
+            return StateResult.ok(reader.read(Json.object(answer.body())));
+        } catch (BadMessageException e) {
+            warnUnreadable(e);
+            return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
+        }
+    }
+
+    private void warnUnreadable(BadMessageException e) {
+        warnings.warn("unreadable state service response", e.getMessage());
+    }
+}
--- a/src/main/java/org/spruceridge/state/StateResult.java
+++ b/src/main/java/org/spruceridge/state/StateResult.java
@@ -1,32 +1,43 @@
 package org.spruceridge.state;
 
-/** What came of a read or a call on a grant. */
-public record StateResult<T>(Outcome outcome, T value) {
-    /** How it ended. */
+import java.util.Optional;
+
+/**
+ * The outcome of a read, a watch or a call on a lease.
+ *
+ * @param content present if and only if the outcome is {@link Outcome#OK}
+ */
+public record StateResult<T>(Outcome outcome, Optional<T> content) {
+    /** How a request ended. */
     public enum Outcome {
         OK,
-        /** There is no such key or grant. */
+        /** The key or lease does not exist. */
         NOT_FOUND,
-        /** The revision asked for is too old. */
+        /** The service no longer keeps the changes after the revision asked for. */
         REVISION_COMPACTED,
-        /** Refused, or no answer: nothing is known. */
+        /** Refused, or no response: the state is not known. */
         UNAVAILABLE,
-        /** There is a value, which this version does not understand. */
+        /** There is a value that this version does not understand. */
         UNSUPPORTED_VALUE
     }
 
-    /** The request was carried out. */
+    /** The request was executed. */
     public static <T> StateResult<T> ok(T value) {
-        return new StateResult<>(Outcome.OK, value);
+        return new StateResult<>(Outcome.OK, Optional.of(value));
     }
 
-    /** The request was not carried out, for this reason. */
+    /** The request was not executed, for this reason. */
     public static <T> StateResult<T> failed(Outcome outcome) {
-        return new StateResult<>(outcome, null);
+        return new StateResult<>(outcome, Optional.empty());
     }
 
-    /** True if the request was carried out. */
+    /** True if the request was executed. */
     public boolean isOk() {
         return outcome == Outcome.OK;
     }
+
+    /** The value read; only to be asked for if {@link #isOk}. */
+    public T value() {
+        return content.orElseThrow();
+    }
 }
--- a/src/main/java/org/spruceridge/state/Transaction.java
+++ b/src/main/java/org/spruceridge/state/Transaction.java
@@ -9,13 +9,40 @@
 import java.util.Map;
 import org.spruceridge.net.Json;
 
-/** Guards and changes that hold or fail together. */
+/**
+ * A compare-and-swap transaction: its changes are made together if all its comparisons hold, else none is. The JSON body is
+ * built once, so that a retry sends the same bytes.
+ */
 public final class Transaction {
     private final ImmutableMap<String, Long> comparisons;
     private final ImmutableList<Operation> operations;
     private final byte[] body;
 
-    private record Operation(String key, JsonNode value, long leaseId) {}
+    /** One change of the transaction. */
+    private sealed interface Operation {
+        /** Appends the change in the form of the protocol. */
+        void writeTo(ArrayNode then);
+    }
+
+    private record Put(String key, JsonNode value, long leaseId) implements Operation {
+        private static final long NO_LEASE = 0;
+
+        @Override
+        public void writeTo(ArrayNode then) {
+            ObjectNode set = then.addObject().put("set", key);
+            set.set("v", value);
+            if (leaseId != NO_LEASE) {
+                set.put("permit", leaseId);
+            }
+        }
+    }
+
+    private record Delete(String key) implements Operation {
+        @Override
+        public void writeTo(ArrayNode then) {
+            then.addObject().put("drop", key);
+        }
+    }
 
     private Transaction(ImmutableMap<String, Long> comparisons, ImmutableList<Operation> operations) {
         this.comparisons = comparisons;
@@ -37,12 +64,12 @@
         return operations.size();
     }
 
-    /** How many comparisons it has, those of changed keys included. */
+    /** How many keys it compares, those it changes included. */
     public int comparisonCount() {
         return comparisons.size();
     }
 
-    /** Of its body, in bytes. */
+    /** The size of the request body, in bytes. */
     public int bodyBytes() {
         return body.length;
     }
@@ -53,51 +80,41 @@
         comparisons.forEach(
                 (key, modRevision) -> guards.addObject().put("k", key).put("stamp", modRevision));
         ArrayNode then = out.putArray("then");
-        for (Operation operation : operations) {
-            if (operation.value == null) {
-                then.addObject().put("drop", operation.key);
-            } else {
-                ObjectNode set = then.addObject().put("set", operation.key);
-                set.set("v", operation.value);
-                if (operation.leaseId != 0) {
-                    set.put("permit", operation.leaseId);
-                }
-            }
-        }
+        operations.forEach(operation -> operation.writeTo(then));
         return out;
     }
 
-    /** Collects comparisons and changes; every key that is changed must be guarded by its last stamp, 0 if it is new. */
+    /** Collects comparisons and changes. Every change also compares the mod revision of its key, 0 for a new key. */
     public static final class Builder {
         private final Map<String, Long> comparisons = new LinkedHashMap<>();
         private final ImmutableList.Builder<Operation> operations = ImmutableList.builder();
 
-        /** Requires that the key still has this stamp; 0 that it does not exist. */
+        /** Requires that the key has this mod revision, or does not exist if it is 0. */
         public Builder compare(String key, long expectedRevision) {
             comparisons.put(key, expectedRevision);
             return this;
         }
 
-        /** Sets a key. */
+        /** Writes a key. */
         public Builder put(String key, long expectedRevision, JsonNode value) {
-            return putWithLease(key, expectedRevision, value, 0);
+            return putWithLease(key, expectedRevision, value, Put.NO_LEASE);
         }
 
-        /** Sets a key that vanishes with the grant. */
+        /** Writes a key that is removed when the lease expires or is revoked. */
         public Builder putWithLease(String key, long expectedRevision, JsonNode value, long leaseId) {
             compare(key, expectedRevision);
-            operations.add(new Operation(key, value, leaseId));
+            operations.add(new Put(key, value, leaseId));
             return this;
         }
 
         /** Removes a key. */
         public Builder delete(String key, long expectedRevision) {
             compare(key, expectedRevision);
-            operations.add(new Operation(key, null, 0));
+            operations.add(new Delete(key));
             return this;
         }
 
-        /** The transaction. */
+        /** The transaction, in the order of the calls. */
         public Transaction build() {
             return new Transaction(ImmutableMap.copyOf(comparisons), operations.build());
         }
--- a/src/main/java/org/spruceridge/state/TransactionResult.java
+++ b/src/main/java/org/spruceridge/state/TransactionResult.java
@@ -2,24 +2,39 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** What came of a transaction. */
+/**
+ * The outcome of a transaction.
+ *
+ * @param revision that of the changes, if they were made, else 0
+ * @param conflictingKeys the keys whose comparison failed, empty unless the outcome is {@link Outcome#CONFLICT}
+ */
 public record TransactionResult(Outcome outcome, long revision, ImmutableList<String> conflictingKeys) {
-    /** How it ended. */
+    /** How a transaction ended. */
     public enum Outcome {
         COMMITTED,
-        /** A guard did not hold; {@link TransactionResult#conflictingKeys} names its keys. */
+        /** A comparison failed; {@link TransactionResult#conflictingKeys} names its keys. */
         CONFLICT,
-        /** The grant that a key should hang on is gone. */
+        /** The lease to which a key should be attached does not exist. */
         LEASE_NOT_FOUND,
-        /** Certainly not carried out, and not to be sent again: the service calls it malformed. */
+        /** Not executed, and not to be retried: the service calls it malformed. */
         MALFORMED,
-        /** Certainly not carried out, now. */
+        /** Not executed, because of a rate limit or an outage; it may be retried. */
         NOT_EXECUTED,
-        /** It may have been carried out, or may yet be. */
+        /** It may have been executed, or may still be. */
         UNKNOWN
     }
 
-    /** A result without revision or failed keys. */
+    /** The changes were made, at this revision. */
+    public static TransactionResult committed(long revision) {
+        return new TransactionResult(Outcome.COMMITTED, revision, ImmutableList.of());
+    }
+
+    /** The comparisons of these keys failed. */
+    public static TransactionResult conflict(ImmutableList<String> conflictingKeys) {
+        return new TransactionResult(Outcome.CONFLICT, 0, conflictingKeys);
+    }
+
+    /** A result without revision or conflicting keys. */
     public static TransactionResult of(Outcome outcome) {
         return new TransactionResult(outcome, 0, ImmutableList.of());
     }
--- a/src/main/java/org/spruceridge/state/package-info.java
+++ b/src/main/java/org/spruceridge/state/package-info.java
@@ -1,2 +1,9 @@
-/** Client and messages of the state service. */
+/**
+ * Client of the state service, the consensus-backed key-value store that holds every durable record: typed requests and
+ * responses, leases, watches and compare-and-swap transactions.
+ *
+ * <p>The election, the leader and the user API call it, all on the one event loop; callbacks run there too. The names on
+ * the wire are mapped in {@link org.spruceridge.state.StateRequests}, {@link org.spruceridge.state.StateResponses} and
+ * {@link org.spruceridge.state.Transaction}.
+ */
 package org.spruceridge.state;
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -183,8 +183,8 @@
                 200,
                 "{\"log\":[{\"set\":\"open/j-1\",\"v\":{\"a\":1},\"stamp\":6},{\"drop\":\"open/j-2\",\"stamp\":7}],"
                         + "\"ring\":8}");
-        ImmutableList<Change> changes =
-                ImmutableList.of(new Change("open/j-1", Json.object().put("a", 1), 6), new Change("open/j-2", null, 7));
+        ImmutableList<Change> changes = ImmutableList.of(
+                new Change.Put("open/j-1", Json.object().put("a", 1), 6), new Change.Delete("open/j-2", 7));
         state.watch("open/", 5, 2.5, expect(StateResult.ok(new Changes(changes, 8))));
         assertRequest("GET /follow?starts=open/&from=5&blockMs=2500");
         http.answer(410, "{}");
