--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -41,7 +41,7 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.upgrade.ClusterLevel;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
 import org.spruceridge.upgrade.FeatureLevel;
 import org.spruceridge.warmup.LeaderWarmUp;
 import org.spruceridge.worker.WorkerClient;
@@ -84,7 +84,7 @@
     private final StateClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final MemberVersion version = MemberVersion.own();
     private final Election election;
     private final PeerMonitor peers;
@@ -121,7 +121,7 @@
         this.cloud = new CloudClient(http, settings.cloudAddress(), cloudLimiter, warnings);
         this.catalogue = new MachineTypeCatalogue(loop, cloud, state, warnings, this::machineTypesUpdated);
         this.workers = new WorkerClient(http, warnings);
-        this.level = new ClusterLevel(state);
+        this.level = new ClusterFeatureLevel(state);
         state.onRateExceeded(this::rateExceeded);
         this.election = new Election(loop, state, level, random, warnings, settings, policy, this);
         this.peers = new PeerMonitor(loop, transport, warnings, this::heartbeat, this::cancelled);
@@ -156,7 +156,7 @@
         boolean knowsLeader = leaderForWorkers()
                 .filter(name -> !name.equals(settings.hostName()))
                 .isPresent();
-        if (leader == null ? knowsLeader : leader.upToDate()) {
+        if (leader == null ? knowsLeader : leader.mayAnswerWorkers()) {
             ready.run();
         } else {
             scope.after(READINESS_CHECK_INTERVAL_NANOS, () -> awaitReady(ready));
@@ -179,22 +179,22 @@
 
     /** True while this node may act as leader. */
     public boolean leads() {
-        return election.leads();
+        return election.isLeader();
     }
 
     @Override
-    public void won(LeaderTerm term) {
+    public void leadershipAcquired(LeaderTerm term) {
         warmUp.stop();
         applyRateShares(true);
-        LeaderContext context =
-                LeaderContext.begin(loop, settings, policy, term, election::leads, warnings, latencies, leaderMetrics);
+        LeaderContext context = LeaderContext.begin(
+                loop, settings, policy, term, election::isLeader, warnings, latencies, leaderMetrics);
         leader = new Leader(context, state, cloud, workers, level, this::allMembersSupportLevel, election::resign);
-        catalogue.types().ifPresent(leader::types);
+        catalogue.types().ifPresent(leader::adoptMachineTypes);
         leader.start();
     }
 
     @Override
-    public void lost() {
+    public void leadershipLost() {
         applyRateShares(false);
         if (leader != null) {
             leader.stop();
@@ -204,7 +204,7 @@
 
     private void machineTypesUpdated(ImmutableMap<String, MachineType> types) {
         if (leader != null) {
-            leader.types(types);
+            leader.adoptMachineTypes(types);
         }
     }
 
@@ -217,9 +217,9 @@
         double usersShare = USER_WRITES_SHARE / nodes;
         // A follower has next to nothing of its own to write: an election, the catalogue.
         double ownShare = leading ? 1 - USER_WRITES_SHARE : usersShare;
-        stateLimiter.rates(reads, writes * ownShare, writes * usersShare, writes * USER_WRITES_BURST_S);
+        stateLimiter.setRates(reads, writes * ownShare, writes * usersShare, writes * USER_WRITES_BURST_S);
         double cloudShare = nodes == 1 ? 1 : leading ? 0.8 : 0.2 / (nodes - 1);
-        cloudLimiter.rates(settings.cloud().rps() * USABLE_SHARE * cloudShare, 1, 1, 1);
+        cloudLimiter.setRates(settings.cloud().rps() * USABLE_SHARE * cloudShare, 1, 1, 1);
     }
 
     /**
@@ -228,10 +228,10 @@
      */
     private Response heartbeat(byte[] body) {
         lastHeartbeat = loop.nanos();
-        if (!election.leads() || leader == null) {
+        if (!election.isLeader() || leader == null) {
             return refuse(HeartbeatOutcome.NO_LEADER);
         }
-        if (!leader.upToDate()) {
+        if (!leader.mayAnswerWorkers()) {
             return refuse(HeartbeatOutcome.STALE_VIEW);
         }
         try {
@@ -256,7 +256,7 @@
     private void heartbeatDropped() {
         lastHeartbeat = loop.nanos();
         if (leader != null) {
-            leader.fallsBehind();
+            leader.heartbeatsDropped();
         }
     }
 
@@ -280,13 +280,13 @@
     private boolean allMembersSupportLevel() {
         List<String> members =
                 settings.members().stream().map(Settings.Member::hostName).toList();
-        return peers.allSupport(FeatureLevel.SUPPORTED, members);
+        return peers.allPeersSupport(FeatureLevel.SUPPORTED, members);
     }
 
     private ObjectNode metrics() {
         ObjectNode out = latencies.toJson();
-        ObjectNode cluster =
-                out.putObject("cluster").put("featureLevel", level.known().number());
+        ObjectNode cluster = out.putObject("cluster")
+                .put("featureLevel", level.highestKnown().number());
         ObjectNode versions = cluster.putObject("versions").put(settings.hostName(), version.name());
         peers.versions().forEach((host, memberVersion) -> versions.put(host, memberVersion.name()));
         leaderMetrics.writeTo(out);
@@ -306,8 +306,8 @@
      * other is heard either. In an outage that all share, every node stays.
      */
     private boolean isHealthy() {
-        boolean alone = settings.nodeCount() > 1 && !peers.anyHeard();
-        return stateServiceReachable() || !(alone || peers.anyServed());
+        boolean alone = settings.nodeCount() > 1 && !peers.anyPeerAlive();
+        return stateServiceReachable() || !(alone || peers.anyPeerReachesStateService());
     }
 
     private boolean stateServiceReachable() {
@@ -317,7 +317,7 @@
     private PeerHeartbeat heartbeat() {
         ImmutableMap.Builder<String, PeerHeartbeat.Progress> progress = ImmutableMap.builder();
         long term = 0;
-        if (leader != null && election.leads()) {
+        if (leader != null && election.isLeader()) {
             term = leader.term();
             for (Job job : leader.cluster().jobs()) {
                 if (!job.cancelled()) {
@@ -338,7 +338,7 @@
     /** Another node told a user that this job is cancelled. */
     private void cancelled(String job) {
         if (leader != null) {
-            leader.cancelled(job);
+            leader.jobCancelled(job);
         }
     }
 
@@ -367,8 +367,10 @@
      */
     private void yieldIfUnreachable() {
         long now = loop.nanos();
-        boolean unreachable =
-                leader != null && leader.ledFor() > workerSilenceNanos() && !workersReachable() && peers.anyReached();
+        boolean unreachable = leader != null
+                && leader.termAgeNanos() > workerSilenceNanos()
+                && !workersReachable()
+                && peers.anyPeerReachedByWorkers();
         if (unreachable && now >= yieldCooldownUntil) {
             yieldCooldownUntil = now
                     + Durations.nanos(
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -81,7 +81,7 @@
         this.listener = listener;
         this.latencies = context.latencies();
         this.records = new RecordPages(
-                context.settings().state(), context.term().level().level());
+                context.settings().state(), context.term().featureLevel().level());
     }
 
     /** What is kept on which page. */
@@ -161,7 +161,7 @@
                 records.estimatedChanges(),
                 () -> {
                     waitsForTurn = false;
-                    inFlight = scope.closed() ? null : compose();
+                    inFlight = scope.isClosed() ? null : compose();
                     return Optional.ofNullable(inFlight).map(WriteBatch::transaction);
                 },
                 scope.guard(result -> {
--- a/src/main/java/org/spruceridge/state/ServiceAvailability.java
+++ b/src/main/java/org/spruceridge/state/ServiceAvailability.java
@@ -15,7 +15,7 @@
     }
 
     void record(HttpAnswer answer) {
-        if (answer.answered() && answer.status() != StateResponses.SERVICE_UNAVAILABLE) {
+        if (answer.hasResponse() && answer.status() != StateResponses.SERVICE_UNAVAILABLE) {
             lastServedNanos = loop.nanos();
             everServed = true;
         }
--- a/src/main/java/org/spruceridge/state/StateResponses.java
+++ b/src/main/java/org/spruceridge/state/StateResponses.java
@@ -37,23 +37,23 @@
         if (answer.status() == NOT_FOUND) {
             return StateResult.failed(StateResult.Outcome.NOT_FOUND);
         }
-        return read(answer, body -> new Entry(key, body.path("v"), Json.whole(body, "stamp")));
+        return read(answer, body -> new Entry(key, body.path("v"), Json.nonNegativeLong(body, "stamp")));
     }
 
     StateResult<ListingPage> listingPage(HttpAnswer answer) {
         return read(answer, body -> {
             ImmutableList.Builder<Entry> entries = ImmutableList.builder();
             for (JsonNode item : Json.list(body, "entries")) {
-                entries.add(new Entry(Json.text(item, "k"), item.path("v"), Json.whole(item, "stamp")));
+                entries.add(new Entry(Json.text(item, "k"), item.path("v"), Json.nonNegativeLong(item, "stamp")));
             }
-            long revision = Json.whole(body, "ring");
+            long revision = Json.nonNegativeLong(body, "ring");
             boolean truncated = body.path("truncated").asBoolean();
             return new ListingPage(entries.build(), revision, truncated, answer.body().length);
         });
     }
 
     StateResult<Long> createdLease(HttpAnswer answer) {
-        return read(answer, body -> Json.whole(body, "permit"));
+        return read(answer, body -> Json.nonNegativeLong(body, "permit"));
     }
 
     /** The value of a successful renewal is the time at which the request was sent. */
@@ -74,21 +74,21 @@
             for (JsonNode item : Json.list(body, "log")) {
                 changes.add(change(item));
             }
-            return new Changes(changes.build(), Json.whole(body, "ring"));
+            return new Changes(changes.build(), Json.nonNegativeLong(body, "ring"));
         });
     }
 
     private static Change change(JsonNode item) throws BadMessageException {
         if (item.has("set")) {
-            return new Change.Put(Json.text(item, "set"), item.path("v"), Json.whole(item, "stamp"));
+            return new Change.Put(Json.text(item, "set"), item.path("v"), Json.nonNegativeLong(item, "stamp"));
         }
-        return new Change.Delete(Json.text(item, "drop"), Json.whole(item, "stamp"));
+        return new Change.Delete(Json.text(item, "drop"), Json.nonNegativeLong(item, "stamp"));
     }
 
     TransactionResult transaction(HttpAnswer answer) {
         try {
             return switch (answer.status()) {
-                case OK -> TransactionResult.committed(Json.whole(Json.object(answer.body()), "ring"));
+                case OK -> TransactionResult.committed(Json.nonNegativeLong(Json.object(answer.body()), "ring"));
                 case CONFLICT -> TransactionResult.conflict(conflictingKeys(answer));
                 case BAD_REQUEST -> TransactionResult.of(
                         text(answer).contains("no such lease")
