--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -167,7 +167,7 @@
                             binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.CHECKPOINTING;
                     if (binding.job().spec().isService()
                             && there
-                            && !binding.job().cancelled()) {
+                            && !binding.job().isCancelled()) {
                         evicted.add(binding);
                     }
                 }
