--- /dev/null
+++ b/src/main/java/org/spruceridge/persistence/CompletedJobs.java
@@ -0,0 +1,53 @@
+package org.spruceridge.persistence;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.record.JobRecord;
+import org.spruceridge.record.StateKeys;
+import org.spruceridge.state.Transaction;
+
+/** The jobs that one transaction records as done: their records are replaced, and their open entries deleted. */
+final class CompletedJobs {
+    /** The record of the job, and its open entry. */
+    static final int OPERATIONS_PER_JOB = 2;
+    /** Room in a transaction's body for the records of completed jobs, beside the pages. */
+    private static final int MAX_BYTES = 10 << 10;
+
+    private final Map<Job, JsonNode> records = new LinkedHashMap<>();
+    private int bytes;
+
+    static JsonNode recordOf(Job job, int valueBytes) {
+        return new JobRecord(job.spec(), job.submittedMs(), JobRecord.Stage.DONE, 0).write(valueBytes);
+    }
+
+    boolean contains(Job job) {
+        return records.containsKey(job);
+    }
+
+    Set<Job> jobs() {
+        return records.keySet();
+    }
+
+    int operationCount() {
+        return OPERATIONS_PER_JOB * records.size();
+    }
+
+    boolean hasRoomFor(int recordBytes) {
+        return bytes + recordBytes <= MAX_BYTES;
+    }
+
+    void add(Job job, JsonNode record, int recordBytes) {
+        records.put(job, record);
+        bytes += recordBytes;
+    }
+
+    void addTo(Transaction.Builder transaction) {
+        records.forEach((job, record) -> {
+            transaction.put(StateKeys.job(job.id()), job.modRevision(), record);
+            transaction.delete(StateKeys.openJob(job.id()), job.modRevision());
+        });
+    }
+}
--- a/src/main/java/org/spruceridge/persistence/PageIndex.java
+++ b/src/main/java/org/spruceridge/persistence/PageIndex.java
@@ -7,12 +7,12 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.ToIntFunction;
 
 /**
- * Which item is kept on which page, a page being one record that holds many items. A page's stamp stands for those of
- * all its items.
+ * Maps items to pages: a page is one record that holds many items, and its mod revision stands for all of them.
  */
 public final class PageIndex<T> {
     private final String prefix;
@@ -28,6 +28,9 @@
     public static final class Page<T> {
         private final String key;
         private final Set<T> items = new LinkedHashSet<>();
+        /** Kept, so that a lookup on the hot path allocates nothing. */
+        private final Optional<Page<T>> asOptional = Optional.of(this);
+
         private long modRevision;
 
         private Page(String key, long modRevision) {
@@ -72,9 +75,10 @@
         return pages.size();
     }
 
-    /** Where the item is, or null. */
-    Page<T> pageOf(T item) {
-        return pageByItem.get(item);
+    /** The page on which the item is kept. */
+    Optional<Page<T>> pageOf(T item) {
+        Page<T> page = pageByItem.get(item);
+        return page == null ? Optional.empty() : page.asOptional;
     }
 
     /** Puts an item on a page, and takes it off the one that it was on. */
@@ -132,28 +136,28 @@
         return oversized.contains(page);
     }
 
-    /** A page that has to be split before anything else is written on it, or null. */
-    Page<T> oversized() {
+    /** A page that has to be split before anything else is written on it. */
+    Optional<Page<T>> firstOversized() {
         oversized.removeIf(page -> !canAndMustBeSplit(page));
-        return oversized.isEmpty() ? null : oversized.iterator().next();
+        return oversized.isEmpty() ? Optional.empty() : oversized.iterator().next().asOptional;
     }
 
-    /** The first of some pages that has room for the item, or null. */
-    Page<T> firstPageWithRoom(T item, Iterable<Page<T>> among) {
+    /** The first of some pages that has room for the item. */
+    Optional<Page<T>> firstPageWithRoom(T item, Iterable<Page<T>> among) {
         int most = capacity - bytes.applyAsInt(List.of(item));
         for (Page<T> page : among) {
             if (page != pageByItem.get(item) && bytes(page) <= most) {
-                return page;
+                return page.asOptional;
             }
         }
-        return null;
+        return Optional.empty();
     }
 
     /** A page, other than its own, that has room for the item: a preferred one, else the first that fits or a new one. */
     Page<T> pageWithRoomFor(T item, Collection<Page<T>> preferred) {
-        Page<T> found = firstPageWithRoom(item, Iterables.concat(preferred, pages));
-        if (found != null) {
-            return found;
+        Optional<Page<T>> found = firstPageWithRoom(item, Iterables.concat(preferred, pages));
+        if (found.isPresent()) {
+            return found.get();
         }
         Page<T> page = new Page<>(prefix + (++lastNumber), 0);
         pages.add(page);
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -116,7 +116,8 @@
     }
 
     boolean hasOversized() {
-        return bindings.oversized() != null || finished.oversized() != null;
+        return bindings.firstOversized().isPresent()
+                || finished.firstOversized().isPresent();
     }
 
     /** How large a value may be, in bytes. */
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -13,47 +13,51 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.net.CancellationScope;
-import org.spruceridge.net.Durations;
 import org.spruceridge.net.Latencies;
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
-import org.spruceridge.state.StateResult;
-import org.spruceridge.state.TransactionResult;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
 /**
- * The leader's writes. Bindings, releases and ends gather here and go out in transactions, one at a time: each is made
- * when its turn comes and carries all that has gathered by then. Each is guarded by the leader key and by the stamp of
- * every key that it touches. A transaction without an answer is sent again as it was until it is settled; until then
- * both outcomes count.
+ * Records bindings, releases and completions. Writes are batched into transactions, one in flight at a time: each is
+ * composed when the rate limiter admits it, and carries everything pending by then. It compares the leader key and the mod
+ * revision of every key that it changes. A transaction with an unknown outcome is retried unchanged until the outcome is
+ * known; until then both outcomes are taken into account.
  */
 public final class RecordWriter implements BindingReleaser {
-    private static final long INITIAL_RETRY_DELAY_NANOS = Durations.millis(100);
-    private static final long MAX_RETRY_DELAY_NANOS = Durations.millis(1600);
-
-    private enum Write {
-        BIND,
-        RELEASE,
-        /** A release whose task is done. */
-        END
-    }
-
-    /** Hears what became of the writes. */
+    /** Receives the outcome of writes, on the event loop. */
     public interface Listener {
-        /** Something was committed, and these tasks are now bound. */
+        /** A transaction was committed; tasks are now bound to these machines. */
         void onCommitted(ImmutableSet<Machine> bound);
 
-        /** A job turned out to be cancelled. */
+        /** A conflict showed that the job was cancelled. */
         void onJobCancelled(Job job);
 
-        /** The records are not as this leader left them, or another leads. */
+        /** The records are not as this leader left them, or another node leads: this one has to step down. */
         void onWriteFailed(String reason);
     }
 
+    private final class BatchListener implements BatchSender.Listener {
+        @Override
+        public void onBatchCommitted(WriteBatch batch, long revision) {
+            applyCommitted(batch, revision);
+        }
+
+        @Override
+        public void onBatchConflict(WriteBatch batch, ImmutableList<String> conflictingKeys) {
+            handleConflict(batch, conflictingKeys);
+        }
+
+        @Override
+        public void onBatchRejected() {
+            listener.onWriteFailed("a transaction was rejected");
+        }
+    }
+
     private final Loop loop;
     private final CancellationScope scope;
     private final StateClient state;
@@ -62,16 +66,17 @@
     private final Listener listener;
     private final Latencies latencies;
     private final RecordPages records;
-    /** What waits for its record, in the order of its coming. */
-    private final Map<Binding, Write> waiting = new LinkedHashMap<>();
+    private final BatchSender sender;
+    private final PendingWrites pending = new PendingWrites();
+    /** The transaction that was sent last and whose outcome is open; empty if there is none. */
+    private Optional<WriteBatch> inFlight = Optional.empty();
 
-    private WriteBatch inFlight;
-    private boolean waitsForTurn;
+    private boolean awaitingAdmission;
     private boolean levelRaised;
-    private boolean lastSplit;
-    private long writes;
+    private boolean lastBatchWasSplit;
+    private long batchCount;
 
-    /** Writes within the limits of {@code settings}; the listener hears what became of the writes. */
+    /** Writes within the limits of the settings; the listener receives the outcomes. */
     public RecordWriter(LeaderContext context, StateClient state, Listener listener) {
         this.loop = context.loop();
         this.scope = context.scope();
@@ -80,31 +85,32 @@
         this.term = context.term();
         this.listener = listener;
         this.latencies = context.latencies();
+        this.sender = new BatchSender(state, scope, new BatchListener());
         this.records = new RecordPages(
                 context.settings().state(), context.term().featureLevel().level());
     }
 
-    /** What is kept on which page. */
+    /** The pages on which the records are kept. */
     public RecordPages records() {
         return records;
     }
 
-    /** The failover is complete: pages that an earlier version has left too large are split, bit by bit. */
+    /** The failover is complete: pages that an earlier version left too large are split, one transaction at a time. */
     public void failoverCompleted() {
         records.findOversized();
-        pump();
+        submitNext();
     }
 
     /** The cluster feature level is that of this version: records may have its forms from now on. */
     public void levelRaised() {
         levelRaised = true;
-        pump();
+        submitNext();
     }
 
     /** Puts a proposed binding, already part of the cluster state, on record. */
     public void bind(Binding binding) {
-        waiting.put(binding, Write.BIND);
-        pump();
+        pending.addBind(binding);
+        submitNext();
     }
 
     /**
@@ -117,127 +123,81 @@
         if (binding.stage() == Binding.Stage.RELEASING && !done) {
             return;
         }
-        if (waiting.remove(binding, Write.BIND)) {
+        if (pending.removeBind(binding)) {
             cluster.unbind(binding, loop.nanos()); // never on record
-            settle(binding.job());
+            removeIfCancelled(binding.job());
             return;
         }
         binding.advanceTo(Binding.Stage.RELEASING);
         cluster.releaseCapacity(binding);
-        waiting.merge(binding, done ? Write.END : Write.RELEASE, (a, b) -> a == Write.END ? a : b);
-        pump();
+        pending.addRelease(binding, done ? WriteKind.COMPLETE : WriteKind.RELEASE);
+        submitNext();
     }
 
-    /** Lets go of what a cancelled job had under way: proposals that are not being written, and its finished tasks. */
+    /** Withdraws the pending bindings of a cancelled job, unless they are in flight, and forgets its finished tasks. */
     public void withdrawCancelled(Job job) {
         for (Binding b : ImmutableList.copyOf(job.bindings())) {
-            if (waiting.remove(b, Write.BIND)) {
+            if (pending.removeBind(b)) {
                 cluster.unbind(b, loop.nanos());
             }
         }
         records.removeFinishedTasks(job);
-        settle(job);
+        removeIfCancelled(job);
     }
 
-    /** True if the end of this job is on its way, so that the drop of its open entry is our own doing. */
+    /** True if the transaction in flight completes this job, so that its open entry is removed by this leader. */
     public boolean isCompleting(Job job) {
-        return inFlight != null && inFlight.finishes(job);
+        return inFlight.isPresent() && inFlight.get().completes(job);
     }
 
-    /** Writes that wait or are on their way. */
+    /** How many writes are pending, and whether a transaction is in flight. */
     public int backlog() {
-        return waiting.size() + (inFlight == null ? 0 : 1);
+        return pending.size() + (inFlight.isPresent() ? 1 : 0);
     }
 
-    private void pump() {
-        if (inFlight != null || waitsForTurn || (waiting.isEmpty() && !records.hasOversized())) {
+    private void submitNext() {
+        if (inFlight.isPresent() || awaitingAdmission || (pending.isEmpty() && !records.hasOversized())) {
             return;
         }
-        waitsForTurn = true;
-        boolean decisionsOnly = waiting.values().stream().allMatch(w -> w == Write.BIND);
-        Priority priority = decisionsOnly ? Priority.SCHEDULING : Priority.HEARTBEATS;
+        awaitingAdmission = true;
+        Priority priority = pending.hasOnlyBinds() ? Priority.SCHEDULING : Priority.HEARTBEATS;
         state.commitWhenAdmitted(
                 priority,
                 records.estimatedChanges(),
                 () -> {
-                    waitsForTurn = false;
-                    inFlight = scope.isClosed() ? null : compose();
-                    return Optional.ofNullable(inFlight).map(WriteBatch::transaction);
+                    awaitingAdmission = false;
+                    inFlight = scope.isClosed() ? Optional.empty() : compose();
+                    return inFlight.map(WriteBatch::transaction);
                 },
                 scope.guard(result -> {
-                    if (inFlight == null) { // it never had its turn
-                        scope.after(INITIAL_RETRY_DELAY_NANOS, () -> {
-                            waitsForTurn = false;
-                            pump();
+                    if (inFlight.isEmpty()) { // the rate limiter did not admit it
+                        scope.after(BatchSender.INITIAL_RETRY_DELAY_NANOS, () -> {
+                            awaitingAdmission = false;
+                            submitNext();
                         });
                     } else {
-                        judge(inFlight, result, INITIAL_RETRY_DELAY_NANOS);
+                        sender.onFirstResult(inFlight.get(), result);
                     }
                 }));
     }
 
-    private WriteBatch compose() {
+    private Optional<WriteBatch> compose() {
         if (levelRaised) {
             levelRaised = false;
             records.raiseLevel(FeatureLevel.SUPPORTED);
         }
-        WriteBatch batch = new WriteBatch(records, term, "w" + term.term() + "." + (++writes));
-        // In turns with what waits, which could not be written on such a page once the limits have fallen.
-        lastSplit = (!lastSplit || waiting.isEmpty()) && batch.splitOversized();
-        if (lastSplit) {
-            return batch;
+        WriteBatch batch = new WriteBatch(records, term, "w" + term.term() + "." + (++batchCount));
+        // Alternates with pending writes, which cannot go to an oversized page once the limits have fallen.
+        lastBatchWasSplit = (!lastBatchWasSplit || pending.isEmpty()) && batch.splitOversized();
+        if (lastBatchWasSplit) {
+            return Optional.of(batch);
         }
-        // Services first: they are few, and each second counts. Then whatever has waited longest chooses the pages. If
-        // releases went first, a stream of them would keep
-        // proposals on other pages off the record for as long as it lasts.
-        waiting.entrySet().removeIf(e -> e.getKey().job().spec().isService() && take(batch, e.getKey(), e.getValue()));
-        waiting.entrySet().removeIf(e -> take(batch, e.getKey(), e.getValue()));
-        return batch.isEmpty() ? null : batch;
-    }
-
-    private static boolean take(WriteBatch batch, Binding binding, Write write) {
-        return write == Write.BIND ? batch.bind(binding) : batch.release(binding, write == Write.END);
+        pending.moveInto(batch);
+        return batch.isEmpty() ? Optional.empty() : Optional.of(batch);
     }
 
-    private void sendAgain(WriteBatch batch, long retry) {
-        state.commit(batch.transaction(), batch.priority(), scope.guard(result -> judge(batch, result, retry)));
-    }
-
-    private void judge(WriteBatch batch, TransactionResult result, long retry) {
-        switch (result.outcome()) {
-            case COMMITTED -> committed(batch, result.revision());
-            case CONFLICT -> {
-                if (batch.unknown()) {
-                    probe(batch, result.conflictingKeys());
-                } else {
-                    conflict(batch, result.conflictingKeys());
-                }
-            }
-            case UNKNOWN, NOT_EXECUTED -> {
-                if (result.outcome() == TransactionResult.Outcome.UNKNOWN) {
-                    batch.markUnknown();
-                }
-                scope.after(retry, () -> sendAgain(batch, Math.min(MAX_RETRY_DELAY_NANOS, retry * 2)));
-            }
-            default -> listener.onWriteFailed("a transaction was rejected");
-        }
-    }
-
-    /** An earlier copy of the transaction may be what made this one fail: its own keys tell. */
-    private void probe(WriteBatch batch, ImmutableList<String> failed) {
-        state.get(batch.verificationKey(), batch.priority(), scope.guard(result -> {
-            if (result.outcome() == StateResult.Outcome.UNAVAILABLE) {
-                scope.after(INITIAL_RETRY_DELAY_NANOS, () -> probe(batch, failed));
-            } else if (result.isOk() && batch.hasWritten(result.value().value())) {
-                committed(batch, result.value().modRevision());
-            } else {
-                conflict(batch, failed);
-            }
-        }));
-    }
-
-    private void committed(WriteBatch batch, long revision) {
-        inFlight = null;
+    private void applyCommitted(WriteBatch batch, long revision) {
+        inFlight = Optional.empty();
         long now = loop.nanos();
         batch.markCommitted(revision);
         ImmutableSet.Builder<Machine> bound = ImmutableSet.builder();
@@ -248,63 +208,73 @@
                 bound.add(b.machine());
             }
         }
-        batch.released().forEach((b, done) -> {
-            if (done) {
-                b.job().markDone(b.task().index());
+        batch.released().forEach((binding, kind) -> {
+            if (kind == WriteKind.COMPLETE) {
+                binding.job().markDone(binding.task().index());
             }
-            cluster.unbind(b, now);
-            settle(b.job());
+            cluster.unbind(binding, now);
+            removeIfCancelled(binding.job());
         });
-        for (Job job : batch.finished()) {
+        for (Job job : batch.completedJobs()) {
             records.removeFinishedTasks(job);
             cluster.removeIfEnded(job, true);
         }
         records.removeIdleMachines(batch.released().keySet());
-        pump();
+        submitNext();
         listener.onCommitted(bound.build());
     }
 
-    /** A guard did not hold: nothing was written. What failed tells whether that is ordinary. */
-    private void conflict(WriteBatch batch, ImmutableList<String> failed) {
-        if (failed.contains(StateKeys.LEADER)) {
+    /** A comparison failed: nothing was written. That is ordinary if jobs were cancelled, and else ends the term. */
+    private void handleConflict(WriteBatch batch, ImmutableList<String> conflictingKeys) {
+        if (conflictingKeys.contains(StateKeys.LEADER)) {
             listener.onWriteFailed("another node leads");
             return;
         }
-        List<Job> cancelled = new ArrayList<>();
-        for (String key : failed) {
-            String id = key.startsWith(StateKeys.OPEN_JOBS_PREFIX)
-                    ? key.substring(StateKeys.OPEN_JOBS_PREFIX.length())
-                    : key.startsWith(StateKeys.JOBS_PREFIX) ? key.substring(StateKeys.JOBS_PREFIX.length()) : null;
-            Job job = id == null ? null : cluster.job(id);
-            if (job == null) {
+        List<Job> cancelledJobs = new ArrayList<>();
+        for (String key : conflictingKeys) {
+            Optional<Job> job = jobOf(key);
+            if (job.isEmpty()) {
                 listener.onWriteFailed("not as this leader left it: " + key);
                 return;
             }
-            cancelled.add(job);
+            cancelledJobs.add(job.get());
         }
-        inFlight = null;
+        inFlight = Optional.empty();
         batch.rollBack();
-        Map<Binding, Write> since = new LinkedHashMap<>(waiting);
-        waiting.clear();
-        batch.released().forEach((b, done) -> waiting.put(b, done ? Write.END : Write.RELEASE));
-        for (Binding b : batch.bound()) {
-            // A job that was cancelled meanwhile has let go of its proposals already, of this one not, as it was on its
-            // way. Put back, it would make this and every later transaction fail: nothing would ever be bound again.
-            if (b.stage() == Binding.Stage.PROPOSED && !b.job().isCancelled()) {
-                waiting.put(b, Write.BIND);
+        requeue(batch);
+        cancelledJobs.forEach(listener::onJobCancelled);
+        submitNext();
+    }
+
+    /** The job whose record or open entry has this key, if it is one of the cluster state. */
+    private Optional<Job> jobOf(String key) {
+        if (key.startsWith(StateKeys.OPEN_JOBS_PREFIX)) {
+            return Optional.ofNullable(cluster.job(key.substring(StateKeys.OPEN_JOBS_PREFIX.length())));
+        }
+        if (key.startsWith(StateKeys.JOBS_PREFIX)) {
+            return Optional.ofNullable(cluster.job(key.substring(StateKeys.JOBS_PREFIX.length())));
+        }
+        return Optional.empty();
+    }
+
+    private void requeue(WriteBatch batch) {
+        Map<Binding, WriteKind> retried = new LinkedHashMap<>(batch.released());
+        for (Binding binding : batch.bound()) {
+            // When a job was cancelled meanwhile, its pending bindings were removed, but not this one, which was in
+            // flight. Put back, it would make this and every later transaction fail: nothing would ever be bound again.
+            if (binding.stage() == Binding.Stage.PROPOSED && !binding.job().isCancelled()) {
+                retried.put(binding, WriteKind.BIND);
             } else {
-                since.remove(b); // released or cancelled meanwhile, and never on record
-                cluster.unbind(b, loop.nanos());
-                settle(b.job());
+                pending.remove(binding); // released or cancelled meanwhile, and never on record
+                cluster.unbind(binding, loop.nanos());
+                removeIfCancelled(binding.job());
             }
         }
-        waiting.putAll(since);
-        cancelled.forEach(listener::onJobCancelled);
-        pump();
+        pending.addFirst(retried);
     }
 
     /** A cancelled job leaves the cluster state with its last binding. */
-    private void settle(Job job) {
+    private void removeIfCancelled(Job job) {
         cluster.removeIfEnded(job, job.isCancelled());
     }
 }
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Job;
@@ -17,39 +18,35 @@
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.persistence.PageIndex.Page;
 import org.spruceridge.persistence.RecordPages.TaskChunk;
-import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.PackedValue;
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.term.LeaderTerm;
 
-/** The making of one transaction, within the limits that the state service sets. */
+/** Composes one transaction within the limits of the state service, and can roll back what it changed in the index. */
 final class WriteBatch {
-    /** The record of a job's end and the drop of its open entry. */
-    private static final int OPERATIONS_PER_COMPLETED_JOB = 2;
-    /** Room in the body for the records of ended jobs, beside the pages. */
-    private static final int MAX_COMPLETED_JOBS_BYTES = 10 << 10;
+    /** A transaction may compare this many times as many keys as it may change. */
+    private static final int COMPARISONS_PER_OPERATION = 4;
 
     private final RecordPages records;
     private final LeaderTerm term;
-    private final String write;
+    private final String transactionId;
     private final Set<Page<Machine>> bindings = new LinkedHashSet<>();
     private final Set<Page<TaskChunk>> chunks = new LinkedHashSet<>();
-    private final Map<Binding, Boolean> released = new LinkedHashMap<>();
+    private final Map<Binding, WriteKind> released = new LinkedHashMap<>();
     private final Set<Binding> bound = new LinkedHashSet<>();
     private final Set<Job> guardedJobs = new HashSet<>();
     private final Map<TaskChunk, BitSet> ending = new HashMap<>();
     private final Map<Job, Integer> newlyDone = new HashMap<>();
-    private final Map<Job, JsonNode> finished = new LinkedHashMap<>();
-    private final List<Runnable> undo = new ArrayList<>();
-    private int endsBytes;
+    private final CompletedJobs completedJobs = new CompletedJobs();
+    private final List<Runnable> rollback = new ArrayList<>();
     private Transaction transaction;
     private boolean unknown;
 
-    WriteBatch(RecordPages records, LeaderTerm term, String write) {
+    WriteBatch(RecordPages records, LeaderTerm term, String transactionId) {
         this.records = records;
         this.term = term;
-        this.write = write;
+        this.transactionId = transactionId;
         records.invalidateSizes();
     }
 
@@ -61,7 +58,7 @@
         return released.isEmpty() ? Priority.SCHEDULING : Priority.HEARTBEATS;
     }
 
-    Map<Binding, Boolean> released() {
+    Map<Binding, WriteKind> released() {
         return released;
     }
 
@@ -69,118 +66,127 @@
         return bound;
     }
 
-    Set<Job> finished() {
-        return finished.keySet();
+    /** The jobs whose last task this transaction records as done. */
+    Set<Job> completedJobs() {
+        return completedJobs.jobs();
     }
 
-    boolean finishes(Job job) {
-        return finished.containsKey(job);
+    boolean completes(Job job) {
+        return completedJobs.contains(job);
     }
 
-    boolean unknown() {
+    boolean isUnknown() {
         return unknown;
     }
 
-    /** No answer came: it may have been carried out, or may yet be. */
+    /** No response came: the transaction may have been executed, or may still be. */
     void markUnknown() {
         unknown = true;
     }
 
-    /** Moves what a page holds too much to other pages, as far as one transaction goes; false if none holds too much. */
+    /** Moves items off the first oversized page, as many as one transaction can; false if no page is oversized. */
     boolean splitOversized() {
-        Page<Machine> ofBindings = records.bindings().oversized();
-        Page<TaskChunk> ofFinished = records.finished().oversized();
-        if (ofBindings != null) {
-            split(records.bindings(), ofBindings, bindings);
-        } else if (ofFinished != null) {
-            split(records.finished(), ofFinished, chunks);
+        Optional<Page<Machine>> ofBindings = records.bindings().firstOversized();
+        Optional<Page<TaskChunk>> ofFinished = records.finished().firstOversized();
+        PageSplitter splitter = new PageSplitter(Math.min(records.txnOps(), records.maxPages()), rollback);
+        if (ofBindings.isPresent()) {
+            splitter.split(records.bindings(), ofBindings.get(), bindings);
+        } else if (ofFinished.isPresent()) {
+            splitter.split(records.finished(), ofFinished.get(), chunks);
         }
-        return ofBindings != null || ofFinished != null;
+        return ofBindings.isPresent() || ofFinished.isPresent();
     }
 
-    private <T> void split(PageIndex<T> index, Page<T> from, Set<Page<T>> written) {
-        int maxPages = Math.min(records.txnOps(), records.maxPages());
-        Set<Page<T>> targets = new LinkedHashSet<>();
-        written.add(from);
-        for (T item : List.copyOf(from.items())) {
-            if (!index.isOverfull(from)) {
-                return;
-            }
-            Page<T> to = index.firstPageWithRoom(item, targets);
-            if (to == null && written.size() < maxPages) {
-                to = index.pageWithRoomFor(item, targets);
-            }
-            if (to == null || from.items().size() == 1) {
-                return;
-            }
-            targets.add(to);
-            written.add(to);
-            index.assign(item, to);
-            undo.add(() -> index.assign(item, from));
+    /** Adds a release or a completion; false if there is no room for it, or its page has to be split first. */
+    boolean release(Binding binding, WriteKind kind) {
+        Optional<Page<Machine>> page = records.bindings().pageOf(binding.machine());
+        if (page.isPresent() && records.bindings().isOversized(page.get())) {
+            return false;
+        }
+        Job job = binding.job();
+        if (kind == WriteKind.RELEASE || job.isCancelled()) {
+            return releaseOnly(binding, page, WriteKind.RELEASE);
         }
+        int newlyDoneOfJob =
+                newlyDone.getOrDefault(job, 0) + (job.isDone(binding.task().index()) ? 0 : 1);
+        boolean completesJob = job.doneCount() + newlyDoneOfJob == job.spec().tasks();
+        boolean added = completesJob ? completeJob(binding, page) : completeTask(binding, page);
+        if (added) {
+            newlyDone.put(job, newlyDoneOfJob);
+        }
+        return added;
     }
 
-    /** Takes a release in, unless there is no room for it. */
-    boolean release(Binding b, boolean done) {
-        Page<Machine> page = records.bindings().pageOf(b.machine());
-        if (page != null && records.bindings().isOversized(page)) {
-            return false; // it is split first
-        }
-        Job job = b.job();
-        boolean ends = done && !job.isCancelled();
-        int index = b.task().index();
-        int inBatch = newlyDone.getOrDefault(job, 0) + (job.isDone(index) ? 0 : 1);
-        boolean last = ends && job.doneCount() + inBatch == job.spec().tasks();
-        TaskChunk chunk = ends && !last ? records.chunkOf(job, index) : null;
-        Page<TaskChunk> chunkPage = chunk == null ? null : pageOf(chunk);
-        if (chunkPage != null && records.finished().isOversized(chunkPage)) {
+    private boolean releaseOnly(Binding binding, Optional<Page<Machine>> page, WriteKind kind) {
+        if (!hasRoom(newPage(page), 0, 0)) {
             return false;
         }
-        JsonNode end = last && !finished.containsKey(job) ? endOf(job, records.valueBytes()) : null;
-        int endBytes = end == null ? 0 : Json.bytes(end).length;
-        if (!fits(page, chunkPage, end != null, endBytes, null)) {
+        addRelease(binding, page, kind);
+        return true;
+    }
+
+    private boolean completeTask(Binding binding, Optional<Page<Machine>> page) {
+        int index = binding.task().index();
+        TaskChunk chunk = records.chunkOf(binding.job(), index);
+        Page<TaskChunk> chunkPage = pageOf(chunk);
+        if (records.finished().isOversized(chunkPage)) {
             return false;
         }
-        if (page == null) { // an orphan, which no record knows: some page must carry the name of this write
-            page = pageFor(b.machine());
-            records.bindings().assign(b.machine(), page);
-        }
-        bindings.add(page);
-        released.put(b, ends);
-        if (chunkPage != null) {
-            chunks.add(chunkPage);
-            ending.computeIfAbsent(chunk, c -> new BitSet()).set(index - chunk.first());
+        if (!hasRoom(newPage(page) + (chunks.contains(chunkPage) ? 0 : 1), 0, 0)) {
+            return false;
         }
-        if (ends) {
-            newlyDone.put(job, inBatch);
+        addRelease(binding, page, WriteKind.COMPLETE);
+        chunks.add(chunkPage);
+        ending.computeIfAbsent(chunk, c -> new BitSet()).set(index - chunk.first());
+        return true;
+    }
+
+    private boolean completeJob(Binding binding, Optional<Page<Machine>> page) {
+        Job job = binding.job();
+        if (completedJobs.contains(job)) {
+            return releaseOnly(binding, page, WriteKind.COMPLETE);
         }
-        if (end != null) {
-            finished.put(job, end);
-            endsBytes += endBytes;
+        JsonNode record = CompletedJobs.recordOf(job, records.valueBytes());
+        int recordBytes = Json.bytes(record).length;
+        boolean fits = hasRoom(newPage(page), 1, 0) && (isEmpty() || completedJobs.hasRoomFor(recordBytes));
+        if (!fits) {
+            return false;
         }
+        addRelease(binding, page, WriteKind.COMPLETE);
+        completedJobs.add(job, record, recordBytes);
         return true;
     }
 
-    /** Takes a new binding in, unless there is no room for it. */
-    boolean bind(Binding b) {
-        Machine machine = b.machine();
-        Page<Machine> page = records.bindings().pageOf(machine);
-        if (page != null && records.bindings().isOversized(page)) {
-            return false; // it is split first
+    private void addRelease(Binding binding, Optional<Page<Machine>> recordedOn, WriteKind kind) {
+        Machine machine = binding.machine();
+        if (recordedOn.isPresent()) {
+            bindings.add(recordedOn.get());
+        } else { // an orphan, which no record knows: some page must carry the id of this transaction
+            Page<Machine> page = pageFor(machine);
+            records.bindings().assign(machine, page);
+            bindings.add(page);
         }
-        if (page != null && records.bindings().isOverfull(page)) {
-            return moveAndBind(b, page);
+        released.put(binding, kind);
+    }
+
+    /** Adds a new binding; false if there is no room for it, or its page has to be split first. */
+    boolean bind(Binding binding) {
+        Machine machine = binding.machine();
+        Optional<Page<Machine>> recordedOn = records.bindings().pageOf(machine);
+        if (recordedOn.isPresent() && records.bindings().isOversized(recordedOn.get())) {
+            return false;
         }
-        if (page == null) {
-            page = pageFor(machine);
+        if (recordedOn.isPresent() && records.bindings().isOverfull(recordedOn.get())) {
+            return moveAndBind(binding, recordedOn.get());
         }
-        if (!fits(page, null, false, 0, b.job())) {
+        Page<Machine> page = recordedOn.isPresent() ? recordedOn.get() : pageFor(machine);
+        if (!hasRoom(newPage(page), 0, newGuardedJob(binding.job()))) {
             return false;
         }
         records.bindings().assign(machine, page);
         bindings.add(page);
-        bound.add(b);
-        guardedJobs.add(b.job());
+        bound.add(binding);
+        guardedJobs.add(binding.job());
         return true;
     }
 
@@ -188,9 +194,9 @@
     private boolean moveAndBind(Binding b, Page<Machine> from) {
         Machine machine = b.machine();
         Page<Machine> to = records.bindings().pageWithRoomFor(machine, List.of());
-        boolean both = fits(from, null, false, 0, b.job())
-                && bindings.size() + (bindings.contains(from) ? 0 : 1) < records.maxPages()
-                && ops() + 2 <= records.txnOps();
+        boolean both = hasRoom(newPage(from), 0, newGuardedJob(b.job()))
+                && bindings.size() + newPage(from) < records.maxPages()
+                && operationCount() + 2 <= records.txnOps();
         if (!both) {
             return false;
         }
@@ -198,7 +204,7 @@
         bindings.add(to);
         records.bindings().assign(machine, to);
         // Were this write to fail, the machine is still recorded where it was.
-        undo.add(() -> records.bindings().assign(machine, from));
+        rollback.add(() -> records.bindings().assign(machine, from));
         bound.add(b);
         guardedJobs.add(b.job());
         return true;
@@ -209,34 +215,42 @@
     }
 
     private Page<TaskChunk> pageOf(TaskChunk chunk) {
-        Page<TaskChunk> page = records.finished().pageOf(chunk);
-        if (page == null) {
-            page = records.finished().pageWithRoomFor(chunk, chunks);
-            records.finished().assign(chunk, page);
+        Optional<Page<TaskChunk>> recordedOn = records.finished().pageOf(chunk);
+        if (recordedOn.isPresent()) {
+            return recordedOn.get();
         }
+        Page<TaskChunk> page = records.finished().pageWithRoomFor(chunk, chunks);
+        records.finished().assign(chunk, page);
         return page;
     }
 
-    private int ops() {
-        return bindings.size() + chunks.size() + OPERATIONS_PER_COMPLETED_JOB * finished.size();
+    private int operationCount() {
+        return bindings.size() + chunks.size() + completedJobs.operationCount();
     }
 
-    private boolean fits(Page<Machine> page, Page<TaskChunk> chunkPage, boolean end, int endBytes, Job guarded) {
-        int pages = (bindings.contains(page) ? 0 : 1) + (chunkPage == null || chunks.contains(chunkPage) ? 0 : 1);
-        int ops = ops() + pages + (end ? OPERATIONS_PER_COMPLETED_JOB : 0);
-        // A guard is kept for each page that may yet come: else the open entries of many jobs leave room for one page
-        // only.
-        int guards =
-                1 + records.txnOps() + guardedJobs.size() + (guarded == null || guardedJobs.contains(guarded) ? 0 : 1);
-        boolean fits = ops <= records.txnOps()
-                && guards <= 4 * records.txnOps()
-                && (pages == 0 || bindings.size() + chunks.size() + pages <= records.maxPages())
-                && (!end || endsBytes + endBytes <= MAX_COMPLETED_JOBS_BYTES);
-        return fits || isEmpty();
+    /** An item without a page gets one that this transaction does not write yet, as far as is known here. */
+    private int newPage(Optional<Page<Machine>> page) {
+        return page.isPresent() ? newPage(page.get()) : 1;
+    }
+
+    private int newPage(Page<Machine> page) {
+        return bindings.contains(page) ? 0 : 1;
     }
 
-    private static JsonNode endOf(Job job, int valueBytes) {
-        return new JobRecord(job.spec(), job.submittedMs(), JobRecord.Stage.DONE, 0).write(valueBytes);
+    private int newGuardedJob(Job job) {
+        return guardedJobs.contains(job) ? 0 : 1;
+    }
+
+    /** True if so much more stays within the limits of a transaction; an empty batch takes any one write. */
+    private boolean hasRoom(int newPages, int newCompletedJobs, int newGuardedJobs) {
+        int newOperations = newPages + CompletedJobs.OPERATIONS_PER_JOB * newCompletedJobs;
+        // A comparison is reserved for each page that may yet come: else the open entries of many jobs would leave room
+        // for one page only.
+        int comparisons = 1 + records.txnOps() + guardedJobs.size() + newGuardedJobs;
+        boolean fits = operationCount() + newOperations <= records.txnOps()
+                && comparisons <= COMPARISONS_PER_OPERATION * records.txnOps()
+                && (newPages == 0 || bindings.size() + chunks.size() + newPages <= records.maxPages());
+        return fits || isEmpty();
     }
 
     Transaction transaction() {
@@ -249,12 +263,10 @@
     private Transaction build() {
         Transaction.Builder txn = Transaction.builder().compare(StateKeys.LEADER, term.leaderRevision());
         guardedJobs.forEach(job -> txn.compare(StateKeys.openJob(job.id()), job.modRevision()));
-        bindings.forEach(p -> txn.put(p.key(), p.modRevision(), records.bindingsPage(write, p, this::recorded)));
-        chunks.forEach(p -> txn.put(p.key(), p.modRevision(), records.finishedPage(write, p, ending)));
-        finished.forEach((job, end) -> {
-            txn.put(StateKeys.job(job.id()), job.modRevision(), end);
-            txn.delete(StateKeys.openJob(job.id()), job.modRevision());
-        });
+        bindings.forEach(
+                p -> txn.put(p.key(), p.modRevision(), records.bindingsPage(transactionId, p, this::recorded)));
+        chunks.forEach(p -> txn.put(p.key(), p.modRevision(), records.finishedPage(transactionId, p, ending)));
+        completedJobs.addTo(txn);
         return txn.build();
     }
 
@@ -263,7 +275,7 @@
         return bound.contains(b) || (before && !released.containsKey(b));
     }
 
-    /** A key that shows whether this transaction was carried out. */
+    /** A key that shows whether this transaction was committed. */
     String verificationKey() {
         return bindings.isEmpty()
                 ? chunks.iterator().next().key()
@@ -272,17 +284,17 @@
 
     /** True if this transaction wrote the value of {@link #verificationKey}. */
     boolean hasWritten(JsonNode value) {
-        return PackedValue.transactionIdOf(value).equals(write);
+        return PackedValue.transactionIdOf(value).equals(transactionId);
     }
 
-    /** It was carried out. */
+    /** The transaction was committed: its pages have this mod revision now. */
     void markCommitted(long revision) {
         bindings.forEach(p -> p.modRevision(revision));
         chunks.forEach(p -> p.modRevision(revision));
     }
 
-    /** It was not, and never will be. */
+    /** The transaction was not and will not be executed: items return to the pages on which they are recorded. */
     void rollBack() {
-        undo.forEach(Runnable::run);
+        rollback.forEach(Runnable::run);
     }
 }
--- a/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -48,9 +48,9 @@
         for (int i = 0; i < TASKS; i++) {
             if (random.nextInt(3) > 0) {
                 RecordPages.TaskChunk chunk = records.chunkOf(job, i);
-                PageIndex.Page<RecordPages.TaskChunk> page = records.finished().pageOf(chunk);
-                if (page == null) {
-                    page = records.finished().pageWithRoomFor(chunk, Set.of());
+                if (records.finished().pageOf(chunk).isEmpty()) {
+                    PageIndex.Page<RecordPages.TaskChunk> page =
+                            records.finished().pageWithRoomFor(chunk, Set.of());
                     records.finished().assign(chunk, page);
                     pages.put(page.key(), page);
                 }
@@ -95,7 +95,7 @@
         }
         BitSet all = new BitSet();
         for (int i = 0; i < TASKS; i++) {
-            pages.add(records.finished().pageOf(records.chunkOf(job, i)));
+            pages.add(records.finished().pageOf(records.chunkOf(job, i)).orElseThrow());
         }
         for (var page : pages) {
             ObjectNode value = records.finishedPage("w", page, Map.of());
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -107,8 +107,8 @@
                     batch.transaction().bodyBytes() <= 64 << 10,
                     "body of " + batch.transaction().bodyBytes());
             batch.bound()
-                    .forEach(
-                            b -> keys.add(records.bindings().pageOf(b.machine()).key()));
+                    .forEach(b -> keys.add(
+                            records.bindings().pageOf(b.machine()).orElseThrow().key()));
         }
         int pages = keys.size();
         // A transaction guards the open entries of so many jobs beside the leader key and its pages. Those of 60 jobs
@@ -121,7 +121,7 @@
         assertTrue(transactions <= most, transactions + " transactions for " + pages + " pages");
         int recorded = 0;
         for (Machine m : cluster.machines()) {
-            PageIndex.Page<Machine> page = records.bindings().pageOf(m);
+            PageIndex.Page<Machine> page = records.bindings().pageOf(m).orElseThrow();
             if (keys.remove(page.key())) {
                 var value = records.bindingsPage("w", page, b -> true);
                 assertTrue(Json.bytes(value).length <= limits.valueKb() * 1024);
@@ -147,7 +147,7 @@
         measured[0] = 0;
         pages.invalidateSizes();
         for (int i = 0; i < 3000; i++) {
-            pages.isOverfull(pages.pageOf(i));
+            pages.isOverfull(pages.pageOf(i).orElseThrow());
             pages.pageWithRoomFor(i, List.of());
         }
         assertTrue(measured[0] <= 31, measured[0] + " times: bursts took more processor than there is");
@@ -167,7 +167,7 @@
             commit(batch, i + 1);
         }
         Machine first = machines.get(0);
-        PageIndex.Page<Machine> page = records.bindings().pageOf(first);
+        PageIndex.Page<Machine> page = records.bindings().pageOf(first).orElseThrow();
         List<Binding> more = new ArrayList<>();
         while (!records.bindings().isOverfull(page)) {
             more.add(binding(job, index++, first));
@@ -175,10 +175,10 @@
         }
         WriteBatch batch = batch();
         more.forEach(b -> assertTrue(batch.bind(b)));
-        assertNotSame(page, records.bindings().pageOf(first));
+        assertNotSame(page, records.bindings().pageOf(first).orElseThrow());
         assertEquals(2, batch.transaction().changeCount(), "both pages are written together");
         // Were the machine taken to be on its new page now, the old page would name its tasks for ever.
         batch.rollBack();
-        assertSame(page, records.bindings().pageOf(first));
+        assertSame(page, records.bindings().pageOf(first).orElseThrow());
     }
 }
