--- /dev/null
+++ b/src/main/java/org/spruceridge/node/LeaderLocator.java
@@ -0,0 +1,33 @@
+package org.spruceridge.node;
+
+import java.util.Optional;
+import org.spruceridge.election.Election;
+import org.spruceridge.peer.PeerMonitor;
+
+/** Tells which node leads. */
+final class LeaderLocator {
+    private final Election election;
+    private final PeerMonitor peers;
+    private final StateServiceHealth stateHealth;
+    private final String ownName;
+
+    LeaderLocator(Election election, PeerMonitor peers, StateServiceHealth stateHealth, String ownName) {
+        this.election = election;
+        this.peers = peers;
+        this.stateHealth = stateHealth;
+        this.ownName = ownName;
+    }
+
+    /**
+     * The host name of the leader, this node or another, from a recent source only: a node that is partitioned from the
+     * others must neither keep workers nor redirect them to a former leader.
+     */
+    Optional<String> leader() {
+        return stateHealth.isReachable() ? election.leaderName() : peers.leader();
+    }
+
+    /** The host name of the leader if another node leads. */
+    Optional<String> otherLeader() {
+        return leader().filter(name -> !name.equals(ownName));
+    }
+}
--- a/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
+++ b/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
@@ -15,11 +15,15 @@
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.CatalogueRecord;
 import org.spruceridge.record.Keys;
+import org.spruceridge.state.Entry;
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.Transaction;
 
-/** What this node knows of the machine types: from the cloud, or, until that answers, from the record. */
+/**
+ * The machine types that the cloud offers. They are fetched from the cloud at intervals and stored in the state service, so
+ * that a node which starts while the cloud is unavailable can admit and place jobs.
+ */
 final class MachineTypeCatalogue {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalogue.class);
     private static final long RETRY_INTERVAL_NANOS = Durations.nanos(2);
@@ -54,6 +58,7 @@
         scope.close();
     }
 
+    /** The machine types by name; empty until the cloud or the state service answered. */
     Optional<ImmutableMap<String, MachineType>> types() {
         return types;
     }
@@ -73,44 +78,50 @@
             if (types.isPresent()) {
                 return;
             }
-            if (found.isOk()) {
-                try {
-                    update(CatalogueRecord.read(found.value().value()).types());
-                    return;
-                } catch (BadMessageException e) {
-                    warnings.warn("unreadable catalogue record", e.getMessage());
-                }
+            Optional<CatalogueRecord> stored = read(found);
+            if (stored.isPresent()) {
+                update(stored.get().types());
+            } else {
+                scope.after(RETRY_INTERVAL_NANOS, this::loadFromStore);
             }
-            scope.after(RETRY_INTERVAL_NANOS, this::loadFromStore);
         }));
     }
 
-    private void update(ImmutableMap<String, MachineType> now) {
+    private void update(ImmutableMap<String, MachineType> latest) {
         if (types.isEmpty()) {
-            LOG.info("machine types known: {}", now.keySet());
+            LOG.info("machine types loaded machineType={}", latest.keySet());
         }
-        types = Optional.of(now);
-        onUpdate.accept(now);
+        types = Optional.of(latest);
+        onUpdate.accept(latest);
     }
 
-    /** Puts the types on record where they are not; should that fail, the next refresh tries again. */
-    private void persist(CatalogueRecord now) {
+    /** Stores the types unless the stored ones are the same. After a failure, the next refresh tries again. */
+    private void persist(CatalogueRecord latest) {
         state.get(Keys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
             if (found.kind() == Result.Kind.UNAVAILABLE) {
                 return;
             }
-            try {
-                if (found.isOk() && CatalogueRecord.read(found.value().value()).sameTypes(now)) {
-                    return;
-                }
-            } catch (BadMessageException e) {
-                warnings.warn("unreadable catalogue record", e.getMessage());
+            if (read(found).filter(stored -> stored.sameTypes(latest)).isPresent()) {
+                return;
             }
             long modRevision = found.isOk() ? found.value().modRevision() : 0;
-            Transaction txn = Transaction.builder()
-                    .set(Keys.CATALOGUE, modRevision, now.write())
+            Transaction transaction = Transaction.builder()
+                    .set(Keys.CATALOGUE, modRevision, latest.write())
                     .build();
-            state.commit(txn, Priority.SCHEDULING, result -> {});
+            state.commit(transaction, Priority.SCHEDULING, result -> {});
         }));
     }
+
+    /** The stored record; empty if there is none, or none that can be read. */
+    private Optional<CatalogueRecord> read(Result<Entry> found) {
+        if (!found.isOk()) {
+            return Optional.empty();
+        }
+        try {
+            return Optional.of(CatalogueRecord.read(found.value().value()));
+        } catch (BadMessageException e) {
+            warnings.warn("unreadable machine type catalogue", e.getMessage());
+            return Optional.empty();
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/node/MetricsEndpoint.java
@@ -0,0 +1,47 @@
+package org.spruceridge.node;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.spruceridge.net.Latencies;
+import org.spruceridge.peer.MemberVersion;
+import org.spruceridge.peer.PeerMonitor;
+import org.spruceridge.term.LeaderMetrics;
+import org.spruceridge.upgrade.ClusterLevel;
+
+/** Renders the figures of GET /metrics. */
+final class MetricsEndpoint {
+    private final String hostName;
+    private final Latencies latencies;
+    private final ClusterLevel level;
+    private final PeerMonitor peers;
+    private final LeaderMetrics leaderMetrics;
+    private final CurrentLeader currentLeader;
+    private final MemberVersion ownVersion;
+
+    MetricsEndpoint(
+            String hostName,
+            MemberVersion ownVersion,
+            Latencies latencies,
+            ClusterLevel level,
+            PeerMonitor peers,
+            LeaderMetrics leaderMetrics,
+            CurrentLeader currentLeader) {
+        this.hostName = hostName;
+        this.ownVersion = ownVersion;
+        this.latencies = latencies;
+        this.level = level;
+        this.peers = peers;
+        this.leaderMetrics = leaderMetrics;
+        this.currentLeader = currentLeader;
+    }
+
+    ObjectNode render() {
+        ObjectNode out = latencies.toJson();
+        ObjectNode cluster =
+                out.putObject("cluster").put("featureLevel", level.known().number());
+        ObjectNode versions = cluster.putObject("versions").put(hostName, ownVersion.name());
+        peers.versions().forEach((host, version) -> versions.put(host, version.name()));
+        leaderMetrics.writeTo(out);
+        currentLeader.get().ifPresent(leader -> leader.writeTo(out.putObject("leader")));
+        return out;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -0,0 +1,65 @@
+package org.spruceridge.node;
+
+import com.google.common.collect.ImmutableMap;
+import java.util.Optional;
+import org.spruceridge.api.RecentCancellations;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.election.Election;
+import org.spruceridge.leader.Leader;
+import org.spruceridge.peer.MemberVersion;
+import org.spruceridge.peer.PeerHeartbeat;
+
+/** Composes the heartbeat that this node sends to its peers each second. */
+final class PeerHeartbeatSource {
+    private final String hostName;
+    private final Election election;
+    private final CurrentLeader currentLeader;
+    private final StateServiceHealth stateHealth;
+    private final WorkerReachability reachability;
+    private final RecentCancellations cancellations;
+    private final MemberVersion ownVersion;
+
+    PeerHeartbeatSource(
+            String hostName,
+            MemberVersion ownVersion,
+            Election election,
+            CurrentLeader currentLeader,
+            StateServiceHealth stateHealth,
+            WorkerReachability reachability,
+            RecentCancellations cancellations) {
+        this.hostName = hostName;
+        this.ownVersion = ownVersion;
+        this.election = election;
+        this.currentLeader = currentLeader;
+        this.stateHealth = stateHealth;
+        this.reachability = reachability;
+        this.cancellations = cancellations;
+    }
+
+    /** The heartbeat of this moment; its term is 0 while this node does not lead. */
+    PeerHeartbeat next() {
+        Optional<Leader> leader = currentLeader.get().filter(any -> election.leads());
+        return new PeerHeartbeat(
+                hostName,
+                stateHealth.hasServedAndIsReachable(),
+                reachability.isReachable(),
+                leader.map(Leader::term).orElse(0L),
+                leader.map(PeerHeartbeatSource::progress).orElse(ImmutableMap.of()),
+                cancellations.recent(),
+                ownVersion);
+    }
+
+    private static ImmutableMap<String, PeerHeartbeat.Progress> progress(Leader leader) {
+        ImmutableMap.Builder<String, PeerHeartbeat.Progress> progress = ImmutableMap.builder();
+        for (Job job : leader.cluster().jobs()) {
+            if (!job.cancelled()) {
+                progress.put(job.id(), progress(job));
+            }
+        }
+        return progress.build();
+    }
+
+    static PeerHeartbeat.Progress progress(Job job) {
+        return new PeerHeartbeat.Progress(job.doneCount(), job.running());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/node/RateBudget.java
@@ -0,0 +1,98 @@
+package org.spruceridge.node;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spruceridge.config.Settings;
+import org.spruceridge.net.Loop;
+import org.spruceridge.net.RateLimiter;
+
+/**
+ * This node's share of the request limits of the state service and of the cloud. The limits hold for all controller nodes
+ * together. The leader does nearly all writes, so it gets the larger part of them.
+ */
+final class RateBudget {
+    private static final Logger LOG = LoggerFactory.getLogger(RateBudget.class);
+
+    /** The share of the state service's write limit that is reserved for requests of users, over all nodes. */
+    private static final double USER_WRITES_SHARE = 0.35;
+
+    /**
+     * Users often send many requests at once, and to one node. A node that was idle may take as many of their writes at
+     * once as the state service takes in this time. The service itself allows a burst of one second.
+     */
+    private static final double USER_WRITES_BURST_S = 0.5;
+
+    /** The share of a limit that is used at most: the clocks of the services and of this node differ. */
+    private static final double USABLE_SHARE = 0.95;
+
+    /** The leader's share of the cloud's limit; the followers divide the rest. */
+    private static final double LEADER_CLOUD_SHARE = 0.8;
+
+    private static final double FOLLOWERS_CLOUD_SHARE = 0.2;
+
+    /** What this node is to the cluster. */
+    enum Role {
+        LEADER,
+        FOLLOWER
+    }
+
+    private final Settings settings;
+    private final RateLimiter stateLimiter;
+    private final RateLimiter cloudLimiter;
+    private boolean stateRatesReduced;
+
+    /** Begins with the share of a follower. */
+    RateBudget(Loop loop, Settings settings) {
+        this.settings = settings;
+        this.stateLimiter = new RateLimiter(loop, 1, 1, 1);
+        this.cloudLimiter = new RateLimiter(loop, 1, 1, 1);
+        apply(Role.FOLLOWER);
+    }
+
+    RateLimiter stateLimiter() {
+        return stateLimiter;
+    }
+
+    RateLimiter cloudLimiter() {
+        return cloudLimiter;
+    }
+
+    /** Sets the rates of both limiters for the role. */
+    void apply(Role role) {
+        applyStateRates(role);
+        cloudLimiter.rates(settings.cloud().rps() * USABLE_SHARE * cloudShare(role), 1, 1, 1);
+    }
+
+    /**
+     * The state service rejected a request that was within its current limits. It must have changed to the upcoming
+     * limits of the settings, if these are lower.
+     */
+    void stateRateExceeded(Role role) {
+        if (stateRatesReduced || !settings.state().ratesWillFall()) {
+            return;
+        }
+        stateRatesReduced = true;
+        LOG.info("state service rate limits reduced");
+        apply(role);
+    }
+
+    private void applyStateRates(Role role) {
+        Settings.StateLimits limits =
+                stateRatesReduced ? settings.state().next() : settings.state().current();
+        int nodes = settings.nodeCount();
+        double reads = limits.rps() * USABLE_SHARE / nodes;
+        double writes = limits.writeRps() * USABLE_SHARE;
+        double userWritesShare = USER_WRITES_SHARE / nodes;
+        // A follower writes little of its own: it campaigns in an election, or stores the machine types.
+        double ownShare = role == Role.LEADER ? 1 - USER_WRITES_SHARE : userWritesShare;
+        stateLimiter.rates(reads, writes * ownShare, writes * userWritesShare, writes * USER_WRITES_BURST_S);
+    }
+
+    private double cloudShare(Role role) {
+        int nodes = settings.nodeCount();
+        if (nodes == 1) {
+            return 1;
+        }
+        return role == Role.LEADER ? LEADER_CLOUD_SHARE : FOLLOWERS_CLOUD_SHARE / (nodes - 1);
+    }
+}
