--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -21,10 +21,10 @@
 import org.spruceridge.net.Response;
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
-import org.spruceridge.record.SpecMessage;
-import org.spruceridge.state.Result;
+import org.spruceridge.record.JobSpecMessage;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 import org.spruceridge.upgrade.ClusterLevel;
@@ -84,11 +84,11 @@
         }
         JobSpec spec;
         try {
-            spec = SpecMessage.read(json);
+            spec = JobSpecMessage.read(json);
         } catch (BadMessageException e) {
             Response refusal = Response.error(400, e.getMessage());
             // An id that was accepted once is never refused, whatever the repeat looks like.
-            SpecMessage.idOf(json).ifPresentOrElse(id -> lookUp(id, refusal, answer), () -> answer.accept(refusal));
+            JobSpecMessage.idOf(json).ifPresentOrElse(id -> lookUp(id, refusal, answer), () -> answer.accept(refusal));
             return;
         }
         Optional<ImmutableMap<String, MachineType>> types = catalogue.get();
@@ -126,7 +126,7 @@
 
     /** GET /api/jobs/{id}. */
     public void poll(String id, Consumer<Response> answer) {
-        if (SpecMessage.isId(id)) {
+        if (JobSpecMessage.isId(id)) {
             lookUp(id, unknownJob(), answer);
         } else {
             answer.accept(unknownJob());
@@ -135,7 +135,7 @@
 
     /** POST /api/jobs/{id}/abort. */
     public void abort(String id, Consumer<Response> answer) {
-        if (SpecMessage.isId(id)) {
+        if (JobSpecMessage.isId(id)) {
             abort(id, loop.nanos() + REQUEST_TIMEOUT_NANOS, answer);
         } else {
             answer.accept(unknownJob());
@@ -149,11 +149,11 @@
             return;
         }
         Transaction txn = Transaction.builder()
-                .set(Keys.job(spec.id()), 0, record.write())
-                .set(Keys.open(spec.id()), 0, record.write())
+                .put(StateKeys.job(spec.id()), 0, record.write())
+                .put(StateKeys.openJob(spec.id()), 0, record.write())
                 .build();
         commitUntil(txn, loop.nanos() + REQUEST_TIMEOUT_NANOS, answer, result -> {
-            if (result.committed()) {
+            if (result.isCommitted()) {
                 answer.accept(Response.of(201, summary(spec.id(), "pending")));
             } else {
                 lookUp(spec.id(), stateUnavailable(), answer);
@@ -162,9 +162,9 @@
     }
 
     private void abort(String id, long deadline, Consumer<Response> answer) {
-        state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
+        state.get(StateKeys.job(id), Priority.SUBMISSIONS, found -> {
             if (!found.isOk()) {
-                answer.accept(found.kind() == Result.Kind.MISSING ? unknownJob() : stateUnavailable());
+                answer.accept(found.outcome() == StateResult.Outcome.NOT_FOUND ? unknownJob() : stateUnavailable());
                 return;
             }
             Optional<JobRecord> record = read(id, found.value().value());
@@ -181,11 +181,11 @@
             JobRecord cancelled = record.get().ended(JobRecord.Stage.CANCELLED, loop.wallMillis());
             long modRevision = found.value().modRevision(); // the open entry was written with the record
             Transaction txn = Transaction.builder()
-                    .set(Keys.job(id), modRevision, cancelled.write(valueBytes))
-                    .drop(Keys.open(id), modRevision)
+                    .put(StateKeys.job(id), modRevision, cancelled.write(valueBytes))
+                    .delete(StateKeys.openJob(id), modRevision)
                     .build();
             commitUntil(txn, deadline, answer, result -> {
-                if (result.committed()) {
+                if (result.isCommitted()) {
                     remember(cancelled);
                     cancellations.add(id);
                     answer.accept(Response.of(200, summary(id, "cancelled")));
@@ -202,7 +202,7 @@
     private void commitUntil(
             Transaction txn, long deadline, Consumer<Response> answer, Consumer<TransactionResult> onOutcome) {
         state.commit(txn, Priority.SUBMISSIONS, result -> {
-            switch (result.kind()) {
+            switch (result.outcome()) {
                 case COMMITTED, CONFLICT -> onOutcome.accept(result);
                 case UNKNOWN -> {
                     if (loop.nanos() < deadline) {
@@ -211,7 +211,7 @@
                         answer.accept(stateUnavailable());
                     }
                 }
-                case REJECTED -> answer.accept(
+                case MALFORMED -> answer.accept(
                         stateUnavailable()); // of ours, not of the user's: it was measured before
                 default -> answer.accept(stateUnavailable());
             }
@@ -225,13 +225,13 @@
             answer.accept(Response.of(200, endedSummary(id, endedJob)));
             return;
         }
-        state.get(Keys.job(id), Priority.SUBMISSIONS, found -> {
+        state.get(StateKeys.job(id), Priority.SUBMISSIONS, found -> {
             if (found.isOk()) {
                 answer.accept(read(id, found.value().value())
                         .map(this::currentState)
                         .orElseGet(() -> Response.error(500, "unreadable record")));
             } else {
-                answer.accept(found.kind() == Result.Kind.MISSING ? ifMissing : stateUnavailable());
+                answer.accept(found.outcome() == StateResult.Outcome.NOT_FOUND ? ifMissing : stateUnavailable());
             }
         });
     }
--- a/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
+++ b/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
@@ -14,10 +14,10 @@
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.CatalogueRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Entry;
-import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 
 /**
@@ -74,7 +74,7 @@
     }
 
     private void loadFromStore() {
-        state.get(Keys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
+        state.get(StateKeys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
             if (types.isPresent()) {
                 return;
             }
@@ -97,8 +97,8 @@
 
     /** Stores the types unless the stored ones are the same. After a failure, the next refresh tries again. */
     private void persist(CatalogueRecord latest) {
-        state.get(Keys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
-            if (found.kind() == Result.Kind.UNAVAILABLE) {
+        state.get(StateKeys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
+            if (found.outcome() == StateResult.Outcome.UNAVAILABLE) {
                 return;
             }
             if (read(found).filter(stored -> stored.sameTypes(latest)).isPresent()) {
@@ -106,14 +106,14 @@
             }
             long modRevision = found.isOk() ? found.value().modRevision() : 0;
             Transaction transaction = Transaction.builder()
-                    .set(Keys.CATALOGUE, modRevision, latest.write())
+                    .put(StateKeys.CATALOGUE, modRevision, latest.write())
                     .build();
             state.commit(transaction, Priority.SCHEDULING, result -> {});
         }));
     }
 
     /** The stored record; empty if there is none, or none that can be read. */
-    private Optional<CatalogueRecord> read(Result<Entry> found) {
+    private Optional<CatalogueRecord> read(StateResult<Entry> found) {
         if (!found.isOk()) {
             return Optional.empty();
         }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -24,7 +24,7 @@
 import org.spruceridge.peer.MemberVersion;
 import org.spruceridge.peer.PeerMonitor;
 import org.spruceridge.peer.PeerTransport;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
@@ -203,7 +203,7 @@
             warmUp.start();
         }
         state.get(
-                Keys.LEADER,
+                StateKeys.LEADER,
                 Priority.LEASE_RENEWAL,
                 scope.guard(found -> scope.after(STATE_PROBE_INTERVAL_NANOS, this::everySecond)));
     }
--- a/src/main/java/org/spruceridge/node/StateServiceHealth.java
+++ b/src/main/java/org/spruceridge/node/StateServiceHealth.java
@@ -15,11 +15,11 @@
     }
 
     boolean isReachable() {
-        return state.sinceServed() < MAX_SILENCE_NANOS;
+        return state.nanosSinceLastServed() < MAX_SILENCE_NANOS;
     }
 
     /** True if the service also answered this process at least once. */
     boolean hasServedAndIsReachable() {
-        return state.everServed() && isReachable();
+        return state.hasEverBeenServed() && isReachable();
     }
 }
--- a/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
+++ b/src/main/java/org/spruceridge/warmup/WarmUpLeader.java
@@ -35,10 +35,10 @@
 import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.schedule.Matching;
-import org.spruceridge.state.AcceptingState;
 import org.spruceridge.state.Entry;
+import org.spruceridge.state.InProcessStateService;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
@@ -95,30 +95,32 @@
         this.cluster = context.cluster();
         this.state = new StateClient(
                 loop,
-                new AcceptingState(loop, this::recorded),
+                new InProcessStateService(loop, this::recorded),
                 settings.stateAddress(),
                 new RateLimiter(loop, PLENTY, PLENTY, PLENTY),
                 context.warnings(),
                 context.latencies());
         this.recordWriter = new RecordWriter(context, state, new RecordWriter.Listener() {
             @Override
-            public void committed(ImmutableSet<Machine> bound) {
+            public void onCommitted(ImmutableSet<Machine> bound) {
                 requestCycle();
             }
 
             @Override
-            public void cancelled(Job job) {
+            public void onJobCancelled(Job job) {
                 throw new IllegalStateException("nobody cancels " + job.id());
             }
 
             @Override
-            public void broken(String why) {
-                throw new IllegalStateException(why);
+            public void onWriteFailed(String reason) {
+                throw new IllegalStateException(reason);
             }
         });
         this.heartbeatHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
         Matching matching = new Matching(
-                settings, policy, BindingsRecord.mostBindings(settings.state().recordKb()));
+                settings,
+                policy,
+                BindingsRecord.maxBindingsPerMachine(settings.state().recordKb()));
         this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {});
         addMachines();
     }
@@ -228,13 +230,13 @@
     /** What the state service would hold of this cluster. */
     private List<Entry> recorded(String prefix) {
         List<Entry> entries = new ArrayList<>();
-        if (prefix.equals(Keys.OPEN)) {
+        if (prefix.equals(StateKeys.OPEN_JOBS_PREFIX)) {
             for (Job job : cluster.jobs()) {
                 JobRecord record = JobRecord.open(job.spec(), job.submittedMs());
-                entries.add(new Entry(Keys.open(job.id()), record.write(), job.modRevision()));
+                entries.add(new Entry(StateKeys.openJob(job.id()), record.write(), job.modRevision()));
             }
-        } else if (prefix.equals(Keys.BINDINGS)) {
-            entries.add(new Entry(Keys.BINDINGS + 1, BindingsRecord.write("w1", machines, b -> true), 1));
+        } else if (prefix.equals(StateKeys.BINDINGS_PREFIX)) {
+            entries.add(new Entry(StateKeys.BINDINGS_PREFIX + 1, BindingsRecord.write("w1", machines, b -> true), 1));
         }
         return entries;
     }
