--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -13,12 +13,14 @@
 import org.spruceridge.net.RequestQueue;
 import org.spruceridge.net.Response;
 
-/** Hands each request to its endpoint. */
+/** Dispatches each HTTP request to its endpoint, by path and method. */
 public final class Router implements RequestHandler {
-    private static final String JOBS = "/api/jobs";
+    private static final String JOBS_PATH = "/api/jobs";
+    private static final String HEALTH_PATH = "/healthz";
+    private static final String HEARTBEATS_PATH = "/hello";
+    private static final String METRICS_PATH = "/metrics";
+    private static final String ABORT_SUFFIX = "/abort";
     private static final int RETRY_AFTER_S = 1;
-    private static final String HEALTH = "/healthz";
-    private static final String HEARTBEATS = "/hello";
 
     private final JobsEndpoint jobs;
     private final Function<byte[], Response> heartbeats;
@@ -28,7 +30,7 @@
     private final Loop loop;
     private final Latencies latencies;
 
-    /** {@code heartbeatDropped} is told when a report could not be taken in time. */
+    /** {@code heartbeatDropped} runs for each worker heartbeat that is refused under load. */
     public Router(
             JobsEndpoint jobs,
             Function<byte[], Response> heartbeats,
@@ -49,15 +51,15 @@
     @Override
     public RequestQueue.Priority priority(Request request) {
         return switch (request.path()) {
-            case HEALTH -> RequestQueue.Priority.HEALTH;
-            case HEARTBEATS -> RequestQueue.Priority.HEARTBEAT;
+            case HEALTH_PATH -> RequestQueue.Priority.HEALTH;
+            case HEARTBEATS_PATH -> RequestQueue.Priority.HEARTBEAT;
             default -> RequestQueue.Priority.USER;
         };
     }
 
     @Override
     public Response refusal(Request request) {
-        if (request.path().equals(HEARTBEATS)) {
+        if (request.path().equals(HEARTBEATS_PATH)) {
             heartbeatDropped.run();
         }
         return Response.later(RETRY_AFTER_S, "too busy");
@@ -66,28 +68,29 @@
     @Override
     public void handle(Request request, Consumer<Response> answer) {
         String path = request.path();
-        if (path.equals(HEARTBEATS)) {
+        if (path.equals(HEARTBEATS_PATH)) {
             requireMethod("POST", request, answer, () -> timed(Latencies.Kind.HEARTBEATS, answer)
                     .accept(heartbeats.apply(request.body())));
-        } else if (path.equals(HEALTH)) {
+        } else if (path.equals(HEALTH_PATH)) {
             requireMethod("GET", request, answer, () -> answer.accept(health()));
-        } else if (path.equals("/metrics")) {
+        } else if (path.equals(METRICS_PATH)) {
             requireMethod("GET", request, answer, () -> answer.accept(Response.of(200, metrics.get())));
-        } else if (path.equals(JOBS)) {
+        } else if (path.equals(JOBS_PATH)) {
             requireMethod(
                     "POST", request, answer, () -> jobs.submit(request.body(), timed(Latencies.Kind.USERS, answer)));
-        } else if (path.startsWith(JOBS + "/")) {
-            job(path.substring(JOBS.length() + 1), request, answer);
+        } else if (path.startsWith(JOBS_PATH + "/")) {
+            dispatchJob(path.substring(JOBS_PATH.length() + 1), request, answer);
         } else {
             answer.accept(Response.error(404, "no such path"));
         }
     }
 
-    private void job(String rest, Request request, Consumer<Response> answer) {
+    /** {@code rest} is the path after the jobs path: an id, or an id and an action. */
+    private void dispatchJob(String rest, Request request, Consumer<Response> answer) {
         int slash = rest.indexOf('/');
         if (slash < 0) {
             requireMethod("GET", request, answer, () -> jobs.poll(rest, timed(Latencies.Kind.USERS, answer)));
-        } else if (rest.substring(slash).equals("/abort")) {
+        } else if (rest.substring(slash).equals(ABORT_SUFFIX)) {
             requireMethod(
                     "POST",
                     request,
