--- a/src/main/java/org/spruceridge/api/AdmissionControl.java
+++ b/src/main/java/org/spruceridge/api/AdmissionControl.java
@@ -9,7 +9,7 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Settings.Team;
 
-/** Judges whether a well-formed job can ever run. */
+/** Decides whether a well-formed job can ever run with the machine types and team limits that exist. */
 final class AdmissionControl {
     private final ImmutableMap<String, Team> teams;
 
@@ -17,34 +17,43 @@
         this.teams = teams;
     }
 
-    /** Why the job can never run; empty if it can. */
+    /** Why the job can never run; empty if it can. The text is sent to the user. */
     Optional<String> rejectionReason(JobSpec spec, ImmutableMap<String, MachineType> types) {
         Team team = teams.get(spec.team());
         if (team == null) {
             return Optional.of("unknown team");
         }
-        boolean fits = types.values().stream()
-                .anyMatch(t -> spec.task().fitsIn(t.capacity())
-                        && t.zones().stream().anyMatch(zone -> spec.allows(t.name(), zone, false)));
-        if (!fits) {
+        if (types.values().stream().noneMatch(type -> fits(spec, type))) {
             return Optional.of("a task fits no allowed machine type");
         }
-        Resources limit = new Resources(
+        Resources limit = limitOf(team);
+        if (!spec.isService()) {
+            return spec.task().fitsIn(limit)
+                    ? Optional.empty()
+                    : Optional.of("a task needs more than the team's limit");
+        }
+        // All replicas run at the same time, and none of them ends to make way for another.
+        Resources allReplicas = spec.task().times(spec.tasks());
+        return allReplicas.fitsIn(limit) ? Optional.empty() : Optional.of("the job needs more than the team's limit");
+    }
+
+    private static boolean fits(JobSpec spec, MachineType type) {
+        return spec.task().fitsIn(type.capacity())
+                && type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
+    }
+
+    /** A limit of 0 in the settings means none. */
+    private static Resources limitOf(Team team) {
+        return new Resources(
                 team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
                 team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE,
                 Double.MAX_VALUE);
-        if (spec.isService()) {
-            // All replicas run at the same time, and none of them ends to make way for another.
-            Resources all = spec.task().times(spec.tasks());
-            return all.fitsIn(limit) ? Optional.empty() : Optional.of("the job needs more than the team's limit");
-        }
-        return spec.task().fitsIn(limit) ? Optional.empty() : Optional.of("a task needs more than the team's limit");
     }
 
     /** The job with only those types named that exist, so that its record stays small. */
-    static JobSpec withKnownTypes(JobSpec s, ImmutableMap<String, MachineType> types) {
-        Optional<ImmutableSet<String>> known =
-                s.types().map(t -> Sets.intersection(t, types.keySet()).immutableCopy());
-        return s.withTypes(known);
+    static JobSpec withKnownTypes(JobSpec spec, ImmutableMap<String, MachineType> types) {
+        Optional<ImmutableSet<String>> known = spec.types()
+                .map(named -> Sets.intersection(named, types.keySet()).immutableCopy());
+        return spec.withTypes(known);
     }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/api/JobResponses.java
@@ -0,0 +1,68 @@
+package org.spruceridge.api;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import org.spruceridge.net.Json;
+import org.spruceridge.net.Response;
+import org.spruceridge.peer.PeerHeartbeat.Progress;
+import org.spruceridge.record.JobRecord;
+
+/** The responses of the users' API. */
+final class JobResponses {
+    private static final int RETRY_AFTER_S = 1;
+
+    private JobResponses() {}
+
+    static Response accepted(String id) {
+        return Response.of(201, summary(id, "pending"));
+    }
+
+    static Response open(String id, Progress progress) {
+        return Response.of(
+                200,
+                summary(id, progress.running() > 0 ? "running" : "pending")
+                        .put("done", progress.done())
+                        .put("running", progress.running()));
+    }
+
+    /** The state of a job that ended, with its progress. */
+    static Response ended(String id, JobRecord.Stage stage, int tasks) {
+        return Response.of(
+                200,
+                summary(id, stageName(stage))
+                        .put("done", stage == JobRecord.Stage.DONE ? tasks : 0)
+                        .put("running", 0));
+    }
+
+    /** The answer to a cancellation: how the job ended. */
+    static Response outcome(String id, JobRecord.Stage stage) {
+        return Response.of(200, summary(id, stageName(stage)));
+    }
+
+    static Response stateUnavailable() {
+        return retryLater("the state service does not answer now");
+    }
+
+    static Response retryLater(String reason) {
+        return Response.later(RETRY_AFTER_S, reason);
+    }
+
+    static Response jobTooLarge() {
+        return Response.error(400, "the job is too large to be kept");
+    }
+
+    static Response unknownJob() {
+        return Response.error(404, "no such job");
+    }
+
+    static Response unreadableRecord() {
+        return Response.error(500, "unreadable record");
+    }
+
+    private static ObjectNode summary(String id, String stage) {
+        return Json.object().put("nameId", id).put("stage", stage);
+    }
+
+    private static String stageName(JobRecord.Stage stage) {
+        return stage == JobRecord.Stage.DONE ? "done" : "cancelled";
+    }
+}
--- a/src/main/java/org/spruceridge/api/RecentCancellations.java
+++ b/src/main/java/org/spruceridge/api/RecentCancellations.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import org.spruceridge.net.Loop;
 
-/** The jobs that this node lately told users to be cancelled. */
+/** The jobs whose cancellation this node recently confirmed to a user; its heartbeats announce them to the peers. */
 public final class RecentCancellations {
     private final Loop loop;
     private final long retentionNanos;
@@ -13,7 +13,7 @@
 
     private record Entry(String job, long addedAt) {}
 
-    /** Each is kept for {@code retentionNanos} nanoseconds. */
+    /** Each job is kept for {@code retentionNanos} nanoseconds. */
     public RecentCancellations(Loop loop, long retentionNanos) {
         this.loop = loop;
         this.retentionNanos = retentionNanos;
@@ -23,7 +23,7 @@
         entries.add(new Entry(job, loop.nanos()));
     }
 
-    /** Those told within the time for which they are kept. */
+    /** The ids of the jobs that are still kept, the oldest first. */
     public ImmutableList<String> recent() {
         while (!entries.isEmpty() && loop.nanos() - entries.peek().addedAt > retentionNanos) {
             entries.remove();
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -108,8 +108,8 @@
                 settings.hostName(), ownVersion, latencies, level, peers, leaderMetrics, currentLeader);
         HealthCheck health = new HealthCheck(settings.nodeCount(), peers, stateHealth);
         JobProgress progress = new JobProgress(currentLeader, peers);
-        JobsEndpoint jobs =
-                new JobsEndpoint(loop, state, level, settings, catalogue::types, progress::of, warnings, cancellations);
+        JobsEndpoint jobs = new JobsEndpoint(new JobsEndpoint.Dependencies(
+                loop, state, level, settings, catalogue::types, progress::of, warnings, cancellations));
         return new Router(
                 jobs, heartbeats::handle, heartbeats::dropped, health::isHealthy, metrics::render, loop, latencies);
     }
