--- a/src/main/java/org/spruceridge/api/JobResponses.java
+++ b/src/main/java/org/spruceridge/api/JobResponses.java
@@ -43,7 +43,7 @@
     }
 
     static Response retryLater(String reason) {
-        return Response.later(RETRY_AFTER_S, reason);
+        return Response.unavailable(RETRY_AFTER_S, reason);
     }
 
     static Response jobTooLarge() {
--- a/src/main/java/org/spruceridge/api/JobSubmission.java
+++ b/src/main/java/org/spruceridge/api/JobSubmission.java
@@ -91,7 +91,7 @@
     }
 
     private boolean servicesSupported() {
-        return dependencies.level().known().includes(FeatureLevel.SERVICES);
+        return dependencies.level().highestKnown().includes(FeatureLevel.SERVICES);
     }
 
     private void store(JobSpec spec, Consumer<Response> answer) {
--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -13,7 +13,7 @@
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.record.JobSpecMessage;
 import org.spruceridge.state.StateClient;
-import org.spruceridge.upgrade.ClusterLevel;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
 
 /**
  * The users' requests about jobs, which any node serves. Each request is decided by the job's record in the state service,
@@ -34,7 +34,7 @@
     public record Dependencies(
             Loop loop,
             StateClient state,
-            ClusterLevel level,
+            ClusterFeatureLevel level,
             Settings settings,
             Supplier<Optional<ImmutableMap<String, MachineType>>> machineTypes,
             Function<String, Progress> progress,
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -62,7 +62,7 @@
         if (request.path().equals(HEARTBEATS_PATH)) {
             heartbeatDropped.run();
         }
-        return Response.later(RETRY_AFTER_S, "too busy");
+        return Response.unavailable(RETRY_AFTER_S, "too busy");
     }
 
     @Override
--- a/src/main/java/org/spruceridge/node/HealthCheck.java
+++ b/src/main/java/org/spruceridge/node/HealthCheck.java
@@ -19,7 +19,7 @@
      * partitioned from all others. In an outage that all nodes share, every node stays healthy.
      */
     boolean isHealthy() {
-        boolean partitioned = nodeCount > 1 && !peers.anyHeard();
-        return stateHealth.isReachable() || !(partitioned || peers.anyServed());
+        boolean partitioned = nodeCount > 1 && !peers.anyPeerAlive();
+        return stateHealth.isReachable() || !(partitioned || peers.anyPeerReachesStateService());
     }
 }
--- a/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
+++ b/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
@@ -51,10 +51,10 @@
     Response handle(byte[] body) {
         reachability.heartbeatReceived();
         Optional<Leader> leader = currentLeader.get();
-        if (!election.leads() || leader.isEmpty()) {
+        if (!election.isLeader() || leader.isEmpty()) {
             return redirectOrRefuse(HeartbeatOutcome.NO_LEADER);
         }
-        if (!leader.get().upToDate()) {
+        if (!leader.get().mayAnswerWorkers()) {
             return redirectOrRefuse(HeartbeatOutcome.STALE_VIEW);
         }
         try {
@@ -69,7 +69,7 @@
     /** A heartbeat was dropped under load. No worker may be declared dead for a heartbeat that was not read. */
     void dropped() {
         reachability.heartbeatReceived();
-        currentLeader.get().ifPresent(Leader::fallsBehind);
+        currentLeader.get().ifPresent(Leader::heartbeatsDropped);
     }
 
     private Response answer(Leader leader, WorkerHeartbeat heartbeat) {
--- a/src/main/java/org/spruceridge/node/LeadershipYield.java
+++ b/src/main/java/org/spruceridge/node/LeadershipYield.java
@@ -55,8 +55,8 @@
     private boolean isUnreachableLeader() {
         Optional<Leader> leader = currentLeader.get();
         return leader.isPresent()
-                && leader.get().ledFor() > reachability.maxSilenceNanos()
+                && leader.get().termAgeNanos() > reachability.maxSilenceNanos()
                 && !reachability.isReachable()
-                && peers.anyReached();
+                && peers.anyPeerReachedByWorkers();
     }
 }
--- a/src/main/java/org/spruceridge/node/MetricsEndpoint.java
+++ b/src/main/java/org/spruceridge/node/MetricsEndpoint.java
@@ -5,13 +5,13 @@
 import org.spruceridge.peer.MemberVersion;
 import org.spruceridge.peer.PeerMonitor;
 import org.spruceridge.term.LeaderMetrics;
-import org.spruceridge.upgrade.ClusterLevel;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
 
 /** Renders the figures of GET /metrics. */
 final class MetricsEndpoint {
     private final String hostName;
     private final Latencies latencies;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final PeerMonitor peers;
     private final LeaderMetrics leaderMetrics;
     private final CurrentLeader currentLeader;
@@ -21,7 +21,7 @@
             String hostName,
             MemberVersion ownVersion,
             Latencies latencies,
-            ClusterLevel level,
+            ClusterFeatureLevel level,
             PeerMonitor peers,
             LeaderMetrics leaderMetrics,
             CurrentLeader currentLeader) {
@@ -36,8 +36,8 @@
 
     ObjectNode render() {
         ObjectNode out = latencies.toJson();
-        ObjectNode cluster =
-                out.putObject("cluster").put("featureLevel", level.known().number());
+        ObjectNode cluster = out.putObject("cluster")
+                .put("featureLevel", level.highestKnown().number());
         ObjectNode versions = cluster.putObject("versions").put(hostName, ownVersion.name());
         peers.versions().forEach((host, version) -> versions.put(host, version.name()));
         leaderMetrics.writeTo(out);
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -29,7 +29,7 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
-import org.spruceridge.upgrade.ClusterLevel;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
 import org.spruceridge.upgrade.FeatureLevel;
 import org.spruceridge.warmup.LeaderWarmUp;
 import org.spruceridge.worker.WorkerClient;
@@ -55,7 +55,7 @@
     private final StateClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
-    private final ClusterLevel level;
+    private final ClusterFeatureLevel level;
     private final Election election;
     private final PeerMonitor peers;
     private final LeaderLocator locator;
@@ -85,7 +85,7 @@
         this.cloud = new CloudClient(http, settings.cloudAddress(), rateBudget.cloudLimiter(), warnings);
         this.catalogue = new MachineTypeCatalogue(loop, cloud, state, warnings, this::machineTypesUpdated);
         this.workers = new WorkerClient(http, warnings);
-        this.level = new ClusterLevel(state);
+        this.level = new ClusterFeatureLevel(state);
         state.onRateExceeded(() -> rateBudget.stateRateExceeded(role()));
         this.election = new Election(loop, state, level, random, warnings, settings, policy, this);
         StateServiceHealth stateHealth = new StateServiceHealth(state);
@@ -133,7 +133,7 @@
     }
 
     private void awaitReady(Runnable ready) {
-        boolean isReady = currentLeader.get().map(Leader::upToDate).orElseGet(() -> locator.otherLeader()
+        boolean isReady = currentLeader.get().map(Leader::mayAnswerWorkers).orElseGet(() -> locator.otherLeader()
                 .isPresent());
         if (isReady) {
             ready.run();
@@ -155,24 +155,24 @@
 
     /** True while this node may act as leader. */
     public boolean leads() {
-        return election.leads();
+        return election.isLeader();
     }
 
     @Override
-    public void won(LeaderTerm term) {
+    public void leadershipAcquired(LeaderTerm term) {
         warmUp.stop();
         rateBudget.apply(RateBudget.Role.LEADER);
-        LeaderContext context =
-                LeaderContext.begin(loop, settings, policy, term, election::leads, warnings, latencies, leaderMetrics);
+        LeaderContext context = LeaderContext.begin(
+                loop, settings, policy, term, election::isLeader, warnings, latencies, leaderMetrics);
         Leader leader =
                 new Leader(context, state, cloud, workers, level, this::allMembersSupportLevel, election::resign);
         currentLeader.begin(leader);
-        catalogue.types().ifPresent(leader::types);
+        catalogue.types().ifPresent(leader::adoptMachineTypes);
         leader.start();
     }
 
     @Override
-    public void lost() {
+    public void leadershipLost() {
         rateBudget.apply(RateBudget.Role.FOLLOWER);
         currentLeader.end();
     }
@@ -182,18 +182,18 @@
     }
 
     private void machineTypesUpdated(ImmutableMap<String, MachineType> types) {
-        currentLeader.get().ifPresent(leader -> leader.types(types));
+        currentLeader.get().ifPresent(leader -> leader.adoptMachineTypes(types));
     }
 
     /** Another node confirmed the cancellation of this job to a user. */
     private void cancelledElsewhere(String job) {
-        currentLeader.get().ifPresent(leader -> leader.cancelled(job));
+        currentLeader.get().ifPresent(leader -> leader.jobCancelled(job));
     }
 
     private boolean allMembersSupportLevel() {
         List<String> members =
                 settings.members().stream().map(Settings.Member::hostName).toList();
-        return peers.allSupport(FeatureLevel.SUPPORTED, members);
+        return peers.allPeersSupport(FeatureLevel.SUPPORTED, members);
     }
 
     /** Runs the periodic checks, then probes the state service with a small read. */
--- a/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -38,7 +38,7 @@
 
     /** The heartbeat of this moment; its term is 0 while this node does not lead. */
     PeerHeartbeat next() {
-        Optional<Leader> leader = currentLeader.get().filter(any -> election.leads());
+        Optional<Leader> leader = currentLeader.get().filter(any -> election.isLeader());
         return new PeerHeartbeat(
                 hostName,
                 stateHealth.hasServedAndIsReachable(),
--- a/src/main/java/org/spruceridge/node/RateBudget.java
+++ b/src/main/java/org/spruceridge/node/RateBudget.java
@@ -60,7 +60,7 @@
     /** Sets the rates of both limiters for the role. */
     void apply(Role role) {
         applyStateRates(role);
-        cloudLimiter.rates(settings.cloud().rps() * USABLE_SHARE * cloudShare(role), 1, 1, 1);
+        cloudLimiter.setRates(settings.cloud().rps() * USABLE_SHARE * cloudShare(role), 1, 1, 1);
     }
 
     /**
@@ -85,7 +85,7 @@
         double userWritesShare = USER_WRITES_SHARE / nodes;
         // A follower writes little of its own: it campaigns in an election, or stores the machine types.
         double ownShare = role == Role.LEADER ? 1 - USER_WRITES_SHARE : userWritesShare;
-        stateLimiter.rates(reads, writes * ownShare, writes * userWritesShare, writes * USER_WRITES_BURST_S);
+        stateLimiter.setRates(reads, writes * ownShare, writes * userWritesShare, writes * USER_WRITES_BURST_S);
     }
 
     private double cloudShare(Role role) {
