--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -7,56 +7,60 @@
 import java.util.function.IntSupplier;
 
 /**
- * Allowances a second, of requests and of changes, handed out by rank. Work that finds none left waits its turn in a
- * bounded queue, so the service behind is never asked for more than its published limit. Work that only reads never
- * waits for changes, and users' changes have an allowance of their own: however much a leader has to write, the users
- * that come to its node are taken like those that come to others.
+ * Limits the rates of requests to a service and of changes within them, by priority. Work beyond the rate waits in a bounded
+ * queue, so the service never gets more than its published limit. Work that only reads never waits for changes, and users'
+ * changes have a token bucket of their own: however much a leader has to write, users of its node are served like those of
+ * other nodes. Used on the event loop only.
  */
 public final class RateLimiter {
-    /** What the work is for; earlier ranks go first. */
+    /** What the work is for; the first has the highest priority. */
     public enum Priority {
+        /** Renewal of the leader's lease, elections and recovery. */
         LEASE_RENEWAL,
+        /** Writes that follow from workers' heartbeats. */
         HEARTBEATS,
+        /** Writes that follow from scheduling and scaling. */
         SCHEDULING,
+        /** Requests of users; rejected rather than queued for long. */
         SUBMISSIONS
     }
 
-    private static final int QUEUE_LIMIT = 256;
-    /** A user who would wait longer than this for a turn is better told at once to come back. */
-    private static final double LONGEST_WAIT_S = 1;
+    private static final int MAX_QUEUED_PER_PRIORITY = 256;
+    /** A user's request that would wait longer is rejected at once, for the user to retry. */
+    private static final double MAX_SUBMISSION_WAIT_S = 1;
 
     private final Loop loop;
-    private final Allowance requests;
-    private final Allowance changes;
-    private final Allowance usersChanges;
+    private final TokenBucket requests;
+    private final TokenBucket changes;
+    private final TokenBucket userChanges;
     private final Map<Priority, Queue> queues = new EnumMap<>(Priority.class);
     private Cancellable wakeUp;
-    private long taken;
+    private long submittedCount;
 
-    /** The rates are those of requests, of changes, and of users' changes, a second; users have no burst of their own. */
-    public RateLimiter(Loop loop, double requestsPerS, double changesPerS, double usersChangesPerS) {
+    /** Rates per second of requests, of changes and of users' changes; users have no burst at first. */
+    public RateLimiter(Loop loop, double requestsPerS, double changesPerS, double userChangesPerS) {
         this.loop = loop;
-        this.requests = new Allowance(requestsPerS, 1, loop.nanos());
-        this.changes = new Allowance(changesPerS, 1, loop.nanos());
-        this.usersChanges = new Allowance(usersChangesPerS, 1, loop.nanos());
+        this.requests = new TokenBucket(requestsPerS, 1, loop.nanos());
+        this.changes = new TokenBucket(changesPerS, 1, loop.nanos());
+        this.userChanges = new TokenBucket(userChangesPerS, 1, loop.nanos());
         for (Priority priority : Priority.values()) {
             queues.put(priority, new Queue());
         }
     }
 
     /**
-     * Changes the rates, as when this node begins or ceases to lead. Users come together: a node that has been idle takes
-     * {@code usersBurst} changes of theirs at once.
+     * Changes the rates, as when this node begins or ceases to lead. Users' requests come in bursts: a node that has been
+     * idle takes {@code userBurst} changes of theirs at once.
      */
-    public void setRates(double requestsPerS, double changesPerS, double usersChangesPerS, double usersBurst) {
+    public void setRates(double requestsPerS, double changesPerS, double userChangesPerS, double userBurst) {
         long now = loop.nanos();
-        requests.rate(requestsPerS, now);
-        changes.rate(changesPerS, now);
-        usersChanges.rate(usersChangesPerS, now);
-        usersChanges.least(usersBurst);
+        requests.setRate(requestsPerS, now);
+        changes.setRate(changesPerS, now);
+        userChanges.setRate(userChangesPerS, now);
+        userChanges.setMinCapacity(userBurst);
     }
 
-    /** Runs the work when its turn comes; false if too much is waiting already, and then it never runs. */
+    /** Runs the work when the rate permits; false if the queue is full, and then it never runs. */
     public boolean submit(Priority priority, int changeCount, Runnable work) {
         return submit(priority, changeCount, () -> {
             work.run();
@@ -64,140 +68,102 @@
         });
     }
 
-    /** The same for work that tells only at its turn how many changes it makes, at most {@code mostChanges}. */
-    public boolean submit(Priority priority, int mostChanges, IntSupplier work) {
+    /** The same for work that knows only when it runs how many changes it makes, at most {@code maxChanges}. */
+    public boolean submit(Priority priority, int maxChanges, IntSupplier work) {
         Queue queue = queues.get(priority);
-        if (queue.size() >= QUEUE_LIMIT || (priority == Priority.SUBMISSIONS && waitS(queue) > LONGEST_WAIT_S)) {
+        if (queue.size() >= MAX_QUEUED_PER_PRIORITY
+                || (priority == Priority.SUBMISSIONS && expectedWaitS(queue) > MAX_SUBMISSION_WAIT_S)) {
             return false;
         }
-        (mostChanges > 0 ? queue.changing : queue.reading).add(new Waiting(++taken, mostChanges, work));
+        (maxChanges > 0 ? queue.changes : queue.reads).add(new Pending(++submittedCount, maxChanges, work));
         drain();
         return true;
     }
 
-    private double waitS(Queue queue) {
-        int queued = queue.changing.stream().mapToInt(Waiting::mostChanges).sum();
-        return Math.max(queue.size() / requests.perS, queued / usersChanges.perS);
+    private double expectedWaitS(Queue queue) {
+        int queued = queue.changes.stream().mapToInt(Pending::maxChanges).sum();
+        return Math.max(queue.size() / requests.ratePerS(), queued / userChanges.ratePerS());
     }
 
     private void drain() {
-        if (wakeUp != null) {
-            wakeUp.cancel();
-            wakeUp = null;
+        cancelWakeUp();
+        Next next = next();
+        while (next instanceof Run run) {
+            run(run.queue.remove(), run.changeBucket);
+            next = next();
         }
-        Turn turn = nextTurn();
-        while (turn.queue != null) {
-            run(turn.queue.remove(), turn.changes);
-            turn = nextTurn();
+        cancelWakeUp(); // set by work that submitted more work
+        if (next instanceof WaitFor wait) {
+            wakeUp = loop.after(wait.nanos, this::drain);
         }
+    }
+
+    private void cancelWakeUp() {
         if (wakeUp != null) {
-            wakeUp.cancel(); // set by work that submitted more work
+            wakeUp.cancel();
             wakeUp = null;
         }
-        if (turn.waitNanos > 0) {
-            wakeUp = loop.after(turn.waitNanos, this::drain);
-        }
     }
 
-    /** Where the next work is that may run now and what its changes are taken from; else how long there is to wait. */
-    private record Turn(Deque<Waiting> queue, Allowance changes, long waitNanos) {}
+    /** What is to be done next. */
+    private sealed interface Next permits Run, WaitFor, Nothing {}
 
-    private Turn nextTurn() {
+    /** The first work of the queue may run now; its changes are taken from the bucket. */
+    private record Run(Deque<Pending> queue, TokenBucket changeBucket) implements Next {}
+
+    /** Work is queued and the rates permit none of it before this time is over. */
+    private record WaitFor(long nanos) implements Next {}
+
+    private enum Nothing implements Next {
+        QUEUED
+    }
+
+    private Next next() {
         long now = loop.nanos();
-        long forRequest = requests.waitFor(1, now);
-        long wait = Long.MAX_VALUE;
+        long requestWait = requests.waitNanos(1, now);
+        long minChangeWait = Long.MAX_VALUE;
         boolean changesShort = false;
         for (Priority priority : Priority.values()) {
             Queue queue = queues.get(priority);
-            Allowance from = priority == Priority.SUBMISSIONS ? usersChanges : changes;
-            boolean mayChange = !queue.changing.isEmpty();
+            TokenBucket bucket = priority == Priority.SUBMISSIONS ? userChanges : changes;
+            boolean mayChange = !queue.changes.isEmpty();
             if (mayChange) {
-                long forChanges = from.waitFor(queue.changing.peek().mostChanges, now);
-                wait = forChanges > 0 ? Math.min(wait, forChanges) : wait;
-                // Once changes are short for a rank, none after it may take what it waits for.
-                mayChange = forChanges == 0 && !(changesShort && from == changes);
-                changesShort |= forChanges > 0 && from == changes;
+                long changeWait = bucket.waitNanos(queue.changes.peek().maxChanges, now);
+                minChangeWait = changeWait > 0 ? Math.min(minChangeWait, changeWait) : minChangeWait;
+                // Once changes are short for a priority, none below it may take what it waits for.
+                mayChange = changeWait == 0 && !(changesShort && bucket == changes);
+                changesShort |= changeWait > 0 && bucket == changes;
             }
-            Deque<Waiting> next = queue.first(mayChange);
-            if (next != null) {
-                return forRequest > 0 ? new Turn(null, null, forRequest) : new Turn(next, from, 0);
+            if (mayChange || !queue.reads.isEmpty()) {
+                return requestWait > 0 ? new WaitFor(requestWait) : new Run(queue.first(mayChange), bucket);
             }
         }
-        return new Turn(null, null, wait == Long.MAX_VALUE ? 0 : wait);
+        return minChangeWait == Long.MAX_VALUE ? Nothing.QUEUED : new WaitFor(minChangeWait);
     }
 
-    private void run(Waiting work, Allowance from) {
+    private void run(Pending pending, TokenBucket changeBucket) {
         requests.take(1);
-        from.take(work.mostChanges);
-        from.take(work.work.getAsInt() - work.mostChanges);
+        changeBucket.take(pending.maxChanges);
+        changeBucket.take(pending.work.getAsInt() - pending.maxChanges);
     }
 
-    private record Waiting(long number, int mostChanges, IntSupplier work) {}
+    private record Pending(long number, int maxChanges, IntSupplier work) {}
 
-    /** What waits of one rank, in the order of its coming. */
+    /** The queued work of one priority, in the order of submission. */
     private static final class Queue {
-        private final Deque<Waiting> changing = new ArrayDeque<>();
-        private final Deque<Waiting> reading = new ArrayDeque<>();
+        private final Deque<Pending> changes = new ArrayDeque<>();
+        private final Deque<Pending> reads = new ArrayDeque<>();
 
         int size() {
-            return changing.size() + reading.size();
+            return changes.size() + reads.size();
         }
 
-        /** Where the first work is that may run now, or null. */
-        Deque<Waiting> first(boolean mayChange) {
-            boolean change = mayChange && !changing.isEmpty();
-            if (change && (reading.isEmpty() || changing.peek().number < reading.peek().number)) {
-                return changing;
+        /** Where the work submitted first is, of what may run; there must be some. */
+        Deque<Pending> first(boolean mayChange) {
+            if (!mayChange) {
+                return reads;
             }
-            return reading.isEmpty() ? null : reading;
-        }
-    }
-
-    /** A bucket that fills at a rate and holds one second's worth, or a least amount if that is more. */
-    private static final class Allowance {
-        private double least;
-        private double perS;
-        private double held;
-        private long at;
-
-        Allowance(double perS, double least, long now) {
-            this.least = least;
-            this.perS = perS;
-            this.held = most();
-            this.at = now;
-        }
-
-        private double most() {
-            return Math.max(least, perS);
-        }
-
-        void rate(double newPerS, long now) {
-            fill(now);
-            perS = newPerS;
-            held = Math.min(held, most());
-        }
-
-        /** Holds at least so much when full. */
-        void least(double amount) {
-            double before = most();
-            least = Math.max(1, amount);
-            held = Math.min(held + Math.max(0, most() - before), most());
-        }
-
-        /** More than a full bucket is lent once the bucket is full. */
-        long waitFor(int count, long now) {
-            fill(now);
-            double missing = Math.min(count, most()) - held;
-            return missing <= 1e-9 ? 0 : Math.max(1, (long) (missing / perS * 1e9));
-        }
-
-        void take(int count) {
-            held -= count;
-        }
-
-        private void fill(long now) {
-            held = Math.min(most(), held + perS * (now - at) / 1e9);
-            at = now;
+            return reads.isEmpty() || changes.peek().number < reads.peek().number ? changes : reads;
         }
     }
 }
