--- a/src/main/java/org/spruceridge/net/BadMessageException.java
+++ b/src/main/java/org/spruceridge/net/BadMessageException.java
@@ -1,10 +1,10 @@
 package org.spruceridge.net;
 
-/** A message from outside that cannot be read. */
+/** A received message or stored record that cannot be decoded. */
 public final class BadMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** The message tells what is wrong. */
+    /** {@code message} says what is wrong with it. */
     public BadMessageException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/org/spruceridge/net/Cancellable.java
+++ b/src/main/java/org/spruceridge/net/Cancellable.java
@@ -1,6 +1,6 @@
 package org.spruceridge.net;
 
-/** Something pending that can be called off; calling it off twice is harmless. */
+/** A pending timer or call that can be cancelled; cancelling it twice is harmless. */
 @FunctionalInterface
 public interface Cancellable {
     /** Cancels it; does nothing if it is over. */
--- a/src/main/java/org/spruceridge/net/CancellationScope.java
+++ b/src/main/java/org/spruceridge/net/CancellationScope.java
@@ -4,21 +4,21 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** All that one duty has pending. Once closed, no timer fires and no callback made through it runs. */
+/** The pending timers and callbacks of one component. Once it is closed, no timer fires and no guarded callback runs. */
 public final class CancellationScope {
     private final Loop loop;
     private final Set<Timer> timers = new HashSet<>();
-    private boolean closed;
+    private boolean isClosed;
 
     /** Timers run on this loop. */
     public CancellationScope(Loop loop) {
         this.loop = loop;
     }
 
-    /** Runs the task after a delay unless the scope is closed first. */
+    /** Runs the task after a delay in nanoseconds unless the scope is closed first. */
     public Cancellable after(long delayNanos, Runnable task) {
         Timer timer = new Timer(task);
-        if (!closed) {
+        if (!isClosed) {
             timers.add(timer);
             timer.pending = loop.after(delayNanos, timer);
         }
@@ -28,7 +28,7 @@
     /** A callback that does nothing once the scope is closed. */
     public <T> Consumer<T> guard(Consumer<T> callback) {
         return value -> {
-            if (!closed) {
+            if (!isClosed) {
                 callback.accept(value);
             }
         };
@@ -36,12 +36,12 @@
 
     /** True once it has been closed. */
     public boolean isClosed() {
-        return closed;
+        return isClosed;
     }
 
-    /** Cancels all that is pending. */
+    /** Cancels all pending timers and disables all callbacks. */
     public void close() {
-        closed = true;
+        isClosed = true;
         for (Timer timer : Set.copyOf(timers)) {
             timer.cancel();
         }
@@ -58,7 +58,7 @@
         @Override
         public void run() {
             timers.remove(this);
-            if (!closed) {
+            if (!isClosed) {
                 task.run();
             }
         }
--- a/src/main/java/org/spruceridge/net/ConnectionLimiter.java
+++ b/src/main/java/org/spruceridge/net/ConnectionLimiter.java
@@ -3,25 +3,25 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The connections of this process, those that come in and those of our own calls together, against what the machine
- * allows. Over the limit new connections fail, users' and health checks' too; so idle connections of our own are closed
- * before it is reached, and workers leave a share to all others.
+ * Counts the inbound and outbound connections of this process against its limit of sockets. Over the limit new connections
+ * fail, also those of users and health checks; so idle outbound connections are closed before it is reached, and workers
+ * leave a share to all others. Used on the event loop only.
  */
 public final class ConnectionLimiter {
-    /** The rest is for listening, for the other nodes, and for connections that are closed and not gone yet. */
+    /** The rest is for the listening socket, the peers, and closed connections whose sockets are still held. */
     private static final double USABLE_SHARE = 0.95;
-    /** Idle connections of our own are kept only below this share, so that whoever comes finds room. */
+    /** Idle outbound connections are kept only below this share, so that new connections find room. */
     private static final double IDLE_ALLOWED_BELOW_SHARE = 0.9;
-    /** What may come in; our own calls always have the rest. */
+    /** The limit of inbound connections; outbound calls always have the rest. */
     private static final double INBOUND_SHARE = 0.75;
-    /** What workers may hold of it; users and health checks always have the rest. */
+    /** The limit of workers' connections; users and health checks always have the rest of the inbound ones. */
     private static final double WORKER_SHARE = 0.65;
 
     private final int max;
     private BooleanSupplier closeIdle = () -> false;
     private int open;
 
-    /** {@code max} is the most sockets that the machine allows this process. */
+    /** {@code max} is the most sockets that the operating system allows this process. */
     public ConnectionLimiter(int max) {
         this.max = max;
     }
@@ -39,7 +39,7 @@
         return open >= max * USABLE_SHARE;
     }
 
-    /** Says how room is made: by closing the idle connection of our own that was used least lately, if there is one. */
+    /** Sets how room is made: by closing the least recently used idle outbound connection, if there is one. */
     void makeRoomBy(BooleanSupplier closing) {
         closeIdle = closing;
     }
@@ -58,10 +58,10 @@
         open--;
     }
 
-    /** Closes idle connections of our own while there are too many in all. */
+    /** Closes idle outbound connections while there are too many in all. */
     void trim() {
         while (open > max * IDLE_ALLOWED_BELOW_SHARE && closeIdle.getAsBoolean()) {
-            // one less
+            // closes one at a time
         }
     }
 }
--- a/src/main/java/org/spruceridge/net/Durations.java
+++ b/src/main/java/org/spruceridge/net/Durations.java
@@ -1,8 +1,8 @@
 package org.spruceridge.net;
 
-/** Durations of the settings, in seconds, as nanoseconds. */
+/** Conversions between the seconds of the settings and the nanoseconds of the clocks. */
 public final class Durations {
-    /** The most that two steady clocks drift apart. */
+    /** The most by which two monotonic clocks drift apart, as a share of the time that passes. */
     public static final double MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
     private Durations() {}
@@ -17,7 +17,7 @@
         return nanos / 1e9;
     }
 
-    /** Seconds from one moment of the steady clock to another. */
+    /** Seconds from one moment of the monotonic clock to another, both in nanoseconds. */
     public static double secondsSince(long moment, long now) {
         return seconds(now - moment);
     }
--- a/src/main/java/org/spruceridge/net/Json.java
+++ b/src/main/java/org/spruceridge/net/Json.java
@@ -14,7 +14,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** JSON bodies as trees, and reads of their fields that complain by {@link BadMessageException}. */
+/** JSON bodies as trees, and typed access to their fields that throws {@link BadMessageException}. */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final JsonFactory STRICT = JsonFactory.builder()
@@ -23,17 +23,17 @@
 
     private Json() {}
 
-    /** Parses what a user sent; anything but one JSON object is refused, and so is one that names a field twice. */
+    /** Parses a user's message; anything but one JSON object is refused, and so is one that names a field twice. */
     public static JsonNode strictObject(byte[] body) throws BadMessageException {
         return object(STRICT, body);
     }
 
-    /** Parses what a program of the platform sent; anything but one JSON object is refused. */
+    /** Parses a message of a component of the platform; anything but one JSON object is refused. */
     public static JsonNode object(byte[] body) throws BadMessageException {
         return object(FACTORY, body);
     }
 
-    /** For messages that come too often to make trees of them. */
+    /** A streaming parser, for messages too frequent to build trees of them. */
     public static JsonParser parser(byte[] body) throws IOException {
         return FACTORY.createParser(body);
     }
--- a/src/main/java/org/spruceridge/net/JsonTrees.java
+++ b/src/main/java/org/spruceridge/net/JsonTrees.java
@@ -10,9 +10,9 @@
 import java.io.IOException;
 
 /**
- * Trees from Jackson's parser and to its generator. Its ObjectMapper does the same, and takes 50 ms of processor time
- * to make, for dates, types and annotations that are not used here: most of a second at a start on the smallest
- * machine.
+ * Builds trees from Jackson's parser and writes them to its generator. ObjectMapper does the same, and takes 50 ms of
+ * processor time to construct, for dates, types and annotations that are not used here: most of a second of the start-up
+ * time on the smallest machine.
  */
 final class JsonTrees {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
--- a/src/main/java/org/spruceridge/net/Latencies.java
+++ b/src/main/java/org/spruceridge/net/Latencies.java
@@ -2,32 +2,33 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How long things take, in histograms since the start of the process; logged once in a while and read on request. */
+/** Latency histograms since the start of the process; logged periodically and part of {@code GET /metrics}. */
 public final class Latencies {
-    /** What is timed. */
+    /** What is timed; the names in lower case are keys of {@code GET /metrics}. */
     public enum Kind {
-        /** From a submission, poll or cancellation to its answer. */
+        /** From a user's submission, poll or cancellation to its response. */
         USERS,
-        /** From a report to its answer. */
+        /** From a worker's heartbeat to its response. */
         HEARTBEATS,
-        /** From a call of the state service to its answer, the wait for a turn not counted. */
+        /** From a call of the state service to its response, without the wait for the rate limiter. */
         STATE,
-        /** One placement cycle. */
+        /** One scheduling cycle. */
         SCHEDULING_CYCLES,
-        /** From a binding's proposal to its record. */
+        /** From a binding's proposal to its commit. */
         COMMITS
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Latencies.class);
-    private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(2);
-    private static final int DIGITS = 2;
-    private static final long EVERY = Durations.nanos(120);
+    private static final long MAX_RECORDED_MICROS = TimeUnit.MINUTES.toMicros(2);
+    private static final int SIGNIFICANT_DIGITS = 2;
+    private static final long LOG_INTERVAL_NANOS = Durations.nanos(120);
 
     private final CancellationScope scope;
     private final Map<Kind, Histogram> histograms = new EnumMap<>(Kind.class);
@@ -36,47 +37,54 @@
     public Latencies(Loop loop) {
         this.scope = new CancellationScope(loop);
         for (Kind kind : Kind.values()) {
-            histograms.put(kind, new Histogram(LONGEST_MICROS, DIGITS));
+            histograms.put(kind, new Histogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS));
         }
     }
 
-    /** Begins to log once in a while. */
+    /** Starts the periodic log line. */
     public void start() {
-        scope.after(EVERY, this::log);
+        scope.after(LOG_INTERVAL_NANOS, this::log);
     }
 
-    /** Ceases to log. */
+    /** Stops the periodic log line. */
     public void stop() {
         scope.close();
     }
 
-    /** Counts one duration in. */
+    /** Records one duration, in nanoseconds. */
     public void record(Kind kind, long nanos) {
-        histograms.get(kind).recordValue(Math.min(LONGEST_MICROS, Math.max(0, nanos / 1000)));
+        histograms.get(kind).recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, nanos / 1000)));
     }
 
     /** Counts and percentiles in milliseconds, by kind. */
     public ObjectNode toJson() {
         ObjectNode out = Json.object();
-        histograms.forEach((kind, h) -> out.putObject(kind.name().toLowerCase(java.util.Locale.ROOT))
-                .put("count", h.getTotalCount())
-                .put("p50Ms", h.getValueAtPercentile(50) / 1000.0)
-                .put("p99Ms", h.getValueAtPercentile(99) / 1000.0)
-                .put("maxMs", h.getMaxValue() / 1000.0));
+        histograms.forEach((kind, histogram) -> out.putObject(key(kind))
+                .put("count", histogram.getTotalCount())
+                .put("p50Ms", millisAt(histogram, 50))
+                .put("p99Ms", millisAt(histogram, 99))
+                .put("maxMs", histogram.getMaxValue() / 1000.0));
         return out;
     }
 
+    private static String key(Kind kind) {
+        return kind.name().toLowerCase(Locale.ROOT);
+    }
+
+    private static double millisAt(Histogram histogram, double percentile) {
+        return histogram.getValueAtPercentile(percentile) / 1000.0;
+    }
+
     private void log() {
         StringBuilder line = new StringBuilder();
-        histograms.forEach((kind, h) -> line.append(String.format(
-                "%s%s %d: p50 %.1f, p99 %.1f, max %.1f ms",
-                line.isEmpty() ? "" : "; ",
-                kind.name().toLowerCase(java.util.Locale.ROOT),
-                h.getTotalCount(),
-                h.getValueAtPercentile(50) / 1000.0,
-                h.getValueAtPercentile(99) / 1000.0,
-                h.getMaxValue() / 1000.0)));
-        LOG.info("{}", line);
-        scope.after(EVERY, this::log);
+        histograms.forEach((kind, histogram) -> line.append(String.format(
+                " %1$s.count=%2$d %1$s.p50Ms=%3$.1f %1$s.p99Ms=%4$.1f %1$s.maxMs=%5$.1f",
+                key(kind),
+                histogram.getTotalCount(),
+                millisAt(histogram, 50),
+                millisAt(histogram, 99),
+                histogram.getMaxValue() / 1000.0)));
+        LOG.info("latencies{}", line);
+        scope.after(LOG_INTERVAL_NANOS, this::log);
     }
 }
--- a/src/main/java/org/spruceridge/net/Loop.java
+++ b/src/main/java/org/spruceridge/net/Loop.java
@@ -1,17 +1,17 @@
 package org.spruceridge.net;
 
-/** The one thread that owns all state, as its duties see it: two clocks and work put off. */
+/** The event loop, whose one thread owns all state: its clocks and its timers. */
 public interface Loop {
-    /** The steady clock, in nanoseconds from an arbitrary moment. */
+    /** The monotonic clock, in nanoseconds from an arbitrary moment. */
     long nanos();
 
     /** The time of day, in milliseconds of the epoch. */
     long wallMillis();
 
-    /** Runs the task on this loop after a delay. */
+    /** Runs the task on this loop after a delay in nanoseconds. */
     Cancellable after(long delayNanos, Runnable task);
 
-    /** True while requests wait for this loop's time: what can wait longer than they should let them go first. */
+    /** True while requests are queued for this loop: background work should be put off until they are handled. */
     default boolean busy() {
         return false;
     }
--- a/src/main/java/org/spruceridge/net/ManualLoop.java
+++ b/src/main/java/org/spruceridge/net/ManualLoop.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A loop on virtual time: nothing runs until it is told to let time pass. */
+/** A loop on virtual time: nothing runs until time is advanced. */
 public final class ManualLoop implements Loop {
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
@@ -29,17 +29,17 @@
         return () -> tasks.remove(task);
     }
 
-    /** Tasks that are still to run. */
+    /** The number of tasks that are still to run. */
     public int pending() {
         return tasks.size();
     }
 
-    /** Time passes while a task runs; what falls due meanwhile runs late. */
+    /** Lets time pass within a task; what falls due meanwhile runs late. */
     public void pass(long nanos) {
         now += nanos;
     }
 
-    /** Lets this much time pass and runs what falls due, in order. */
+    /** Advances time by this many nanoseconds and runs what falls due, in order. */
     public void advance(long nanos) {
         long end = now + nanos;
         while (!tasks.isEmpty() && tasks.peek().at <= end) {
--- a/src/main/java/org/spruceridge/net/NettyLoop.java
+++ b/src/main/java/org/spruceridge/net/NettyLoop.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The loop on Netty's NIO: one thread for all connections and duties. */
+/** The loop on Netty's NIO transport: one thread for all connections and components. */
 public final class NettyLoop implements Loop {
     private static final Logger LOG = LoggerFactory.getLogger(NettyLoop.class);
 
@@ -20,14 +20,14 @@
     private final EventLoop loop = group.next();
     private BooleanSupplier requestsWaiting = () -> false;
 
-    /** The loop, for those who open connections. */
+    /** The event loop group on which channels are opened. */
     public EventLoopGroup group() {
         return group;
     }
 
-    /** Says how to find out whether requests wait. */
-    void busyWhile(BooleanSupplier waiting) {
-        requestsWaiting = waiting;
+    /** Sets how {@link #busy} finds out whether requests are queued. */
+    void busyWhile(BooleanSupplier hasQueuedRequests) {
+        requestsWaiting = hasQueuedRequests;
     }
 
     @Override
@@ -61,12 +61,12 @@
         group.terminationFuture().await();
     }
 
-    /** A fault in one task must not end another: it is logged in full and the loop goes on. */
+    /** An exception of one task must not stop the others: it is logged and the loop goes on. */
     private static void runLogged(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | Error e) { // a future that nobody looks at would swallow an error in silence
-            LOG.error("a task failed", e);
+        } catch (RuntimeException | Error e) { // the future of the task, which is discarded, would swallow it
+            LOG.error("event loop task failed", e);
         }
     }
 }
--- a/src/main/java/org/spruceridge/net/RateLimitedWarnings.java
+++ b/src/main/java/org/spruceridge/net/RateLimitedWarnings.java
@@ -5,27 +5,32 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts what cannot be read or should not be, and logs each kind once in a while. */
+/** Warnings that may come in floods: every one is counted, and each kind is logged at most once in 30 s. */
 public final class RateLimitedWarnings {
     private static final Logger LOG = LoggerFactory.getLogger(RateLimitedWarnings.class);
-    private static final long QUIET_NANOS = Durations.nanos(30);
+    private static final long MIN_LOG_INTERVAL_NANOS = Durations.nanos(30);
 
     private final Loop loop;
     private final Map<String, Kind> kinds = new HashMap<>();
 
-    /** Time is that of the loop. */
+    /** Intervals are measured by the loop's monotonic clock. */
     public RateLimitedWarnings(Loop loop) {
         this.loop = loop;
     }
 
-    /** Notes one; {@code kind} comes from a small fixed set. */
+    /**
+     * Counts a warning, and logs it unless one of its kind was logged lately.
+     *
+     * @param kind what happened, one phrase of a small fixed set
+     * @param detail the particulars, as {@code key=value} pairs
+     */
     public void warn(String kind, String detail) {
-        Kind seen = kinds.computeIfAbsent(kind, k -> new Kind());
+        Kind seen = kinds.computeIfAbsent(kind, any -> new Kind());
         seen.count++;
         long now = loop.nanos();
-        if (seen.count == 1 || now - seen.loggedAt > QUIET_NANOS) {
+        if (seen.count == 1 || now - seen.loggedAt > MIN_LOG_INTERVAL_NANOS) {
             seen.loggedAt = now;
-            LOG.warn("{} ({} so far): {}", kind, seen.count, detail);
+            LOG.warn("{} count={} {}", kind, seen.count, detail);
         }
     }
 
--- a/src/main/java/org/spruceridge/net/Request.java
+++ b/src/main/java/org/spruceridge/net/Request.java
@@ -1,4 +1,4 @@
 package org.spruceridge.net;
 
-/** A request that has come in whole. */
+/** A complete request that was received; the path is without the query. */
 public record Request(String method, String path, byte[] body) {}
--- a/src/main/java/org/spruceridge/net/RequestHandler.java
+++ b/src/main/java/org/spruceridge/net/RequestHandler.java
@@ -2,14 +2,14 @@
 
 import java.util.function.Consumer;
 
-/** Takes requests. */
+/** Handles the requests of the HTTP server, on the event loop. */
 public interface RequestHandler {
-    /** The answer is given on the loop, at once or later, exactly once. */
+    /** Handles a request; {@code answer} is called exactly once, at once or later, on the loop. */
     void handle(Request request, Consumer<Response> answer);
 
-    /** Which requests come first when there are too many. */
+    /** The priority of the request under overload. */
     RequestQueue.Priority priority(Request request);
 
-    /** What is answered to a request that could not be taken in time. */
+    /** The response to a request that could not be handled in time. */
     Response refusal(Request request);
 }
--- a/src/main/java/org/spruceridge/net/RequestQueue.java
+++ b/src/main/java/org/spruceridge/net/RequestQueue.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * The requests that have come in and wait for the processor. While there is enough of it each is taken at once. When
- * requests come faster than they can be taken they wait here, by rank, and those whose sender has gone or has given up
- * meanwhile are let go unread: a node that spends itself on answers that nobody waits for would answer nobody in time,
- * and whoever gives up asks again.
+ * Queue of received requests under overload. With processor time to spare each request is handled at once. When requests
+ * arrive faster than they can be handled they wait here, by priority, and those whose sender has disconnected or timed out
+ * are rejected unhandled: a node busy with responses that nobody waits for would answer nobody in time, and senders retry.
+ * Used on the event loop only.
  */
 public final class RequestQueue {
-    /** The order in which requests are taken when there are too many. */
+    /** The order in which requests are handled under overload, each with the time after which it is rejected. */
     public enum Priority {
-        /** Else the load balancer would take a busy node for a dead one. */
+        /** Health checks: otherwise the load balancer takes a busy node for a dead one. */
         HEALTH(1),
-        /** Workers give a report up after 4 s. */
+        /** Workers' heartbeats, which time out at the worker after 4 s. */
         HEARTBEAT(3),
-        /** Users are told at once to come back rather than held. */
+        /** Requests of users, who are told to retry rather than kept waiting. */
         USER(1);
 
         private final long timeoutNanos;
@@ -28,27 +28,28 @@
         }
     }
 
-    /** Something that waits for the processor. */
+    /** A request in the queue. */
     interface Work {
+        /** Handles it. */
         void run();
 
-        /** It has waited longer than its rank allows, or longer than its sender, and is not taken. */
+        /** It has waited longer than its priority allows, or longer than its sender, and is not handled. */
         void reject();
 
-        /** True if nobody waits for it any more. */
+        /** True if its sender has disconnected. */
         boolean isAbandoned();
     }
 
-    /** As long as this is spent on requests before the network is looked at again: more may have come, or gone. */
+    /** Time spent on requests before the network is polled again: more may have arrived, or disconnected. */
     private static final long MAX_SLICE_NANOS = Durations.millis(50);
 
     private final Loop loop;
-    private final Map<Priority, Deque<Waiting>> queues = new EnumMap<>(Priority.class);
+    private final Map<Priority, Deque<QueuedWork>> queues = new EnumMap<>(Priority.class);
     private long idleSince;
     private long spentNanos;
     private boolean isDraining;
 
-    private record Waiting(Work work, long queuedAt) {}
+    private record QueuedWork(Work work, long queuedAt) {}
 
     RequestQueue(Loop loop) {
         this.loop = loop;
@@ -60,9 +61,9 @@
 
     void add(Priority priority, Work work) {
         long now = loop.nanos();
-        spentNanos = Math.max(0, spentNanos - (now - idleSince)); // as long as it was idle, it has caught up
+        spentNanos = Math.max(0, spentNanos - (now - idleSince)); // idle time pays time spent back
         if (isDraining || spentNanos > MAX_SLICE_NANOS) {
-            queues.get(priority).add(new Waiting(work, now));
+            queues.get(priority).add(new QueuedWork(work, now));
             drainSoon();
         } else {
             work.run();
@@ -71,7 +72,7 @@
         idleSince = loop.nanos();
     }
 
-    /** True while requests wait for the processor. */
+    /** True while requests are queued. */
     boolean hasQueuedRequests() {
         return isDraining;
     }
@@ -79,20 +80,20 @@
     private void drainSoon() {
         if (!isDraining) {
             isDraining = true;
-            loop.after(0, this::drain); // after the network has been looked at
+            loop.after(0, this::drain); // runs after the network has been polled
         }
     }
 
     private void drain() {
-        long from = loop.nanos();
+        long sliceStart = loop.nanos();
         for (var queue : queues.entrySet()) {
             while (!queue.getValue().isEmpty()) {
                 long now = loop.nanos();
-                if (now - from > MAX_SLICE_NANOS) {
+                if (now - sliceStart > MAX_SLICE_NANOS) {
                     loop.after(0, this::drain);
                     return;
                 }
-                Waiting next = queue.getValue().remove();
+                QueuedWork next = queue.getValue().remove();
                 if (next.work.isAbandoned() || now - next.queuedAt > queue.getKey().timeoutNanos) {
                     next.work.reject();
                 } else {
