--- a/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -52,7 +52,7 @@
     private static ImmutableMap<String, PeerHeartbeat.Progress> progress(Leader leader) {
         ImmutableMap.Builder<String, PeerHeartbeat.Progress> progress = ImmutableMap.builder();
         for (Job job : leader.cluster().jobs()) {
-            if (!job.cancelled()) {
+            if (!job.isCancelled()) {
                 progress.put(job.id(), progress(job));
             }
         }
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -108,7 +108,7 @@
 
     /** Marks a job as cancelled by its user: what waits is withdrawn, what runs is stopped. */
     public void markCancelled(Job job, CancellationSource source) {
-        if (!job.cancelled()) {
+        if (!job.isCancelled()) {
             job.cancel(viewCompleteUpTo, loop.nanos());
             recordWriter.withdrawCancelled(job);
             List<Machine> machines =
@@ -143,10 +143,10 @@
 
     private void apply(Change change) {
         String id = change.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
-        if (change.dropped()) {
-            openEntryRemoved(id, CancellationSource.WATCH);
+        if (change instanceof Change.Put put) {
+            add(id, put.value(), put.modRevision());
         } else {
-            add(id, change.value(), change.modRevision());
+            openEntryRemoved(id, CancellationSource.WATCH);
         }
     }
 
