--- a/src/test/java/org/spruceridge/record/StoredKeysTest.java
+++ b/src/test/java/org/spruceridge/record/StoredKeysTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Json;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
 /** The keys under which a cluster keeps its records, and the records that have no message class of their own. */
@@ -20,7 +21,7 @@
     @BeforeEach
     void runAJobHalfway() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
-        cluster.submit(SimulatedCluster.job(1, 5));
+        cluster.submit(SimJobs.array(1, 5));
         cluster.await(
                 () -> !cluster.state.keys("parts/").isEmpty()
                         && !cluster.state.keys("bound/").isEmpty(),
--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -6,8 +6,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Response;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
@@ -24,7 +26,7 @@
     /** A leader, and two tasks of a job that runs for ten minutes. */
     private void startLongJob() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 600.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
     }
 
@@ -45,7 +47,7 @@
             }) {
                 cluster = new SimulatedCluster(3);
                 startLongJob();
-                cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 20.0));
+                cluster.submit(SimJobs.array(2, 2).put("expectS", 20.0));
                 cluster.net.refuseStateRequests(cluster.leader(), before + 12);
                 cluster.loop.run(before / 2);
                 assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
@@ -60,7 +62,7 @@
     @Test
     void cancellationMeetsDeadlineAcrossTwoRefusalsAndOutages() {
         startLongJob();
-        cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 30.0));
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 30.0));
         cluster.net.refuseStateRequests(cluster.leader(), 10);
         cluster.loop.run(1);
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
@@ -77,10 +79,10 @@
     @Test
     void stuckWatchWithWorkingLeaseRenewalsLosesNoTask() {
         startLongJob();
-        cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 60.0));
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 3, 20);
         String leader = cluster.leader();
-        cluster.isolateFromPeers(leader);
+        cluster.nodes.isolateFromPeers(leader);
         cluster.net.injectFaults(
                 (from, to, call) -> from.equals(leader) && call.target().startsWith("/follow?starts=open/")
                         ? Delivery.LOST
@@ -97,7 +99,7 @@
     void leaderWithStaleCancellationViewAnswersNoWorkers() {
         startLongJob();
         String leader = cluster.leader();
-        cluster.isolateFromPeers(leader);
+        cluster.nodes.isolateFromPeers(leader);
         cluster.loop.run(5);
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(leader) && readsOpenJobs(call.target()) ? Delivery.LOST : Delivery.DELIVERED);
@@ -116,14 +118,14 @@
             cluster = new SimulatedCluster(3);
             startLongJob();
             String old = cluster.leader();
-            cluster.isolateFromPeers(old);
+            cluster.nodes.isolateFromPeers(old);
             cluster.net.refuseStateRequests(old, 60);
             cluster.loop.run(1);
             String other = cluster.follower();
             assertEquals("cancelled", cluster.cancel(other, LONG));
             cluster.net.injectFaults((from, to, call) ->
                     call.target().startsWith("/store?starts=" + unreadablePrefix) ? Delivery.LOST : Delivery.DELIVERED);
-            cluster.crash(old);
+            cluster.nodes.crash(old);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
             assertTrue(cluster.running().isEmpty(), unreadablePrefix);
             cluster.verifyRecovery(60);
@@ -149,7 +151,7 @@
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
         // Each leader has less time than the silence of a machine has to last.
         for (int i = 0; i < 6; i++) {
-            cluster.crashLeader(1);
+            cluster.nodes.crashLeader(1);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S / 6);
         }
         assertFalse(cluster.cloud.workers().contains(hung));
@@ -160,9 +162,9 @@
     void stopCommandIsRetriedToMachineThatCannotSendHeartbeats() {
         startLongJob();
         List<String> silent = cluster.cloud.machineNames();
-        int[] lost = new int[1];
+        AtomicInteger lost = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) -> {
-            boolean first = call.target().equals("/do") && lost[0]++ == 0;
+            boolean first = call.target().equals("/do") && lost.getAndIncrement() == 0;
             boolean cloud = to.host().equals("10.2.0.2");
             return silent.contains(from) || first || cloud ? Delivery.LOST : Delivery.DELIVERED;
         });
@@ -177,13 +179,13 @@
         for (int step = 0; step < 12; step++) {
             cluster = new SimulatedCluster(3);
             startLongJob();
-            cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 20.0));
+            cluster.submit(SimJobs.array(2, 2).put("expectS", 20.0));
             String old = cluster.leader();
             String other = cluster.follower();
             int cancelAt = step;
             for (int at = 0; at < 12; at++) {
                 if (at == 3) {
-                    cluster.crash(old);
+                    cluster.nodes.crash(old);
                 }
                 if (at == cancelAt) {
                     cluster.cancel(other, LONG);
@@ -201,7 +203,7 @@
         for (int step = 0; step < 24; step++) {
             cluster = new SimulatedCluster(3);
             cluster.awaitLeader(10);
-            cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 5.0));
+            cluster.submit(SimJobs.array(1, 1).put("expectS", 5.0));
             cluster.await(() -> cluster.running().size() == 1, 40);
             cluster.loop.run(4.9);
             // From before the task's end to after its record, in steps of a message or two.
@@ -210,9 +212,7 @@
             assertTrue(outcome.equals("cancelled") || outcome.equals("done"), outcome);
             assertEquals(outcome, cluster.poll(LONG));
             assertEquals(
-                    200,
-                    cluster.submit(
-                            cluster.follower(), SimulatedCluster.job(1, 1).put("expectS", 5.0)));
+                    200, cluster.submit(cluster.follower(), SimJobs.array(1, 1).put("expectS", 5.0)));
             assertEquals(outcome, cluster.cancel(cluster.follower(), LONG));
             cluster.verifyRecovery(40);
         }
@@ -221,7 +221,7 @@
     @Test
     void cancellationRacingTaskStartReleasesBindings() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 600.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
         cluster.await(() -> cluster.hasBinding("j-000001"), 40);
         Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
         assertEquals("cancelled", SimulatedCluster.stage(answer));
@@ -239,12 +239,12 @@
                 from.equals(leader) && call.target().equals("/txn") && new String(call.body()).contains("bound/")
                         ? Delivery.HELD
                         : Delivery.DELIVERED);
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
         cluster.net.clearFaults();
         Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
         assertEquals("cancelled", SimulatedCluster.stage(answer));
-        cluster.submit(SimulatedCluster.job(2, 1));
+        cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 60);
         assertEquals(1, cluster.starts().size());
         cluster.net.deliverHeld();
@@ -255,13 +255,13 @@
     @Test
     void cancellationUnknownToLeaderPreventsTaskStart() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         // From here on the leader hears of no change of jobs in any way; the machine is still booting.
         String leader = cluster.leader();
-        cluster.isolateFromPeers(leader);
+        cluster.nodes.isolateFromPeers(leader);
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(leader) && call.target().contains("?starts=open/") ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.submit(SimulatedCluster.job(2, 1));
+        cluster.submit(SimJobs.array(2, 1));
         cluster.loop.run(1);
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
         cluster.loop.run(20);
@@ -271,9 +271,9 @@
     @Test
     void cancellationWithoutLeaderIsExecutedByNextLeader() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 600.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
-        cluster.crash(cluster.leader());
+        cluster.nodes.crash(cluster.leader());
         Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
         assertEquals("cancelled", SimulatedCluster.stage(answer));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
@@ -283,10 +283,10 @@
     @Test
     void pendingStartOfCancelledJobDeletesItsMachine() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 600.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 600.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         cluster.net.injectFaults((from, to, call) -> call.target().equals("/do") ? Delivery.HELD : Delivery.DELIVERED);
-        cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 600.0));
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 600.0));
         while (cluster.net.heldCount() == 0) {
             cluster.loop.run(0.01);
         }
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -7,13 +7,14 @@
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
 import org.junit.jupiter.api.Test;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
  * Two faults at once, each time at a moment that differs by a counted step. The simulated cluster checks the rules
- * throughout; {@link SimulatedCluster#verifyRecovery} then wants every accepted job to end, and to be answered for by every node.
+ * throughout; {@link SimulatedCluster#verifyRecovery} then requires that every accepted job ends and is known to every node.
  */
 final class ConcurrentFaultsScenarioTest {
     private SimulatedCluster cluster;
@@ -33,7 +34,7 @@
 
     private void startTasks(int number, int tasks, double seconds) {
         int before = cluster.running().size();
-        cluster.submit(SimulatedCluster.job(number, tasks).put("expectS", seconds));
+        cluster.submit(SimJobs.array(number, tasks).put("expectS", seconds));
         cluster.await(() -> cluster.running().size() == before + tasks, 40);
     }
 
@@ -56,9 +57,9 @@
                             || isCloud(to.host())
                     ? Delivery.LOST
                     : Delivery.DELIVERED);
-            cluster.submit(SimulatedCluster.job(3, 4).put("expectS", 10.0));
+            cluster.submit(SimJobs.array(3, 4).put("expectS", 10.0));
             cluster.loop.run(step * 0.7);
-            cluster.crashLeader(4);
+            cluster.nodes.crashLeader(4);
             cluster.loop.run(step * 0.3);
             cluster.await(() -> cluster.cancel(cluster.follower(), "j-000001").equals("cancelled"), 10);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
@@ -79,7 +80,7 @@
                         : Delivery.DELIVERED;
             });
             cluster.loop.run(step);
-            cluster.crashLeader(3);
+            cluster.nodes.crashLeader(3);
             cluster.loop.run(1.5 * SimulatedCluster.LEASE_S);
         });
     }
@@ -93,7 +94,7 @@
                     (from, to, call) -> random.nextInt(10) < 2 ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
             for (int i = 1; i <= 12; i++) {
                 String priority = i % 3 == 0 ? "production" : i % 3 == 1 ? "best_effort" : "normal";
-                cluster.submit(SimulatedCluster.job(i, 3).put("rank", priority).put("expectS", 4.0 + i));
+                cluster.submit(SimJobs.array(i, 3).put("rank", priority).put("expectS", 4.0 + i));
                 cluster.loop.run(1);
             }
             cluster.loop.run(30);
@@ -108,7 +109,7 @@
             cluster.net.injectFaults(
                     (from, to, call) -> from.equals(worker.name()) ? Delivery.HELD : Delivery.DELIVERED);
             cluster.loop.run(0.5 * step);
-            cluster.crashLeader(2);
+            cluster.nodes.crashLeader(2);
             cluster.loop.run(SimulatedCluster.LEASE_S + 5);
             cluster.net.clearFaults();
             while (cluster.net.heldCount() > 0) {
@@ -125,10 +126,10 @@
             cluster.net.injectFaults((from, to, call) ->
                     from.startsWith("i-") && random.nextInt(10) < 4 ? Delivery.DUPLICATED_LATE : Delivery.DELIVERED);
             for (int i = 1; i <= 6; i++) {
-                cluster.submit(SimulatedCluster.job(i, 2).put("expectS", 6.0));
+                cluster.submit(SimJobs.array(i, 2).put("expectS", 6.0));
                 cluster.loop.run(5);
                 if (i % 2 == 0) {
-                    cluster.crashLeader(1);
+                    cluster.nodes.crashLeader(1);
                     cluster.cloud.workers().stream().findFirst().ifPresent(SimWorker::restart);
                 }
             }
@@ -143,11 +144,11 @@
             List<String> silent = cluster.cloud.machineNames();
             cluster.net.injectFaults((from, to, call) -> silent.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(step);
-            cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 10.0));
+            cluster.submit(SimJobs.array(2, 1).put("expectS", 10.0));
             cluster.loop.run(1);
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
             if (step % 2 == 0) {
-                cluster.crashLeader(5);
+                cluster.nodes.crashLeader(5);
             }
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         });
@@ -163,7 +164,7 @@
             // The answers to the stops show that they hear; their leases run out all the same.
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
             cluster.await(() -> cluster.running().isEmpty(), 2);
-            cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 5.0));
+            cluster.submit(SimJobs.array(2, 2).put("expectS", 5.0));
             cluster.await(() -> cluster.starts().size() == 5, 40);
             assertFalse(silent.contains(cluster.running().get("j-000002/0")));
             assertFalse(silent.contains(cluster.running().get("j-000002/1")));
@@ -187,9 +188,9 @@
                     (from, to, call) -> call.target().equals("/txn") && new String(call.body()).contains("bound/")
                             ? Delivery.LOST
                             : Delivery.DELIVERED);
-            cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 60.0));
+            cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
             cluster.loop.run(0.3);
-            cluster.submit(SimulatedCluster.job(3, 1).put("expectS", 60.0));
+            cluster.submit(SimJobs.array(3, 1).put("expectS", 60.0));
             cluster.loop.run(0.3);
             double outage = 2.5 * SimulatedCluster.LEASE_S + 0.07 * step;
             cluster.state.outage(outage);
@@ -208,11 +209,11 @@
     void tasksEndingUnderDifferentLeadersCompleteTheirJobs() {
         atEachStep(5, step -> {
             cluster.cloud.limitCapacity(1);
-            cluster.submit(SimulatedCluster.job(1, 3).put("cpus", 8.0).put("expectS", 9.0));
-            cluster.submit(SimulatedCluster.job(2, 2).put("cpus", 8.0).put("expectS", 7.0));
+            cluster.submit(SimJobs.array(1, 3).put("cpus", 8.0).put("expectS", 9.0));
+            cluster.submit(SimJobs.array(2, 2).put("cpus", 8.0).put("expectS", 7.0));
             for (int i = 0; i < 4; i++) {
                 cluster.loop.run(6 + step);
-                cluster.crashLeader(1);
+                cluster.nodes.crashLeader(1);
             }
         });
     }
@@ -224,12 +225,12 @@
             startTasks(2, 1, 30);
             String isolated = cluster.leader();
             String other = cluster.follower();
-            cluster.isolateFromPeers(isolated);
+            cluster.nodes.isolateFromPeers(isolated);
             cluster.net.refuseStateRequests(isolated, 25);
             cluster.loop.run(step * 3);
             assertEquals("cancelled", cluster.cancel(other, "j-000001"));
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-            cluster.reconnectToPeers(isolated);
+            cluster.nodes.reconnectToPeers(isolated);
         });
     }
 
@@ -239,14 +240,14 @@
             startTasks(1, 4, 40);
             String first = cluster.leader();
             cluster.net.refuseStateRequests(first, 9);
-            cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(first), 30);
+            cluster.awaitLeaderOtherThan(first, 30);
             String second = cluster.leader();
             cluster.net.refuseStateRequests(second, 9);
-            cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(second), 30);
+            cluster.awaitLeaderOtherThan(second, 30);
             List<String> all = List.of("n0", "n1", "n2");
-            all.forEach(cluster::crash);
+            all.forEach(cluster.nodes::crash);
             cluster.loop.run(0.15 * step);
-            cluster.startNode(second);
+            cluster.nodes.start(second);
             cluster.loop.run(3);
         });
     }
@@ -258,13 +259,13 @@
             cluster.net.injectFaults((from, to, call) ->
                     call.target().equals("/txn") && random.nextInt(10) < 3 ? Delivery.DELAYED : Delivery.DELIVERED);
             for (int i = 1; i <= 5; i++) {
-                cluster.submit(SimulatedCluster.job(i, 2).put("expectS", 5.0));
+                cluster.submit(SimJobs.array(i, 2).put("expectS", 5.0));
                 cluster.loop.run(3);
                 if (i % 2 == 1) {
-                    cluster.cancel(cluster.follower(), String.format("j-%06d", i));
+                    cluster.cancel(cluster.follower(), SimJobs.id(i));
                 }
                 if (i == 3) {
-                    cluster.crashLeader(0.3);
+                    cluster.nodes.crashLeader(0.3);
                 }
             }
             cluster.loop.run(20);
@@ -275,14 +276,14 @@
     void tenFailoversInTwoMinutesWithOutageMeetCancellationDeadline() {
         atEachStep(4, step -> {
             startTasks(1, 2, 600);
-            cluster.submit(SimulatedCluster.job(2, 6).put("expectS", 12.0));
+            cluster.submit(SimJobs.array(2, 6).put("expectS", 12.0));
             for (int i = 0; i < 10; i++) {
                 cluster.loop.run(9 + step);
                 if (i == 4) {
                     cluster.state.outage(10);
                     cluster.loop.run(2);
                 }
-                cluster.crashLeader(1 + 0.5 * step);
+                cluster.nodes.crashLeader(1 + 0.5 * step);
                 if (i == 6) {
                     cluster.await(
                             () -> cluster.cancel(cluster.follower(), "j-000001").equals("cancelled"), 20);
@@ -294,13 +295,13 @@
     @Test
     void jobsBoundToOneZoneSurviveLossOfAllMachines() {
         atEachStep(4, step -> {
-            cluster.submit(SimulatedCluster.job(1, 3).put("samePlace", true).put("expectS", 15.0));
-            cluster.submit(SimulatedCluster.job(2, 1).put("grove", "z2").put("expectS", 15.0));
+            cluster.submit(SimJobs.array(1, 3).put("samePlace", true).put("expectS", 15.0));
+            cluster.submit(SimJobs.array(2, 1).put("grove", "z2").put("expectS", 15.0));
             cluster.await(() -> cluster.running().size() == 4, 60);
             cluster.loop.run(step);
             List.copyOf(cluster.cloud.workers()).forEach(cluster.cloud::crash);
             if (step % 2 == 1) {
-                cluster.crashLeader(2);
+                cluster.nodes.crashLeader(2);
             }
             cluster.loop.run(20);
         });
@@ -312,7 +313,7 @@
             startTasks(1, 4, 50);
             String inside = step % 2 == 0 ? cluster.leader() : cluster.follower();
             List<String> zone = List.of(inside, cluster.cloud.workers().get(0).name());
-            cluster.isolateFromPeers(inside);
+            cluster.nodes.isolateFromPeers(inside);
             cluster.net.injectFaults((from, to, call) -> {
                 boolean here = zone.contains(from);
                 boolean there =
@@ -328,7 +329,7 @@
                 cluster.cancel(outside, "j-000001");
             }
             cluster.loop.run(SimulatedCluster.LEASE_S + 10);
-            cluster.reconnectToPeers(inside);
+            cluster.nodes.reconnectToPeers(inside);
         });
     }
 
@@ -336,12 +337,12 @@
     void absenceOfAllNodesBeyondLeaseLosesNoJob() {
         atEachStep(3, step -> {
             startTasks(1, 2, 30);
-            cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 30.0));
+            cluster.submit(SimJobs.array(2, 2).put("expectS", 30.0));
             cluster.loop.run(step * 0.05);
             List<String> all = List.of("n0", "n1", "n2");
-            all.forEach(cluster::crash);
+            all.forEach(cluster.nodes::crash);
             cluster.loop.run(SimulatedCluster.LEASE_S + 3);
-            all.forEach(cluster::startNode);
+            all.forEach(cluster.nodes::start);
         });
     }
 
@@ -351,8 +352,8 @@
             cluster.net.injectFaults((from, to, call) -> call.target().equals("/do")
                     ? step % 2 == 0 ? Delivery.HELD : Delivery.ANSWER_LOST
                     : Delivery.DELIVERED);
-            cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 8.0));
-            cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 300.0));
+            cluster.submit(SimJobs.array(1, 2).put("expectS", 8.0));
+            cluster.submit(SimJobs.array(2, 2).put("expectS", 300.0));
             cluster.loop.run(8 + step);
             cluster.await(() -> cluster.cancel(cluster.follower(), "j-000002").equals("cancelled"), 10);
             cluster.loop.run(step);
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -1,17 +1,98 @@
 package org.spruceridge.scenario;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.HttpCall;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
+import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Failovers that take long: workers are answered meanwhile. */
+/** Failovers: tasks, leases and quota survive them, also where workers stay silent or the failover takes long. */
 final class FailoverScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
+    @Test
+    void leaderCrashBetweenCommitAndCommandStartsTaskOnce() {
+        cluster.awaitLeader(10);
+        // The binding is committed, but its leader dies before it hears of that.
+        cluster.net.injectFaults(
+                (from, to, call) -> call.target().equals("/txn") && new String(call.body()).contains("bound/")
+                        ? Delivery.ANSWER_LOST
+                        : Delivery.DELIVERED);
+        cluster.submit(SimJobs.array(1, 1));
+        cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
+        String first = cluster.leader();
+        cluster.await(() -> cluster.hasBinding("j-000001"), 30);
+        assertTrue(cluster.starts().isEmpty(), "the start must come after the commit");
+        cluster.nodes.crash(first);
+        cluster.net.clearFaults();
+        cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
+        assertEquals(1, cluster.starts().size());
+    }
+
+    @Test
+    void failoverWaitsForLeaseOfSilentWorker() {
+        cluster.awaitLeader(10);
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 25.0));
+        cluster.await(() -> cluster.running().size() == 1, 30);
+        SimWorker worker = cluster.cloud.workers().get(0);
+        // Its task goes on while nobody can hear it, nor reach the cloud, and the leader dies.
+        cluster.net.injectFaults((from, to, call) ->
+                from.equals(worker.name()) || to.host().equals("10.2.0.2") ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.nodes.crash(cluster.leader());
+        cluster.awaitLeader(30);
+        cluster.loop.run(4);
+        assertEquals(1, cluster.running().size(), "the silent worker still runs the task");
+        assertEquals(1, cluster.starts().size());
+        cluster.net.clearFaults();
+        cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.await(() -> cluster.poll("j-000001").equals("done"), 120);
+        assertEquals(2, cluster.starts().size());
+    }
+
+    @Test
+    void quotaHoldsInFailoverWithSilentWorkers() {
+        cluster.awaitLeader(10);
+        cluster.submit(SimJobs.array(1, 4).put("expectS", 30.0));
+        cluster.await(() -> cluster.running().size() == 4, 40); // the team's limit
+        cluster.net.injectFaults((from, to, call) ->
+                from.startsWith("i-") || to.host().equals("10.2.0.2") ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.nodes.crash(cluster.leader());
+        cluster.submit(SimJobs.array(2, 4).put("expectS", 30.0));
+        cluster.awaitLeader(30);
+        cluster.loop.run(5);
+        cluster.net.clearFaults();
+        cluster.loop.run(200);
+        // The simulated cluster counts the limit at every start.
+        assertEquals(8, cluster.completed().size());
+    }
+
+    @Test
+    void newLeaderGivesWorkersOneLeaseToFindIt() {
+        cluster.awaitLeader(10);
+        // One task fills the memory of a machine, so that most of the zone's four are heard.
+        cluster.submit(SimJobs.array(1, 4).put("memGb", 20.0).put("grove", "z1").put("expectS", 40.0));
+        cluster.await(() -> cluster.running().size() == 4, 40);
+        int rented = cluster.cloud.machineCount();
+        SimWorker slow = cluster.cloud.workers().get(0);
+        cluster.net.injectFaults(
+                (from, to, call) -> from.equals(slow.name()) || to.host().equals("10.1.0." + slow.name())
+                        ? Delivery.LOST
+                        : Delivery.DELIVERED);
+        cluster.nodes.crashLeader(0.1);
+        cluster.loop.run(SimulatedCluster.LEASE_S * 0.75);
+        assertNotNull(cluster.leader());
+        assertEquals(rented, cluster.cloud.machineCount(), "it is still looking for its leader, as all workers are");
+        cluster.net.clearFaults();
+        cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
+        assertEquals(4, cluster.starts().size());
+    }
+
     /**
      * Guards against leases that are taken for over while they run: a new leader answers workers before it has read which
      * machines there are, reads that only after more than a lease, and by then the machines cannot be reached.
@@ -19,13 +100,13 @@
     @Test
     void leasesRenewedDuringFailoverDelayReleaseOfTheirTasks() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 90.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 90.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
         Set<String> unreachableMachines = Set.copyOf(cluster.running().values());
-        cluster.submit(SimulatedCluster.job(2, 2).put("expectS", 10.0));
+        cluster.submit(SimJobs.array(2, 2).put("expectS", 10.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
         cluster.net.injectFaults((from, to, call) -> listsMachines(call) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.crashLeader(1);
+        cluster.nodes.crashLeader(1);
         cluster.awaitLeader(10);
         cluster.loop.run(SimulatedCluster.LEASE_S - 2);
         assertTrue(cluster.completed().contains("j-000002/0"), "there is room on a machine that can be reached");
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
 /** Nobody starves: the largest jobs and tasks begin too, whatever else is asked for. */
@@ -19,7 +20,7 @@
             submitUrgent(++number);
         }
         cluster.await(() -> cluster.running().size() == 4, 40);
-        cluster.submit(SimulatedCluster.job(1, 30).put("rank", "best_effort").put("expectS", 60.0));
+        cluster.submit(SimJobs.array(1, 30).put("rank", "best_effort").put("expectS", 60.0));
         long submitted = cluster.loop.nanos();
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
             submitUrgent(++number);
@@ -36,7 +37,7 @@
             submitSmall(++number);
         }
         cluster.await(() -> cluster.running().size() == (int) SimulatedCluster.TEAM_CPUS, 40);
-        cluster.submit(SimulatedCluster.job(1, 2).put("cpus", 8.0).put("expectS", 10.0));
+        cluster.submit(SimJobs.array(1, 2).put("cpus", 8.0).put("expectS", 10.0));
         long submitted = cluster.loop.nanos();
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
             submitSmall(++number);
@@ -65,16 +66,12 @@
     }
 
     private void submitSmall(int number) {
-        cluster.submit(SimulatedCluster.job(number, 1)
-                .put("cpus", 1.0)
-                .put("memGb", 1.0)
-                .put("expectS", 8.0));
+        cluster.submit(
+                SimJobs.array(number, 1).put("cpus", 1.0).put("memGb", 1.0).put("expectS", 8.0));
     }
 
     private void submitUrgent(int number) {
-        cluster.submit(SimulatedCluster.job(number, 1)
-                .put("rank", "high")
-                .put("expectS", 8.0)
-                .put("dueS", 40.0));
+        cluster.submit(
+                SimJobs.array(number, 1).put("rank", "high").put("expectS", 8.0).put("dueS", 40.0));
     }
 }
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -8,8 +8,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.record.BindingsRecord;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
@@ -21,11 +23,11 @@
     @Test
     void olderHeartbeatOfSameIncarnationChangesNothing() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 30.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 30.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         cluster.loop.run(3);
         BindingsRecord.MachineBindings on = cluster.recordedBindings().get(0);
-        ObjectNode stale = SimulatedCluster.heartbeat(on.name(), 1);
+        ObjectNode stale = SimJobs.heartbeat(on.name(), 1);
         stale.put("warrant", cluster.state.value("leader").path("term").asLong());
         stale.withArray("parts")
                 .addObject()
@@ -41,7 +43,7 @@
     @Test
     void lateHeartbeatAfterLeaseExpiryChangesNothing() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
         // Its reports are held back until its lease is over and the task runs elsewhere.
@@ -56,15 +58,15 @@
     @Test
     void lostAnswerToLaunchRequestLaunchesNothingTwice() {
         cluster.awaitLeader(10);
-        int[] lost = new int[1];
+        AtomicInteger lost = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) ->
-                call.target().equals("/hosts") && call.method().equals("POST") && lost[0]++ < 2
+                call.target().equals("/hosts") && call.method().equals("POST") && lost.getAndIncrement() < 2
                         ? Delivery.ANSWER_LOST
                         : Delivery.DELIVERED);
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         cluster.loop.run(10);
-        assertEquals(3, lost[0], "the request is repeated until it is answered");
+        assertEquals(3, lost.get(), "the request is repeated until it is answered");
         assertEquals(1, cluster.cloud.machineCount());
     }
 
@@ -72,8 +74,8 @@
     void startCommandDeliveredMinutesLateStartsNothingAgain() {
         cluster.awaitLeader(10);
         cluster.net.injectFaults((from, to, call) -> call.target().equals("/do") ? Delivery.HELD : Delivery.DELIVERED);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 3.0));
-        cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 60.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 3.0));
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(1, cluster.running().size(), "the other task is still on the machine");
         cluster.loop.run(6);
@@ -87,7 +89,7 @@
     @Test
     void crashedMachineIsReplacedAndItsTaskRunsAgain() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         cluster.cloud.crash(cluster.cloud.workers().get(0));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 120);
@@ -97,11 +99,11 @@
     @Test
     void machineThatFailsTasksIsReplaced() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 3.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 3.0));
         cluster.await(() -> cluster.cloud.workers().size() == 1, 30);
         SimWorker faulty = cluster.cloud.workers().get(0);
         faulty.setBehaviour(SimWorker.Behaviour.FAILS);
-        cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 3.0));
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 3.0));
         cluster.await(
                 () -> cluster.poll("j-000001").equals("done")
                         && cluster.poll("j-000002").equals("done"),
@@ -112,12 +114,12 @@
     @Test
     void machineWithInterruptionNoticeGetsNoNewTasks() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         SimWorker worker = cluster.cloud.workers().get(0);
         worker.announceInterruption(100);
         cluster.loop.run(5);
-        cluster.submit(SimulatedCluster.job(2, 1));
+        cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 60);
         assertNotNull(cluster.starts().get(1));
         assertFalse(cluster.starts().get(1).endsWith(worker.name()));
@@ -136,7 +138,7 @@
     @Test
     void machineThatReceivesNothingLosesItsTasksAndIsReplaced() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 4).put("expectS", 60.0));
+        cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         dropMessagesTo(unreachable);
@@ -149,11 +151,11 @@
     @Test
     void idleMachineThatReceivesNothingDelaysNoTask() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         dropMessagesTo(unreachable);
-        cluster.submit(SimulatedCluster.job(2, 1));
+        cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 4 * SimulatedCluster.LEASE_S);
         assertFalse(cluster.cloud.workers().contains(unreachable));
     }
@@ -161,11 +163,11 @@
     @Test
     void machineThatReceivesNothingDuringFailoverIsReplaced() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 1, 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         dropMessagesTo(unreachable);
-        cluster.crash(cluster.leader());
+        cluster.nodes.crash(cluster.leader());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 150);
         assertFalse(cluster.cloud.workers().contains(unreachable));
     }
@@ -173,8 +175,8 @@
     @Test
     void leaseExpiryReleasesTasksOfUnreachableMachineDuringCloudOutage() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 5.0));
-        cluster.submit(SimulatedCluster.job(2, 3).put("expectS", 30.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 5.0));
+        cluster.submit(SimJobs.array(2, 3).put("expectS", 30.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         cluster.net.injectFaults((from, to, call) -> {
@@ -191,7 +193,7 @@
     @Test
     void duplicateHeartbeatsOfCrashedMachineDoNotKeepItAliveAfterFailover() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 20.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 1, 40);
         SimWorker worker = cluster.cloud.workers().get(0);
         cluster.net.injectFaults(
@@ -199,10 +201,10 @@
         cluster.loop.run(12);
         String old = cluster.leader();
         cluster.cloud.crash(worker);
-        cluster.crash(old);
+        cluster.nodes.crash(old);
         cluster.net.clearFaults();
         // The copies were on their way to the old leader, which is back by now and leads again or not.
-        cluster.startNode(old);
+        cluster.nodes.start(old);
         cluster.awaitLeader(30);
         double leaseFrom = cluster.loop.nanos() / 1e9;
         while (cluster.net.heldCount() > 0) {
@@ -217,7 +219,7 @@
     @Test
     void duplicateHeartbeatsOfDeletedMachineDoNotRestoreIt() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
         SimWorker worker = cluster.cloud.workers().get(0);
         cluster.net.injectFaults(
@@ -226,22 +228,22 @@
         cluster.await(() -> cluster.cloud.machineCount() == 0, 120);
         cluster.net.clearFaults();
         String old = cluster.leader();
-        cluster.crash(old);
-        cluster.startNode(old);
+        cluster.nodes.crash(old);
+        cluster.nodes.start(old);
         cluster.awaitLeader(30);
         int deletionRequests = cluster.cloud.deletionRequests();
         cluster.net.deliverHeld();
         cluster.loop.run(2 * SimulatedCluster.LEASE_S);
         assertEquals(
                 deletionRequests, cluster.cloud.deletionRequests(), "nobody took the machine for one that is there");
-        cluster.submit(SimulatedCluster.job(2, 1));
+        cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 30);
     }
 
     @Test
     void restartedMachineRunsItsTasksAgain() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 20.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
         cluster.cloud.workers().get(0).restart();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
@@ -251,12 +253,12 @@
     @Test
     void machineHungForLessThanALeaseExecutesPendingCommands() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 1).put("expectS", 40.0));
+        cluster.submit(SimJobs.array(1, 1).put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
         worker.hang();
-        cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 20.0));
-        cluster.submit(SimulatedCluster.job(3, 1).put("expectS", 20.0));
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0));
+        cluster.submit(SimJobs.array(3, 1).put("expectS", 20.0));
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.4);
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000003/abort", (JsonNode) null);
         worker.resume();
@@ -270,11 +272,11 @@
     @Test
     void machinesHungForLongerThanALeaseStartNothingTwice() {
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 3).put("expectS", 40.0));
+        cluster.submit(SimJobs.array(1, 3).put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 3, 30);
         List<SimWorker> hung = List.copyOf(cluster.cloud.workers());
         hung.forEach(SimWorker::hang);
-        cluster.submit(SimulatedCluster.job(2, 1).put("expectS", 20.0)); // its start is on its way to one of them
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // its start is on its way to one of them
         cluster.loop.run(2 * SimulatedCluster.LEASE_S + 5);
         hung.forEach(SimWorker::resume);
         cluster.await(() -> cluster.completed().size() == 4, 200);
@@ -288,9 +290,9 @@
     void unrecordedTaskIsStoppedAndRunsWhereItIsBound() {
         cluster.cloud.limitCapacity(1);
         cluster.awaitLeader(10);
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 30.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 30.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
-        cluster.submit(SimulatedCluster.job(2, 1));
+        cluster.submit(SimJobs.array(2, 1));
         cluster.loop.run(2);
         cluster.cloud.workers().get(0).startUnboundTask("j-000002/0", 7);
         cluster.loop.run(5);
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.spruceridge.config.Address;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
@@ -30,7 +31,7 @@
     private SimulatedCluster cluster;
 
     private static String id(int number) {
-        return String.format("j-%06d", number);
+        return SimJobs.id(number);
     }
 
     private static List<String> ids(int from, int to) {
@@ -45,9 +46,9 @@
         cluster.awaitLeader(10);
         int tasks = 2 * machines / JOBS;
         List<ObjectNode> jobs = IntStream.range(0, JOBS)
-                .mapToObj(i -> SimulatedCluster.job(i, tasks).put("expectS", RUN_S))
+                .mapToObj(i -> SimJobs.array(i, tasks).put("expectS", RUN_S))
                 .toList();
-        cluster.users.submit(jobs, cluster.runningNodes(node -> true));
+        cluster.users.submit(jobs, cluster.nodes.running(node -> true));
         cluster.await(() -> cluster.running().size() == JOBS * tasks, 200);
     }
 
@@ -59,7 +60,7 @@
     }
 
     private void isolate(String node) {
-        cluster.isolateFromPeers(node);
+        cluster.nodes.isolateFromPeers(node);
         cluster.net.refuseStateRequests(node, 2 * SimulatedCluster.CANCELLATION_DEADLINE_S);
     }
 
@@ -71,13 +72,13 @@
     @Test
     void leadersShorterThanAHeartbeatIntervalStopCancelledTasks() {
         fillMachines(5, JOBS);
-        cluster.crashLeader(0.2);
-        cluster.users.cancel(ids(0, FEW), cluster.runningNodes(node -> true));
+        cluster.nodes.crashLeader(0.2);
+        cluster.users.cancel(ids(0, FEW), cluster.nodes.running(node -> true));
         for (double s = 0;
                 s < SimulatedCluster.CANCELLATION_DEADLINE_S + 5;
                 s += SimulatedCluster.HEARTBEAT_INTERVAL_S / 2) {
             cluster.loop.run(SimulatedCluster.HEARTBEAT_INTERVAL_S / 2);
-            cluster.crashLeader(0.2);
+            cluster.nodes.crashLeader(0.2);
         }
         cluster.verifyRecovery(600);
     }
@@ -92,11 +93,11 @@
         String first = isolateLeader();
         cluster.net.injectFaults(
                 (from, to, call) -> call.target().startsWith("/store/job/") ? Delivery.SLOW : Delivery.DELIVERED);
-        cluster.users.cancel(ids(0, JOBS), cluster.runningNodes(node -> !node.equals(first)));
-        cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(first), 20);
+        cluster.users.cancel(ids(0, JOBS), cluster.nodes.running(node -> !node.equals(first)));
+        cluster.awaitLeaderOtherThan(first, 20);
         String second = cluster.leader();
         cluster.loop.run(6);
-        cluster.crash(second);
+        cluster.nodes.crash(second);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertTrue(cluster.running().isEmpty());
         double failoverS = cluster.metrics(cluster.leader())
@@ -115,7 +116,7 @@
     void newLeaderStopsCancelledTasksWhileOneRecordIsUnreadable() {
         fillMachines(3, JOBS);
         String first = isolateLeader();
-        cluster.users.cancel(ids(0, CANCELLED_AT_ONCE), cluster.runningNodes(node -> !node.equals(first)));
+        cluster.users.cancel(ids(0, CANCELLED_AT_ONCE), cluster.nodes.running(node -> !node.equals(first)));
         cluster.await(() -> cluster.users.unansweredCount() == 0, 6);
         assertEquals(first, cluster.leader(), "its grant still runs");
         cluster.net.injectFaults((from, to, call) ->
@@ -155,14 +156,14 @@
             }
             return to.equals(SimulatedCluster.STATE_ADDRESS) ? Delivery.SLOW : Delivery.DELIVERED;
         });
-        List<String> serving = cluster.runningNodes(node -> !node.equals(first) && !node.equals(isolatedNode));
+        List<String> serving = cluster.nodes.running(node -> !node.equals(first) && !node.equals(isolatedNode));
         cluster.users.cancel(ids(0, MOST), serving);
         for (int i = 0; i < 3; i++) {
-            cluster.await(() -> cluster.leader() != null && !cluster.leader().equals(first), SimulatedCluster.LEASE_S);
+            cluster.awaitLeaderOtherThan(first, SimulatedCluster.LEASE_S);
             cluster.loop.run(SimulatedCluster.HEARTBEAT_INTERVAL_S);
-            cluster.crash(cluster.leader());
+            cluster.nodes.crash(cluster.leader());
             cluster.loop.run(1);
-            serving.forEach(cluster::startIfStopped);
+            serving.forEach(cluster.nodes::startIfStopped);
         }
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertEquals(0, cluster.users.unansweredCount(), "cancellations that were not confirmed");
--- /dev/null
+++ b/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
@@ -0,0 +1,76 @@
+package org.spruceridge.scenario;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.junit.jupiter.api.Test;
+import org.spruceridge.net.Response;
+import org.spruceridge.sim.SimJobs;
+import org.spruceridge.sim.SimulatedCluster;
+
+/** Nodes whose process is paused while its clocks run on: none of them acts on a lease that expired meanwhile. */
+final class PausedNodeScenarioTest {
+    private final SimulatedCluster cluster = new SimulatedCluster(3);
+
+    @Test
+    void leaderPausedForLongerThanALeaseIsReplaced() {
+        cluster.awaitLeader(10);
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
+        cluster.await(() -> cluster.running().size() == 2, 40);
+        String old = cluster.leader();
+        // A job is accepted, and its binding is about to be written, at the moment at which the leader stops.
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 5.0));
+        cluster.nodes.pause(old, 2 * SimulatedCluster.LEASE_S);
+        cluster.loop.run(SimulatedCluster.LEASE_S);
+        assertNotEquals(old, cluster.leader());
+        Response answer = cluster.request(cluster.leader(), "POST", "/api/jobs/j-000002/abort", (JsonNode) null);
+        String outcome = SimulatedCluster.stage(answer);
+        int deletionRequests = cluster.cloud.deletionRequests();
+        cluster.loop.run(SimulatedCluster.LEASE_S + 1);
+        assertNotEquals(old, cluster.leader(), "what it knew before it stopped counts no more");
+        assertEquals(deletionRequests, cluster.cloud.deletionRequests(), "silence that was its own is not believed");
+        assertEquals(
+                outcome, SimulatedCluster.stage(cluster.request(old, "GET", "/api/jobs/j-000002", (JsonNode) null)));
+        cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
+        assertEquals(
+                2,
+                cluster.starts().stream()
+                        .filter(start -> start.startsWith("j-000001"))
+                        .count(),
+                "no lease ran out");
+    }
+
+    @Test
+    void leaderPausedForLessThanALeaseKeepsLeading() {
+        cluster.awaitLeader(10);
+        cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
+        cluster.await(() -> cluster.running().size() == 4, 40);
+        String leader = cluster.leader();
+        int deletionRequests = cluster.cloud.deletionRequests();
+        cluster.nodes.pause(leader, SimulatedCluster.LEASE_S * 0.4);
+        cluster.loop.run(SimulatedCluster.LEASE_S);
+        assertEquals(leader, cluster.leader());
+        assertEquals(deletionRequests, cluster.cloud.deletionRequests(), "silence that was its own is not believed");
+        cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
+        assertEquals(4, cluster.starts().size());
+    }
+
+    @Test
+    void nodePausedInElectionOrFailoverDoesNotLeadAfterwards() {
+        for (int step = 0; step < 12; step++) {
+            SimulatedCluster fresh = new SimulatedCluster(2);
+            fresh.loop.run(0.0004 * step * step); // somewhere between its first request and the end of its failover
+            fresh.nodes.pause("n1", 3 * SimulatedCluster.LEASE_S);
+            fresh.nodes.pause("n0", 0.5);
+            fresh.loop.run(10);
+            assertEquals("n0", fresh.leader(), "step " + step);
+            fresh.submit(SimJobs.array(1, 1).put("expectS", 60.0));
+            fresh.loop.run(3 * SimulatedCluster.LEASE_S);
+            assertEquals("n0", fresh.leader(), "step " + step);
+            fresh.loop.run(60);
+            assertEquals("done", fresh.poll("j-000001"));
+            assertEquals(1, fresh.starts().size());
+        }
+    }
+}
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -16,6 +16,7 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Response;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
@@ -28,7 +29,7 @@
     private void startService(int replicas) {
         cluster.awaitLeader(10);
         cluster.await(() -> cluster.state.value("feature-level") != null, 10);
-        assertEquals(201, cluster.submit(SimulatedCluster.service(1, replicas)));
+        assertEquals(201, cluster.submit(SimJobs.service(1, replicas)));
         cluster.await(() -> cluster.replicas(1) == replicas, 40);
     }
 
@@ -50,7 +51,7 @@
         assertEquals(3, body.path("running").asInt());
         assertEquals(0, body.path("done").asInt());
         assertEquals(3, cluster.starts().size(), "nothing stopped them");
-        assertEquals(200, cluster.submit(SimulatedCluster.service(1, 3)), "a repeat is answered as ever");
+        assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeat is answered as ever");
         assertEquals("cancelled", cluster.cancel("n1", ID));
         cluster.await(() -> cluster.replicas(1) == 0, SimulatedCluster.CANCELLATION_DEADLINE_S);
         cluster.verifyRecovery(60);
@@ -64,7 +65,7 @@
         SimWorker worker = workerOf(ID + "/0");
         worker.endReplicas("done");
         if (underTheNextLeader) {
-            cluster.crashLeader(3);
+            cluster.nodes.crashLeader(3);
         }
         cluster.await(() -> cluster.replicas(1) < 2, 10);
         cluster.await(() -> cluster.replicas(1) == 2, 60);
@@ -98,7 +99,7 @@
         cluster.loop.run(300);
         int starts = cluster.starts().size() - before;
         assertTrue(starts > 2 && starts < 60, starts + " starts in 300 s");
-        cluster.submit(SimulatedCluster.job(2, 2));
+        cluster.submit(SimJobs.array(2, 2));
         cluster.await(() -> cluster.completed().size() >= 2, 60);
         assertEquals("cancelled", cluster.cancel("n0", ID));
         cluster.verifyRecovery(120);
@@ -118,7 +119,7 @@
     @Test
     void replicaMovesOnInterruptionNoticeOnceCapacityExists() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
-        cluster.submit(SimulatedCluster.service(1, 1).put("windfall", true));
+        cluster.submit(SimJobs.service(1, 1).put("windfall", true));
         cluster.await(() -> cluster.replicas(1) == 1, 40);
         SimWorker leaving = workerOf(ID + "/0");
         leaving.announceInterruption(60);
@@ -131,12 +132,12 @@
     @ValueSource(doubles = {0.1, 0.6, 1.2, 1.8, 2.4, 3.0})
     void replicaMoveSurvivesLeaderCrash(double afterS) {
         startService(2);
-        cluster.submit(SimulatedCluster.service(2, 2).put("windfall", true));
+        cluster.submit(SimJobs.service(2, 2).put("windfall", true));
         cluster.await(() -> cluster.replicas(2) == 2, 40);
         SimWorker leaving = workerOf("j-000002/0");
         leaving.announceInterruption(40);
         cluster.loop.run(afterS);
-        cluster.crashLeader(3);
+        cluster.nodes.crashLeader(3);
         cluster.await(() -> !cluster.running().containsValue(leaving.name()), 60);
         cluster.verifyRecovery(90);
     }
@@ -159,7 +160,7 @@
     void servicesRestartAfterAbsenceOfAllNodes() {
         startService(3);
         for (String node : List.of("n0", "n1", "n2")) {
-            cluster.crash(node);
+            cluster.nodes.crash(node);
         }
         cluster.loop.run(SimulatedCluster.LEASE_S + 6);
         assertEquals(0, cluster.replicas(1));
@@ -182,21 +183,21 @@
     void servicePreemptsLowerPriorityTasks() {
         cluster.cloud.limitCapacity(2);
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
-        cluster.submit(SimulatedCluster.job(5, 4)
+        cluster.submit(SimJobs.array(5, 4)
                 .put("expectS", 500.0)
                 .put("rank", "best_effort")
                 .put("windfall", false));
         cluster.await(() -> cluster.running().size() == 4, 40);
-        assertEquals(422, cluster.submit(SimulatedCluster.service(3, 9)), "18 CPUs of 16");
+        assertEquals(422, cluster.submit(SimJobs.service(3, 9)), "18 CPUs of 16");
         cluster.cancel("n0", "j-000005");
         cluster.await(() -> cluster.running().isEmpty(), 40);
-        cluster.submit(SimulatedCluster.job(6, 3)
+        cluster.submit(SimJobs.array(6, 3)
                 .put("expectS", 500.0)
                 .put("rank", "best_effort")
                 .put("windfall", false));
         cluster.await(() -> cluster.running().size() == 3, 40);
         cluster.cloud.limitCapacity(1);
-        cluster.submit(SimulatedCluster.service(1, 2));
+        cluster.submit(SimJobs.service(1, 2));
         cluster.await(() -> cluster.replicas(1) == 2, 40);
     }
 
@@ -204,13 +205,11 @@
     @Test
     void replicasAreSpreadOverMachines() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
-        cluster.submit(SimulatedCluster.job(9, 8)
-                .put("cpus", 2.0)
-                .put("windfall", false)
-                .put("expectS", 20.0));
+        cluster.submit(
+                SimJobs.array(9, 8).put("cpus", 2.0).put("windfall", false).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 8, 40);
         cluster.await(() -> cluster.running().isEmpty(), 60);
-        cluster.submit(SimulatedCluster.service(1, 4).put("scatter", true));
+        cluster.submit(SimJobs.service(1, 4).put("scatter", true));
         cluster.await(() -> cluster.replicas(1) == 4, 60);
         Set<String> machines = new TreeSet<>(cluster.running().values());
         assertTrue(machines.size() >= 2, machines.toString());
@@ -220,11 +219,11 @@
     @Test
     void loweredStateLimitsAreKeptWhileServicesRun() {
         startService(3);
-        cluster.submit(SimulatedCluster.job(2, 5).put("cpus", 1.0).put("expectS", 15.0));
+        cluster.submit(SimJobs.array(2, 5).put("cpus", 1.0).put("expectS", 15.0));
         cluster.loop.run(4);
         cluster.lowerLimits();
-        cluster.crashLeader(2);
-        cluster.submit("n1", SimulatedCluster.service(3, 2));
+        cluster.nodes.crashLeader(2);
+        cluster.submit("n1", SimJobs.service(3, 2));
         cluster.cloud.crash(workerOf(ID + "/1"));
         cluster.verifyRecovery(120);
         assertEquals(0, cluster.state.rejectedTransactions());
@@ -243,7 +242,7 @@
         JsonNode given = value == null
                 ? Json.object().nullNode()
                 : Json.object(("{\"v\":" + value + "}").getBytes()).get("v");
-        assertEquals(status, cluster.submit(SimulatedCluster.service(1, 2).set(field, given)));
+        assertEquals(status, cluster.submit(SimJobs.service(1, 2).set(field, given)));
         assertEquals(status == 201, cluster.state.value("job/" + ID) != null);
     }
 
@@ -251,7 +250,7 @@
     @Test
     void batchJobsAreNotStarvedByServices() {
         startService(4);
-        cluster.submit(SimulatedCluster.job(2, 6).put("rank", "best_effort"));
+        cluster.submit(SimJobs.array(2, 6).put("rank", "best_effort"));
         cluster.await(
                 () -> cluster.completed().stream()
                                 .filter(t -> t.startsWith("j-000002"))
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Response;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
@@ -38,7 +39,7 @@
 
     private void upgradeAll(double apartS) {
         for (String node : List.of("n0", "n1", "n2")) {
-            cluster.upgrade(node, 3);
+            cluster.nodes.upgrade(node, 3);
             cluster.loop.run(apartS);
         }
         awaitLeader();
@@ -53,11 +54,11 @@
     @ValueSource(ints = {0, 1, 2})
     void rollingUpgradeLosesNoTask(int leadersTurn) {
         awaitLeader();
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 70.0));
-        cluster.submit(SimulatedCluster.job(2, 12).put("expectS", 6.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 70.0));
+        cluster.submit(SimJobs.array(2, 12).put("expectS", 6.0));
         cluster.await(() -> !cluster.completed().isEmpty(), 40);
         for (String node : orderWithLeaderAt(leadersTurn)) {
-            cluster.upgrade(node, 3);
+            cluster.nodes.upgrade(node, 3);
             cluster.loop.run(10);
         }
         cluster.verifyRecovery(200);
@@ -69,20 +70,20 @@
     @Test
     void leadershipMovesBetweenOldAndNewVersions() {
         awaitLeader();
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 120.0));
-        cluster.submit(SimulatedCluster.job(2, 20).put("expectS", 4.0));
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 120.0));
+        cluster.submit(SimJobs.array(2, 20).put("expectS", 4.0));
         List<Boolean> versions = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             cluster.loop.run(7);
             awaitLeader();
             String leader = cluster.leader();
-            versions.add(cluster.runsProductionVersion(leader));
+            versions.add(cluster.nodes.runsProductionVersion(leader));
             if (leader.equals("n2")) {
-                cluster.crashLeader(12); // it stays old
-            } else if (cluster.runsProductionVersion(leader)) {
-                cluster.upgrade(leader, 12);
+                cluster.nodes.crashLeader(12); // it stays old
+            } else if (cluster.nodes.runsProductionVersion(leader)) {
+                cluster.nodes.upgrade(leader, 12);
             } else {
-                cluster.downgrade(leader, 12);
+                cluster.nodes.downgrade(leader, 12);
             }
             awaitLeader();
             assertFalse(isLevelRaised(), "an old node is among the members");
@@ -96,18 +97,18 @@
     @Test
     void cancellationSurvivesChangeOfVersion() {
         awaitLeader();
-        cluster.submit(SimulatedCluster.job(1, 4).put("expectS", 300.0));
+        cluster.submit(SimJobs.array(1, 4).put("expectS", 300.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
         String old = cluster.leader();
         assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
-        cluster.upgrade(old, 1);
+        cluster.nodes.upgrade(old, 1);
         awaitLeader();
         cluster.await(() -> cluster.running().isEmpty(), 30);
-        cluster.submit(SimulatedCluster.job(2, 4).put("expectS", 300.0));
+        cluster.submit(SimJobs.array(2, 4).put("expectS", 300.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
         for (String node : List.of("n0", "n1", "n2")) {
-            if (cluster.runsProductionVersion(node)) {
-                cluster.upgrade(node, 2);
+            if (cluster.nodes.runsProductionVersion(node)) {
+                cluster.nodes.upgrade(node, 2);
             }
         }
         awaitLeader();
@@ -119,17 +120,17 @@
     @Test
     void serviceIsAcceptedOnceEveryNodeIsUpgraded() {
         awaitLeader();
-        cluster.upgrade("n0", 2);
+        cluster.nodes.upgrade("n0", 2);
         cluster.loop.run(8);
-        cluster.upgrade("n1", 2);
+        cluster.nodes.upgrade("n1", 2);
         cluster.loop.run(8);
-        Response refusal = cluster.request("n0", "POST", "/api/jobs", SimulatedCluster.service(1, 3));
+        Response refusal = cluster.request("n0", "POST", "/api/jobs", SimJobs.service(1, 3));
         assertEquals(503, refusal.status());
         assertTrue(refusal.retryAfterS() > 0, "the user is told when to come back");
         assertNull(cluster.state.value("job/j-000001"));
-        cluster.upgrade("n2", 2);
+        cluster.nodes.upgrade("n2", 2);
         cluster.await(this::isLevelRaised, 30);
-        assertEquals(201, cluster.submit("n1", SimulatedCluster.service(1, 3)));
+        assertEquals(201, cluster.submit("n1", SimJobs.service(1, 3)));
         cluster.await(() -> cluster.replicas(1) == 3, 40);
         cluster.verifyRecovery(60);
     }
@@ -138,13 +139,13 @@
     @Test
     void nodeRestartedWithOldVersionKeepsFeatureLevel() {
         awaitLeader();
-        cluster.upgrade("n0", 2);
-        cluster.upgrade("n1", 2);
+        cluster.nodes.upgrade("n0", 2);
+        cluster.nodes.upgrade("n1", 2);
         cluster.loop.run(10);
-        cluster.downgrade("n2", 1);
+        cluster.nodes.downgrade("n2", 1);
         cluster.loop.run(20);
         assertFalse(isLevelRaised());
-        cluster.upgrade("n2", 1);
+        cluster.nodes.upgrade("n2", 1);
         cluster.await(this::isLevelRaised, 30);
     }
 
@@ -152,20 +153,20 @@
     @Test
     void stoppedNodeKeepsFeatureLevelUnchanged() {
         awaitLeader();
-        cluster.submit(SimulatedCluster.job(1, 2).put("expectS", 300.0)); // so that workers report to the leader
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 300.0)); // so that workers report to the leader
         cluster.await(() -> cluster.running().size() == 2, 40);
-        cluster.upgrade("n0", 1);
-        cluster.upgrade("n1", 1);
+        cluster.nodes.upgrade("n0", 1);
+        cluster.nodes.upgrade("n1", 1);
         cluster.loop.run(8);
-        cluster.downgrade("n0", 35);
+        cluster.nodes.downgrade("n0", 35);
         cluster.loop.run(5);
-        cluster.upgrade("n2", 10);
+        cluster.nodes.upgrade("n2", 10);
         cluster.loop.run(25);
         assertEquals("n1", cluster.leader(), "it has heard n0 with the new version");
         assertFalse(isLevelRaised(), "n0 is down");
         cluster.loop.run(15);
         assertFalse(isLevelRaised(), "and came back old");
-        cluster.upgrade("n0", 1);
+        cluster.nodes.upgrade("n0", 1);
         cluster.await(this::isLevelRaised, 30);
     }
 
@@ -173,21 +174,21 @@
     @Test
     void partitionedMemberKeepsFeatureLevelUnchanged() {
         awaitLeader();
-        cluster.isolateFromPeers("n2");
+        cluster.nodes.isolateFromPeers("n2");
         upgradeAll(8);
         cluster.loop.run(30);
         assertFalse(isLevelRaised());
-        cluster.reconnectToPeers("n2");
+        cluster.nodes.reconnectToPeers("n2");
         cluster.await(this::isLevelRaised, 10);
     }
 
     @Test
     void featureLevelIsRaisedAfterOutage() {
         awaitLeader();
-        cluster.upgrade("n0", 1);
-        cluster.upgrade("n1", 1);
+        cluster.nodes.upgrade("n0", 1);
+        cluster.nodes.upgrade("n1", 1);
         cluster.loop.run(10);
-        cluster.upgrade("n2", 1);
+        cluster.nodes.upgrade("n2", 1);
         cluster.state.outage(25);
         cluster.loop.run(20);
         assertFalse(isLevelRaised());
@@ -201,9 +202,9 @@
         awaitLeader();
         upgradeAll(4);
         cluster.loop.run(afterS);
-        cluster.crashLeader(3);
+        cluster.nodes.crashLeader(3);
         cluster.await(this::isLevelRaised, 40);
-        assertEquals(201, cluster.submit("n1", SimulatedCluster.service(1, 2)));
+        assertEquals(201, cluster.submit("n1", SimJobs.service(1, 2)));
         cluster.verifyRecovery(60);
     }
 
@@ -213,9 +214,9 @@
         awaitLeader();
         upgradeAll(8);
         cluster.await(this::isLevelRaised, 20);
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         cluster.state.put(LEVEL, Json.object().put("level", 9));
-        cluster.crashLeader(2);
+        cluster.nodes.crashLeader(2);
         cluster.loop.run(40);
         assertNull(cluster.leader());
         assertEquals(
@@ -232,8 +233,7 @@
     @Test
     void largePagesOfProductionAreSplitBeforeLimitsDrop() {
         awaitLeader();
-        cluster.submit(
-                SimulatedCluster.job(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 90.0));
+        cluster.submit(SimJobs.array(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 90.0));
         cluster.await(() -> cluster.running().size() == 320, 40);
         assertTrue(cluster.state.largestValueBytes() > 2048, "production writes large pages");
         upgradeAll(5);
@@ -253,15 +253,14 @@
     @ValueSource(doubles = {0, 0.1, 0.3, 1})
     void largePagesOfProductionAreSplitWhileLimitsDrop(double afterS) {
         awaitLeader();
-        cluster.submit(
-                SimulatedCluster.job(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 60.0));
+        cluster.submit(SimJobs.array(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 320, 40);
         for (String node : List.of("n0", "n1", "n2")) {
-            cluster.crash(node);
+            cluster.nodes.crash(node);
         }
-        cluster.upgrade("n0", 0);
-        cluster.upgrade("n1", 0);
-        cluster.upgrade("n2", 0);
+        cluster.nodes.upgrade("n0", 0);
+        cluster.nodes.upgrade("n1", 0);
+        cluster.nodes.upgrade("n2", 0);
         awaitLeader();
         cluster.loop.run(afterS);
         cluster.lowerLimits();
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -7,12 +7,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.spruceridge.net.Response;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimulatedCluster;
 
@@ -34,7 +36,7 @@
 
     @Test
     void jobIsDoneOnceAllItsTasksAre() {
-        assertEquals(201, cluster.submit(SimulatedCluster.job(1, 6)));
+        assertEquals(201, cluster.submit(SimJobs.array(1, 6)));
         while (cluster.completed().size() < 6) {
             assertTrue(List.of("pending", "running").contains(cluster.poll("j-000001")));
             cluster.loop.run(0.25);
@@ -46,7 +48,7 @@
 
     @Test
     void idleMachineIsScaledIn() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         cluster.loop.run(90);
         assertEquals(0, cluster.cloud.machineCount());
@@ -56,9 +58,9 @@
     void jobOfManyTasksIsRecordedInChunksAndPages() {
         SimulatedCluster small = new SimulatedCluster(2, 6, 2);
         small.loop.run(5);
-        small.submit(SimulatedCluster.job(7, 40).put("expectS", 1.0));
+        small.submit(SimJobs.array(7, 40).put("expectS", 1.0));
         small.loop.run(20);
-        small.crash(small.leader());
+        small.nodes.crash(small.leader());
         small.loop.run(200);
         assertEquals(40, small.completed().size());
         assertEquals("done", small.poll("j-000007"));
@@ -68,7 +70,7 @@
 
     @Test
     void repeatedSubmissionReturnsStateOfJob() {
-        ObjectNode job = SimulatedCluster.job(1, 1);
+        ObjectNode job = SimJobs.array(1, 1);
         assertEquals(201, cluster.submit(job));
         assertEquals(200, cluster.submit(job));
         runUntilDone("j-000001");
@@ -82,39 +84,32 @@
 
     @Test
     void acceptedIdIsNeverRefusedWhateverTheRepeatContains() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         assertEquals(
                 200,
-                cluster.request(
-                                "n1",
-                                "POST",
-                                "/api/jobs",
-                                SimulatedCluster.job(1, 1).put("cpus", -1))
+                cluster.request("n1", "POST", "/api/jobs", SimJobs.array(1, 1).put("cpus", -1))
                         .status());
         assertEquals(
                 200,
-                cluster.request(
-                                "n2",
-                                "POST",
-                                "/api/jobs",
-                                SimulatedCluster.job(1, 1).put("crew", "nobody"))
+                cluster.request("n2", "POST", "/api/jobs", SimJobs.array(1, 1).put("crew", "nobody"))
                         .status());
     }
 
     @Test
     void lostAnswerOfStateServiceIsResolvedBeforeUserResponse() {
-        int[] lost = new int[1];
-        cluster.net.injectFaults((from, to, call) ->
-                call.target().equals("/txn") && new String(call.body()).contains("job/j-000001") && lost[0]++ == 0
-                        ? Delivery.ANSWER_LOST
-                        : Delivery.DELIVERED);
-        assertEquals(200, cluster.submit(SimulatedCluster.job(1, 1)));
+        AtomicInteger lost = new AtomicInteger();
+        cluster.net.injectFaults((from, to, call) -> call.target().equals("/txn")
+                        && new String(call.body()).contains("job/j-000001")
+                        && lost.getAndIncrement() == 0
+                ? Delivery.ANSWER_LOST
+                : Delivery.DELIVERED);
+        assertEquals(200, cluster.submit(SimJobs.array(1, 1)));
         runUntilDone("j-000001");
     }
 
     @Test
     void acceptedJobsAreKnownOnEveryNodeImmediately() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         for (String node : List.of("n0", "n1", "n2")) {
             assertEquals(
                     200,
@@ -133,18 +128,18 @@
 
     @Test
     void terminalStagesOfJobsNeverChange() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         assertEquals("done", SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000001/abort", (JsonNode)
                 null)));
-        cluster.submit(SimulatedCluster.job(2, 1));
+        cluster.submit(SimJobs.array(2, 1));
         assertEquals(
                 "cancelled",
                 SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
         assertEquals(
                 "cancelled",
                 SimulatedCluster.stage(cluster.request("n2", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
-        assertEquals(200, cluster.submit(SimulatedCluster.job(2, 1)));
+        assertEquals(200, cluster.submit(SimJobs.array(2, 1)));
         cluster.loop.run(60);
         assertEquals("cancelled", cluster.poll("j-000002"));
         assertEquals(1, cluster.starts().size());
@@ -181,7 +176,7 @@
         "crew, \"\"",
     })
     void malformedJobIsRejectedWithBadRequest(String field, String value) {
-        String body = new String(org.spruceridge.net.Json.bytes(SimulatedCluster.job(5, 1)), StandardCharsets.UTF_8);
+        String body = new String(org.spruceridge.net.Json.bytes(SimJobs.array(5, 1)), StandardCharsets.UTF_8);
         String broken = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
         Response r = cluster.request("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
         assertEquals(400, r.status(), broken);
@@ -196,14 +191,14 @@
 
     @Test
     void jobThatCanNeverRunIsRejected() {
-        assertEquals(422, cluster.submit(SimulatedCluster.job(1, 1).put("crew", "nobody")));
-        assertEquals(422, cluster.submit(SimulatedCluster.job(2, 1).put("cpus", 9.0)));
-        assertEquals(422, cluster.submit(SimulatedCluster.job(3, 1).put("cpus", 20.0)));
-        assertEquals(422, cluster.submit(SimulatedCluster.job(4, 1).put("grove", "z9")));
-        ObjectNode other = SimulatedCluster.job(5, 1);
+        assertEquals(422, cluster.submit(SimJobs.array(1, 1).put("crew", "nobody")));
+        assertEquals(422, cluster.submit(SimJobs.array(2, 1).put("cpus", 9.0)));
+        assertEquals(422, cluster.submit(SimJobs.array(3, 1).put("cpus", 20.0)));
+        assertEquals(422, cluster.submit(SimJobs.array(4, 1).put("grove", "z9")));
+        ObjectNode other = SimJobs.array(5, 1);
         other.putArray("builds").add("t9");
         assertEquals(422, cluster.submit(other));
-        ObjectNode largerThanItsTeam = SimulatedCluster.job(6, 100);
+        ObjectNode largerThanItsTeam = SimJobs.array(6, 100);
         assertEquals(201, cluster.submit(largerThanItsTeam), "an array may exceed its team's limit as a whole");
     }
 
@@ -224,7 +219,7 @@
 
     @Test
     void metricsReportUserRequestLatencies() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         JsonNode users = cluster.metrics("n0").path("users");
         assertTrue(users.path("count").asLong() > 0);
@@ -234,7 +229,7 @@
     /** An operator on call sees what became of reports, how long the failover took, and how old the leader's view is. */
     @Test
     void metricsReportHeartbeatOutcomesAndFailover() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         JsonNode metrics = cluster.metrics(cluster.leader());
         JsonNode outcomes = metrics.path("reportOutcomes");
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -35,7 +35,7 @@
 
     @Test
     void validHistoryViolatesNoRule() {
-        accept(SimulatedCluster.job(1, 2));
+        accept(SimJobs.array(1, 2));
         rules.recordStart(TASK, "m1", "z1", true);
         rules.recordStart("j-000001/1", "m2", "z2", false);
         rules.recordStop(TASK, "m1");
@@ -47,7 +47,7 @@
         rules.recordAnswer(JOB, 200, "done");
         rules.recordAnswer(JOB, 503, "");
         rules.recordAnswer(JOB, 200, "done");
-        accept(SimulatedCluster.job(2, 1));
+        accept(SimJobs.array(2, 1));
         rules.recordStart("j-000002/0", "m1", "z1", true);
         cancel("j-000002");
         nowS = 29;
@@ -60,14 +60,14 @@
 
     @Test
     void taskOnTwoMachinesViolatesRanTwice() {
-        accept(SimulatedCluster.job(1, 1));
+        accept(SimJobs.array(1, 1));
         rules.recordStart(TASK, "m1", "z1", true);
         assertViolates("ran_twice", () -> rules.recordStart(TASK, "m2", "z1", true));
     }
 
     @Test
     void cpusBeyondTeamLimitViolateQuota() {
-        accept(SimulatedCluster.job(1, 5));
+        accept(SimJobs.array(1, 5));
         for (int i = 0; i < 4; i++) {
             rules.recordStart(JOB + "/" + i, "m" + i, "z1", true);
         }
@@ -76,18 +76,18 @@
 
     @Test
     void taskInForbiddenZoneOrKindViolatesWrongPlace() {
-        accept(SimulatedCluster.job(1, 2).put("windfall", false));
+        accept(SimJobs.array(1, 2).put("windfall", false));
         assertViolates("wrong_place", () -> rules.recordStart(TASK, "m1", "z1", true));
-        accept(SimulatedCluster.job(2, 2).put("grove", "z1"));
+        accept(SimJobs.array(2, 2).put("grove", "z1"));
         assertViolates("wrong_place", () -> rules.recordStart("j-000002/0", "m1", "z2", true));
-        accept(SimulatedCluster.job(3, 2).put("samePlace", true));
+        accept(SimJobs.array(3, 2).put("samePlace", true));
         rules.recordStart("j-000003/0", "m1", "z1", true);
         assertViolates("wrong_place", () -> rules.recordStart("j-000003/1", "m2", "z2", true));
     }
 
     @Test
     void tooManyTasksInOneZoneViolateWrongPlace() {
-        accept(SimulatedCluster.job(1, 3).put("scatter", true));
+        accept(SimJobs.array(1, 3).put("scatter", true));
         rules.recordStart(JOB + "/0", "m1", "z1", true);
         rules.recordStart(JOB + "/1", "m1", "z1", true);
         assertViolates("wrong_place", () -> rules.recordStart(JOB + "/2", "m1", "z1", true));
@@ -95,7 +95,7 @@
 
     @Test
     void cancelledTaskBeyondDeadlineViolatesRanCancelled() {
-        accept(SimulatedCluster.job(1, 1));
+        accept(SimJobs.array(1, 1));
         rules.recordStart(TASK, "m1", "z1", true);
         cancel(JOB);
         nowS = 31;
@@ -104,7 +104,7 @@
 
     @Test
     void startAfterCancellationViolatesRanCancelled() {
-        accept(SimulatedCluster.job(1, 1));
+        accept(SimJobs.array(1, 1));
         cancel(JOB);
         nowS = 5;
         assertViolates("ran_cancelled", () -> rules.recordStart(TASK, "m1", "z1", true));
@@ -112,7 +112,7 @@
 
     @Test
     void unknownAcceptedJobViolatesForgotten() {
-        accept(SimulatedCluster.job(1, 1));
+        accept(SimJobs.array(1, 1));
         for (int status : new int[] {404, 400, 422}) {
             assertViolates("forgotten", () -> rules.recordAnswer(JOB, status, ""));
         }
@@ -125,14 +125,14 @@
 
     @Test
     void doneBeforeAllTasksViolatesNotDone() {
-        accept(SimulatedCluster.job(1, 2));
+        accept(SimJobs.array(1, 2));
         rules.recordCompletion(TASK);
         assertViolates("not_done", () -> rules.recordAnswer(JOB, 200, "done"));
     }
 
     @Test
     void revokedOrUnrequestedEndViolatesWentBack() {
-        accept(SimulatedCluster.job(1, 1));
+        accept(SimJobs.array(1, 1));
         assertViolates("went_back", () -> rules.recordAnswer(JOB, 200, "cancelled"));
         rules.recordCancelRequest(JOB);
         rules.recordAnswer(JOB, 200, "cancelled");
@@ -141,7 +141,7 @@
 
     @Test
     void jobWaitingBesideFreeCapacityIsReported() {
-        accept(SimulatedCluster.job(1, 5));
+        accept(SimJobs.array(1, 5));
         assertEquals(List.of(JOB), rules.waitingJobs());
         for (int i = 0; i < 4; i++) {
             rules.recordStart(JOB + "/" + i, "m" + i / 2, "z1", true);
@@ -163,7 +163,7 @@
 
     @Test
     void unfinishedJobOrLeftoverTaskIsReported() {
-        accept(SimulatedCluster.job(1, 1));
+        accept(SimJobs.array(1, 1));
         assertViolates("left waiting", rules::checkAllFinished);
         rules.recordStart(TASK, "m1", "z1", true);
         rules.recordCompletion(TASK);
@@ -174,7 +174,7 @@
     @Test
     void oneCancelledTaskAmongFourThousandMachinesIsDetected() {
         for (int i = 0; i < 4000; i++) {
-            accept(SimulatedCluster.job(i, 1).put("cpus", 0.001));
+            accept(SimJobs.array(i, 1).put("cpus", 0.001));
             rules.recordStart(String.format("j-%06d/0", i), "m" + i, "z1", true);
         }
         cancel("j-003999");
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.spruceridge.net.BadMessageException;
@@ -29,7 +30,20 @@
     private int capacity = Integer.MAX_VALUE;
     private SimWorker.Behaviour behaviour = SimWorker.Behaviour.COMPLETES;
 
-    private record Host(String zone, boolean spot, long launchedAt, SimWorker[] worker, String[] stage) {}
+    /** A machine that was launched and not deleted; its worker runs once it has booted. */
+    private static final class Host {
+        private final String zone;
+        private final boolean spot;
+        private final long launchedAt;
+        private String stage = "booting";
+        private Optional<SimWorker> worker = Optional.empty();
+
+        Host(String zone, boolean spot, long launchedAt) {
+            this.zone = zone;
+            this.spot = spot;
+            this.launchedAt = launchedAt;
+        }
+    }
 
     SimCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -59,9 +73,7 @@
 
     /** The workers that are up, in the order of their names. */
     public List<SimWorker> workers() {
-        List<SimWorker> out = new ArrayList<>();
-        hosts.values().stream().filter(h -> h.worker[0] != null).forEach(h -> out.add(h.worker[0]));
-        return out;
+        return hosts.values().stream().flatMap(host -> host.worker.stream()).toList();
     }
 
     /** The names of the machines that are up. */
@@ -73,7 +85,7 @@
     public void crash(SimWorker worker) {
         worker.kill();
         Host host = hosts.get(worker.name());
-        cluster.loop.after(Durations.nanos(30), () -> host.stage[0] = "failed");
+        cluster.loop.after(Durations.nanos(30), () -> host.stage = "failed");
     }
 
     @Override
@@ -99,8 +111,8 @@
 
     private void remove(String name) {
         Host host = hosts.remove(name);
-        if (host != null && host.worker[0] != null) {
-            host.worker[0].kill();
+        if (host != null) {
+            host.worker.ifPresent(SimWorker::kill);
         }
     }
 
@@ -124,13 +136,14 @@
 
     private String launchMachine(String zone, boolean spot) {
         String name = String.format("i-%06d", launched++);
-        Host host = new Host(zone, spot, cluster.loop.nanos(), new SimWorker[1], new String[] {"booting"});
+        Host host = new Host(zone, spot, cluster.loop.nanos());
         hosts.put(name, host);
         cluster.loop.after(Durations.nanos(SimulatedCluster.MACHINE_BOOT_S), () -> {
             if (hosts.containsKey(name)) {
-                host.worker[0] = new SimWorker(cluster, name, zone, spot);
-                host.worker[0].setBehaviour(behaviour);
-                host.stage[0] = "running";
+                SimWorker worker = new SimWorker(cluster, name, zone, spot);
+                worker.setBehaviour(behaviour);
+                host.worker = Optional.of(worker);
+                host.stage = "running";
             }
         });
         return name;
@@ -145,7 +158,7 @@
                 .put("build", "t8")
                 .put("grove", h.zone)
                 .put("windfall", h.spot)
-                .put("stage", h.stage[0])
+                .put("stage", h.stage)
                 .put("heldS", Durations.seconds(cluster.loop.nanos() - h.launchedAt)));
         return out;
     }
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -15,7 +15,7 @@
 
 /** A network in memory that can lose, hold and delay messages. */
 public final class SimNet {
-    private static final long LATENCY = Durations.millis(1);
+    private static final long LATENCY_NANOS = Durations.millis(1);
 
     /** What becomes of a request. */
     public enum Delivery {
@@ -35,7 +35,14 @@
         /** Its sender hears nothing; it arrives 2 to 12 seconds later. */
         DELAYED,
         /** It is answered 503. */
-        REFUSED
+        REFUSED;
+
+        private boolean isAnswered() {
+            return switch (this) {
+                case DELIVERED, SLOW, DUPLICATED, DUPLICATED_LATE, REFUSED -> true;
+                case LOST, ANSWER_LOST, HELD, DELAYED -> false;
+            };
+        }
     }
 
     /** Decides over requests. */
@@ -107,58 +114,85 @@
     /** The network as one process has it. */
     HttpClient client(String from, SimLoop.Process process) {
         return (to, call, timeout, done) -> {
-            boolean[] over = new boolean[1];
-            process.after(timeout, () -> {
-                if (!over[0]) {
-                    over[0] = true;
-                    done.accept(HttpAnswer.noResponse());
-                }
-            });
+            Exchange exchange = new Exchange(from, to, call, process, done);
+            process.after(timeout, () -> exchange.complete(HttpAnswer.noResponse()));
+            exchange.send();
+            return exchange::cancel;
+        };
+    }
+
+    /** One request of one process, until its answer, its timeout or its cancellation. */
+    private final class Exchange {
+        private final String from;
+        private final Address to;
+        private final HttpCall call;
+        private final SimLoop.Process process;
+        private final Consumer<HttpAnswer> done;
+        private boolean isComplete;
+
+        Exchange(String from, Address to, HttpCall call, SimLoop.Process process, Consumer<HttpAnswer> done) {
+            this.from = from;
+            this.to = to;
+            this.call = call;
+            this.process = process;
+            this.done = done;
+        }
+
+        void cancel() {
+            isComplete = true;
+        }
+
+        void complete(HttpAnswer answer) {
+            if (!isComplete) {
+                isComplete = true;
+                done.accept(answer);
+            }
+        }
+
+        void send() {
             Delivery delivery = isRefused(from, to) ? Delivery.REFUSED : faultPolicy.deliveryOf(from, to, call);
-            boolean isAnswered = delivery == Delivery.DELIVERED
-                    || delivery == Delivery.SLOW
-                    || delivery == Delivery.DUPLICATED
-                    || delivery == Delivery.DUPLICATED_LATE
-                    || delivery == Delivery.REFUSED;
-            Consumer<HttpAnswer> back = answer -> process.after(LATENCY, () -> {
-                if (!over[0] && isAnswered) {
-                    over[0] = true;
-                    done.accept(answer);
-                }
-            });
-            Runnable arrive = () -> {
-                Server server = servers.get(to);
-                if (server != null) {
-                    server.accept(call, answer -> answer(from, to, call, answer, back));
-                }
-            };
+            Runnable arrival = () -> arrive(delivery);
             switch (delivery) {
-                case DELIVERED, ANSWER_LOST -> loop.after(LATENCY, arrive);
-                case SLOW -> loop.after(Durations.millis(100), arrive);
-                case HELD -> held.add(arrive);
+                case DELIVERED, ANSWER_LOST -> loop.after(LATENCY_NANOS, arrival);
+                case SLOW -> loop.after(Durations.millis(100), arrival);
+                case HELD -> held.add(arrival);
                 case DUPLICATED -> {
-                    loop.after(LATENCY, arrive);
-                    held.add(arrive);
+                    loop.after(LATENCY_NANOS, arrival);
+                    held.add(arrival);
                 }
                 case DUPLICATED_LATE -> {
-                    loop.after(LATENCY, arrive);
-                    loop.after(Durations.nanos(random.nextDouble(2, 1.5 * SimulatedCluster.LEASE_S)), arrive);
+                    loop.after(LATENCY_NANOS, arrival);
+                    loop.after(Durations.nanos(random.nextDouble(2, 1.5 * SimulatedCluster.LEASE_S)), arrival);
                 }
-                case DELAYED -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrive);
-                case REFUSED -> back.accept(new HttpAnswer(503, new byte[0]));
+                case DELAYED -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrival);
+                case REFUSED -> deliverAnswer(delivery, new HttpAnswer(503, new byte[0]));
                 case LOST -> {}
-                default -> throw new IllegalStateException("no such fate: " + delivery);
+                default -> throw new IllegalStateException("unknown delivery: " + delivery);
             }
-            return () -> over[0] = true;
-        };
-    }
+        }
 
-    /** The watch of a node that is refused waits, as in an outage. */
-    private void answer(String from, Address to, HttpCall call, HttpAnswer answer, Consumer<HttpAnswer> back) {
-        if (call.target().startsWith("/follow") && isRefused(from, to)) {
-            loop.after(Durations.millis(50), () -> answer(from, to, call, answer, back));
-        } else {
-            back.accept(answer);
+        private void arrive(Delivery delivery) {
+            Server server = servers.get(to);
+            if (server != null) {
+                server.accept(call, answer -> answer(delivery, answer));
+            }
+        }
+
+        /** The watch of a node that is refused waits, as in an outage. */
+        private void answer(Delivery delivery, HttpAnswer answer) {
+            if (call.target().startsWith("/follow") && isRefused(from, to)) {
+                loop.after(Durations.millis(50), () -> answer(delivery, answer));
+            } else {
+                deliverAnswer(delivery, answer);
+            }
+        }
+
+        private void deliverAnswer(Delivery delivery, HttpAnswer answer) {
+            process.after(LATENCY_NANOS, () -> {
+                if (delivery.isAnswered()) {
+                    complete(answer);
+                }
+            });
         }
     }
 }
--- /dev/null
+++ b/src/test/java/org/spruceridge/sim/SimPeers.java
@@ -0,0 +1,63 @@
+package org.spruceridge.sim;
+
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.spruceridge.net.Durations;
+import org.spruceridge.peer.PeerTransport;
+
+/** The network between the nodes: it delivers peer heartbeats after a millisecond, except to and from isolated nodes. */
+final class SimPeers {
+    private static final long LATENCY_NANOS = Durations.millis(1);
+
+    private final Map<String, Link> links = new TreeMap<>();
+    private final Set<String> isolated = new HashSet<>();
+
+    /** A node's end of the network, which receives nothing before {@link #connect}. */
+    Link link(String node, SimLoop.Process process) {
+        return new Link(node, process);
+    }
+
+    /** Replaces the link of the node's former incarnation. */
+    void connect(Link link) {
+        links.put(link.node, link);
+    }
+
+    /** Drops all heartbeats to and from a node. */
+    void isolate(String node) {
+        isolated.add(node);
+    }
+
+    /** Ends {@link #isolate}. */
+    void reconnect(String node) {
+        isolated.remove(node);
+    }
+
+    /** The transport of one incarnation of a node. */
+    final class Link implements PeerTransport {
+        private final String node;
+        private final SimLoop.Process process;
+        private Consumer<byte[]> receiver = frame -> {};
+
+        private Link(String node, SimLoop.Process process) {
+            this.node = node;
+            this.process = process;
+        }
+
+        @Override
+        public void start(Consumer<byte[]> next) {
+            receiver = next;
+        }
+
+        @Override
+        public void broadcast(byte[] frame) {
+            links.forEach((name, link) -> {
+                if (!name.equals(node) && !isolated.contains(node) && !isolated.contains(name)) {
+                    link.process.after(LATENCY_NANOS, () -> link.receiver.accept(frame));
+                }
+            });
+        }
+    }
+}
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,6 +19,8 @@
 
 /** The state service, written from its published protocol. */
 public final class SimState implements SimNet.Server {
+    private static final int MAX_TRANSACTION_BYTES = 64 << 10;
+
     private final SimLoop loop;
     private int maxOps;
     private double valueKb = SimulatedCluster.VALUE_KB;
@@ -48,7 +51,18 @@
         }
     }
 
-    private record Watch(String prefix, long from, Consumer<HttpAnswer> answer, boolean[] over) {}
+    private static final class Watch {
+        private final String prefix;
+        private final long from;
+        private final Consumer<HttpAnswer> answer;
+        private boolean isAnswered;
+
+        Watch(String prefix, long from, Consumer<HttpAnswer> answer) {
+            this.prefix = prefix;
+            this.from = from;
+            this.answer = answer;
+        }
+    }
 
     /** Takes values of 4 KiB and so many changes a transaction; listings come in pages of {@code pageSize}. */
     public SimState(SimLoop loop, int maxOps, int pageSize) {
@@ -157,35 +171,43 @@
             if (path.equals("/follow")) {
                 openWatch(call.target(), answer);
             } else if (path.equals("/txn")) {
-                if (call.body().length > 64 << 10) {
-                    throw new BadMessageException("too large");
-                }
-                answer.accept(applyTransaction(Json.object(call.body())));
+                answer.accept(applyTransaction(transaction(call.body())));
             } else if (path.equals("/grants")) {
-                Lease lease = new Lease(Durations.millis(Json.number(Json.object(call.body()), "ttlMs")));
-                lease.expiresAt = loop.nanos() + lease.ttl;
-                leases.put(++lastLease, lease);
-                answer.accept(ok(Json.object().put("permit", lastLease)));
+                answer.accept(createLease(Json.object(call.body())));
             } else if (path.startsWith("/grants/")) {
-                answer.accept(lease(call, Long.parseLong(path.split("/")[2])));
+                answer.accept(renewOrRevokeLease(call, Long.parseLong(path.split("/")[2])));
             } else if (path.equals("/store")) {
                 answer.accept(list(call.target()));
             } else {
                 answer.accept(get(path.substring("/store/".length())));
             }
         } catch (BadMessageException e) {
-            answer.accept(new HttpAnswer(400, e.getMessage().getBytes()));
+            answer.accept(new HttpAnswer(400, e.getMessage().getBytes(StandardCharsets.UTF_8)));
+        }
+    }
+
+    private static JsonNode transaction(byte[] body) throws BadMessageException {
+        if (body.length > MAX_TRANSACTION_BYTES) {
+            throw new BadMessageException("too large");
         }
+        return Json.object(body);
+    }
+
+    private HttpAnswer createLease(JsonNode body) throws BadMessageException {
+        Lease lease = new Lease(Durations.millis(Json.number(body, "ttlMs")));
+        lease.expiresAt = loop.nanos() + lease.ttl;
+        leases.put(++lastLease, lease);
+        return ok(Json.object().put("permit", lastLease));
     }
 
-    private HttpAnswer lease(HttpCall call, long id) {
+    private HttpAnswer renewOrRevokeLease(HttpCall call, long id) {
         if (call.method().equals("DELETE")) {
             endLease(id);
             return ok(Json.object());
         }
         Lease lease = leases.get(id);
         if (lease == null) {
-            return new HttpAnswer(404, "{}".getBytes());
+            return new HttpAnswer(404, "{}".getBytes(StandardCharsets.UTF_8));
         }
         lease.expiresAt = loop.nanos() + lease.ttl;
         return ok(Json.object());
@@ -226,7 +248,26 @@
         writes.take(ops.size());
         largestTransactionOps = Math.max(largestTransactionOps, ops.size());
         transactions++;
-        if (ops.size() > maxOps || body.path("guards").size() > 4 * maxOps) {
+        checkSizes(ops, body.path("guards").size());
+        for (JsonNode op : ops) {
+            if (op.has("permit") && !leases.containsKey(op.get("permit").asLong())) {
+                return new HttpAnswer(400, Json.bytes(Json.object().put("error", "no such lease")));
+            }
+        }
+        ArrayNode failed = failedComparisons(Json.list(body, "guards"));
+        if (!failed.isEmpty()) {
+            ObjectNode out = Json.object().put("ring", revision);
+            out.set("failed", failed);
+            return new HttpAnswer(409, Json.bytes(out));
+        }
+        revision++;
+        ops.forEach(this::apply);
+        notifyWatches();
+        return ok(Json.object().put("ring", revision));
+    }
+
+    private void checkSizes(JsonNode ops, int guards) throws BadMessageException {
+        if (ops.size() > maxOps || guards > 4 * maxOps) {
             rejectedTransactions++;
             throw new BadMessageException("too many");
         }
@@ -238,37 +279,31 @@
                 throw new BadMessageException("too large");
             }
         }
-        for (JsonNode op : ops) {
-            if (op.has("permit") && !leases.containsKey(op.get("permit").asLong())) {
-                return new HttpAnswer(400, Json.bytes(Json.object().put("error", "no such lease")));
-            }
-        }
+    }
+
+    /** The keys that do not have the revision which their guard names; a missing key has revision 0. */
+    private ArrayNode failedComparisons(Iterable<JsonNode> guards) throws BadMessageException {
         ArrayNode failed = Json.array();
-        for (JsonNode guard : Json.list(body, "guards")) {
-            Value value = keys.get(Json.text(guard, "k"));
+        for (JsonNode guard : guards) {
+            String key = Json.text(guard, "k");
+            Value value = keys.get(key);
             if ((value == null ? 0 : value.modRevision) != Json.nonNegativeLong(guard, "stamp")) {
-                failed.add(Json.text(guard, "k"));
+                failed.add(key);
             }
         }
-        if (!failed.isEmpty()) {
-            ObjectNode out = Json.object().put("ring", revision);
-            out.set("failed", failed);
-            return new HttpAnswer(409, Json.bytes(out));
-        }
-        revision++;
-        for (JsonNode op : ops) {
-            if (op.has("set")) {
-                String key = op.get("set").asText();
-                keys.put(key, new Value(op.get("v"), revision, op.path("permit").asLong()));
-                ObjectNode change = Json.object().put("set", key).put("stamp", revision);
-                change.set("v", op.get("v"));
-                log.add(change);
-            } else {
-                delete(op.get("drop").asText());
-            }
+        return failed;
+    }
+
+    private void apply(JsonNode op) {
+        if (!op.has("set")) {
+            delete(op.get("drop").asText());
+            return;
         }
-        notifyWatches();
-        return ok(Json.object().put("ring", revision));
+        String key = op.get("set").asText();
+        keys.put(key, new Value(op.get("v"), revision, op.path("permit").asLong()));
+        ObjectNode change = Json.object().put("set", key).put("stamp", revision);
+        change.set("v", op.get("v"));
+        log.add(change);
     }
 
     private void delete(String key) {
@@ -278,8 +313,7 @@
     }
 
     private void openWatch(String target, Consumer<HttpAnswer> answer) {
-        Watch watch = new Watch(
-                query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer, new boolean[1]);
+        Watch watch = new Watch(query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer);
         watches.add(watch);
         loop.after(Durations.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> timeOut(watch));
         notifyWatches();
@@ -306,8 +340,8 @@
                 changes.add(change);
             }
         }
-        if (!watch.over[0] && (evenIfEmpty || !changes.isEmpty())) {
-            watch.over[0] = true;
+        if (!watch.isAnswered && (evenIfEmpty || !changes.isEmpty())) {
+            watch.isAnswered = true;
             watches.remove(watch);
             ObjectNode out = Json.object().put("ring", revision);
             out.set("log", changes);
--- a/src/test/java/org/spruceridge/sim/SimUsers.java
+++ b/src/test/java/org/spruceridge/sim/SimUsers.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Json;
@@ -68,16 +69,14 @@
         }
 
         void sendRequest(int turn) {
-            boolean[] over = new boolean[1];
+            AtomicBoolean isOver = new AtomicBoolean();
             loop.after(Durations.nanos(ANSWER_TIMEOUT_S), () -> {
-                if (!over[0]) {
-                    over[0] = true;
+                if (!isOver.getAndSet(true)) {
                     sendRequest(turn + 1);
                 }
             });
             send.accept(new Call(nodes.get(turn % nodes.size()), request, response -> {
-                if (!over[0]) {
-                    over[0] = true;
+                if (!isOver.getAndSet(true)) {
                     onAnswer(response, turn);
                 }
             }));
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -67,7 +67,7 @@
         this.name = name;
         this.zone = zone;
         this.spot = spot;
-        this.nodes = cluster.nodeNames();
+        this.nodes = cluster.nodes.names();
         this.leaseStart = cluster.loop.nanos();
         cluster.net.serve(address(name), this::acceptCommands);
         heartbeat();
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -3,24 +3,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.TreeSet;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
-import java.util.function.Predicate;
+import java.util.stream.IntStream;
 import org.spruceridge.config.Address;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Durations;
-import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.Json;
 import org.spruceridge.net.Request;
 import org.spruceridge.net.Response;
-import org.spruceridge.peer.PeerTransport;
 import org.spruceridge.record.BindingsRecord;
 
 /**
@@ -48,20 +43,10 @@
     public final SimNet net = new SimNet(loop);
     public final SimState state;
     public final SimCloud cloud;
-    private final List<String> names = new ArrayList<>();
-    private final Map<String, Running> nodes = new TreeMap<>();
+    public final SimNodes nodes;
     public final SimUsers users;
     private final RuleChecker rules;
     private final List<String> starts = new ArrayList<>();
-    private final Set<String> readyNodes = new HashSet<>();
-    private final Set<String> isolatedNodes = new HashSet<>();
-    private int incarnations;
-
-    private final Set<String> productionNodes = new HashSet<>();
-    private final NodeSettings settings;
-
-    private record Running(SimNode node, SimLoop.Process process, Link link) {}
-
     /** The limits of the state service; whether the settings say that they will fall. */
     private record Limits(int txnOps, int pageSize, boolean announcesLowerLimits) {}
 
@@ -99,20 +84,20 @@
     }
 
     private SimulatedCluster(int nodeCount, Limits limits, Size size, boolean production) {
-        this.settings = new NodeSettings(names, size.teamCpus, size.sockets, limits.announcesLowerLimits);
+        List<String> names =
+                IntStream.range(0, nodeCount).mapToObj(i -> "n" + i).toList();
+        NodeSettings settings = new NodeSettings(names, size.teamCpus, size.sockets, limits.announcesLowerLimits);
+        this.nodes = new SimNodes(loop, net, settings, names);
         this.rules = new RuleChecker(loop::nanos, size.teamCpus, CANCELLATION_DEADLINE_S);
         this.users = new SimUsers(loop, rules, this::send);
         this.state = new SimState(loop, limits.txnOps, limits.pageSize);
         this.cloud = new SimCloud(this);
         net.serve(STATE_ADDRESS, state);
         net.serve(CLOUD_ADDRESS, cloud);
-        for (int i = 0; i < nodeCount; i++) {
-            names.add("n" + i);
-        }
         if (production) {
-            productionNodes.addAll(names);
+            nodes.useProductionVersion();
         }
-        names.forEach(this::startNode);
+        names.forEach(nodes::start);
         checkRulesPeriodically();
     }
 
@@ -121,100 +106,24 @@
         loop.after(Durations.millis(100), this::checkRulesPeriodically);
     }
 
-    List<String> nodeNames() {
-        return names;
-    }
-
     /** Where a node serves. */
     public static Address address(String node) {
         return new Address("10.0.0." + node, 8080);
     }
 
-    /** Starts a node, or starts it again after its end. */
-    public void startNode(String name) {
-        SimLoop.Process process = new SimLoop.Process(loop);
-        Link link = new Link(name);
-        SimNode.Parts parts = new SimNode.Parts(
-                process, net.client(name, process), link, new SplittableRandom(++incarnations), settings.of(name));
-        SimNode node = productionNodes.contains(name) ? ProductionVersion.node(parts) : SimNode.current(parts);
-        nodes.put(name, new Running(node, process, link));
-        net.serve(
-                address(name),
-                (call, answer) -> process.after(
-                        0,
-                        () -> node.handle(new Request(call.method(), call.target(), call.body()), response -> {
-                            if (!process.isStopped()) {
-                                answer.accept(new HttpAnswer(response.status(), response.body()));
-                            }
-                        })));
-        process.after(0, () -> node.start(() -> readyNodes.add(name)));
-    }
-
-    /** Ends a node as a kill without a signal does. */
-    public void crash(String name) {
-        readyNodes.remove(name);
-        nodes.get(name).process.kill();
-        net.remove(address(name));
-    }
-
-    /** Ends a node and starts it again with the new version after a while, as its turn in an upgrade. */
-    public void upgrade(String name, double backAfterS) {
-        crash(name);
-        productionNodes.remove(name);
-        loop.after(Durations.nanos(backAfterS), () -> startIfStopped(name));
-    }
-
-    /** Ends a node and starts it again with the version in production. */
-    public void downgrade(String name, double backAfterS) {
-        crash(name);
-        productionNodes.add(name);
-        loop.after(Durations.nanos(backAfterS), () -> startIfStopped(name));
-    }
-
-    /** True if the node runs the version in production. */
-    public boolean runsProductionVersion(String name) {
-        return productionNodes.contains(name);
-    }
-
     /** The state service takes less from now on, without notice. */
     public void lowerLimits() {
         state.lowerLimits(NEXT_VALUE_KB, NEXT_TXN_OPS, NEXT_WRITE_RPS);
     }
 
-    /** Lets a node stand still while its clocks run on. */
-    public void pause(String name, double seconds) {
-        nodes.get(name).process.pause(seconds);
-    }
-
-    /** Cuts a node off from the other nodes, in both directions. */
-    public void isolateFromPeers(String name) {
-        isolatedNodes.add(name);
-    }
-
-    /** The other nodes reach it again, and it them. */
-    public void reconnectToPeers(String name) {
-        isolatedNodes.remove(name);
-    }
-
     /** The name of the node that leads, or null. */
     public String leader() {
-        for (var e : nodes.entrySet()) {
-            if (!e.getValue().process.isStopped() && e.getValue().node.leads()) {
-                return e.getKey();
-            }
-        }
-        return null;
-    }
-
-    /** True once the node has found out since its start where workers belong. */
-    public boolean isReady(String name) {
-        return readyNodes.contains(name);
+        return nodes.leader().orElse(null);
     }
 
     /** A node that runs and does not lead. */
     public String follower() {
-        return names.stream()
-                .filter(n -> !nodes.get(n).process.isStopped() && !n.equals(leader()))
+        return nodes.running(name -> !name.equals(leader())).stream()
                 .findFirst()
                 .orElseThrow();
     }
@@ -225,31 +134,25 @@
     }
 
     public Response request(String node, String method, String path, byte[] body) {
-        Response[] responses = new Response[1];
         String[] steps = path.split("/");
         String id = steps.length > 3 ? steps[3] : "";
         if (path.endsWith("/abort")) {
             rules.recordCancelRequest(id);
         }
-        nodes.get(node).node.handle(new Request(method, path, body), r -> responses[0] = r);
-        for (int i = 0; i < 500 && responses[0] == null; i++) {
+        AtomicReference<Response> received = new AtomicReference<>();
+        nodes.node(node).handle(new Request(method, path, body), received::set);
+        for (int i = 0; i < 500 && received.get() == null; i++) {
             loop.run(0.01);
         }
-        if (responses[0] != null && path.startsWith("/api/jobs/")) {
-            rules.recordAnswer(id, responses[0].status(), responses[0].status() == 200 ? stage(responses[0]) : "");
+        Response response = received.get();
+        if (response != null && path.startsWith("/api/jobs/")) {
+            rules.recordAnswer(id, response.status(), response.status() == 200 ? stage(response) : "");
         }
-        return responses[0];
+        return response;
     }
 
     private void send(SimUsers.Call call) {
-        nodes.get(call.node()).node.handle(call.request(), call.answer());
-    }
-
-    /** The nodes that run, in the order of their names. */
-    public List<String> runningNodes(Predicate<String> which) {
-        return names.stream()
-                .filter(name -> !nodes.get(name).process.isStopped() && which.test(name))
-                .toList();
+        nodes.node(call.node()).handle(call.request(), call.answer());
     }
 
     /** What a node tells operators. */
@@ -272,25 +175,14 @@
         await(() -> leader() != null, seconds);
     }
 
-    /** Ends the leader, if there is one, and starts it again after a while. */
-    public void crashLeader(double backAfterS) {
-        String name = leader();
-        if (name != null) {
-            crash(name);
-            loop.after(Durations.nanos(backAfterS), () -> startIfStopped(name));
-        }
-    }
-
-    /** Starts a node again unless it runs. */
-    public void startIfStopped(String name) {
-        if (nodes.get(name).process.isStopped()) {
-            startNode(name);
-        }
+    /** Lets time pass until a node other than this one leads. */
+    public void awaitLeaderOtherThan(String former, double seconds) {
+        await(() -> leader() != null && !leader().equals(former), seconds);
     }
 
     /** Submits through any node. */
     public int submit(ObjectNode job) {
-        return submit(names.get(0), job);
+        return submit(nodes.names().get(0), job);
     }
 
     public int submit(String node, ObjectNode job) {
@@ -315,7 +207,7 @@
     public void verifyRecovery(double seconds) {
         net.clearFaults();
         net.deliverHeld();
-        names.forEach(this::startIfStopped);
+        nodes.names().forEach(nodes::startIfStopped);
         for (double s = 0; s < seconds && !rules.areAllFinished(); s += 0.5) {
             loop.run(0.5);
             Set<String> waiting = Set.copyOf(rules.waitingJobs());
@@ -324,7 +216,7 @@
         rules.checkAllFinished();
         loop.run(8);
         for (String id : rules.accepted()) {
-            for (String name : names) {
+            for (String name : nodes.names()) {
                 Response r = request(name, "GET", "/api/jobs/" + id, (JsonNode) null);
                 if (r == null || r.status() != 200) {
                     throw new AssertionError("forgotten: " + name + " gives no answer about " + id);
@@ -360,45 +252,9 @@
         }
     }
 
-    /** A job of tasks of 4 CPUs, which run 5 s each. */
-    public static ObjectNode job(int number, int tasks) {
-        return Json.object()
-                .put("nameId", String.format("j-%06d", number))
-                .put("lot", "nightly")
-                .put("crew", "red")
-                .put("shape", "sweep")
-                .put("rank", "normal")
-                .put("parts", tasks)
-                .put("cpus", 4.0)
-                .put("accelerators", 0.0)
-                .put("memGb", 4.0)
-                .put("bundle", "img-1")
-                .put("pullGb", 1.0)
-                .putNull("builds")
-                .putNull("grove")
-                .put("samePlace", false)
-                .put("scatter", false)
-                .put("windfall", true)
-                .put("expectS", 5.0)
-                .put("markEveryS", 0.0)
-                .put("markS", 0.0)
-                .putNull("dueS");
-    }
-
-    /** A service of replicas of 2 CPUs. */
-    public static ObjectNode service(int number, int replicas) {
-        return job(number, replicas)
-                .put("lot", "portal")
-                .put("shape", "standing")
-                .put("rank", "production")
-                .put("cpus", 2.0)
-                .put("windfall", false)
-                .put("expectS", 0.0);
-    }
-
     /** How many replicas of a service are on machines. */
     public long replicas(int number) {
-        String id = String.format("j-%06d", number);
+        String id = SimJobs.id(number);
         return running().keySet().stream().filter(p -> p.startsWith(id + "/")).count();
     }
 
@@ -422,21 +278,6 @@
                 .anyMatch(b -> b.task().job().equals(job));
     }
 
-    /** A report of an idle machine that has not seen any token. */
-    public static ObjectNode heartbeat(String machine, int sequence) {
-        ObjectNode node = Json.object()
-                .put("host", machine)
-                .put("endpoint", "10.1.0.9:9000")
-                .put("build", "t8")
-                .put("grove", "z1")
-                .put("windfall", false)
-                .put("watch", 1)
-                .put("tally", sequence)
-                .put("warrant", 0);
-        node.putArray("parts");
-        return node;
-    }
-
     /** Every start so far, as {@code part@machine}. */
     public List<String> starts() {
         return starts;
@@ -472,27 +313,4 @@
     void taskCompleted(String taskId) {
         rules.recordCompletion(taskId);
     }
-
-    private final class Link implements PeerTransport {
-        private final String from;
-        private Consumer<byte[]> receiver = frame -> {};
-
-        Link(String from) {
-            this.from = from;
-        }
-
-        @Override
-        public void start(Consumer<byte[]> next) {
-            receiver = next;
-        }
-
-        @Override
-        public void broadcast(byte[] frame) {
-            nodes.forEach((name, running) -> {
-                if (!name.equals(from) && !isolatedNodes.contains(from) && !isolatedNodes.contains(name)) {
-                    running.process.after(1_000_000, () -> running.link.receiver.accept(frame));
-                }
-            });
-        }
-    }
 }
