--- a/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
@@ -18,9 +18,9 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskState;
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
-/** Reports are read token by token, and as strictly as trees of them were. */
+/** A heartbeat is read token by token; one that is incomplete or malformed is rejected. */
 final class WorkerHeartbeatTest {
-    private static ObjectNode whole() {
+    private static ObjectNode complete() {
         ObjectNode heartbeat = Json.object()
                 .put("host", "i-000231")
                 .put("endpoint", "10.1.0.232:9000")
@@ -41,7 +41,7 @@
         return heartbeat;
     }
 
-    private static void refused(ObjectNode heartbeat) {
+    private static void assertRejected(ObjectNode heartbeat) {
         byte[] body = Json.bytes(heartbeat);
         assertThrows(
                 BadMessageException.class,
@@ -50,8 +50,8 @@
     }
 
     @Test
-    void aWholeReportIsReadWhateverElseItHolds() throws BadMessageException {
-        ObjectNode heartbeat = whole();
+    void completeHeartbeatIsReadAndUnknownFieldsAreSkipped() throws BadMessageException {
+        ObjectNode heartbeat = complete();
         heartbeat.putObject("news").putArray("of").add(1).addObject().put("any", "kind");
         WorkerHeartbeat expected = new WorkerHeartbeat(
                 "i-000231",
@@ -72,46 +72,47 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"host", "endpoint", "build", "grove", "windfall", "watch", "tally", "warrant", "parts"})
-    void eachFieldIsNeededAndHasItsType(String field) {
-        ObjectNode without = whole();
+    void heartbeatWithAMissingOrMistypedFieldIsRejected(String field) {
+        ObjectNode without = complete();
         without.remove(field);
-        refused(without);
-        refused(whole().putNull(field));
-        refused(whole().put(field, 1.5));
-        refused(whole().put(field, -1));
-        ObjectNode object = whole();
+        assertRejected(without);
+        assertRejected(complete().putNull(field));
+        assertRejected(complete().put(field, 1.5));
+        assertRejected(complete().put(field, -1));
+        ObjectNode object = complete();
         object.putObject(field);
-        refused(object);
+        assertRejected(object);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"part", "try", "stage"})
-    void eachFieldOfATaskIsNeededAndHasItsType(String field) {
-        ObjectNode without = whole();
+    void taskWithAMissingOrMistypedFieldIsRejected(String field) {
+        ObjectNode without = complete();
         ((ObjectNode) without.path("parts").get(0)).remove(field);
-        refused(without);
-        ObjectNode wrong = whole();
+        assertRejected(without);
+        ObjectNode wrong = complete();
         ((ObjectNode) wrong.path("parts").get(0)).put(field, true);
-        refused(wrong);
+        assertRejected(wrong);
     }
 
     @Test
-    void anExitedTaskHasACause() {
-        ObjectNode heartbeat = whole();
+    void exitedTaskWithoutACauseIsRejected() {
+        ObjectNode heartbeat = complete();
         ((ObjectNode) heartbeat.path("parts").get(1)).remove("cause");
-        refused(heartbeat);
+        assertRejected(heartbeat);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "null", "[]", "{", "{\"host\":", "{}{}", "{\"parts\":[1]}", "{\"parts\":[[]]}"})
-    void whatIsNoReportIsRefused(String text) {
+    void bodyThatIsNoHeartbeatIsRejected(String text) {
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
         assertThrows(BadMessageException.class, () -> WorkerHeartbeat.read(body));
     }
 
     @Test
-    void nothingMayFollowAReport() {
-        byte[] body = (new String(Json.bytes(whole()), StandardCharsets.UTF_8) + "{}").getBytes(StandardCharsets.UTF_8);
+    void heartbeatFollowedByAnythingIsRejected() {
+        byte[] body =
+                (new String(Json.bytes(complete()), StandardCharsets.UTF_8) + "{}").getBytes(StandardCharsets.UTF_8);
         assertThrows(BadMessageException.class, () -> WorkerHeartbeat.read(body));
     }
 }
