--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -43,7 +44,7 @@
     private final Settings settings;
     private final Policy policy;
     private final BooleanSupplier leads;
-    private final Supplier<Plan> lastPlan;
+    private final Supplier<Optional<Plan>> lastPlan;
     private final Runnable changed;
     private final FailureDetector failureDetector;
     private final WarmCapacity warmCapacity;
@@ -63,7 +64,7 @@
             Policy policy,
             long term,
             BooleanSupplier leads,
-            Supplier<Plan> lastPlan,
+            Supplier<Optional<Plan>> lastPlan,
             Runnable changed) {
         this.loop = loop;
         this.scope = scope;
@@ -195,10 +196,11 @@
     }
 
     private void rentAndReturn() {
-        Plan plan = lastPlan.get();
-        if (plan == null || cluster.types().isEmpty()) {
+        Optional<Plan> latest = lastPlan.get();
+        if (latest.isEmpty() || cluster.types().isEmpty()) {
             return;
         }
+        Plan plan = latest.get();
         long now = loop.nanos();
         List<WarmCapacity.Wanted> standingBy = warmCapacity.wanted(cluster, now, loop.wallMillis());
         ScaleUpPlanner planner = new ScaleUpPlanner(cluster, rentals::available, smallestTask(plan, standingBy));
--- /dev/null
+++ b/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
@@ -0,0 +1,76 @@
+package org.spruceridge.dispatch;
+
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Cluster;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.persistence.RecordWriter;
+import org.spruceridge.schedule.Plan;
+
+/** Carries out a plan: binds what is placed, and stops what makes room or is to move. */
+final class PlanExecutor {
+    private static final Logger LOG = LoggerFactory.getLogger(PlanExecutor.class);
+
+    private final Cluster cluster;
+    private final RecordWriter recordWriter;
+    private final AttemptNumbers attemptNumbers;
+    private final Consumer<Machine> commandsDue;
+
+    PlanExecutor(
+            Cluster cluster, RecordWriter recordWriter, AttemptNumbers attemptNumbers, Consumer<Machine> commandsDue) {
+        this.cluster = cluster;
+        this.recordWriter = recordWriter;
+        this.attemptNumbers = attemptNumbers;
+        this.commandsDue = commandsDue;
+    }
+
+    /** Carries out a plan that was made at {@code now}, on the steady clock in nanoseconds. */
+    void execute(Plan plan, long now) {
+        for (Plan.Placement placement : plan.placements()) {
+            bind(placement, now);
+        }
+        for (Binding binding : plan.stops()) {
+            preempt(binding, now);
+        }
+        for (Binding binding : plan.moves()) {
+            stopToMove(binding);
+        }
+    }
+
+    private void bind(Plan.Placement placement, long now) {
+        Binding binding = new Binding(
+                placement.job(),
+                placement.index(),
+                attemptNumbers.next(),
+                placement.machine(),
+                Binding.Stage.PROPOSED,
+                now);
+        cluster.bind(binding);
+        recordWriter.bind(binding);
+    }
+
+    private void preempt(Binding binding, long now) {
+        binding.stopMode(Binding.StopMode.CHECKPOINT);
+        binding.machine().lastPreemption(now);
+        logStop(binding, "preempted");
+        commandsDue.accept(binding.machine());
+    }
+
+    /** A replica leaves a machine that is about to be reclaimed, for it has room on another. */
+    private void stopToMove(Binding binding) {
+        binding.stopMode(Binding.StopMode.CHECKPOINT);
+        logStop(binding, "reclaim-notice");
+        commandsDue.accept(binding.machine());
+    }
+
+    private static void logStop(Binding binding, String reason) {
+        LOG.info(
+                "task stopped task={} attempt={} machine={} reason={}",
+                binding.task(),
+                binding.attempt(),
+                binding.machine().name(),
+                reason);
+    }
+}
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -50,8 +50,8 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * A leader of 4,000 machines and 40,000 tasks under small limits of the state service: all is bound, a burst of ends is
- * taken, and another leader takes over; nothing is refused or lost, and transactions, bytes and heap stay within bounds.
+ * A leader of 4,000 machines and 40,000 tasks under small limits of the state service: all is bound, a burst of exits
+ * is recorded, and a failover is complete; nothing is refused or lost, and transactions, bytes and heap stay within bounds.
  */
 final class FleetSizeTest {
     private static final int MACHINES = 4000;
@@ -59,23 +59,23 @@
     private static final int TASKS_PER_JOB = 200;
     private static final int TASKS = JOBS * TASKS_PER_JOB;
     private static final Address HERE = new Address("10.0.0.1", 1);
-    private static final int TXN_OPS = 4;
+    private static final int TRANSACTION_OPERATIONS = 4;
     private static final double VALUE_KB = 2;
     private static final double CHANGES_PER_S = 90;
     /** The deployed heap is 64 MB, and a leader needs some of it for what it is doing. */
-    private static final long MOST_HEAP = 32L << 20;
+    private static final long MAX_HEAP_BYTES = 32L << 20;
     /** Of a cycle on a cluster in which all is full; a walk over all pairs would take a hundred times as much. */
-    private static final long MOST_BYTES_OF_A_CYCLE = 4L << 20;
+    private static final long MAX_CYCLE_ALLOCATION_BYTES = 4L << 20;
 
     private static final Settings SETTINGS = Fixtures.settings(
             ImmutableMap.of("red", new Settings.Team("red", 0, 0, 0, 0)),
             new Settings.Workers(5, 22, 42),
-            new Settings.State(200, 100, VALUE_KB, TXN_OPS),
+            new Settings.State(200, 100, VALUE_KB, TRANSACTION_OPERATIONS),
             new Settings.Cloud(8, 5),
             new Settings.Resources(1, 414, 3203));
 
     private final SimLoop loop = new SimLoop();
-    private final SimState state = new SimState(loop, TXN_OPS, 1000);
+    private final SimState state = new SimState(loop, TRANSACTION_OPERATIONS, 1000);
     private final Matching matching = new Matching(
             SETTINGS,
             Policy.defaults(),
@@ -184,8 +184,8 @@
         }
     }
 
-    /** Each machine reports all its tasks as running but the first, which has ended. */
-    private void burstOfEnds(Term term) {
+    /** Each heartbeat shows all tasks of its machine as running but the first, which has exited. */
+    private void burstOfExits(Term term) {
         for (Machine machine : List.copyOf(term.cluster.machines())) {
             List<TaskStatus> tasks = new ArrayList<>();
             for (Binding b : machine.bindings()) {
@@ -220,36 +220,50 @@
 
     @Test
     void fourThousandMachinesAreServed() {
-        state.lowerLimits(VALUE_KB, TXN_OPS, 100);
+        state.lowerLimits(VALUE_KB, TRANSACTION_OPERATIONS, 100);
         leaderRevision = state.put(Keys.LEADER, Json.object());
+        Term first = termWithAllTasksBound();
+        assertBurstOfExitsIsRecorded(first);
+        assertCycleAllocatesLittle(first);
+        assertFailoverIsComplete();
+    }
+
+    private Term termWithAllTasksBound() {
         long heapBefore = heap();
-        Term first = new Term(1);
-        addJobsAndMachines(first);
-        first.schedulingLoop.request();
-        for (int s = 0; s < 120 && first.committed() < TASKS; s++) {
+        Term term = new Term(1);
+        addJobsAndMachines(term);
+        term.schedulingLoop.request();
+        for (int s = 0; s < 120 && term.committed() < TASKS; s++) {
             loop.run(1);
         }
-        assertEquals(TASKS, first.committed(), "bound");
+        assertEquals(TASKS, term.committed(), "bound");
         assertEquals(0, state.rejected());
         // A page carries all that has gathered for it, and is written a few times at most.
         assertTrue(state.transactions() <= 4 * pages(), state.transactions() + " transactions, " + pages() + " pages");
-        assertTrue(heap() - heapBefore < MOST_HEAP, "heap: " + (heap() - heapBefore));
+        assertTrue(heap() - heapBefore < MAX_HEAP_BYTES, "heap: " + (heap() - heapBefore));
+        return term;
+    }
 
+    private void assertBurstOfExitsIsRecorded(Term term) {
         int transactionsBefore = state.transactions();
-        burstOfEnds(first);
-        for (int s = 0; s < 60 && first.recordWriter.backlog() > 0; s++) {
+        burstOfExits(term);
+        for (int s = 0; s < 60 && term.recordWriter.backlog() > 0; s++) {
             loop.run(1);
         }
-        assertEquals(TASKS - MACHINES, first.committed(), "after the burst");
+        assertEquals(TASKS - MACHINES, term.committed(), "after the burst");
         int burst = state.transactions() - transactionsBefore;
         assertTrue(burst <= 4 * pages(), burst + " transactions, " + pages() + " pages");
+    }
 
+    private void assertCycleAllocatesLittle(Term term) {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
-        matching.plan(first.cluster, loop.nanos(), loop.wallMillis());
+        matching.plan(term.cluster, loop.nanos(), loop.wallMillis());
         long bytes = threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
-        assertTrue(bytes < MOST_BYTES_OF_A_CYCLE, "bytes a cycle: " + bytes);
+        assertTrue(bytes < MAX_CYCLE_ALLOCATION_BYTES, "bytes a cycle: " + bytes);
+    }
 
+    private void assertFailoverIsComplete() {
         Term second = new Term(2);
         boolean[] ready = new boolean[1];
         new Failover(second.context, second.client, second.recordWriter.records()).start(new Failover.Listener() {
@@ -271,16 +285,16 @@
         assertEquals(0, state.rejected());
     }
 
-    /** The attempts of a term are numbers of 24 bits: before they are used up the leader gives the lead up. */
+    /** The attempts of a term are numbers of 24 bits: before they are used up the leader resigns. */
     @Test
-    void aTermEndsBeforeItsAttemptsDo() {
+    void leaderResignsBeforeTheAttemptsOfItsTermAreUsedUp() {
         leaderRevision = state.put(Keys.LEADER, Json.object());
         Term term = new Term(1);
         addJobsAndMachines(term);
         List<String> resigned = new ArrayList<>();
         SchedulingLoop schedulingLoop =
                 new SchedulingLoop(term.context, term.recordWriter, matching, machine -> {}, resigned::add);
-        schedulingLoop.recordAttemptsUsed(SchedulingLoop.MAX_ATTEMPTS - 10);
+        schedulingLoop.recordAttemptsUsed(AttemptNumbers.MAX_PER_TERM - 10);
         schedulingLoop.request();
         loop.run(1);
         assertEquals(1, resigned.size());
