--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -261,10 +261,7 @@
     /** Adds how old the view of cancellations is, and how long ago the oldest unproven stop's job was cancelled. */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
-        double viewAgeS = watch.cancellationViewAgeS();
-        if (Double.isFinite(viewAgeS)) {
-            out.put("viewAgeS", viewAgeS);
-        }
+        watch.cancellationViewAgeS().ifPresent(ageS -> out.put("viewAgeS", ageS));
     }
 
     private Response answer(List<WorkerCommand> commands) {
--- a/src/main/java/org/spruceridge/reconciliation/CancellationSource.java
+++ b/src/main/java/org/spruceridge/reconciliation/CancellationSource.java
@@ -1,24 +1,25 @@
 package org.spruceridge.reconciliation;
 
-/** How a leader came to know that a job was cancelled. */
+/** How the leader learned that a job was cancelled. */
 public enum CancellationSource {
     /** A change of the watched open entries. */
-    WATCH("the watch of open jobs"),
+    WATCH("watch"),
     /** A listing of the open entries that lacks the job. */
-    LISTING("a listing of open jobs"),
-    /** The heartbeat of the node that told the user. */
-    HEARTBEAT("a heartbeat"),
-    /** A write of ours that failed on the job's guard. */
-    FAILED_GUARD("a failed guard");
+    LISTING("listing"),
+    /** The heartbeat of the node that confirmed the cancellation to the user. */
+    HEARTBEAT("peer-heartbeat"),
+    /** A write of this leader that failed on the job's guard. */
+    FAILED_GUARD("failed-guard");
 
-    private final String words;
+    private final String logValue;
 
-    CancellationSource(String words) {
-        this.words = words;
+    CancellationSource(String logValue) {
+        this.logValue = logValue;
     }
 
+    /** The value for log lines. */
     @Override
     public String toString() {
-        return words;
+        return logValue;
     }
 }
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -3,11 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
 import java.util.List;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.Cluster;
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.Machine;
@@ -23,14 +21,15 @@
 import org.spruceridge.record.JobRecord;
 import org.spruceridge.record.Keys;
 import org.spruceridge.state.Change;
+import org.spruceridge.state.Changes;
 import org.spruceridge.state.Entry;
+import org.spruceridge.state.Listing;
 import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 
-/** Learns of accepted and cancelled jobs by watching the open entries of unfinished jobs. */
+/** Learns of accepted and cancelled jobs by watching the open entries, which exist for unfinished jobs only. */
 public final class JobWatcher {
-    private static final Logger LOG = LoggerFactory.getLogger(JobWatcher.class);
     private static final long RETRY_DELAY_NANOS = Durations.millis(250);
 
     private final Loop loop;
@@ -39,15 +38,16 @@
     private final Cluster cluster;
     private final RecordWriter recordWriter;
     private final RateLimitedWarnings warnings;
-    private final long term;
-    private final Consumer<Machine> commandsDue;
+    private final CancellationView view;
+    private final JobCanceller canceller;
     private final Runnable onJobsChanged;
     private final double watchDurationS;
-    private final long maxViewAgeNanos;
     private Cancellable watch = () -> {};
-    private long viewCompleteUpTo = Long.MIN_VALUE;
 
-    /** {@code commandsDue} is told of machines on which something has to be stopped. */
+    /**
+     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code onJobsChanged} after jobs were
+     * added or cancelled.
+     */
     public JobWatcher(
             LeaderContext context,
             StateClient state,
@@ -61,44 +61,35 @@
         this.cluster = context.cluster();
         this.recordWriter = recordWriter;
         this.warnings = context.warnings();
-        this.term = context.term().term();
-        this.commandsDue = commandsDue;
+        this.view = new CancellationView(loop, Durations.nanos(times.maxStalenessS()));
+        this.canceller = new JobCanceller(context, recordWriter, view, commandsDue, onJobsChanged);
         this.onJobsChanged = onJobsChanged;
         this.watchDurationS = times.watchS();
-        this.maxViewAgeNanos = Durations.nanos(times.maxStalenessS());
     }
 
-    /** Every cancellation that was confirmed before this moment is in the cluster state. */
+    /** Records that every cancellation confirmed before this moment is in the cluster state. */
     public void recordViewCompleteUpTo(long moment) {
-        viewCompleteUpTo = Math.max(viewCompleteUpTo, moment);
+        view.recordCompleteUpTo(moment);
     }
 
     /**
-     * True while what is known of cancellations is recent enough for workers to be answered. A renewed grant does not
-     * tell: it may pass while the watch is stuck, and after an outage it has its full time again.
+     * True while the view of cancellations is recent enough for heartbeats to be answered. A renewed leader lease does not
+     * show that: it can be renewed while the watch is stuck, and after an outage it has its full time again.
      */
     public boolean isUpToDate() {
-        return viewCompleteUpTo != Long.MIN_VALUE && loop.nanos() - viewCompleteUpTo < maxViewAgeNanos;
+        return view.isUpToDate();
+    }
+
+    /** How long ago the view of cancellations was complete, in seconds; empty if it never was. */
+    public OptionalDouble cancellationViewAgeS() {
+        return view.ageS();
     }
 
-    /** Follows all changes after a revision. The answer tells of all that came before it was asked for. */
+    /** Follows all changes after a revision. A result is complete up to the moment of its request. */
     public void watchFrom(long revision) {
         long requestedAt = loop.nanos();
-        watch = state.watch(Keys.OPEN, revision, watchDurationS, scope.guard(result -> {
-            if (result.isOk()) {
-                result.value().changes().forEach(this::apply);
-                recordViewCompleteUpTo(requestedAt);
-                if (!result.value().changes().isEmpty()) {
-                    onJobsChanged.run();
-                }
-                watchFrom(result.value().revision());
-            } else if (result.kind() == Result.Kind.TOO_OLD) {
-                relistOpenJobs();
-            } else {
-                // Not the same watch again: should watches alone get no answer, a listing still tells.
-                scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
-            }
-        }));
+        watch = state.watch(
+                Keys.OPEN, revision, watchDurationS, scope.guard(result -> applyWatched(result, requestedAt)));
     }
 
     /** Ends the watch. */
@@ -106,41 +97,28 @@
         watch.cancel();
     }
 
-    /** Marks a job as cancelled by its user: what waits is withdrawn, what runs is stopped. */
+    /** Marks a job as cancelled by its user: what is proposed is withdrawn, and what runs is stopped. */
     public void markCancelled(Job job, CancellationSource source) {
-        if (!job.cancelled()) {
-            job.cancel(viewCompleteUpTo, loop.nanos());
-            recordWriter.withdraw(job);
-            List<Machine> machines =
-                    job.bindings().stream().map(Binding::machine).distinct().toList();
-            log(job, source, machines.size());
-            machines.forEach(commandsDue);
-            onJobsChanged.run();
-        }
+        canceller.cancel(job, source);
     }
 
-    private void log(Job job, CancellationSource source, int machines) {
-        if (machines > 0) {
-            LOG.info(
-                    "term {}: job {} is cancelled, by {}, since {} s at most; {} tasks on {} machines",
-                    term,
-                    job.id(),
-                    source,
-                    Durations.secondsSince(job.cancelledAt(), loop.nanos()),
-                    job.bindings().size(),
-                    machines);
+    private void applyWatched(Result<Changes> result, long requestedAt) {
+        if (result.isOk()) {
+            Changes changes = result.value();
+            changes.changes().forEach(this::apply);
+            view.recordCompleteUpTo(requestedAt);
+            if (!changes.changes().isEmpty()) {
+                onJobsChanged.run();
+            }
+            watchFrom(changes.revision());
+        } else if (result.kind() == Result.Kind.TOO_OLD) {
+            relistOpenJobs();
         } else {
-            LOG.debug("term {}: job {} is cancelled, by {}; no task is bound", term, job.id(), source);
+            // Not the same watch again: if only watches get no answer, a listing still tells.
+            scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
         }
     }
 
-    /** How long ago the view of cancellations was complete, in seconds; infinite if it never was. */
-    public double cancellationViewAgeS() {
-        return viewCompleteUpTo == Long.MIN_VALUE
-                ? Double.POSITIVE_INFINITY
-                : Durations.secondsSince(viewCompleteUpTo, loop.nanos());
-    }
-
     private void apply(Change change) {
         String id = change.key().substring(Keys.OPEN.length());
         if (change.dropped()) {
@@ -150,10 +128,11 @@
         }
     }
 
+    /** The open entry of a job goes with its cancellation, or with the record of its end by this leader. */
     private void openEntryRemoved(String id, CancellationSource source) {
         Job job = cluster.job(id);
         if (job != null && !recordWriter.finishing(job)) {
-            markCancelled(job, source);
+            canceller.cancel(job, source);
         }
     }
 
@@ -164,30 +143,33 @@
         try {
             JobRecord record = JobRecord.read(value);
             cluster.add(new Job(record.spec(), modRevision, record.submittedMs()));
-        } catch (BadMessageException entry) {
-            warnings.warn("unreadable job record", id + ": " + entry.getMessage());
+        } catch (BadMessageException e) {
+            warnings.warn("unreadable job record", "job=" + id + " reason=" + e.getMessage());
         }
     }
 
     private void relistOpenJobs() {
         long requestedAt = loop.nanos();
-        state.list(Keys.OPEN, Priority.HEARTBEATS, scope.guard(listing -> {
-            if (!listing.isOk()) {
-                scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
-                return;
-            }
-            Set<String> open = new HashSet<>();
-            for (Entry entry : listing.value().entries()) {
-                String id = entry.key().substring(Keys.OPEN.length());
-                open.add(id);
-                add(id, entry.value(), entry.modRevision());
-            }
-            List.copyOf(cluster.jobs()).stream()
-                    .filter(job -> !open.contains(job.id()))
-                    .forEach(job -> openEntryRemoved(job.id(), CancellationSource.LISTING));
-            recordViewCompleteUpTo(requestedAt);
-            onJobsChanged.run();
-            watchFrom(listing.value().revision());
-        }));
+        state.list(Keys.OPEN, Priority.HEARTBEATS, scope.guard(listing -> applyListed(listing, requestedAt)));
+    }
+
+    private void applyListed(Result<Listing> result, long requestedAt) {
+        if (!result.isOk()) {
+            scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
+            return;
+        }
+        Listing listing = result.value();
+        Set<String> open = new HashSet<>();
+        for (Entry entry : listing.entries()) {
+            String id = entry.key().substring(Keys.OPEN.length());
+            open.add(id);
+            add(id, entry.value(), entry.modRevision());
+        }
+        List.copyOf(cluster.jobs()).stream()
+                .filter(job -> !open.contains(job.id()))
+                .forEach(job -> openEntryRemoved(job.id(), CancellationSource.LISTING));
+        view.recordCompleteUpTo(requestedAt);
+        onJobsChanged.run();
+        watchFrom(listing.revision());
     }
 }
