--- a/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
+++ b/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
@@ -53,7 +53,7 @@
 
     private void preempt(Binding binding, long now) {
         binding.stopMode(Binding.StopMode.CHECKPOINT);
-        binding.machine().lastPreemption(now);
+        binding.machine().recordPreemption(now);
         logStop(binding, "preempted");
         commandsDue.accept(binding.machine());
     }
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -62,10 +62,10 @@
         this.executor = new PlanExecutor(cluster, recordWriter, attemptNumbers, commandsDue);
         this.resign = resign;
         this.minCycleSpacingNanos =
-                Durations.nanos(context.policy().scheduling().spacingOfReport()
+                Durations.nanos(context.policy().scheduling().minCycleIntervalHeartbeats()
                         * context.settings().workers().heartbeatIntervalS());
         this.maxDecisionDelayNanos =
-                Durations.nanos(context.settings().workers().mostDecisionDelayS());
+                Durations.nanos(context.settings().workers().maxDecisionDelayS());
         this.lastCycleAt = loop.nanos() - minCycleSpacingNanos;
     }
 
--- a/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
@@ -43,7 +43,7 @@
             return;
         }
         job.cancel(view.completeUpTo(), loop.nanos());
-        recordWriter.withdraw(job);
+        recordWriter.withdrawCancelled(job);
         List<Machine> machines =
                 job.bindings().stream().map(Binding::machine).distinct().toList();
         log(job, source, machines.size());
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -19,13 +19,13 @@
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.record.JobRecord;
-import org.spruceridge.record.Keys;
+import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Change;
 import org.spruceridge.state.Changes;
 import org.spruceridge.state.Entry;
 import org.spruceridge.state.Listing;
-import org.spruceridge.state.Result;
 import org.spruceridge.state.StateClient;
+import org.spruceridge.state.StateResult;
 import org.spruceridge.term.LeaderContext;
 
 /** Learns of accepted and cancelled jobs by watching the open entries, which exist for unfinished jobs only. */
@@ -64,7 +64,7 @@
         this.view = new CancellationView(loop, Durations.nanos(times.maxStalenessS()));
         this.canceller = new JobCanceller(context, recordWriter, view, commandsDue, onJobsChanged);
         this.onJobsChanged = onJobsChanged;
-        this.watchDurationS = times.watchS();
+        this.watchDurationS = times.watchTimeoutS();
     }
 
     /** Records that every cancellation confirmed before this moment is in the cluster state. */
@@ -89,7 +89,10 @@
     public void watchFrom(long revision) {
         long requestedAt = loop.nanos();
         watch = state.watch(
-                Keys.OPEN, revision, watchDurationS, scope.guard(result -> applyWatched(result, requestedAt)));
+                StateKeys.OPEN_JOBS_PREFIX,
+                revision,
+                watchDurationS,
+                scope.guard(result -> applyWatched(result, requestedAt)));
     }
 
     /** Ends the watch. */
@@ -102,7 +105,7 @@
         canceller.cancel(job, source);
     }
 
-    private void applyWatched(Result<Changes> result, long requestedAt) {
+    private void applyWatched(StateResult<Changes> result, long requestedAt) {
         if (result.isOk()) {
             Changes changes = result.value();
             changes.changes().forEach(this::apply);
@@ -111,7 +114,7 @@
                 onJobsChanged.run();
             }
             watchFrom(changes.revision());
-        } else if (result.kind() == Result.Kind.TOO_OLD) {
+        } else if (result.outcome() == StateResult.Outcome.REVISION_COMPACTED) {
             relistOpenJobs();
         } else {
             // Not the same watch again: if only watches get no answer, a listing still tells.
@@ -120,7 +123,7 @@
     }
 
     private void apply(Change change) {
-        String id = change.key().substring(Keys.OPEN.length());
+        String id = change.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
         if (change.dropped()) {
             openEntryRemoved(id, CancellationSource.WATCH);
         } else {
@@ -131,7 +134,7 @@
     /** The open entry of a job goes with its cancellation, or with the record of its end by this leader. */
     private void openEntryRemoved(String id, CancellationSource source) {
         Job job = cluster.job(id);
-        if (job != null && !recordWriter.finishing(job)) {
+        if (job != null && !recordWriter.isCompleting(job)) {
             canceller.cancel(job, source);
         }
     }
@@ -150,10 +153,13 @@
 
     private void relistOpenJobs() {
         long requestedAt = loop.nanos();
-        state.list(Keys.OPEN, Priority.HEARTBEATS, scope.guard(listing -> applyListed(listing, requestedAt)));
+        state.list(
+                StateKeys.OPEN_JOBS_PREFIX,
+                Priority.HEARTBEATS,
+                scope.guard(listing -> applyListed(listing, requestedAt)));
     }
 
-    private void applyListed(Result<Listing> result, long requestedAt) {
+    private void applyListed(StateResult<Listing> result, long requestedAt) {
         if (!result.isOk()) {
             scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
             return;
@@ -161,7 +167,7 @@
         Listing listing = result.value();
         Set<String> open = new HashSet<>();
         for (Entry entry : listing.entries()) {
-            String id = entry.key().substring(Keys.OPEN.length());
+            String id = entry.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
             open.add(id);
             add(id, entry.value(), entry.modRevision());
         }
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
@@ -41,8 +41,8 @@
     private static final Policy NO_HOLDING = new Policy(
             Policy.defaults().weights(),
             new Policy.Scheduling(0.1, 10, 0, 240),
-            Policy.defaults().stops(),
-            Policy.defaults().leading(),
+            Policy.defaults().preemption(),
+            Policy.defaults().leadership(),
             Policy.defaults().fleet());
 
     private final Cluster cluster = new Cluster();
@@ -85,8 +85,8 @@
             String type = random.nextBoolean() ? "t4" : "t8";
             String zone = random.nextBoolean() ? "a" : "b";
             Machine m = new Machine("m" + i, "", new MachineKind(type, zone, random.nextBoolean()), NOW, NOW);
-            m.recordHeartbeat(1, 1, "", true, NOW);
-            m.fence();
+            m.recordHeartbeat(1, 1, "", NOW);
+            m.lease().fence();
             cluster.add(m);
             machines.add(m);
             int there = random.nextInt(4);
