--- a/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
+++ b/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
@@ -9,7 +9,7 @@
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.schedule.Plan;
 
-/** Carries out a plan: binds what is placed, and stops what makes room or is to move. */
+/** Carries out a plan: binds what is placed, and stops what is preempted or evicted. */
 final class PlanExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(PlanExecutor.class);
 
@@ -31,11 +31,11 @@
         for (Plan.Placement placement : plan.placements()) {
             bind(placement, now);
         }
-        for (Binding binding : plan.stops()) {
+        for (Binding binding : plan.preemptions()) {
             preempt(binding, now);
         }
-        for (Binding binding : plan.moves()) {
-            stopToMove(binding);
+        for (Binding binding : plan.evictions()) {
+            evict(binding);
         }
     }
 
@@ -58,8 +58,8 @@
         commandsDue.accept(binding.machine());
     }
 
-    /** A replica leaves a machine that is about to be reclaimed, for it has room on another. */
-    private void stopToMove(Binding binding) {
+    /** Gracefully evicts a replica from a machine that is about to be reclaimed, as another has room for it. */
+    private void evict(Binding binding) {
         binding.stopMode(Binding.StopMode.CHECKPOINT);
         logStop(binding, "reclaim-notice");
         commandsDue.accept(binding.machine());
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -118,11 +118,11 @@
     private void log(Plan plan, long startedAt) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "scheduling cycle completed placements={} stops={} unplacedJobs={} groups={} durationMs={}",
+                    "scheduling cycle completed placements={} preemptions={} unplacedJobs={} groups={} durationMs={}",
                     plan.placements().size(),
-                    plan.stops().size(),
+                    plan.preemptions().size(),
                     plan.unplaced().size(),
-                    plan.groups(),
+                    plan.machineGroups(),
                     (loop.nanos() - startedAt) / 1e6);
         }
     }
