--- a/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
+++ b/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
@@ -52,7 +52,7 @@
     }
 
     private void preempt(Binding binding, long now) {
-        binding.stopMode(Binding.StopMode.CHECKPOINT);
+        binding.requestStop(Binding.StopMode.CHECKPOINT);
         binding.machine().recordPreemption(now);
         logStop(binding, "preempted");
         commandsDue.accept(binding.machine());
@@ -60,7 +60,7 @@
 
     /** Gracefully evicts a replica from a machine that is about to be reclaimed, as another has room for it. */
     private void evict(Binding binding) {
-        binding.stopMode(Binding.StopMode.CHECKPOINT);
+        binding.requestStop(Binding.StopMode.CHECKPOINT);
         logStop(binding, "reclaim-notice");
         commandsDue.accept(binding.machine());
     }
--- a/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
@@ -39,7 +39,7 @@
 
     /** Does nothing if the job is cancelled already. */
     void cancel(Job job, CancellationSource source) {
-        if (job.cancelled()) {
+        if (job.isCancelled()) {
             return;
         }
         job.cancel(view.completeUpTo(), loop.nanos());
