--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -4,6 +4,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -43,7 +44,7 @@
     private final Settings settings;
     private final Policy policy;
     private final BooleanSupplier leads;
-    private final Supplier<Plan> lastPlan;
+    private final Supplier<Optional<Plan>> lastPlan;
     private final Runnable changed;
     private final FailureDetector failureDetector;
     private final WarmCapacity warmCapacity;
@@ -63,7 +64,7 @@
             Policy policy,
             long term,
             BooleanSupplier leads,
-            Supplier<Plan> lastPlan,
+            Supplier<Optional<Plan>> lastPlan,
             Runnable changed) {
         this.loop = loop;
         this.scope = scope;
@@ -92,7 +93,7 @@
     private void refreshCatalogue() {
         cloud.catalogue(scope.guard(answer -> {
             answer.ifPresent(types -> {
-                cluster.types(types);
+                cluster.updateTypes(types);
                 changed.run();
             });
             scope.after(answer.isPresent() ? CATALOGUE_EVERY : CloudAccess.RETRY, this::refreshCatalogue);
@@ -144,7 +145,7 @@
                 failed.add(host.name());
                 continue;
             }
-            if (machine == null && !cluster.isGone(host.name())) {
+            if (machine == null && !cluster.wasRemoved(host.name())) {
                 machine = new Machine(
                         host.name(), host.address(), new MachineKind(host.type(), host.zone(), host.spot()), now, now);
                 cluster.add(machine);
@@ -178,14 +179,14 @@
     private void logOverdue(Machine m) {
         long now = loop.nanos();
         m.bindings().stream()
-                .filter(b -> b.job().cancelled())
+                .filter(b -> b.job().isCancelled())
                 .min(Comparator.comparingLong(b -> b.job().cancelledAt()))
                 .ifPresent(b -> LOG.info(
                         "stop overdue: {}, {}, cancelled {} s ago, heard of {} s ago; the machine was last heard {} s ago",
                         b,
                         b.phase(),
                         Durations.secondsSince(b.job().cancelledAt(), now),
-                        Durations.secondsSince(b.job().cancellationHeardAt(), now),
+                        Durations.secondsSince(b.job().cancellationLearnedAt(), now),
                         Durations.secondsSince(m.lease().lastHeartbeat(), now)));
     }
 
@@ -195,10 +196,11 @@
     }
 
     private void rentAndReturn() {
-        Plan plan = lastPlan.get();
-        if (plan == null || cluster.types().isEmpty()) {
+        Optional<Plan> latest = lastPlan.get();
+        if (latest.isEmpty() || cluster.types().isEmpty()) {
             return;
         }
+        Plan plan = latest.get();
         long now = loop.nanos();
         List<WarmCapacity.Wanted> standingBy = warmCapacity.wanted(cluster, now, loop.wallMillis());
         ScaleUpPlanner planner = new ScaleUpPlanner(cluster, rentals::available, smallestTask(plan, standingBy));
@@ -234,7 +236,7 @@
         Stream<JobSpec> specs = Stream.concat(
                 plan.unplaced().keySet().stream().map(Job::spec),
                 standingBy.stream().map(WarmCapacity.Wanted::example));
-        return Resources.leastOf(specs.map(JobSpec::task));
+        return Resources.minOf(specs.map(JobSpec::task));
     }
 
     /** What the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
@@ -244,7 +246,7 @@
         for (Binding b : m.bindings()) {
             double remainingS = b.job().spec().estimateS() - b.elapsedS(now);
             boolean runs = b.phase() == Binding.Phase.RUNNING;
-            if (runs && b.ends() && remainingS < bootS && !b.gone()) {
+            if (runs && b.isExpectedToEnd() && remainingS < bootS && !b.isProvenGone()) {
                 freed = freed.plus(b.job().spec().task());
             }
         }
@@ -285,7 +287,7 @@
     /** The lowest price of a machine's type against its own: the dearer it is, the sooner it is given back. */
     private double cheapness(Machine m) {
         return cluster.typeOf(m)
-                .map(t -> Math.min(t.price(), t.spotPrice()) / t.price(m.spot()))
+                .map(t -> Math.min(t.price(), t.spotPrice()) / t.price(m.isSpot()))
                 .orElse(1.0);
     }
 
@@ -293,7 +295,7 @@
     private static boolean lateStartMayHarm(Machine m) {
         return m.directCommands().hasUncertainStart()
                 && m.bindings().stream()
-                        .anyMatch(b -> b.job().cancelled()
+                        .anyMatch(b -> b.job().isCancelled()
                                 && b.phase() == Binding.Phase.ABSENT
                                 && m.directCommands().isStartUnresolved(b.attempt()));
     }
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -212,7 +212,7 @@
     /** Takes over what is known of the machine types, unless the autoscaler has asked the cloud itself by now. */
     public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
         if (cluster.types().isEmpty()) {
-            cluster.types(types);
+            cluster.updateTypes(types);
         }
     }
 
@@ -261,10 +261,7 @@
     /** Adds how old the view of cancellations is, and how long ago the oldest unproven stop's job was cancelled. */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
-        double viewAgeS = watch.cancellationViewAgeS();
-        if (Double.isFinite(viewAgeS)) {
-            out.put("viewAgeS", viewAgeS);
-        }
+        watch.cancellationViewAgeS().ifPresent(ageS -> out.put("viewAgeS", ageS));
     }
 
     private Response answer(List<WorkerCommand> commands) {
