--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -1,5 +1,6 @@
 package org.spruceridge.autoscaling;
 
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -24,7 +25,7 @@
     private final Cluster cluster;
     private final Settings settings;
     private final BooleanSupplier leads;
-    private final Supplier<Plan> lastPlan;
+    private final Supplier<Optional<Plan>> lastPlan;
     private final Runnable changed;
     private final FailureDetector failureDetector;
     private final MachineListReconciler machineList;
@@ -37,14 +38,14 @@
     /**
      * An autoscaler for one term.
      *
-     * @param lastPlan the plan of the last scheduling cycle, or null before the first one
+     * @param lastPlan the plan of the last scheduling cycle, empty before the first one
      * @param changed asks for a scheduling cycle
      */
     public Autoscaler(
             LeaderContext context,
             CloudClient cloud,
             BindingReleaser releaser,
-            Supplier<Plan> lastPlan,
+            Supplier<Optional<Plan>> lastPlan,
             Runnable changed) {
         this.loop = context.loop();
         this.scope = context.scope();
@@ -121,12 +122,12 @@
     }
 
     private void scale() {
-        Plan plan = lastPlan.get();
-        if (plan == null || cluster.types().isEmpty()) {
+        Optional<Plan> plan = lastPlan.get();
+        if (plan.isEmpty() || cluster.types().isEmpty()) {
             return;
         }
         long now = loop.nanos();
-        Set<Machine> needed = scaleOut.run(plan, now, loop.wallMillis());
+        Set<Machine> needed = scaleOut.run(plan.get(), now, loop.wallMillis());
         scaleIn.run(needed, now);
     }
 
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -110,17 +110,17 @@
      */
     List<Machine> findDead() {
         long now = loop.nanos();
-        List<Machine> findDead = new ArrayList<>();
+        List<Machine> dead = new ArrayList<>();
         if (now < overloadedUntil) {
-            return findDead;
+            return dead;
         }
         Map<String, ZoneCount> zones = zones(now);
         for (Machine machine : cluster.machines()) {
             if (machine.hasReported() ? isDead(machine, zones.get(machine.zone()), now) : failedToBoot(machine, now)) {
-                findDead.add(machine);
+                dead.add(machine);
             }
         }
-        return findDead;
+        return dead;
     }
 
     private Map<String, ZoneCount> zones(long now) {
@@ -152,10 +152,10 @@
     /** Where most machines of a zone are unresponsive, the network is the likely cause, and they may return. */
     private boolean isDead(Machine machine, ZoneCount zone, long now) {
         double leaseS = settings.workers().leaseS();
-        double silentForS = unresponsiveS(machine, now);
+        double unresponsiveForS = unresponsiveS(machine, now);
         // A worker that has not sent a heartbeat to this leader yet may still be looking for it.
-        boolean silent = silentForS > (machine.lease().isFenced() ? deadAfterS() : leaseS);
-        return silent && (responsive(zone, now) || silentForS > PARTITIONED_ZONE_LEASES * leaseS);
+        boolean exceeded = unresponsiveForS > (machine.lease().isFenced() ? deadAfterS() : leaseS);
+        return exceeded && (responsive(zone, now) || unresponsiveForS > PARTITIONED_ZONE_LEASES * leaseS);
     }
 
     /**
@@ -170,9 +170,9 @@
 
     /** For how many seconds the machine has sent no heartbeat, or has not acknowledged a command. */
     private static double unresponsiveS(Machine machine, long now) {
-        double deadAfterS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
+        double silentS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
         return machine.awaitsAcknowledgement()
-                ? Math.max(deadAfterS, Durations.secondsSince(machine.unacknowledgedSince(), now))
-                : deadAfterS;
+                ? Math.max(silentS, Durations.secondsSince(machine.unacknowledgedSince(), now))
+                : silentS;
     }
 }
