--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -31,7 +31,7 @@
     private static final long MOST_BYTES = 3_000_000;
 
     private final Cluster cluster = new Cluster();
-    private final Matching matching = new Matching(MatchingTest.SETTINGS, Policy.defaults(), 50);
+    private final Matching matching = new Matching(MatchingFixture.SETTINGS, Policy.defaults(), 50);
     private int jobs;
 
     private Job job(JobPriority priority, int tasks, double cpus, double estimateS, double deadlineS) {
