--- a/src/test/java/org/spruceridge/record/StoredKeysTest.java
+++ b/src/test/java/org/spruceridge/record/StoredKeysTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Json;
+import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
 /** The keys under which a cluster keeps its records, and the records that have no message class of their own. */
@@ -19,9 +20,9 @@
     /** Five tasks of which four run at a time: once the first have ended, every kind of record is stored. */
     @BeforeEach
     void runAJobHalfway() {
-        cluster.until(() -> cluster.state.value("feature-level") != null, 20);
-        cluster.submit(SimulatedCluster.job(1, 5));
-        cluster.until(
+        cluster.await(() -> cluster.state.value("feature-level") != null, 20);
+        cluster.submit(SimJobs.array(1, 5));
+        cluster.await(
                 () -> !cluster.state.keys("parts/").isEmpty()
                         && !cluster.state.keys("bound/").isEmpty(),
                 60);
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -7,13 +7,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.spruceridge.net.Response;
-import org.spruceridge.sim.SimNet.Fate;
+import org.spruceridge.sim.SimJobs;
+import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimulatedCluster;
 
 /** What users see. */
@@ -34,7 +36,7 @@
 
     @Test
     void jobIsDoneOnceAllItsTasksAre() {
-        assertEquals(201, cluster.submit(SimulatedCluster.job(1, 6)));
+        assertEquals(201, cluster.submit(SimJobs.array(1, 6)));
         while (cluster.completed().size() < 6) {
             assertTrue(List.of("pending", "running").contains(cluster.poll("j-000001")));
             cluster.loop.run(0.25);
@@ -46,34 +48,34 @@
 
     @Test
     void idleMachineIsScaledIn() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         cluster.loop.run(90);
-        assertEquals(0, cluster.cloud.rented());
+        assertEquals(0, cluster.cloud.machineCount());
     }
 
     @Test
     void jobOfManyTasksIsRecordedInChunksAndPages() {
         SimulatedCluster small = new SimulatedCluster(2, 6, 2);
         small.loop.run(5);
-        small.submit(SimulatedCluster.job(7, 40).put("expectS", 1.0));
+        small.submit(SimJobs.array(7, 40).put("expectS", 1.0));
         small.loop.run(20);
-        small.crash(small.leader());
+        small.nodes.crash(small.leader());
         small.loop.run(200);
         assertEquals(40, small.completed().size());
         assertEquals("done", small.poll("j-000007"));
-        assertTrue(small.recorded().isEmpty());
+        assertTrue(small.recordedBindings().isEmpty());
         assertTrue(small.state.keys("open/").isEmpty());
     }
 
     @Test
     void repeatedSubmissionReturnsStateOfJob() {
-        ObjectNode job = SimulatedCluster.job(1, 1);
+        ObjectNode job = SimJobs.array(1, 1);
         assertEquals(201, cluster.submit(job));
         assertEquals(200, cluster.submit(job));
         runUntilDone("j-000001");
         for (String node : List.of("n0", "n1", "n2")) {
-            Response again = cluster.ask(node, "POST", "/api/jobs", job);
+            Response again = cluster.request(node, "POST", "/api/jobs", job);
             assertEquals(200, again.status());
             assertEquals("done", SimulatedCluster.stage(again));
         }
@@ -82,43 +84,36 @@
 
     @Test
     void acceptedIdIsNeverRefusedWhateverTheRepeatContains() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         assertEquals(
                 200,
-                cluster.ask(
-                                "n1",
-                                "POST",
-                                "/api/jobs",
-                                SimulatedCluster.job(1, 1).put("cpus", -1))
+                cluster.request("n1", "POST", "/api/jobs", SimJobs.array(1, 1).put("cpus", -1))
                         .status());
         assertEquals(
                 200,
-                cluster.ask(
-                                "n2",
-                                "POST",
-                                "/api/jobs",
-                                SimulatedCluster.job(1, 1).put("crew", "nobody"))
+                cluster.request("n2", "POST", "/api/jobs", SimJobs.array(1, 1).put("crew", "nobody"))
                         .status());
     }
 
     @Test
     void lostAnswerOfStateServiceIsResolvedBeforeUserResponse() {
-        int[] lost = new int[1];
-        cluster.net.weather((from, to, call) ->
-                call.target().equals("/txn") && new String(call.body()).contains("job/j-000001") && lost[0]++ == 0
-                        ? Fate.ANSWER_LOST
-                        : Fate.DELIVERED);
-        assertEquals(200, cluster.submit(SimulatedCluster.job(1, 1)));
+        AtomicInteger lost = new AtomicInteger();
+        cluster.net.injectFaults((from, to, call) -> call.target().equals("/txn")
+                        && new String(call.body()).contains("job/j-000001")
+                        && lost.getAndIncrement() == 0
+                ? Delivery.ANSWER_LOST
+                : Delivery.DELIVERED);
+        assertEquals(200, cluster.submit(SimJobs.array(1, 1)));
         runUntilDone("j-000001");
     }
 
     @Test
     void acceptedJobsAreKnownOnEveryNodeImmediately() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         for (String node : List.of("n0", "n1", "n2")) {
             assertEquals(
                     200,
-                    cluster.ask(node, "GET", "/api/jobs/j-000001", (JsonNode) null)
+                    cluster.request(node, "GET", "/api/jobs/j-000001", (JsonNode) null)
                             .status());
         }
     }
@@ -127,24 +122,24 @@
     void unknownJobsAreNeverInvented() {
         assertEquals("404", cluster.poll("j-999999"));
         assertEquals("404", cluster.poll("job-1"));
-        Response abort = cluster.ask("n0", "POST", "/api/jobs/j-999999/abort", (JsonNode) null);
+        Response abort = cluster.request("n0", "POST", "/api/jobs/j-999999/abort", (JsonNode) null);
         assertEquals(404, abort.status());
     }
 
     @Test
     void terminalStagesOfJobsNeverChange() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
-        assertEquals(
-                "done", SimulatedCluster.stage(cluster.ask("n1", "POST", "/api/jobs/j-000001/abort", (JsonNode) null)));
-        cluster.submit(SimulatedCluster.job(2, 1));
+        assertEquals("done", SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000001/abort", (JsonNode)
+                null)));
+        cluster.submit(SimJobs.array(2, 1));
         assertEquals(
                 "cancelled",
-                SimulatedCluster.stage(cluster.ask("n1", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
+                SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
         assertEquals(
                 "cancelled",
-                SimulatedCluster.stage(cluster.ask("n2", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
-        assertEquals(200, cluster.submit(SimulatedCluster.job(2, 1)));
+                SimulatedCluster.stage(cluster.request("n2", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
+        assertEquals(200, cluster.submit(SimJobs.array(2, 1)));
         cluster.loop.run(60);
         assertEquals("cancelled", cluster.poll("j-000002"));
         assertEquals(1, cluster.starts().size());
@@ -181,45 +176,50 @@
         "crew, \"\"",
     })
     void malformedJobIsRejectedWithBadRequest(String field, String value) {
-        String body = new String(org.spruceridge.net.Json.bytes(SimulatedCluster.job(5, 1)), StandardCharsets.UTF_8);
+        String body = new String(org.spruceridge.net.Json.bytes(SimJobs.array(5, 1)), StandardCharsets.UTF_8);
         String broken = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
-        Response r = cluster.ask("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
+        Response r = cluster.request("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
         assertEquals(400, r.status(), broken);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "7", "null", "{} {}", "{\"nameId\":\"j-1\",\"nameId\":\"j-1\"}"})
     void bodyThatIsNoObjectIsRejected(String body) {
-        Response r = cluster.ask("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
+        Response r = cluster.request("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
         assertEquals(400, r.status());
     }
 
     @Test
     void jobThatCanNeverRunIsRejected() {
-        assertEquals(422, cluster.submit(SimulatedCluster.job(1, 1).put("crew", "nobody")));
-        assertEquals(422, cluster.submit(SimulatedCluster.job(2, 1).put("cpus", 9.0)));
-        assertEquals(422, cluster.submit(SimulatedCluster.job(3, 1).put("cpus", 20.0)));
-        assertEquals(422, cluster.submit(SimulatedCluster.job(4, 1).put("grove", "z9")));
-        ObjectNode other = SimulatedCluster.job(5, 1);
+        assertEquals(422, cluster.submit(SimJobs.array(1, 1).put("crew", "nobody")));
+        assertEquals(422, cluster.submit(SimJobs.array(2, 1).put("cpus", 9.0)));
+        assertEquals(422, cluster.submit(SimJobs.array(3, 1).put("cpus", 20.0)));
+        assertEquals(422, cluster.submit(SimJobs.array(4, 1).put("grove", "z9")));
+        ObjectNode other = SimJobs.array(5, 1);
         other.putArray("builds").add("t9");
         assertEquals(422, cluster.submit(other));
-        ObjectNode largerThanItsTeam = SimulatedCluster.job(6, 100);
+        ObjectNode largerThanItsTeam = SimJobs.array(6, 100);
         assertEquals(201, cluster.submit(largerThanItsTeam), "an array may exceed its team's limit as a whole");
     }
 
     @Test
     void wrongPathsAndMethodsGetDistinctStatuses() {
-        assertEquals(404, cluster.ask("n0", "GET", "/nothing", (JsonNode) null).status());
         assertEquals(
-                405, cluster.ask("n0", "DELETE", "/api/jobs", (JsonNode) null).status());
-        assertEquals(405, cluster.ask("n0", "GET", "/hello", (JsonNode) null).status());
-        assertEquals(400, cluster.ask("n0", "POST", "/hello", (JsonNode) null).status());
-        assertEquals(200, cluster.ask("n0", "GET", "/healthz", (JsonNode) null).status());
+                404, cluster.request("n0", "GET", "/nothing", (JsonNode) null).status());
+        assertEquals(
+                405,
+                cluster.request("n0", "DELETE", "/api/jobs", (JsonNode) null).status());
+        assertEquals(
+                405, cluster.request("n0", "GET", "/hello", (JsonNode) null).status());
+        assertEquals(
+                400, cluster.request("n0", "POST", "/hello", (JsonNode) null).status());
+        assertEquals(
+                200, cluster.request("n0", "GET", "/healthz", (JsonNode) null).status());
     }
 
     @Test
     void metricsReportUserRequestLatencies() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         JsonNode users = cluster.metrics("n0").path("users");
         assertTrue(users.path("count").asLong() > 0);
@@ -229,7 +229,7 @@
     /** An operator on call sees what became of reports, how long the failover took, and how old the leader's view is. */
     @Test
     void metricsReportHeartbeatOutcomesAndFailover() {
-        cluster.submit(SimulatedCluster.job(1, 1));
+        cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         JsonNode metrics = cluster.metrics(cluster.leader());
         JsonNode outcomes = metrics.path("reportOutcomes");
@@ -244,14 +244,17 @@
 
     @Test
     void nodeThatAloneLosesStateServiceIsUnhealthy() {
-        cluster.net.weather(
-                (from, to, call) -> from.equals("n1") && to.host().startsWith("10.2.0.1") ? Fate.LOST : Fate.DELIVERED);
+        cluster.net.injectFaults((from, to, call) ->
+                from.equals("n1") && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(8);
-        assertEquals(503, cluster.ask("n1", "GET", "/healthz", (JsonNode) null).status());
-        assertEquals(200, cluster.ask("n2", "GET", "/healthz", (JsonNode) null).status());
-        cluster.net.clear();
+        assertEquals(
+                503, cluster.request("n1", "GET", "/healthz", (JsonNode) null).status());
+        assertEquals(
+                200, cluster.request("n2", "GET", "/healthz", (JsonNode) null).status());
+        cluster.net.clearFaults();
         cluster.state.outage(10);
         cluster.loop.run(6);
-        assertEquals(200, cluster.ask("n2", "GET", "/healthz", (JsonNode) null).status(), "an outage is common to all");
+        assertEquals(
+                200, cluster.request("n2", "GET", "/healthz", (JsonNode) null).status(), "an outage is common to all");
     }
 }
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -31,7 +31,7 @@
     private static final long MOST_BYTES = 3_000_000;
 
     private final Cluster cluster = new Cluster();
-    private final Matching matching = new Matching(MatchingTest.SETTINGS, Policy.defaults(), 50);
+    private final Matching matching = new Matching(MatchingFixture.SETTINGS, Policy.defaults(), 50);
     private int jobs;
 
     private Job job(JobPriority priority, int tasks, double cpus, double estimateS, double deadlineS) {
@@ -52,7 +52,7 @@
 
     @BeforeEach
     void fullCluster() {
-        cluster.types(ImmutableMap.of(
+        cluster.updateTypes(ImmutableMap.of(
                 "t4", new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
         Job small = job(JobPriority.NORMAL, 10_000, 1, 60, 1e6);
         Job large = job(JobPriority.LOW, 10_000, 4, 60, 0);
@@ -63,9 +63,9 @@
             machine.lease().fence();
             cluster.add(machine);
             Job running = i % 2 == 0 ? small : large;
-            for (int k = 0; running.spec().task().fitsIn(cluster.free(machine)); k++) {
+            for (int k = 0; running.spec().task().fitsIn(cluster.freeCapacity(machine)); k++) {
                 Binding b = new Binding(running, running.nextWaiting(0), 1, machine, Binding.Stage.COMMITTED, NOW);
-                b.phase(Binding.Phase.RUNNING, NOW);
+                b.recordPhase(Binding.Phase.RUNNING, NOW);
                 cluster.bind(b);
             }
         }
@@ -90,7 +90,7 @@
         }
         long bytes = (threads.getCurrentThreadAllocatedBytes() - before) / 10;
         assertEquals(0, plan.placements().size());
-        assertTrue(plan.stops().size() > 0, "no stop was planned");
+        assertTrue(plan.preemptions().size() > 0, "no stop was planned");
         assertTrue(bytes < MOST_BYTES, "bytes a cycle: " + bytes);
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -15,10 +15,10 @@
 
 /** A network in memory that can lose, hold and delay messages. */
 public final class SimNet {
-    private static final long LATENCY = Durations.millis(1);
+    private static final long LATENCY_NANOS = Durations.millis(1);
 
     /** What becomes of a request. */
-    public enum Fate {
+    public enum Delivery {
         DELIVERED,
         /** It arrives a tenth of a second later than others. */
         SLOW,
@@ -29,18 +29,25 @@
         /** Its sender gives up; it arrives when held messages are let go. */
         HELD,
         /** It arrives, and a copy of it when held messages are let go. */
-        COPIED,
+        DUPLICATED,
         /** It arrives, and a copy of it some seconds to more than a lease later. */
-        COPIED_LATE,
+        DUPLICATED_LATE,
         /** Its sender hears nothing; it arrives 2 to 12 seconds later. */
-        LATE,
+        DELAYED,
         /** It is answered 503. */
-        REFUSED
+        REFUSED;
+
+        private boolean isAnswered() {
+            return switch (this) {
+                case DELIVERED, SLOW, DUPLICATED, DUPLICATED_LATE, REFUSED -> true;
+                case LOST, ANSWER_LOST, HELD, DELAYED -> false;
+            };
+        }
     }
 
     /** Decides over requests. */
-    public interface Weather {
-        Fate fate(String from, Address to, HttpCall call);
+    public interface FaultPolicy {
+        Delivery deliveryOf(String from, Address to, HttpCall call);
     }
 
     /** Takes requests at an address. */
@@ -51,45 +58,46 @@
     private final List<Runnable> held = new ArrayList<>();
     private final SplittableRandom random = new SplittableRandom(1);
     private final Map<String, Long> refusedUntil = new HashMap<>();
-    private Weather weather = (from, to, call) -> Fate.DELIVERED;
+    private FaultPolicy faultPolicy = (from, to, call) -> Delivery.DELIVERED;
 
     SimNet(SimLoop loop) {
         this.loop = loop;
     }
 
-    public void weather(Weather next) {
-        weather = next;
+    public void injectFaults(FaultPolicy next) {
+        faultPolicy = next;
     }
 
     /** The state service refuses this node alone for a while; its open watches wait. */
-    public void refuse(String node, double seconds) {
+    public void refuseStateRequests(String node, double seconds) {
         refusedUntil.put(node, loop.nanos() + Durations.nanos(seconds));
     }
 
-    private boolean refused(String from, Address to) {
-        return to.equals(SimulatedCluster.STATE) && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
+    private boolean isRefused(String from, Address to) {
+        return to.equals(SimulatedCluster.STATE_ADDRESS)
+                && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
     }
 
     /** No message is lost or held any more, and no node refused. */
-    public void clear() {
+    public void clearFaults() {
         refusedUntil.clear();
-        weather = (from, to, call) -> Fate.DELIVERED;
+        faultPolicy = (from, to, call) -> Delivery.DELIVERED;
     }
 
     /** Messages that are held now. */
-    public int held() {
+    public int heldCount() {
         return held.size();
     }
 
     /** Delivers all held messages, late. */
-    public void letGo() {
+    public void deliverHeld() {
         List<Runnable> late = List.copyOf(held);
         held.clear();
         late.forEach(Runnable::run);
     }
 
     /** Delivers the message that has been held longest, if there is one. */
-    public void letOneGo() {
+    public void deliverOldestHeld() {
         if (!held.isEmpty()) {
             held.remove(0).run();
         }
@@ -106,58 +114,85 @@
     /** The network as one process has it. */
     HttpClient client(String from, SimLoop.Process process) {
         return (to, call, timeout, done) -> {
-            boolean[] over = new boolean[1];
-            process.after(timeout, () -> {
-                if (!over[0]) {
-                    over[0] = true;
-                    done.accept(HttpAnswer.silence());
-                }
-            });
-            Fate fate = refused(from, to) ? Fate.REFUSED : weather.fate(from, to, call);
-            boolean heard = fate == Fate.DELIVERED
-                    || fate == Fate.SLOW
-                    || fate == Fate.COPIED
-                    || fate == Fate.COPIED_LATE
-                    || fate == Fate.REFUSED;
-            Consumer<HttpAnswer> back = answer -> process.after(LATENCY, () -> {
-                if (!over[0] && heard) {
-                    over[0] = true;
-                    done.accept(answer);
-                }
-            });
-            Runnable arrive = () -> {
-                Server server = servers.get(to);
-                if (server != null) {
-                    server.accept(call, answer -> answer(from, to, call, answer, back));
-                }
-            };
-            switch (fate) {
-                case DELIVERED, ANSWER_LOST -> loop.after(LATENCY, arrive);
-                case SLOW -> loop.after(Durations.millis(100), arrive);
-                case HELD -> held.add(arrive);
-                case COPIED -> {
-                    loop.after(LATENCY, arrive);
-                    held.add(arrive);
+            Exchange exchange = new Exchange(from, to, call, process, done);
+            process.after(timeout, () -> exchange.complete(HttpAnswer.noResponse()));
+            exchange.send();
+            return exchange::cancel;
+        };
+    }
+
+    /** One request of one process, until its answer, its timeout or its cancellation. */
+    private final class Exchange {
+        private final String from;
+        private final Address to;
+        private final HttpCall call;
+        private final SimLoop.Process process;
+        private final Consumer<HttpAnswer> done;
+        private boolean isComplete;
+
+        Exchange(String from, Address to, HttpCall call, SimLoop.Process process, Consumer<HttpAnswer> done) {
+            this.from = from;
+            this.to = to;
+            this.call = call;
+            this.process = process;
+            this.done = done;
+        }
+
+        void cancel() {
+            isComplete = true;
+        }
+
+        void complete(HttpAnswer answer) {
+            if (!isComplete) {
+                isComplete = true;
+                done.accept(answer);
+            }
+        }
+
+        void send() {
+            Delivery delivery = isRefused(from, to) ? Delivery.REFUSED : faultPolicy.deliveryOf(from, to, call);
+            Runnable arrival = () -> arrive(delivery);
+            switch (delivery) {
+                case DELIVERED, ANSWER_LOST -> loop.after(LATENCY_NANOS, arrival);
+                case SLOW -> loop.after(Durations.millis(100), arrival);
+                case HELD -> held.add(arrival);
+                case DUPLICATED -> {
+                    loop.after(LATENCY_NANOS, arrival);
+                    held.add(arrival);
                 }
-                case COPIED_LATE -> {
-                    loop.after(LATENCY, arrive);
-                    loop.after(Durations.nanos(random.nextDouble(2, 1.5 * SimulatedCluster.LEASE_S)), arrive);
+                case DUPLICATED_LATE -> {
+                    loop.after(LATENCY_NANOS, arrival);
+                    loop.after(Durations.nanos(random.nextDouble(2, 1.5 * SimulatedCluster.LEASE_S)), arrival);
                 }
-                case LATE -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrive);
-                case REFUSED -> back.accept(new HttpAnswer(503, new byte[0]));
+                case DELAYED -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrival);
+                case REFUSED -> deliverAnswer(delivery, new HttpAnswer(503, new byte[0]));
                 case LOST -> {}
-                default -> throw new IllegalStateException("no such fate: " + fate);
+                default -> throw new IllegalStateException("unknown delivery: " + delivery);
             }
-            return () -> over[0] = true;
-        };
-    }
+        }
 
-    /** The watch of a node that is refused waits, as in an outage. */
-    private void answer(String from, Address to, HttpCall call, HttpAnswer answer, Consumer<HttpAnswer> back) {
-        if (call.target().startsWith("/follow") && refused(from, to)) {
-            loop.after(Durations.millis(50), () -> answer(from, to, call, answer, back));
-        } else {
-            back.accept(answer);
+        private void arrive(Delivery delivery) {
+            Server server = servers.get(to);
+            if (server != null) {
+                server.accept(call, answer -> answer(delivery, answer));
+            }
+        }
+
+        /** The watch of a node that is refused waits, as in an outage. */
+        private void answer(Delivery delivery, HttpAnswer answer) {
+            if (call.target().startsWith("/follow") && isRefused(from, to)) {
+                loop.after(Durations.millis(50), () -> answer(delivery, answer));
+            } else {
+                deliverAnswer(delivery, answer);
+            }
+        }
+
+        private void deliverAnswer(Delivery delivery, HttpAnswer answer) {
+            process.after(LATENCY_NANOS, () -> {
+                if (delivery.isAnswered()) {
+                    complete(answer);
+                }
+            });
         }
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,13 +19,15 @@
 
 /** The state service, written from its published protocol. */
 public final class SimState implements SimNet.Server {
+    private static final int MAX_TRANSACTION_BYTES = 64 << 10;
+
     private final SimLoop loop;
-    private int txnOps;
+    private int maxOps;
     private double valueKb = SimulatedCluster.VALUE_KB;
-    private int rejected;
+    private int rejectedTransactions;
     private int transactions;
-    private int largest;
-    private int mostChanges;
+    private int largestValue;
+    private int largestTransactionOps;
     private final int pageSize;
     private final TreeMap<String, Value> keys = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
@@ -35,66 +38,77 @@
     private long outageUntil;
     private final RateLimit requests;
     private RateLimit writes;
-    private boolean writesRefused;
+    private boolean refusesExcessWrites;
 
     private record Value(JsonNode json, long modRevision, long leaseId) {}
 
     private static final class Lease {
         private final long ttl;
-        private long until;
+        private long expiresAt;
 
         Lease(long ttl) {
             this.ttl = ttl;
         }
     }
 
-    private record Watch(String prefix, long from, Consumer<HttpAnswer> answer, boolean[] over) {}
+    private static final class Watch {
+        private final String prefix;
+        private final long from;
+        private final Consumer<HttpAnswer> answer;
+        private boolean isAnswered;
+
+        Watch(String prefix, long from, Consumer<HttpAnswer> answer) {
+            this.prefix = prefix;
+            this.from = from;
+            this.answer = answer;
+        }
+    }
 
     /** Takes values of 4 KiB and so many changes a transaction; listings come in pages of {@code pageSize}. */
-    public SimState(SimLoop loop, int txnOps, int pageSize) {
+    public SimState(SimLoop loop, int maxOps, int pageSize) {
         this.loop = loop;
-        this.txnOps = txnOps;
+        this.maxOps = maxOps;
         this.pageSize = pageSize;
         this.requests = new RateLimit("requests", SimulatedCluster.STATE_RPS, 1, loop::nanos);
         this.writes = new RateLimit("writes", SimulatedCluster.STATE_WRITE_RPS, 1, loop::nanos);
-        expire();
+        expireLeases();
     }
 
     /** Refuses everything for a while; grants get their full time back after it. */
     public void outage(double seconds) {
         outageUntil = loop.nanos() + Durations.nanos(seconds);
-        loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.until = loop.nanos() + g.ttl));
+        loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.expiresAt = loop.nanos() + g.ttl));
     }
 
     /** Takes less from now on: larger values and transactions get 400, changes beyond the rate 429. */
     public void lowerLimits(double nextValueKb, int nextTxnOps, double writeRps) {
         valueKb = nextValueKb;
-        txnOps = nextTxnOps;
+        maxOps = nextTxnOps;
         writes = new RateLimit("writes", writeRps, 1, loop::nanos);
-        refuseChangesBeyondTheRate();
+        refuseWritesBeyondRate();
     }
 
     /** Answers 429 to changes beyond the rate, as the service does, where a scenario would otherwise fail. */
-    public void refuseChangesBeyondTheRate() {
-        writesRefused = true;
+    public void refuseWritesBeyondRate() {
+        refusesExcessWrites = true;
     }
 
     /** Transactions that were refused because they, or a value in them, were too large. */
-    public int rejected() {
-        return rejected;
+    public int rejectedTransactions() {
+        return rejectedTransactions;
     }
 
     /** The largest value that was written since this was last asked for, in bytes. */
-    public int largestValue() {
-        int was = largest;
-        largest = 0;
+    public int largestValueBytes() {
+        int was = largestValue;
+        largestValue = 0;
         return was;
     }
 
     /** The most changes of one transaction since this was last asked for. */
-    public int mostChanges() {
-        int was = mostChanges;
-        mostChanges = 0;
+    public int largestTransactionOps() {
+        int was = largestTransactionOps;
+        largestTransactionOps = 0;
         return was;
     }
 
@@ -119,75 +133,83 @@
         return Set.copyOf(keys.subMap(prefix, prefix + '\uffff').keySet());
     }
 
-    private boolean out() {
+    private boolean isOut() {
         return loop.nanos() < outageUntil;
     }
 
-    private void expire() {
-        if (!out()) {
+    private void expireLeases() {
+        if (!isOut()) {
             for (long id : List.copyOf(leases.keySet())) {
-                if (leases.get(id).until < loop.nanos()) {
-                    end(id);
+                if (leases.get(id).expiresAt < loop.nanos()) {
+                    endLease(id);
                 }
             }
         }
-        loop.after(Durations.millis(20), this::expire);
+        loop.after(Durations.millis(20), this::expireLeases);
     }
 
-    private void end(long leaseId) {
+    private void endLease(long leaseId) {
         leases.remove(leaseId);
         for (String key : List.copyOf(keys.keySet())) {
             if (keys.get(key).leaseId == leaseId) {
                 revision++;
-                drop(key);
+                delete(key);
             }
         }
-        wake();
+        notifyWatches();
     }
 
     @Override
     public void accept(HttpCall call, Consumer<HttpAnswer> answer) {
         requests.take(1);
-        if (out()) {
+        if (isOut()) {
             answer.accept(new HttpAnswer(503, new byte[0]));
             return;
         }
         String path = call.target().split("\\?")[0];
         try {
             if (path.equals("/follow")) {
-                follow(call.target(), answer);
+                openWatch(call.target(), answer);
             } else if (path.equals("/txn")) {
-                if (call.body().length > 64 << 10) {
-                    throw new BadMessageException("too large");
-                }
-                answer.accept(txn(Json.object(call.body())));
+                answer.accept(applyTransaction(transaction(call.body())));
             } else if (path.equals("/grants")) {
-                Lease lease = new Lease(Durations.millis(Json.number(Json.object(call.body()), "ttlMs")));
-                lease.until = loop.nanos() + lease.ttl;
-                leases.put(++lastLease, lease);
-                answer.accept(ok(Json.object().put("permit", lastLease)));
+                answer.accept(createLease(Json.object(call.body())));
             } else if (path.startsWith("/grants/")) {
-                answer.accept(lease(call, Long.parseLong(path.split("/")[2])));
+                answer.accept(renewOrRevokeLease(call, Long.parseLong(path.split("/")[2])));
             } else if (path.equals("/store")) {
                 answer.accept(list(call.target()));
             } else {
                 answer.accept(get(path.substring("/store/".length())));
             }
         } catch (BadMessageException e) {
-            answer.accept(new HttpAnswer(400, e.getMessage().getBytes()));
+            answer.accept(new HttpAnswer(400, e.getMessage().getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    private HttpAnswer lease(HttpCall call, long id) {
+    private static JsonNode transaction(byte[] body) throws BadMessageException {
+        if (body.length > MAX_TRANSACTION_BYTES) {
+            throw new BadMessageException("too large");
+        }
+        return Json.object(body);
+    }
+
+    private HttpAnswer createLease(JsonNode body) throws BadMessageException {
+        Lease lease = new Lease(Durations.millis(Json.number(body, "ttlMs")));
+        lease.expiresAt = loop.nanos() + lease.ttl;
+        leases.put(++lastLease, lease);
+        return ok(Json.object().put("permit", lastLease));
+    }
+
+    private HttpAnswer renewOrRevokeLease(HttpCall call, long id) {
         if (call.method().equals("DELETE")) {
-            end(id);
+            endLease(id);
             return ok(Json.object());
         }
         Lease lease = leases.get(id);
         if (lease == null) {
-            return new HttpAnswer(404, "{}".getBytes());
+            return new HttpAnswer(404, "{}".getBytes(StandardCharsets.UTF_8));
         }
-        lease.until = loop.nanos() + lease.ttl;
+        lease.expiresAt = loop.nanos() + lease.ttl;
         return ok(Json.object());
     }
 
@@ -218,83 +240,95 @@
         return ok(out.put("truncated", more));
     }
 
-    private HttpAnswer txn(JsonNode body) throws BadMessageException {
+    private HttpAnswer applyTransaction(JsonNode body) throws BadMessageException {
         JsonNode ops = body.path("then");
-        if (writesRefused && !writes.allows(ops.size())) {
+        if (refusesExcessWrites && !writes.allows(ops.size())) {
             return new HttpAnswer(429, new byte[0]);
         }
         writes.take(ops.size());
-        mostChanges = Math.max(mostChanges, ops.size());
+        largestTransactionOps = Math.max(largestTransactionOps, ops.size());
         transactions++;
-        if (ops.size() > txnOps || body.path("guards").size() > 4 * txnOps) {
-            rejected++;
-            throw new BadMessageException("too many");
-        }
-        for (JsonNode op : ops) {
-            int bytes = Json.bytes(Json.object().set("v", op.path("v"))).length;
-            largest = Math.max(largest, bytes);
-            if (bytes > valueKb * 1024) {
-                rejected++;
-                throw new BadMessageException("too large");
-            }
-        }
+        checkSizes(ops, body.path("guards").size());
         for (JsonNode op : ops) {
             if (op.has("permit") && !leases.containsKey(op.get("permit").asLong())) {
                 return new HttpAnswer(400, Json.bytes(Json.object().put("error", "no such lease")));
             }
         }
-        ArrayNode failed = Json.array();
-        for (JsonNode guard : Json.list(body, "guards")) {
-            Value value = keys.get(Json.text(guard, "k"));
-            if ((value == null ? 0 : value.modRevision) != Json.whole(guard, "stamp")) {
-                failed.add(Json.text(guard, "k"));
-            }
-        }
+        ArrayNode failed = failedComparisons(Json.list(body, "guards"));
         if (!failed.isEmpty()) {
             ObjectNode out = Json.object().put("ring", revision);
             out.set("failed", failed);
             return new HttpAnswer(409, Json.bytes(out));
         }
         revision++;
+        ops.forEach(this::apply);
+        notifyWatches();
+        return ok(Json.object().put("ring", revision));
+    }
+
+    private void checkSizes(JsonNode ops, int guards) throws BadMessageException {
+        if (ops.size() > maxOps || guards > 4 * maxOps) {
+            rejectedTransactions++;
+            throw new BadMessageException("too many");
+        }
         for (JsonNode op : ops) {
-            if (op.has("set")) {
-                String key = op.get("set").asText();
-                keys.put(key, new Value(op.get("v"), revision, op.path("permit").asLong()));
-                ObjectNode change = Json.object().put("set", key).put("stamp", revision);
-                change.set("v", op.get("v"));
-                log.add(change);
-            } else {
-                drop(op.get("drop").asText());
+            int bytes = Json.bytes(Json.object().set("v", op.path("v"))).length;
+            largestValue = Math.max(largestValue, bytes);
+            if (bytes > valueKb * 1024) {
+                rejectedTransactions++;
+                throw new BadMessageException("too large");
             }
         }
-        wake();
-        return ok(Json.object().put("ring", revision));
     }
 
-    private void drop(String key) {
+    /** The keys that do not have the revision which their guard names; a missing key has revision 0. */
+    private ArrayNode failedComparisons(Iterable<JsonNode> guards) throws BadMessageException {
+        ArrayNode failed = Json.array();
+        for (JsonNode guard : guards) {
+            String key = Json.text(guard, "k");
+            Value value = keys.get(key);
+            if ((value == null ? 0 : value.modRevision) != Json.nonNegativeLong(guard, "stamp")) {
+                failed.add(key);
+            }
+        }
+        return failed;
+    }
+
+    private void apply(JsonNode op) {
+        if (!op.has("set")) {
+            delete(op.get("drop").asText());
+            return;
+        }
+        String key = op.get("set").asText();
+        keys.put(key, new Value(op.get("v"), revision, op.path("permit").asLong()));
+        ObjectNode change = Json.object().put("set", key).put("stamp", revision);
+        change.set("v", op.get("v"));
+        log.add(change);
+    }
+
+    private void delete(String key) {
         if (keys.remove(key) != null) {
             log.add(Json.object().put("drop", key).put("stamp", revision));
         }
     }
 
-    private void follow(String target, Consumer<HttpAnswer> answer) {
-        Watch watch = new Watch(
-                query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer, new boolean[1]);
+    private void openWatch(String target, Consumer<HttpAnswer> answer) {
+        Watch watch = new Watch(query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer);
         watches.add(watch);
-        loop.after(Durations.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> runOut(watch));
-        wake();
+        loop.after(Durations.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> timeOut(watch));
+        notifyWatches();
     }
 
     /** Open watches stay open in an outage. */
-    private void runOut(Watch watch) {
-        if (out()) {
-            loop.after(outageUntil - loop.nanos(), () -> runOut(watch));
+    private void timeOut(Watch watch) {
+        if (isOut()) {
+            loop.after(outageUntil - loop.nanos(), () -> timeOut(watch));
         } else {
             answer(watch, true);
         }
     }
 
-    private void wake() {
+    private void notifyWatches() {
         List.copyOf(watches).forEach(w -> answer(w, false));
     }
 
@@ -306,8 +340,8 @@
                 changes.add(change);
             }
         }
-        if (!watch.over[0] && (evenIfEmpty || !changes.isEmpty())) {
-            watch.over[0] = true;
+        if (!watch.isAnswered && (evenIfEmpty || !changes.isEmpty())) {
+            watch.isAnswered = true;
             watches.remove(watch);
             ObjectNode out = Json.object().put("ring", revision);
             out.set("log", changes);
