--- a/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
+++ b/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
@@ -25,29 +25,29 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Address;
 
-/** The peer link on Netty: one connection out to each other node, frames with a length before them. */
+/** The peer transport on Netty: one outgoing TCP connection to each other node, frames prefixed with their length. */
 public final class NettyPeerTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(NettyPeerTransport.class);
-    private static final int MAX_FRAME = 1 << 20;
-    private static final int HEADER = 4;
-    private static final int CONNECT_MILLIS = 1000;
-    /** A peer that takes no more of what is sent to it is not there: the connection is made anew. */
-    private static final long MOST_UNSENT = 4L * MAX_FRAME;
+    private static final int MAX_FRAME_BYTES = 1 << 20;
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+    /** A peer that leaves more than this unread is taken for dead, and the connection is replaced. */
+    private static final long MAX_PENDING_BYTES = 4L * MAX_FRAME_BYTES;
 
     private final EventLoopGroup group;
-    private final Address listen;
-    private final List<Address> others;
-    private final Map<Address, Channel> out = new HashMap<>();
-    private Consumer<byte[]> incoming = frame -> {};
+    private final Address listenAddress;
+    private final List<Address> peers;
+    private final Map<Address, Channel> connections = new HashMap<>();
+    private Consumer<byte[]> receiver = frame -> {};
 
-    /** One connection is kept to each of {@code others}. */
-    public NettyPeerTransport(EventLoopGroup group, Address listen, List<Address> others) {
+    /** One connection is kept to each of {@code peers}. */
+    public NettyPeerTransport(EventLoopGroup group, Address listenAddress, List<Address> peers) {
         this.group = group;
-        this.listen = listen;
-        this.others = others;
+        this.listenAddress = listenAddress;
+        this.peers = peers;
     }
 
-    /** Listens; throws if the address cannot be had. Called before the loop is in use. */
+    /** Listens for peers. Called before the loop is in use, for it blocks; throws if the address cannot be bound. */
     public void listen() {
         new ServerBootstrap()
                 .group(group)
@@ -55,35 +55,43 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline()
-                                .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, HEADER, 0, HEADER))
-                                .addLast(new Incoming(frame -> incoming.accept(frame)));
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
+                                .addLast(new LengthFieldBasedFrameDecoder(
+                                        MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
+                                .addLast(new FrameHandler(frame -> receiver.accept(frame)));
                     }
                 })
-                .bind(new InetSocketAddress(listen.host(), listen.port()))
+                .bind(new InetSocketAddress(listenAddress.host(), listenAddress.port()))
                 .syncUninterruptibly();
-        LOG.info("listening for peers on {}", listen);
+        LOG.info("listening for peers address={}", listenAddress);
     }
 
     @Override
-    public void start(Consumer<byte[]> taker) {
-        incoming = taker;
+    public void start(Consumer<byte[]> receiver) {
+        this.receiver = receiver;
     }
 
     @Override
     public void broadcast(byte[] frame) {
-        for (Address peer : others) {
-            Channel channel = out.get(peer);
-            if (channel == null || !channel.isOpen()) {
-                out.put(peer, connect(peer));
-            } else if (channel.isActive()) {
-                if (channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_UNSENT) {
-                    channel.close();
-                } else {
-                    channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
-                }
-            }
+        for (Address peer : peers) {
+            send(peer, frame);
+        }
+    }
+
+    private void send(Address peer, byte[] frame) {
+        Channel channel = connections.get(peer);
+        if (channel == null || !channel.isOpen()) {
+            connections.put(peer, connect(peer));
+            return;
+        }
+        if (!channel.isActive()) {
+            return; // still connecting
+        }
+        if (channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_BYTES) {
+            channel.close();
+        } else {
+            channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
         }
     }
 
@@ -91,34 +99,36 @@
         return new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new LengthFieldPrepender(HEADER)).addLast(new Incoming(frame -> {}));
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
+                                .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
+                                .addLast(new FrameHandler(frame -> {}));
                     }
                 })
                 .connect(new InetSocketAddress(peer.host(), peer.port()))
                 .channel();
     }
 
-    private static final class Incoming extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Consumer<byte[]> incoming;
+    private static final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
+        private final Consumer<byte[]> receiver;
 
-        Incoming(Consumer<byte[]> incoming) {
-            this.incoming = incoming;
+        FrameHandler(Consumer<byte[]> receiver) {
+            this.receiver = receiver;
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            incoming.accept(ByteBufUtil.getBytes(frame));
+        protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
+            receiver.accept(ByteBufUtil.getBytes(frame));
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.debug("peer connection closed: {}", cause.toString());
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            LOG.debug("peer connection closed reason={}", cause.toString());
+            context.close();
         }
     }
 }
--- a/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
@@ -2,19 +2,22 @@
 
 import com.google.common.collect.ImmutableList;
 import com.google.common.collect.ImmutableMap;
-import java.io.IOException;
-import org.msgpack.core.MessageBufferPacker;
-import org.msgpack.core.MessagePack;
-import org.msgpack.core.MessagePackException;
-import org.msgpack.core.MessageUnpacker;
-import org.spruceridge.net.BadMessageException;
 
 /**
- * What a node tells the others about once a second: whether the state service serves it, whether workers reach it, and,
- * from the leader, how far open jobs have come, and which jobs it lately told users to be cancelled. No rule rests on
- * it: it is for display, for the health check, for a leader that workers do not reach, and to have cancelled tasks
- * stopped sooner than the state service tells the leader. One rule rests on it after all, and that on what was heard and
- * never on what was not: a cluster feature level is raised once all members have announced that they support it.
+ * The heartbeat that a node broadcasts to the other nodes once a second.
+ *
+ * <p>It is used for display, for the health check, by a leader that workers cannot reach, and to stop the tasks of a
+ * cancelled job before the state service reports the cancellation. These uses tolerate lost and stale heartbeats. One use
+ * needs fresh ones: the cluster feature level is raised once every member has announced its support. A missing heartbeat
+ * never causes that.
+ *
+ * @param hostName the sender
+ * @param stateServiceReachable whether the state service answers the sender
+ * @param reachedByWorkers whether workers have lately sent heartbeats to the sender
+ * @param term the sender's term, 0 if it is not the leader
+ * @param progress the progress of the open jobs by id; empty if the sender is not the leader
+ * @param cancelled ids of jobs whose cancellation the sender has lately confirmed to users
+ * @param version the sender's program version and feature level
  */
 public record PeerHeartbeat(
         String hostName,
@@ -24,76 +27,8 @@
         ImmutableMap<String, Progress> progress,
         ImmutableList<String> cancelled,
         MemberVersion version) {
-    /** The fields that version 0.1 knows; it ignores those that follow. */
-    private static final int FIELDS_OF_0_1 = 6;
-
-    private static final int FIELDS = FIELDS_OF_0_1 + 2;
-    private static final int MOST_JOBS = 5000;
-
-    /** Tasks of a job that are done and that run. */
+    /** How many tasks of a job are done and how many run. */
     public record Progress(int done, int running) {
         public static final Progress NONE = new Progress(0, 0);
     }
-
-    /** The heartbeat as MessagePack. */
-    public byte[] write() {
-        try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            out.packArrayHeader(FIELDS);
-            out.packString(hostName);
-            out.packBoolean(stateServiceReachable);
-            out.packBoolean(reachedByWorkers);
-            out.packLong(term);
-            int jobs = Math.min(MOST_JOBS, progress.size());
-            out.packMapHeader(jobs);
-            for (var e : progress.entrySet()) {
-                if (jobs-- == 0) {
-                    break;
-                }
-                out.packString(e.getKey());
-                out.packArrayHeader(2);
-                out.packInt(e.getValue().done());
-                out.packInt(e.getValue().running());
-            }
-            out.packArrayHeader(cancelled.size());
-            for (String id : cancelled) {
-                out.packString(id);
-            }
-            out.packInt(version.supportedLevel());
-            out.packString(version.name());
-            return out.toByteArray();
-        } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e);
-        }
-    }
-
-    /** Reads what {@link #write} wrote; fields that follow are ignored. */
-    public static PeerHeartbeat read(byte[] frame) throws BadMessageException {
-        try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
-            int fields = in.unpackArrayHeader();
-            if (fields < FIELDS_OF_0_1) {
-                throw new BadMessageException("a heartbeat is too short");
-            }
-            String host = in.unpackString();
-            boolean serves = in.unpackBoolean();
-            boolean reached = in.unpackBoolean();
-            long term = in.unpackLong();
-            int jobs = in.unpackMapHeader();
-            ImmutableMap.Builder<String, Progress> progress = ImmutableMap.builder();
-            for (int i = 0; i < jobs; i++) {
-                String id = in.unpackString();
-                in.unpackArrayHeader();
-                progress.put(id, new Progress(in.unpackInt(), in.unpackInt()));
-            }
-            ImmutableList.Builder<String> cancelled = ImmutableList.builder();
-            for (int i = in.unpackArrayHeader(); i > 0; i--) {
-                cancelled.add(in.unpackString());
-            }
-            MemberVersion version =
-                    fields < FIELDS ? MemberVersion.UNANNOUNCED : new MemberVersion(in.unpackInt(), in.unpackString());
-            return new PeerHeartbeat(
-                    host, serves, reached, term, progress.buildKeepingLast(), cancelled.build(), version);
-        } catch (IOException | MessagePackException e) {
-            throw new BadMessageException("not a heartbeat: " + e.getClass().getSimpleName());
-        }
-    }
 }
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -19,41 +19,49 @@
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** Sends this node's heartbeat and keeps what the others' last said. */
+/** Broadcasts this node's heartbeat and keeps the latest heartbeat of each other node. */
 public final class PeerMonitor {
-    private static final long EVERY = Durations.nanos(1);
-    private static final long FRESH = Durations.nanos(3);
+    private static final long HEARTBEAT_INTERVAL_NANOS = Durations.nanos(1);
+    /** A heartbeat that was received longer ago says nothing about the present. */
+    private static final long HEARTBEAT_TIMEOUT_NANOS = Durations.nanos(3);
 
     private final Loop loop;
     private final CancellationScope scope;
-    private final PeerTransport link;
+    private final PeerTransport transport;
     private final RateLimitedWarnings warnings;
-    private final Supplier<PeerHeartbeat> own;
-    private final Consumer<String> cancelled;
-    private final Map<String, Heard> heard = new HashMap<>();
-    private PeerHeartbeat leader =
+    private final Supplier<PeerHeartbeat> ownHeartbeat;
+    private final Consumer<String> jobCancelled;
+    private final Map<String, ReceivedHeartbeat> lastHeartbeats = new HashMap<>();
+    private PeerHeartbeat leaderHeartbeat =
             new PeerHeartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of(), MemberVersion.UNANNOUNCED);
 
-    private record Heard(PeerHeartbeat heartbeat, long at) {}
+    private record ReceivedHeartbeat(PeerHeartbeat heartbeat, long receivedAtNanos) {
+        boolean isFresh(long nowNanos) {
+            return nowNanos - receivedAtNanos < HEARTBEAT_TIMEOUT_NANOS;
+        }
+    }
 
-    /** {@code cancelled} is told of each job that another node lately told a user to be cancelled, again and again. */
+    /**
+     * {@code ownHeartbeat} makes the heartbeat to send; {@code jobCancelled} receives the id of each job whose
+     * cancellation another node has confirmed, once for each heartbeat that names it.
+     */
     public PeerMonitor(
             Loop loop,
-            PeerTransport link,
+            PeerTransport transport,
             RateLimitedWarnings warnings,
-            Supplier<PeerHeartbeat> own,
-            Consumer<String> cancelled) {
+            Supplier<PeerHeartbeat> ownHeartbeat,
+            Consumer<String> jobCancelled) {
         this.loop = loop;
         this.scope = new CancellationScope(loop);
-        this.link = link;
+        this.transport = transport;
         this.warnings = warnings;
-        this.own = own;
-        this.cancelled = cancelled;
+        this.ownHeartbeat = ownHeartbeat;
+        this.jobCancelled = jobCancelled;
     }
 
-    /** Begins to send heartbeats and to take those of others. */
+    /** Begins to send heartbeats and to receive those of other nodes. */
     public void start() {
-        link.start(this::take);
+        transport.start(this::receive);
         send();
     }
 
@@ -62,77 +70,77 @@
         scope.close();
     }
 
-    /** True if another node lately said that the state service serves it. */
+    /** True if another node announced in a fresh heartbeat that the state service answers it. */
     public boolean anyPeerReachesStateService() {
         return anyFresh(PeerHeartbeat::stateServiceReachable);
     }
 
-    /** True if another node was heard lately. */
+    /** True if a fresh heartbeat of another node is known. */
     public boolean anyPeerAlive() {
         return anyFresh(heartbeat -> true);
     }
 
-    /** The node that lately said that it leads, by the highest term. */
+    /** True if another node announced in a fresh heartbeat that workers reach it. */
+    public boolean anyPeerReachedByWorkers() {
+        return anyFresh(PeerHeartbeat::reachedByWorkers);
+    }
+
+    /** The host name of the leader of the highest term among the fresh heartbeats. */
     public Optional<String> leader() {
         long now = loop.nanos();
-        return heard.values().stream()
-                .filter(h -> now - h.at < FRESH && h.heartbeat.term() > 0)
-                .map(Heard::heartbeat)
+        return lastHeartbeats.values().stream()
+                .filter(last -> last.isFresh(now) && last.heartbeat.term() > 0)
+                .map(ReceivedHeartbeat::heartbeat)
                 .max(Comparator.comparingLong(PeerHeartbeat::term))
                 .map(PeerHeartbeat::hostName);
     }
 
-    /** The version that each node announced when it was last heard. */
+    /** The version in the latest heartbeat of each other node, by host name. */
     public ImmutableSortedMap<String, MemberVersion> versions() {
         ImmutableSortedMap.Builder<String, MemberVersion> versions = ImmutableSortedMap.naturalOrder();
-        heard.forEach((host, last) -> versions.put(host, last.heartbeat.version()));
+        lastHeartbeats.forEach((host, last) -> versions.put(host, last.heartbeat.version()));
         return versions.build();
     }
 
     /**
-     * True if each of these nodes was heard a moment ago and announced that it supports the level. One that is silent may
-     * be coming back with an earlier version.
+     * True if each of these hosts announced in a fresh heartbeat that it supports the level. A host without a fresh
+     * heartbeat may be restarting with an earlier version.
      */
     public boolean allPeersSupport(FeatureLevel level, Collection<String> hosts) {
-        return hosts.stream().allMatch(host -> supports(heard.get(host), level));
+        return hosts.stream().allMatch(host -> supports(lastHeartbeats.get(host), level));
     }
 
-    private boolean supports(Heard last, FeatureLevel level) {
-        return last != null
-                && loop.nanos() - last.at < FRESH
-                && last.heartbeat.version().supportedLevel() >= level.number();
+    /** The progress of a job, from the latest heartbeat of the leader of the highest term. */
+    public Progress progress(String job) {
+        return leaderHeartbeat.progress().getOrDefault(job, Progress.NONE);
     }
 
-    /** True if workers lately reached another node. */
-    public boolean anyPeerReachedByWorkers() {
-        return anyFresh(PeerHeartbeat::reachedByWorkers);
+    private boolean supports(ReceivedHeartbeat last, FeatureLevel level) {
+        return last != null
+                && last.isFresh(loop.nanos())
+                && last.heartbeat.version().supportedLevel() >= level.number();
     }
 
-    private boolean anyFresh(Predicate<PeerHeartbeat> says) {
+    private boolean anyFresh(Predicate<PeerHeartbeat> condition) {
         long now = loop.nanos();
-        return heard.values().stream().anyMatch(h -> says.test(h.heartbeat) && now - h.at < FRESH);
-    }
-
-    /** How far a job has come, by the latest word of the newest leader. */
-    public Progress progress(String job) {
-        return leader.progress().getOrDefault(job, Progress.NONE);
+        return lastHeartbeats.values().stream().anyMatch(last -> condition.test(last.heartbeat) && last.isFresh(now));
     }
 
     private void send() {
-        link.broadcast(own.get().write());
-        scope.after(EVERY, this::send);
+        transport.broadcast(PeerHeartbeatCodec.encode(ownHeartbeat.get()));
+        scope.after(HEARTBEAT_INTERVAL_NANOS, this::send);
     }
 
-    private void take(byte[] frame) {
+    private void receive(byte[] frame) {
         try {
-            PeerHeartbeat heartbeat = PeerHeartbeat.read(frame);
-            heard.put(heartbeat.hostName(), new Heard(heartbeat, loop.nanos()));
-            if (heartbeat.term() >= leader.term() && heartbeat.term() > 0) {
-                leader = heartbeat;
+            PeerHeartbeat heartbeat = PeerHeartbeatCodec.decode(frame);
+            lastHeartbeats.put(heartbeat.hostName(), new ReceivedHeartbeat(heartbeat, loop.nanos()));
+            if (heartbeat.term() >= leaderHeartbeat.term() && heartbeat.term() > 0) {
+                leaderHeartbeat = heartbeat;
             }
-            heartbeat.cancelled().forEach(cancelled);
+            heartbeat.cancelled().forEach(jobCancelled);
         } catch (BadMessageException e) {
-            warnings.warn("unreadable frame of a peer", e.getMessage());
+            warnings.warn("unreadable peer heartbeat", e.getMessage());
         }
     }
 }
--- a/src/main/java/org/spruceridge/peer/PeerTransport.java
+++ b/src/main/java/org/spruceridge/peer/PeerTransport.java
@@ -2,11 +2,11 @@
 
 import java.util.function.Consumer;
 
-/** Carries frames between the controller nodes; any of them may be lost. */
+/** Carries frames between the controller nodes. Any frame may be lost. */
 public interface PeerTransport {
-    /** Hands on whatever comes in from now on. */
-    void start(Consumer<byte[]> taker);
+    /** Passes each frame received from now on to {@code receiver}, on the event loop. */
+    void start(Consumer<byte[]> receiver);
 
-    /** Sends a frame to every other node that can be reached. */
+    /** Sends a frame to every other node to which there is a connection. */
     void broadcast(byte[] frame);
 }
--- a/src/test/java/org/spruceridge/peer/PeerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/peer/PeerHeartbeatTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.BadMessageException;
@@ -14,16 +15,18 @@
 
     @Test
     void aHeartbeatIsReadAsItWasWritten() throws BadMessageException {
-        assertEquals(heartbeat, PeerHeartbeat.read(heartbeat.write()));
+        assertEquals(heartbeat, PeerHeartbeatCodec.decode(PeerHeartbeatCodec.encode(heartbeat)));
     }
 
     @Test
     void whatIsCutShortOrForeignIsRefused() {
-        byte[] whole = heartbeat.write();
+        byte[] whole = PeerHeartbeatCodec.encode(heartbeat);
         for (int length = 0; length < whole.length; length++) {
             byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(BadMessageException.class, () -> PeerHeartbeat.read(part));
+            assertThrows(BadMessageException.class, () -> PeerHeartbeatCodec.decode(part));
         }
-        assertThrows(BadMessageException.class, () -> PeerHeartbeat.read("GET / HTTP/1.1".getBytes()));
+        assertThrows(
+                BadMessageException.class,
+                () -> PeerHeartbeatCodec.decode("GET / HTTP/1.1".getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -30,7 +30,7 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
-import org.spruceridge.peer.PeerHeartbeat;
+import org.spruceridge.peer.PeerHeartbeatCodec;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.CatalogueRecord;
 import org.spruceridge.record.FinishedTasksRecord;
@@ -144,7 +144,7 @@
     void aHeartbeatIsLongerThanBeforeAtItsEndOnly() {
         assertEquals(
                 "98A26E30C3C20781A86A2D30303030303192030491A86A2D30303030303202A5302E322E30",
-                BaseEncoding.base16().encode(Fixtures.heartbeat().write()));
+                BaseEncoding.base16().encode(PeerHeartbeatCodec.encode(Fixtures.heartbeat())));
     }
 
     /** Production's reader takes what we write at the base level, and writes it again as it was. */
@@ -173,7 +173,7 @@
                                 ProductionVersion.load("peer.Heartbeat"),
                                 "read",
                                 null,
-                                Fixtures.heartbeat().write())
+                                PeerHeartbeatCodec.encode(Fixtures.heartbeat()))
                         .toString());
     }
 
@@ -200,11 +200,12 @@
     /** Production says nothing of its version: six fields, no more. */
     @Test
     void aHeartbeatOfProductionAnnouncesNoLevel() throws BadMessageException {
-        byte[] ours = Fixtures.heartbeat().write();
+        byte[] ours = PeerHeartbeatCodec.encode(Fixtures.heartbeat());
         byte[] theirs = java.util.Arrays.copyOf(ours, ours.length - "0.2.0".length() - 2);
         theirs[0] = (byte) 0x96;
         assertEquals(
-                FeatureLevel.BASE.number(), PeerHeartbeat.read(theirs).version().supportedLevel());
+                FeatureLevel.BASE.number(),
+                PeerHeartbeatCodec.decode(theirs).version().supportedLevel());
     }
 
     @Test
