--- a/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
@@ -7,10 +7,10 @@
 
 /**
  * The cluster feature level: which forms of records every node of the cluster can read, and so which may be written. It
- * is on record in the state service, is raised once all nodes support more, and is never lowered.
+ * is stored in the state service, is raised once all nodes support the next level, and is never lowered.
  */
 public enum FeatureLevel {
-    /** Version 0.1, which keeps no record of a level. */
+    /** Version 0.1, which stores no level. */
     BASE(1),
     /** Job records of services; pages of finished tasks whose chunks name their first task. */
     SERVICES(2);
@@ -26,22 +26,22 @@
         this.number = number;
     }
 
-    /** The number of the level on record and in heartbeats. */
+    /** The number of the level in its record and in peer heartbeats. */
     public int number() {
         return number;
     }
 
-    /** True if everything of the other level may be written at this one. */
+    /** True if this level permits every form of record that the other permits. */
     public boolean includes(FeatureLevel other) {
         return number >= other.number;
     }
 
-    /** The record of this level. */
+    /** The record of this level as JSON. */
     public ObjectNode write() {
         return Json.object().put(FIELD, number);
     }
 
-    /** Reads the record; one that this version does not know is refused. */
+    /** Reads the record. A {@link BadMessageException} names a level that this version does not know. */
     public static FeatureLevel read(JsonNode value) throws BadMessageException {
         long number = Json.nonNegativeLong(value, FIELD);
         for (FeatureLevel level : values()) {
--- a/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
@@ -11,76 +11,80 @@
 import org.spruceridge.state.TransactionResult;
 
 /**
- * A leader's duty: raises the cluster feature level once every member of the settings has announced that it supports
- * the next. The transaction is guarded by the leader key, so that only the present leader raises it, and by the stamp of
- * the level, so that a late copy of it changes nothing.
+ * Completes a rolling upgrade: while this node leads, it raises the cluster feature level once every member of the
+ * settings has announced that it supports the next. The transaction is conditional on the leader key, so that only the
+ * present leader raises the level, and on the modRevision of the level, so that a delayed copy has no effect.
  */
 public final class FeatureLevelUpgrader {
-    private static final long LOOK_AGAIN = Durations.millis(500);
+    private static final long RETRY_INTERVAL_NANOS = Durations.millis(500);
 
     private final CancellationScope scope;
     private final StateClient state;
-    private final ClusterFeatureLevel level;
-    private final BooleanSupplier everyMemberSupports;
+    private final ClusterFeatureLevel clusterLevel;
     private final long leaderRevision;
+    private final BooleanSupplier allMembersSupportNext;
     private final Runnable raised;
-    private StoredFeatureLevel onRecord;
+    private StoredFeatureLevel stored;
 
     /**
-     * {@code onRecord} is the level that the election found; {@code everyMemberSupports} tells whether all members were
-     * heard with {@link FeatureLevel#SUPPORTED}; {@code raised} runs once the level is on record.
+     * Begins from the level that the election found.
+     *
+     * @param scope all that this term has pending
+     * @param leaderRevision the modRevision of the leader key of this term
+     * @param allMembersSupportNext whether all members have lately announced {@link FeatureLevel#SUPPORTED}
+     * @param raised runs once the level is raised
      */
     public FeatureLevelUpgrader(
             CancellationScope scope,
             StateClient state,
-            ClusterFeatureLevel level,
-            StoredFeatureLevel onRecord,
+            ClusterFeatureLevel clusterLevel,
+            StoredFeatureLevel stored,
             long leaderRevision,
-            BooleanSupplier everyMemberSupports,
+            BooleanSupplier allMembersSupportNext,
             Runnable raised) {
         this.scope = scope;
         this.state = state;
-        this.level = level;
-        this.onRecord = onRecord;
+        this.clusterLevel = clusterLevel;
+        this.stored = stored;
         this.leaderRevision = leaderRevision;
-        this.everyMemberSupports = everyMemberSupports;
+        this.allMembersSupportNext = allMembersSupportNext;
         this.raised = raised;
     }
 
-    /** Begins to look for the moment. */
+    /** Raises the level as soon as all members support the next; does nothing if it is at the highest already. */
     public void start() {
-        if (onRecord.level().includes(FeatureLevel.SUPPORTED)) {
+        if (stored.level().includes(FeatureLevel.SUPPORTED)) {
             return;
         }
-        if (everyMemberSupports.getAsBoolean()) {
+        if (allMembersSupportNext.getAsBoolean()) {
             raise();
         } else {
-            scope.after(LOOK_AGAIN, this::start);
+            scope.after(RETRY_INTERVAL_NANOS, this::start);
         }
     }
 
     private void raise() {
-        Transaction txn = Transaction.builder()
+        Transaction transaction = Transaction.builder()
                 .compare(StateKeys.LEADER, leaderRevision)
-                .put(StateKeys.FEATURE_LEVEL, onRecord.modRevision(), FeatureLevel.SUPPORTED.write())
+                .put(StateKeys.FEATURE_LEVEL, stored.modRevision(), FeatureLevel.SUPPORTED.write())
                 .build();
-        state.commit(txn, Priority.SCHEDULING, scope.guard(result -> {
+        state.commit(transaction, Priority.SCHEDULING, scope.guard(result -> {
             if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
-                onRecord = new StoredFeatureLevel(FeatureLevel.SUPPORTED, result.revision());
-                level.raised(FeatureLevel.SUPPORTED);
+                stored = new StoredFeatureLevel(FeatureLevel.SUPPORTED, result.revision());
+                clusterLevel.noteStored(FeatureLevel.SUPPORTED);
                 raised.run();
             } else {
-                scope.after(LOOK_AGAIN, this::readAgain);
+                scope.after(RETRY_INTERVAL_NANOS, this::readAgain);
             }
         }));
     }
 
-    /** Refused, or unknown and perhaps carried out: the record tells. */
+    /** The transaction was refused, or its outcome is unknown: the record shows the level. */
     private void readAgain() {
-        level.read(Priority.SCHEDULING, scope.guard(found -> {
+        clusterLevel.read(Priority.SCHEDULING, scope.guard(found -> {
             if (found.isOk()) {
-                onRecord = found.value();
-                if (onRecord.level().includes(FeatureLevel.SUPPORTED)) {
+                stored = found.value();
+                if (stored.level().includes(FeatureLevel.SUPPORTED)) {
                     raised.run();
                 }
             }
