--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -1,337 +1,203 @@
 package org.spruceridge.election;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.Optional;
-import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
-import org.spruceridge.net.BadMessageException;
-import org.spruceridge.net.Cancellable;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
-import org.spruceridge.net.Json;
 import org.spruceridge.net.Loop;
-import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.LeaderRecord;
 import org.spruceridge.record.StateKeys;
-import org.spruceridge.state.Change;
-import org.spruceridge.state.Entry;
-import org.spruceridge.state.StateClient;
-import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterFeatureLevel;
-import org.spruceridge.upgrade.StoredFeatureLevel;
 
 /**
- * Elects the leader by one guarded transaction on the state service, and keeps its grant alive. The term that the
- * transaction writes is the token of all orders.
+ * Elects the leader. It follows the leader key, campaigns when the key is absent, and steps down when the key names
+ * another leader or the lease has expired. The term that a campaign writes is the fencing token of all commands.
  */
 public final class Election {
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
-    private static final double WATCH_S = 20;
-    private static final long RETRY = Durations.millis(250);
-    /** What is taken off a grant's time for rounding and late timers, as a share of it. */
-    private static final double SAFETY = 0.03;
 
-    /** Hears of this node's terms. */
+    /** Is told when this node becomes the leader and when it ceases to be. */
     public interface Listener {
-        /** This node leads from now on. */
+        /** This node is the leader from now on. */
         void leadershipAcquired(LeaderTerm leaderTerm);
 
-        /** It no longer leads. */
+        /** This node is no longer the leader. */
         void leadershipLost();
     }
 
+    private record Leadership(LeaderTerm term, LeaderLease lease) {}
+
     private final Loop loop;
-    private final StateClient state;
-    private final RandomGenerator random;
-    private final RateLimitedWarnings warnings;
-    private final String hostName;
-    private final String incarnation;
-    private final long ttl;
-    private final long renewEvery;
-    private final Listener listener;
-    private final ClusterFeatureLevel level;
     private final CancellationScope scope;
-    private Cancellable watch = () -> {};
-    private Optional<LeaderRecord> known = Optional.empty();
-    private final boolean others;
+    private final ElectionContext context;
+    private final ClusterFeatureLevel featureLevel;
+    private final Candidate candidate;
+    private final boolean hasPeers;
+    private final Listener listener;
+    private final LeaderKeyWatcher leaderKey;
+    private Optional<LeaderRecord> knownLeader = Optional.empty();
+    private Optional<Leadership> leadership = Optional.empty();
     private boolean campaigning;
-    private long campaignBackoffUntil = Long.MIN_VALUE;
-    private LeaderTerm leaderTerm;
-    private long leaseId;
-    private long validUntil;
+    private long campaignBackoffUntilNanos = Long.MIN_VALUE;
 
-    /** The listener hears of each term that this node wins or loses. */
-    public Election(
-            Loop loop,
-            StateClient state,
-            ClusterFeatureLevel level,
-            RandomGenerator random,
-            RateLimitedWarnings warnings,
-            Settings settings,
-            Policy policy,
-            Listener listener) {
-        this.loop = loop;
-        this.state = state;
-        this.level = level;
-        this.random = random;
-        this.warnings = warnings;
-        this.hostName = settings.hostName();
-        this.others = settings.nodeCount() > 1;
-        this.incarnation = Long.toHexString(random.nextLong());
-        this.ttl = Durations.nanos(
-                settings.workers().leaseS() * policy.leadership().ttlWorkerLeases());
-        this.renewEvery = (long) (ttl / policy.leadership().renewalsPerTtl());
-        this.listener = listener;
+    /** Nothing is read or written before {@link #start}. */
+    public Election(ElectionDependencies dependencies, Settings settings, Policy policy, Listener listener) {
+        this.loop = dependencies.loop();
         this.scope = new CancellationScope(loop);
+        this.context = new ElectionContext(loop, scope, dependencies.state(), LeaseTimes.of(settings, policy));
+        this.featureLevel = dependencies.featureLevel();
+        this.candidate = new Candidate(
+                settings.hostName(), Long.toHexString(dependencies.random().nextLong()));
+        this.hasPeers = settings.nodeCount() > 1;
+        this.listener = listener;
+        this.leaderKey =
+                new LeaderKeyWatcher(context, dependencies.random(), dependencies.warnings(), this::leaderKeyObserved);
     }
 
     /** Reads the leader key and follows it from then on. */
     public void start() {
-        read();
+        leaderKey.read();
     }
 
-    /** Ends it, and gives up the leader key if this node holds it. */
+    /** Stops the election, and revokes the lease if this node is the leader. */
     public void stop() {
-        watch.cancel();
+        leaderKey.stop();
         scope.close();
-        if (leaderTerm != null) {
-            leaderTerm = null;
-            state.revokeLease(leaseId);
-        }
+        leadership.ifPresent(held -> held.lease().revoke());
+        leadership = Optional.empty();
     }
 
-    /** True while this node may act as leader: its grant certainly has not ended. */
+    /** True while this node may act as leader: its lease certainly has not expired. */
     public boolean isLeader() {
-        return leaderTerm != null && loop.nanos() < validUntil;
+        return leadership.isPresent() && leadership.get().lease().isValid();
     }
 
-    /** The name of the leader, as far as is known. */
+    /** The host name of the leader on record, as last read. */
     public Optional<String> leaderName() {
-        return known.map(LeaderRecord::hostName);
-    }
-
-    /** Gives the lead up, as when the records are not as this node left them. */
-    public void resign(String why) {
-        if (leaderTerm != null) {
-            LOG.warn("term {}: giving up the lead: {}", leaderTerm.term(), why);
-            state.revokeLease(leaseId);
-            stepDown("it was given up");
-            campaignBackoffUntil = loop.nanos() + ttl; // others first
-            scope.after(ttl, this::read);
-        }
-    }
-
-    private void read() {
-        watch.cancel();
-        state.list(StateKeys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listing -> {
-            if (!listing.isOk()) {
-                scheduleRetry();
-                return;
-            }
-            Optional<Entry> entry = listing.value().entries().stream()
-                    .filter(e -> e.key().equals(StateKeys.LEADER))
-                    .findFirst();
-            long revision = listing.value().revision();
-            judge(
-                    entry.map(Entry::value).map(this::parse),
-                    entry.map(Entry::modRevision).orElse(0L),
-                    revision);
-            watch(revision);
-        }));
+        return knownLeader.map(LeaderRecord::hostName);
     }
 
-    private void scheduleRetry() {
-        scope.after(RETRY + random.nextLong(RETRY), this::read);
-    }
-
-    private void watch(long from) {
-        watch.cancel();
-        watch = state.watch(StateKeys.LEADER, from, WATCH_S, scope.guard(result -> {
-            if (!result.isOk()) {
-                scheduleRetry();
-                return;
-            }
-            for (Change change : result.value().changes()) {
-                if (change.key().equals(StateKeys.LEADER)) {
-                    judge(
-                            change.dropped() ? Optional.empty() : Optional.of(parse(change.value())),
-                            change.dropped() ? 0 : change.modRevision(),
-                            change.modRevision());
-                }
-            }
-            watch(result.value().revision());
-        }));
-    }
-
-    private LeaderRecord parse(JsonNode value) {
-        try {
-            return LeaderRecord.read(value);
-        } catch (BadMessageException e) {
-            warnings.warn("unreadable leader record", e.getMessage());
-            return new LeaderRecord("", "", 0);
+    /**
+     * Ends this node's term on its own account, for instance because the records are not as this node left them. It does
+     * not campaign again for the time to live of a lease, so that other nodes come first.
+     */
+    public void resign(String reason) {
+        if (leadership.isEmpty()) {
+            return;
         }
+        Leadership held = leadership.get();
+        LOG.warn("leader resigns term={} reason={}", held.term().term(), reason);
+        held.lease().revoke();
+        stepDown(held, "resigned");
+        campaignBackoffUntilNanos = loop.nanos() + context.leaseTimes().ttlNanos();
+        scope.after(context.leaseTimes().ttlNanos(), leaderKey::read);
     }
 
-    /** Acts on what the leader key held as of a revision. */
-    private void judge(Optional<LeaderRecord> record, long modRevision, long revision) {
-        if (leaderTerm != null && revision <= leaderTerm.leaderRevision()) {
-            return; // older than our win
+    private void leaderKeyObserved(LeaderKeyState key) {
+        if (leadership.isPresent() && key.revision() <= leadership.get().term().leaderRevision()) {
+            return; // from before this node's win
         }
-        if (!known.equals(record)) {
-            LOG.info(
-                    "leader: {}",
-                    record.map(r -> r.hostName() + ", term " + r.term()).orElse("none"));
-        }
-        known = record;
-        boolean mine = record.isPresent() && record.get().hostName().equals(hostName);
-        boolean thisIncarnation = mine && record.get().incarnation().equals(incarnation);
-        if (leaderTerm != null) {
-            if (thisIncarnation && record.get().term() == leaderTerm.term()) {
+        Optional<LeaderRecord> record = key.record();
+        rememberLeader(record);
+        if (leadership.isPresent()) {
+            if (record.filter(this::isOfPresentTerm).isPresent()) {
                 return;
             }
             stepDown(
-                    "the leader key names " + record.map(LeaderRecord::hostName).orElse("nobody"));
+                    leadership.get(),
+                    "leader key names " + record.map(LeaderRecord::hostName).orElse("none"));
         }
         if (record.isEmpty()) {
             campaign(0);
-        } else if (thisIncarnation) {
-            // A campaign whose outcome was unknown has been carried out; its grant is not to be relied on.
-            campaign(modRevision);
-        } else if (mine) {
-            release(modRevision);
+        } else if (candidate.isAuthorOf(record.get())) {
+            // A campaign whose outcome was unknown was carried out after all. Its lease is revoked or about to expire.
+            campaign(key.modRevision());
+        } else if (candidate.isHostOf(record.get())) {
+            deleteKeyOfEarlierIncarnation(key.modRevision());
+        }
+    }
+
+    private void rememberLeader(Optional<LeaderRecord> record) {
+        if (!knownLeader.equals(record)) {
+            LOG.info(
+                    "leader key changed node={} term={}",
+                    record.map(LeaderRecord::hostName).orElse("none"),
+                    record.map(LeaderRecord::term).orElse(0L));
         }
+        knownLeader = record;
+    }
+
+    private boolean isOfPresentTerm(LeaderRecord record) {
+        return candidate.isAuthorOf(record)
+                && record.term() == leadership.get().term().term();
     }
 
     /**
-     * Our host name under another incarnation: that process is dead, for a host runs one at a time, so nobody need wait for
-     * the end of its grant. Nodes that have been up all the time come first: they are faster than one that has just begun.
+     * The key names this host in an earlier incarnation. A host runs one process at a time, so that one has ended and its
+     * lease need not be waited for. Nodes that did not restart campaign first: they can take over faster.
      */
-    private void release(long modRevision) {
-        if (others) {
-            campaignBackoffUntil = Math.max(campaignBackoffUntil, loop.nanos() + renewEvery);
+    private void deleteKeyOfEarlierIncarnation(long modRevision) {
+        long intervalNanos = context.leaseTimes().renewalIntervalNanos();
+        if (hasPeers) {
+            campaignBackoffUntilNanos = Math.max(campaignBackoffUntilNanos, loop.nanos() + intervalNanos);
         }
-        Transaction txn =
+        Transaction transaction =
                 Transaction.builder().delete(StateKeys.LEADER, modRevision).build();
-        state.commit(txn, Priority.LEASE_RENEWAL, scope.guard(result -> {
+        context.state().commit(transaction, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.outcome() != TransactionResult.Outcome.COMMITTED) {
-                scheduleRetry();
+                leaderKey.scheduleRetry();
             }
         }));
-        scope.after(renewEvery, this::read);
+        scope.after(intervalNanos, leaderKey::read);
     }
 
-    private void campaign(long leaderRevision) {
-        if (campaigning || loop.nanos() < campaignBackoffUntil) {
+    private void campaign(long expectedLeaderRevision) {
+        if (campaigning || loop.nanos() < campaignBackoffUntilNanos) {
             return;
         }
         campaigning = true;
-        long asked = loop.nanos();
-        state.createLease(ttl / 1_000_000, scope.guard(created -> {
-            if (!created.isOk()) {
-                abandonCampaign();
-                return;
-            }
-            leaseId = created.value();
-            validUntil = validity(asked);
-            level.read(Priority.LEASE_RENEWAL, scope.guard(found -> {
-                if (found.isOk()) {
-                    campaign(leaderRevision, found.value());
-                } else {
-                    abandonCampaign(); // what the others write could be misread here
-                }
-            }));
-        }));
-    }
-
-    /** Goes on with a campaign once the cluster feature level is known to be supported. */
-    private void campaign(long leaderRevision, StoredFeatureLevel onRecord) {
-        state.get(StateKeys.TERM, Priority.LEASE_RENEWAL, scope.guard(term -> {
-            if (term.outcome() == StateResult.Outcome.UNAVAILABLE) {
-                abandonCampaign();
-                return;
-            }
-            long modRevision = term.isOk() ? term.value().modRevision() : 0;
-            long next = term.isOk() ? term.value().value().path("term").asLong() + 1 : 1;
-            LeaderRecord record = new LeaderRecord(hostName, incarnation, next);
-            Transaction txn = Transaction.builder()
-                    .compare(StateKeys.FEATURE_LEVEL, onRecord.modRevision())
-                    .putWithLease(StateKeys.LEADER, leaderRevision, record.write(), leaseId)
-                    .put(StateKeys.TERM, modRevision, Json.object().put("term", next))
-                    .build();
-            attempt(txn, record, onRecord);
-        }));
-    }
-
-    private void attempt(Transaction txn, LeaderRecord record, StoredFeatureLevel onRecord) {
-        state.commit(txn, Priority.LEASE_RENEWAL, scope.guard(result -> {
-            if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
-                win(record, result.revision(), onRecord);
-            } else if (result.outcome() == TransactionResult.Outcome.UNKNOWN && loop.nanos() < validUntil) {
-                scope.after(RETRY, () -> attempt(txn, record, onRecord));
-            } else {
-                // Lost, refused, or unknown for too long: what the leader key says decides.
-                abandonCampaign();
-            }
-        }));
+        new Campaign(context, featureLevel, candidate, expectedLeaderRevision, this::campaignEnded).start();
     }
 
-    private void abandonCampaign() {
+    private void campaignEnded(Optional<Campaign.Win> win) {
         campaigning = false;
-        if (leaseId != 0) {
-            state.revokeLease(leaseId);
-            leaseId = 0;
+        if (win.isPresent()) {
+            acquireLeadership(win.get());
+        } else {
+            leaderKey.scheduleRetry();
         }
-        scheduleRetry();
     }
 
-    private void win(LeaderRecord record, long modRevision, StoredFeatureLevel onRecord) {
-        campaigning = false;
-        known = Optional.of(record);
-        leaderTerm = new LeaderTerm(record.term(), modRevision, loop.nanos(), onRecord);
-        LOG.info("term {}: this node leads", record.term());
-        scope.after(renewEvery, () -> renewLease(record.term()));
-        listener.leadershipAcquired(leaderTerm);
-    }
-
-    private void renewLease(long term) {
-        if (leaderTerm == null || leaderTerm.term() != term) {
-            return;
-        }
-        state.renewLease(leaseId, renewEvery, scope.guard(result -> {
-            if (leaderTerm == null || leaderTerm.term() != term) {
-                return;
-            }
-            if (result.outcome() == StateResult.Outcome.NOT_FOUND) {
-                stepDown("its grant has ended");
-                read();
-                return;
-            }
-            if (result.isOk()) {
-                validUntil = validity(result.value());
-            }
-            scope.after(result.isOk() ? renewEvery : renewEvery / 4, () -> renewLease(term));
-        }));
+    private void acquireLeadership(Campaign.Win win) {
+        LeaderTerm term = new LeaderTerm(win.record().term(), win.leaderRevision(), loop.nanos(), win.featureLevel());
+        Leadership acquired = new Leadership(term, win.lease());
+        knownLeader = Optional.of(win.record());
+        leadership = Optional.of(acquired);
+        LOG.info("leadership acquired term={}", term.term());
+        win.lease().keepRenewed(() -> leaseExpired(acquired));
+        listener.leadershipAcquired(term);
     }
 
-    private long validity(long sentAt) {
-        return sentAt + (long) (ttl * (1 - Durations.MAX_CLOCK_DRIFT_RATIO - SAFETY));
+    private void leaseExpired(Leadership held) {
+        stepDown(held, "lease expired");
+        leaderKey.read();
     }
 
-    private void stepDown(String why) {
+    private void stepDown(Leadership held, String reason) {
         LOG.info(
-                "term {}: this node no longer leads after {} s: {}",
-                leaderTerm.term(),
-                Durations.secondsSince(leaderTerm.electedAtNanos(), loop.nanos()),
-                why);
-        leaderTerm = null;
-        leaseId = 0;
+                "leadership lost term={} ageS={} reason={}",
+                held.term().term(),
+                Durations.secondsSince(held.term().electedAtNanos(), loop.nanos()),
+                reason);
+        held.lease().release();
+        leadership = Optional.empty();
         listener.leadershipLost();
     }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
@@ -0,0 +1,112 @@
+package org.spruceridge.election;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.random.RandomGenerator;
+import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Cancellable;
+import org.spruceridge.net.CancellationScope;
+import org.spruceridge.net.Durations;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter.Priority;
+import org.spruceridge.record.LeaderRecord;
+import org.spruceridge.record.StateKeys;
+import org.spruceridge.state.Change;
+import org.spruceridge.state.Entry;
+import org.spruceridge.state.Listing;
+import org.spruceridge.state.StateClient;
+
+/** Reads the leader key and watches it from the revision of that read on; starts over after a failure. */
+final class LeaderKeyWatcher {
+    private static final double WATCH_TIMEOUT_S = 20;
+    /** A retry is delayed by this and by a random time of up to as much again. */
+    private static final long RETRY_DELAY_NANOS = Durations.millis(250);
+
+    /** Stands for a record that cannot be read: no node has this name. */
+    private static final LeaderRecord UNREADABLE = new LeaderRecord("", "", 0);
+
+    private final CancellationScope scope;
+    private final StateClient state;
+    private final RandomGenerator random;
+    private final RateLimitedWarnings warnings;
+    private final Consumer<LeaderKeyState> observer;
+    private Cancellable watch = () -> {};
+
+    /** {@code observer} receives the state of the key after each read and each change. */
+    LeaderKeyWatcher(
+            ElectionContext context,
+            RandomGenerator random,
+            RateLimitedWarnings warnings,
+            Consumer<LeaderKeyState> observer) {
+        this.scope = context.scope();
+        this.state = context.state();
+        this.random = random;
+        this.warnings = warnings;
+        this.observer = observer;
+    }
+
+    /** Reads the key now and watches it from then on. */
+    void read() {
+        watch.cancel();
+        state.list(StateKeys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listing -> {
+            if (!listing.isOk()) {
+                scheduleRetry();
+                return;
+            }
+            observer.accept(stateOf(listing.value()));
+            watchFrom(listing.value().revision());
+        }));
+    }
+
+    /** Reads the key again after a short random delay. */
+    void scheduleRetry() {
+        scope.after(RETRY_DELAY_NANOS + random.nextLong(RETRY_DELAY_NANOS), this::read);
+    }
+
+    void stop() {
+        watch.cancel();
+    }
+
+    private void watchFrom(long revision) {
+        watch.cancel();
+        watch = state.watch(StateKeys.LEADER, revision, WATCH_TIMEOUT_S, scope.guard(changes -> {
+            if (!changes.isOk()) {
+                scheduleRetry();
+                return;
+            }
+            for (Change change : changes.value().changes()) {
+                if (change.key().equals(StateKeys.LEADER)) {
+                    observer.accept(stateAfter(change));
+                }
+            }
+            watchFrom(changes.value().revision());
+        }));
+    }
+
+    private LeaderKeyState stateOf(Listing listing) {
+        Optional<Entry> entry = listing.entries().stream()
+                .filter(candidate -> candidate.key().equals(StateKeys.LEADER))
+                .findFirst();
+        return new LeaderKeyState(
+                entry.map(Entry::value).map(this::parse),
+                entry.map(Entry::modRevision).orElse(0L),
+                listing.revision());
+    }
+
+    private LeaderKeyState stateAfter(Change change) {
+        if (change.dropped()) {
+            return new LeaderKeyState(Optional.empty(), 0, change.modRevision());
+        }
+        return new LeaderKeyState(Optional.of(parse(change.value())), change.modRevision(), change.modRevision());
+    }
+
+    private LeaderRecord parse(JsonNode value) {
+        try {
+            return LeaderRecord.read(value);
+        } catch (BadMessageException e) {
+            warnings.warn("unreadable leader record", e.getMessage());
+            return UNREADABLE;
+        }
+    }
+}
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -19,6 +19,7 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.election.Election;
+import org.spruceridge.election.ElectionDependencies;
 import org.spruceridge.leader.Leader;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.CancellationScope;
@@ -123,7 +124,8 @@
         this.workers = new WorkerClient(http, warnings);
         this.level = new ClusterFeatureLevel(state);
         state.onRateExceeded(this::rateExceeded);
-        this.election = new Election(loop, state, level, random, warnings, settings, policy, this);
+        this.election = new Election(
+                new ElectionDependencies(loop, state, level, random, warnings), settings, policy, this);
         this.peers = new PeerMonitor(loop, transport, warnings, this::heartbeat, this::cancelled);
         this.warmUp = new LeaderWarmUp(loop, settings, policy);
         this.cancellations = new RecentCancellations(
--- /dev/null
+++ b/src/test/java/org/spruceridge/election/ElectionTest.java
@@ -0,0 +1,168 @@
+package org.spruceridge.election;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.common.collect.ImmutableMap;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import org.spruceridge.config.Address;
+import org.spruceridge.config.Policy;
+import org.spruceridge.config.Settings;
+import org.spruceridge.net.Cancellable;
+import org.spruceridge.net.Durations;
+import org.spruceridge.net.HttpAnswer;
+import org.spruceridge.net.HttpCall;
+import org.spruceridge.net.Json;
+import org.spruceridge.net.Latencies;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.net.RateLimiter;
+import org.spruceridge.record.StateKeys;
+import org.spruceridge.sim.Fixtures;
+import org.spruceridge.sim.SimLoop;
+import org.spruceridge.sim.SimState;
+import org.spruceridge.state.StateClient;
+import org.spruceridge.term.LeaderTerm;
+import org.spruceridge.upgrade.ClusterFeatureLevel;
+
+/** An election writes the forms of production, and its lease is valid for exactly the time that it may be. */
+final class ElectionTest {
+    private static final Settings SETTINGS = Fixtures.settings(
+            ImmutableMap.of("red", new Settings.Team("red", 0, 0, 0, 0)),
+            new Settings.Workers(5, 22, 42),
+            new Settings.State(200, 50, 8, 24),
+            new Settings.Cloud(6, 10),
+            new Settings.Resources(0.1, 142, 900));
+    private static final Policy POLICY = Policy.defaults();
+    private static final long TTL_NANOS =
+            Durations.nanos(22 * POLICY.leadership().ttlWorkerLeases());
+    private static final long RENEWAL_INTERVAL_NANOS =
+            (long) (TTL_NANOS / POLICY.leadership().renewalsPerTtl());
+    /** 3% for late timers and 0.05% for drift of the clocks are left unused. */
+    private static final long VALIDITY_NANOS = (long) (TTL_NANOS * (1 - 0.0005 - 0.03));
+
+    private static final long LATENCY_NANOS = Durations.millis(5);
+
+    private final SimLoop loop = new SimLoop();
+    private final SimState state = new SimState(loop, 100, 1000);
+    private final List<LeaderTerm> won = new ArrayList<>();
+    private final List<Long> lostAt = new ArrayList<>();
+    private long leaseCreationSentAt;
+    private final List<Long> renewalsSentAt = new ArrayList<>();
+    private boolean unreachable;
+    private final Election election = election();
+
+    private Election election() {
+        RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
+        StateClient client = new StateClient(
+                loop,
+                (to, call, timeout, done) -> send(call, done),
+                new Address("10.0.0.1", 1),
+                new RateLimiter(loop, 1e6, 1e6, 1e6),
+                warnings,
+                new Latencies(loop));
+        ElectionDependencies dependencies =
+                new ElectionDependencies(loop, client, new ClusterFeatureLevel(client), new Random(1), warnings);
+        return new Election(dependencies, SETTINGS, POLICY, new Election.Listener() {
+            @Override
+            public void leadershipAcquired(LeaderTerm term) {
+                won.add(term);
+            }
+
+            @Override
+            public void leadershipLost() {
+                lostAt.add(loop.nanos());
+            }
+        });
+    }
+
+    private Cancellable send(HttpCall call, Consumer<HttpAnswer> done) {
+        if (call.target().equals("/grants")) {
+            leaseCreationSentAt = loop.nanos();
+        } else if (call.target().endsWith("/renew")) {
+            renewalsSentAt.add(loop.nanos());
+        }
+        return loop.after(LATENCY_NANOS, () -> {
+            if (unreachable) {
+                done.accept(HttpAnswer.notSent());
+            } else {
+                state.accept(call, done);
+            }
+        });
+    }
+
+    private void runUntilElected() {
+        election.start();
+        loop.run(1);
+        assertEquals(1, won.size());
+        assertTrue(election.isLeader());
+    }
+
+    /** The node may act as leader until this moment and not at it, to the nanosecond. */
+    private void assertLeaseExpiresAt(long nanos) {
+        List<Boolean> leader = new ArrayList<>();
+        loop.after(nanos - 1 - loop.nanos(), () -> leader.add(election.isLeader()));
+        loop.after(nanos - loop.nanos(), () -> leader.add(election.isLeader()));
+        loop.run(Durations.seconds(nanos - loop.nanos()) + 0.001);
+        assertEquals(List.of(true, false), leader);
+    }
+
+    @Test
+    void aWonElectionStoresTheLeaderAndTheTermInTheFormsOfProduction() {
+        state.put(StateKeys.TERM, Json.object().put("term", 6));
+        runUntilElected();
+        assertEquals("{\"term\":7}", state.value(StateKeys.TERM).toString());
+        String incarnation = Long.toHexString(new Random(1).nextLong());
+        assertEquals(
+                "{\"host\":\"n0\",\"incarnation\":\"" + incarnation + "\",\"term\":7}",
+                state.value(StateKeys.LEADER).toString());
+        assertEquals(7, won.get(0).term());
+    }
+
+    @Test
+    void aLeaseThatIsNeverRenewedIsValidFromTheSendingOfItsCreation() {
+        runUntilElected();
+        unreachable = true;
+        assertLeaseExpiresAt(leaseCreationSentAt + VALIDITY_NANOS);
+    }
+
+    @Test
+    void aLeaseIsRenewedAtEachIntervalAndValidFromTheSendingOfItsRenewal() {
+        runUntilElected();
+        long electedAt = won.get(0).electedAtNanos();
+        loop.run(Durations.seconds(2 * RENEWAL_INTERVAL_NANOS));
+        long secondAt = electedAt + RENEWAL_INTERVAL_NANOS + LATENCY_NANOS + RENEWAL_INTERVAL_NANOS;
+        assertEquals(List.of(electedAt + RENEWAL_INTERVAL_NANOS, secondAt), renewalsSentAt);
+        loop.run(Durations.seconds(2 * LATENCY_NANOS));
+        unreachable = true;
+        assertLeaseExpiresAt(secondAt + VALIDITY_NANOS);
+    }
+
+    @Test
+    void aRenewalWithoutResponseIsRetriedAfterAQuarterOfTheInterval() {
+        runUntilElected();
+        unreachable = true;
+        loop.run(Durations.seconds(2 * RENEWAL_INTERVAL_NANOS));
+        long first = won.get(0).electedAtNanos() + RENEWAL_INTERVAL_NANOS;
+        assertEquals(first, renewalsSentAt.get(0));
+        assertEquals(first + LATENCY_NANOS + RENEWAL_INTERVAL_NANOS / 4, renewalsSentAt.get(1));
+    }
+
+    @Test
+    void aLeaderThatResignsCampaignsAgainOnlyAfterATimeToLive() {
+        runUntilElected();
+        long resignedAt = loop.nanos();
+        election.resign("test");
+        assertFalse(election.isLeader());
+        assertEquals(List.of(resignedAt), lostAt);
+        loop.run(Durations.seconds(TTL_NANOS) - 0.001);
+        assertEquals(1, won.size());
+        loop.run(1);
+        assertEquals(2, won.size());
+        assertEquals(2, won.get(1).term());
+    }
+}
