--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -48,7 +48,7 @@
         this.scope = context.scope();
         this.workers = workers;
         this.heartbeatHandler = heartbeatHandler;
-        this.isLeader = context.leads();
+        this.isLeader = context.isLeader();
         this.onReply = onReply;
         this.term = context.term().term();
         this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
--- /dev/null
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -0,0 +1,159 @@
+package org.spruceridge.failover;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Cluster;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Durations;
+import org.spruceridge.net.Loop;
+import org.spruceridge.net.RateLimitedWarnings;
+import org.spruceridge.persistence.PageIndex;
+import org.spruceridge.persistence.RecordPages;
+import org.spruceridge.record.BindingsRecord;
+import org.spruceridge.record.FinishedTasksRecord;
+import org.spruceridge.record.JobRecord;
+import org.spruceridge.state.Entry;
+import org.spruceridge.state.Listing;
+import org.spruceridge.term.LeaderContext;
+import org.spruceridge.term.LeaderTerm;
+
+/** Converts records to jobs, machines and bindings. A record that cannot be read is left out, with a warning. */
+final class ClusterStateBuilder {
+    private final Loop loop;
+    private final Cluster cluster;
+    private final RecordPages records;
+    private final LeaderTerm term;
+    private final RateLimitedWarnings warnings;
+    private final List<Job> cancelledJobs = new ArrayList<>();
+
+    /** The bindings of one machine, and the page that they were read from. */
+    record RecordedMachine(PageIndex.Page<Machine> page, BindingsRecord.MachineBindings record) {}
+
+    ClusterStateBuilder(LeaderContext context, RecordPages records) {
+        this.loop = context.loop();
+        this.cluster = context.cluster();
+        this.records = records;
+        this.term = context.term();
+        this.warnings = context.warnings();
+    }
+
+    void addOpenJobs(Listing openJobs) {
+        for (Entry entry : openJobs.entries()) {
+            try {
+                JobRecord record = JobRecord.read(entry.value());
+                cluster.add(new Job(record.spec(), entry.modRevision(), record.submittedMs()));
+            } catch (BadMessageException e) {
+                warnings.warn("unreadable job record", entry.key() + ": " + e.getMessage());
+            }
+        }
+    }
+
+    void addFinishedTasks(Listing finished) {
+        for (Entry entry : finished.entries()) {
+            try {
+                addFinishedTasks(entry);
+            } catch (BadMessageException e) {
+                warnings.warn("unreadable record of finished tasks", e.getMessage());
+            }
+        }
+    }
+
+    private void addFinishedTasks(Entry entry) throws BadMessageException {
+        PageIndex.Page<RecordPages.TaskChunk> page = records.finished().restorePage(entry.key(), entry.modRevision());
+        for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(entry.value(), records.baseChunkSize())) {
+            Job job = cluster.job(chunk.job());
+            if (job != null) { // otherwise the job has ended, and the next write of the page omits it
+                records.restoreFinished(job, chunk.first(), chunk.tasks(), page);
+            }
+        }
+    }
+
+    List<RecordedMachine> readMachines(Listing bindings) {
+        List<RecordedMachine> machines = new ArrayList<>();
+        for (Entry entry : bindings.entries()) {
+            PageIndex.Page<Machine> page = records.bindings().restorePage(entry.key(), entry.modRevision());
+            try {
+                BindingsRecord.read(entry.value()).forEach(machine -> machines.add(new RecordedMachine(page, machine)));
+            } catch (BadMessageException e) {
+                warnings.warn("unreadable record of bindings", entry.key() + ": " + e.getMessage());
+            }
+        }
+        return machines;
+    }
+
+    /** The ids of jobs that have bound tasks and no open entry, in order. */
+    Set<String> jobsWithoutOpenEntry(List<RecordedMachine> machines) {
+        Set<String> ids = new TreeSet<>();
+        for (RecordedMachine machine : machines) {
+            for (BindingsRecord.BoundTask bound : machine.record().bound()) {
+                if (cluster.job(bound.task().job()) == null) {
+                    ids.add(bound.task().job());
+                }
+            }
+        }
+        return ids;
+    }
+
+    /**
+     * Adds a job that has bound tasks and no open entry: it was cancelled. The time of the cancellation comes from the
+     * record, so that a failover does not extend the time that is left to stop its tasks.
+     */
+    void addCancelledJob(String id, Entry entry) {
+        try {
+            JobRecord record = JobRecord.read(entry.value());
+            long ageMs = Math.max(0, loop.wallMillis() - record.endedMs());
+            Job job = new Job(record.spec(), entry.modRevision(), record.submittedMs());
+            job.cancel(loop.nanos() - Durations.millis(ageMs), loop.nanos());
+            cancelledJobs.add(job);
+            cluster.add(job);
+        } catch (BadMessageException e) {
+            warnings.warn("unreadable job record", id + ": " + e.getMessage());
+        }
+    }
+
+    /** Seconds since the earliest cancellation of the jobs that were added as cancelled, 0 if there is none. */
+    double oldestCancellationAgeS() {
+        return cancelledJobs.stream()
+                .mapToDouble(job -> Durations.secondsSince(job.cancelledAt(), loop.nanos()))
+                .max()
+                .orElse(0);
+    }
+
+    /** Adds a machine and its bindings. */
+    void addMachine(RecordedMachine recorded) {
+        BindingsRecord.MachineBindings record = recorded.record();
+        Machine machine = cluster.machine(record.name());
+        if (machine == null) {
+            // An earlier leader may have answered this machine at any time until the election.
+            machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.electedAtNanos());
+            machine.expectHeartbeats();
+            cluster.add(machine);
+        }
+        records.bindings().assign(machine, recorded.page());
+        for (BindingsRecord.BoundTask bound : record.bound()) {
+            bind(machine, bound);
+        }
+    }
+
+    private void bind(Machine machine, BindingsRecord.BoundTask bound) {
+        int index = bound.task().index();
+        Job job = cluster.job(bound.task().job());
+        if (job == null || index >= job.spec().tasks()) {
+            warnings.warn("binding of an unknown task", bound.task() + " on " + machine.name());
+            return;
+        }
+        cluster.bind(new Binding(job, index, bound.attempt(), machine, Binding.Stage.COMMITTED, loop.nanos()));
+    }
+
+    /** Heartbeats prove that the tasks of cancelled jobs have stopped only from now on, when all bindings are known. */
+    void markCancellationsKnown() {
+        for (Job job : cancelledJobs) {
+            job.cancel(job.cancelledAt(), loop.nanos());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/spruceridge/leader/HeartbeatResponder.java
@@ -0,0 +1,86 @@
+package org.spruceridge.leader;
+
+import java.util.List;
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spruceridge.net.Response;
+import org.spruceridge.reconciliation.HeartbeatHandler;
+import org.spruceridge.term.HeartbeatOutcome;
+import org.spruceridge.term.LeaderContext;
+import org.spruceridge.term.LeaderMetrics;
+import org.spruceridge.worker.WorkerCommand;
+import org.spruceridge.worker.WorkerHeartbeat;
+
+/** Makes the response to each worker heartbeat, and counts and logs its outcome. */
+final class HeartbeatResponder {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
+
+    private final long term;
+    private final LeaderMetrics metrics;
+    private final HeartbeatHandler heartbeatHandler;
+    private final Response noCommands;
+    private boolean duringFailover = true;
+
+    HeartbeatResponder(LeaderContext context, HeartbeatHandler heartbeatHandler) {
+        this.term = context.term().term();
+        this.metrics = context.metrics();
+        this.heartbeatHandler = heartbeatHandler;
+        this.noCommands = WorkerCommand.answer(term, List.of());
+    }
+
+    /** From now on heartbeats are reconciled with the cluster state, which is complete. */
+    void failoverCompleted() {
+        duringFailover = false;
+        heartbeatHandler.failoverCompleted();
+    }
+
+    /**
+     * Handles a heartbeat. During the failover it only renews the worker's lease and stops tasks of jobs that are not
+     * open. The response is empty if the worker must not get one, so that its lease expires.
+     */
+    Optional<Response> respond(WorkerHeartbeat heartbeat) {
+        if (duringFailover) {
+            return Optional.of(respond(heartbeat, heartbeatHandler.handleDuringFailover(heartbeat)));
+        }
+        if (heartbeatHandler.withholdsResponse(heartbeat)) {
+            metrics.count(HeartbeatOutcome.RESPONSE_WITHHELD);
+            LOG.debug("heartbeat not answered term={} machine={} reason=lease-must-expire", term, heartbeat.machine());
+            return Optional.empty();
+        }
+        return Optional.of(respond(heartbeat, heartbeatHandler.handle(heartbeat)));
+    }
+
+    private Response respond(WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
+        long stops = stopsAmong(commands);
+        HeartbeatOutcome outcome = outcomeOf(stops);
+        metrics.count(outcome);
+        if (LOG.isDebugEnabled()) {
+            LOG.debug(
+                    "heartbeat answered term={} machine={} fencingToken={} tasks={} outcome={} stops={}",
+                    term,
+                    heartbeat.machine(),
+                    heartbeat.fencingToken(),
+                    heartbeat.tasks().size(),
+                    outcome,
+                    stops);
+        }
+        return commands.isEmpty() ? noCommands : WorkerCommand.answer(term, commands);
+    }
+
+    private HeartbeatOutcome outcomeOf(long stops) {
+        if (duringFailover) {
+            return HeartbeatOutcome.ANSWERED_DURING_FAILOVER;
+        }
+        return stops > 0 ? HeartbeatOutcome.ANSWERED_WITH_STOPS : HeartbeatOutcome.ANSWERED;
+    }
+
+    private static long stopsAmong(List<WorkerCommand> commands) {
+        if (commands.isEmpty()) {
+            return 0;
+        }
+        return commands.stream()
+                .filter(command -> command.verb() == WorkerCommand.Verb.STOP)
+                .count();
+    }
+}
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableMap;
 import com.google.common.collect.ImmutableSet;
-import java.util.List;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -19,6 +18,7 @@
 import org.spruceridge.dispatch.CommandSender;
 import org.spruceridge.dispatch.SchedulingLoop;
 import org.spruceridge.failover.Failover;
+import org.spruceridge.failover.FailoverStep;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
@@ -30,40 +30,44 @@
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.state.StateClient;
-import org.spruceridge.term.HeartbeatOutcome;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 import org.spruceridge.upgrade.FeatureLevelUpgrader;
 import org.spruceridge.worker.WorkerClient;
-import org.spruceridge.worker.WorkerCommand;
 import org.spruceridge.worker.WorkerHeartbeat;
 
-/** All that a node does while it leads: one object for each term, stopped with it. */
+/**
+ * All duties of a node during one term as leader. It connects the parts, starts them once the failover is complete, and
+ * stops them with the term.
+ */
 public final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** Cycles run at least this often, in report periods: time alone changes scores and silences machines. */
-    private static final double IDLE_CYCLE_OF_REPORT = 1.0;
+    /**
+     * The longest time between two scheduling cycles, in heartbeat intervals: the passage of time alone changes scores
+     * and makes machines suspect.
+     */
+    private static final double MAX_CYCLE_INTERVAL_HEARTBEATS = 1.0;
 
     private final LeaderContext context;
     private final Loop loop;
     private final CancellationScope scope;
     private final Cluster cluster;
+    private final LeaderTerm term;
+    private final long maxCycleIntervalNanos;
     private final RecordWriter recordWriter;
-    private final HeartbeatHandler heartbeatHandler;
-    private final JobWatcher watch;
-    private final Failover failover;
+    private final HeartbeatResponder heartbeatResponder;
     private final SchedulingLoop schedulingLoop;
     private final CommandSender commandSender;
+    private final JobWatcher jobWatcher;
+    private final Failover failover;
+    private final FeatureLevelUpgrader featureLevelUpgrader;
     private final Autoscaler autoscaler;
-    private final FeatureLevelUpgrader levelRaiser;
-    private final LeaderTerm term;
-    private final long idleCycle;
-    private final Response nothingToDo;
-    private boolean ready;
+    private boolean failoverComplete;
 
-    /** Acts on what became of the leader's writes. */
+    /** Passes the outcomes of writes to the parts that depend on them. */
     private final class WriteListener implements RecordWriter.Listener {
         private final Consumer<String> resign;
 
@@ -79,7 +83,7 @@
 
         @Override
         public void onJobCancelled(Job job) {
-            watch.markCancelled(job, CancellationSource.FAILED_GUARD);
+            jobWatcher.markCancelled(job, CancellationSource.FAILED_GUARD);
         }
 
         @Override
@@ -88,17 +92,36 @@
         }
     }
 
+    private final class FailoverListener implements Failover.Listener {
+        @Override
+        public void stepCompleted(FailoverStep step) {
+            log(step);
+        }
+
+        @Override
+        public void openJobsLoaded(long asOfNanos) {
+            jobWatcher.recordViewCompleteUpTo(asOfNanos);
+        }
+
+        @Override
+        public void completed(long revision) {
+            failoverCompleted(revision);
+        }
+    }
+
     /**
-     * {@code everyMemberSupportsLevel} tells whether all members of the settings announced this version's feature level;
-     * {@code resign} gives the lead up, with a reason.
+     * Connects the parts; nothing is sent before {@link #start}.
+     *
+     * @param allMembersSupportNextLevel whether all members of the settings have announced this version's feature level
+     * @param resign ends the term, with a reason for the log
      */
     public Leader(
             LeaderContext context,
             StateClient state,
             CloudClient cloud,
             WorkerClient workers,
-            ClusterFeatureLevel level,
-            BooleanSupplier everyMemberSupportsLevel,
+            ClusterFeatureLevel featureLevel,
+            BooleanSupplier allMembersSupportNextLevel,
             Consumer<String> resign) {
         this.context = context;
         this.loop = context.loop();
@@ -106,26 +129,23 @@
         this.cluster = context.cluster();
         this.term = context.term();
         Settings settings = context.settings();
-        this.nothingToDo = WorkerCommand.answer(term.term(), List.of());
-        this.idleCycle = Durations.nanos(settings.workers().heartbeatIntervalS() * IDLE_CYCLE_OF_REPORT);
+        this.maxCycleIntervalNanos =
+                Durations.nanos(settings.workers().heartbeatIntervalS() * MAX_CYCLE_INTERVAL_HEARTBEATS);
         this.recordWriter = new RecordWriter(context, state, new WriteListener(resign));
-        this.heartbeatHandler = new HeartbeatHandler(context, recordWriter, this::available);
-        Matching matching = new Matching(
-                settings,
-                context.policy(),
-                BindingsRecord.maxBindingsPerMachine(settings.state().recordKb()));
-        this.schedulingLoop = new SchedulingLoop(context, recordWriter, matching, this::push, resign);
-        this.commandSender = new CommandSender(context, workers, heartbeatHandler, () -> schedulingLoop.request());
-        this.watch = new JobWatcher(
-                context, state, recordWriter, commandSender::sendDueCommands, () -> schedulingLoop.request());
+        HeartbeatHandler heartbeatHandler = new HeartbeatHandler(context, recordWriter, this::machineAvailable);
+        this.heartbeatResponder = new HeartbeatResponder(context, heartbeatHandler);
+        this.schedulingLoop = new SchedulingLoop(context, recordWriter, newMatching(), this::sendDueCommands, resign);
+        this.commandSender = new CommandSender(context, workers, heartbeatHandler, schedulingLoop::request);
+        this.jobWatcher =
+                new JobWatcher(context, state, recordWriter, commandSender::sendDueCommands, schedulingLoop::request);
         this.failover = new Failover(context, state, recordWriter.records());
-        this.levelRaiser = new FeatureLevelUpgrader(
+        this.featureLevelUpgrader = new FeatureLevelUpgrader(
                 scope,
                 state,
-                level,
+                featureLevel,
                 term.featureLevel(),
                 term.leaderRevision(),
-                everyMemberSupportsLevel,
+                allMembersSupportNextLevel,
                 recordWriter::levelRaised);
         this.autoscaler = new Autoscaler(
                 loop,
@@ -136,154 +156,133 @@
                 settings,
                 context.policy(),
                 term.term(),
-                context.leads(),
+                context.isLeader(),
                 schedulingLoop::lastPlan,
                 schedulingLoop::request);
     }
 
-    /** Takes over from the records, and then begins to schedule. */
-    public void start() {
-        failover.start(new Failover.Listener() {
-            @Override
-            public void stepCompleted(Failover.Step step) {
-                LOG.info("term {}: failover: {}, after {} ms", term.term(), step.what(), step.nanos() / 1_000_000);
-            }
-
-            @Override
-            public void openJobsLoaded(long asOfNanos) {
-                watch.recordViewCompleteUpTo(asOfNanos);
-            }
+    private Matching newMatching() {
+        int maxBindingsPerMachine =
+                BindingsRecord.maxBindingsPerMachine(context.settings().state().recordKb());
+        return new Matching(context.settings(), context.policy(), maxBindingsPerMachine);
+    }
 
-            @Override
-            public void completed(long revision) {
-                ready = true;
-                heartbeatHandler.failoverCompleted();
-                context.metrics().failoverCompleted(termAgeNanos());
-                LOG.info(
-                        "term {}: took over {} jobs and {} machines after {} ms",
-                        term.term(),
-                        cluster.jobs().size(),
-                        cluster.machines().size(),
-                        termAgeNanos() / 1_000_000);
-                recordWriter.failoverCompleted();
-                watch.watchFrom(revision);
-                autoscaler.start();
-                levelRaiser.start();
-                new StatusLogger(context, recordWriter).start();
-                tick();
-            }
-        });
+    /** Starts the failover, and all other duties when it is complete. */
+    public void start() {
+        failover.start(new FailoverListener());
     }
 
-    /** True while it knows enough of what users cancelled to answer workers. */
-    public boolean mayAnswerWorkers() {
-        return watch.isUpToDate();
+    private void failoverCompleted(long revision) {
+        failoverComplete = true;
+        heartbeatResponder.failoverCompleted();
+        context.metrics().failoverCompleted(termAgeNanos());
+        LOG.info(
+                "failover completed term={} jobs={} machines={} durationMs={}",
+                term.term(),
+                cluster.jobs().size(),
+                cluster.machines().size(),
+                termAgeNanos() / NANOS_PER_MILLI);
+        recordWriter.failoverCompleted();
+        jobWatcher.watchFrom(revision);
+        autoscaler.start();
+        featureLevelUpgrader.start();
+        new StatusLogger(context, recordWriter).start();
+        requestCyclePeriodically();
     }
 
-    /** A user was told that this job is cancelled: the watch will say so too, perhaps later. */
-    public void jobCancelled(String id) {
-        Job job = cluster.job(id);
-        if (ready && job != null) {
-            watch.markCancelled(job, CancellationSource.HEARTBEAT);
+    private void log(FailoverStep step) {
+        long durationMs = step.durationNanos() / NANOS_PER_MILLI;
+        if (step instanceof FailoverStep.ListingRead listing) {
+            LOG.info(
+                    "failover listing read term={} path={} count={} bytes={} durationMs={}",
+                    term.term(),
+                    listing.prefix(),
+                    listing.entries(),
+                    listing.bytes(),
+                    durationMs);
+        } else if (step instanceof FailoverStep.CancelledJobsRead cancelled) {
+            LOG.info(
+                    "failover cancelled jobs read term={} count={} ageS={} durationMs={}",
+                    term.term(),
+                    cancelled.jobs(),
+                    cancelled.oldestAgeS(),
+                    durationMs);
         }
     }
 
-    /** Ends all duties of the term. */
+    /** Stops all duties of the term. */
     public void stop() {
-        watch.stop();
+        jobWatcher.stop();
         scope.close();
     }
 
+    /** The number of the term, which is the fencing token of its commands. */
+    public long term() {
+        return term.term();
+    }
+
     /** Nanoseconds since this node won the term. */
     public long termAgeNanos() {
         return loop.nanos() - term.electedAtNanos();
     }
 
-    /** The number of the term, which is the token of its commands. */
-    public long term() {
-        return term.term();
+    /** This term's cluster state, to be read only. */
+    public Cluster cluster() {
+        return cluster;
     }
 
-    /** Reports come faster than this node can take them. */
-    public void heartbeatsDropped() {
-        autoscaler.fallsBehind();
+    /** True while the view of cancelled jobs is recent enough to answer workers. */
+    public boolean mayAnswerWorkers() {
+        return jobWatcher.isUpToDate();
     }
 
-    /** Takes over what is known of the machine types, unless the autoscaler has asked the cloud itself by now. */
-    public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
-        if (cluster.types().isEmpty()) {
-            cluster.types(types);
-        }
+    /** Handles a worker heartbeat. The response is empty if the worker's lease must expire. */
+    public Optional<Response> heartbeat(WorkerHeartbeat heartbeat) {
+        return heartbeatResponder.respond(heartbeat);
     }
 
-    /** This term's cluster state, to be read only. */
-    public Cluster cluster() {
-        return cluster;
+    /** Heartbeats arrive faster than this node can handle them, and some were dropped unread. */
+    public void heartbeatsDropped() {
+        autoscaler.fallsBehind();
     }
 
-    /**
-     * Takes a report; before the failover is complete it is only acknowledged, and told to stop what belongs to no open job:
-     * the answer renews its lease. Empty if it is not to be answered.
-     */
-    public Optional<Response> heartbeat(WorkerHeartbeat heartbeat) {
-        if (!ready) {
-            return answered(heartbeat, heartbeatHandler.handleDuringFailover(heartbeat));
-        }
-        if (heartbeatHandler.withholdsResponse(heartbeat)) {
-            context.metrics().count(HeartbeatOutcome.RESPONSE_WITHHELD);
-            LOG.debug("term {}: {} is not answered: its lease is to run out", term.term(), heartbeat.machine());
-            return Optional.empty();
+    /** Another node has confirmed the cancellation of this job to a user; the job watch may deliver it later. */
+    public void jobCancelled(String id) {
+        Job job = cluster.job(id);
+        if (failoverComplete && job != null) {
+            jobWatcher.markCancelled(job, CancellationSource.HEARTBEAT);
         }
-        return answered(heartbeat, heartbeatHandler.handle(heartbeat));
     }
 
-    private Optional<Response> answered(WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
-        long stops = commands.stream()
-                .filter(o -> o.verb() == WorkerCommand.Verb.STOP)
-                .count();
-        HeartbeatOutcome outcome = !ready
-                ? HeartbeatOutcome.ANSWERED_DURING_FAILOVER
-                : stops > 0 ? HeartbeatOutcome.ANSWERED_WITH_STOPS : HeartbeatOutcome.ANSWERED;
-        context.metrics().count(outcome);
-        if (LOG.isDebugEnabled()) {
-            LOG.debug(
-                    "term {}: {} with token {} and {} tasks: {}, {} stops",
-                    term.term(),
-                    heartbeat.machine(),
-                    heartbeat.fencingToken(),
-                    heartbeat.tasks().size(),
-                    outcome,
-                    stops);
+    /** Adopts machine types that this node has learned, unless the autoscaler has read them from the cloud already. */
+    public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
+        if (cluster.types().isEmpty()) {
+            cluster.types(types);
         }
-        return Optional.of(answer(commands));
     }
 
-    /** Adds how old the view of cancellations is, and how long ago the oldest unproven stop's job was cancelled. */
+    /** Adds the term, the age of the view of cancellations, and the age of the oldest stop without proof. */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
-        double viewAgeS = watch.cancellationViewAgeS();
+        double viewAgeS = jobWatcher.cancellationViewAgeS();
         if (Double.isFinite(viewAgeS)) {
             out.put("viewAgeS", viewAgeS);
         }
     }
 
-    private Response answer(List<WorkerCommand> commands) {
-        return commands.isEmpty() ? nothingToDo : WorkerCommand.answer(term.term(), commands);
-    }
-
-    private void available(Machine machine) {
+    private void machineAvailable(Machine machine) {
         if (machine.suspicion().isSuspect()) {
             commandSender.probe(machine);
         }
         schedulingLoop.request();
     }
 
-    private void push(Machine machine) {
+    private void sendDueCommands(Machine machine) {
         commandSender.sendDueCommands(machine);
     }
 
-    private void tick() {
+    private void requestCyclePeriodically() {
         schedulingLoop.request();
-        scope.after(idleCycle, this::tick);
+        scope.after(maxCycleIntervalNanos, this::requestCyclePeriodically);
     }
 }
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -41,6 +41,7 @@
 import org.spruceridge.term.HeartbeatOutcome;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
+import org.spruceridge.term.LeaderServices;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 import org.spruceridge.upgrade.FeatureLevel;
@@ -124,8 +125,8 @@
         this.workers = new WorkerClient(http, warnings);
         this.level = new ClusterFeatureLevel(state);
         state.onRateExceeded(this::rateExceeded);
-        this.election = new Election(
-                new ElectionDependencies(loop, state, level, random, warnings), settings, policy, this);
+        this.election =
+                new Election(new ElectionDependencies(loop, state, level, random, warnings), settings, policy, this);
         this.peers = new PeerMonitor(loop, transport, warnings, this::heartbeat, this::cancelled);
         this.warmUp = new LeaderWarmUp(loop, settings, policy);
         this.cancellations = new RecentCancellations(
@@ -189,7 +190,11 @@
         warmUp.stop();
         applyRateShares(true);
         LeaderContext context = LeaderContext.begin(
-                loop, settings, policy, term, election::isLeader, warnings, latencies, leaderMetrics);
+                new LeaderServices(loop, warnings, latencies, leaderMetrics),
+                settings,
+                policy,
+                term,
+                election::isLeader);
         leader = new Leader(context, state, cloud, workers, level, this::allMembersSupportLevel, election::resign);
         catalogue.types().ifPresent(leader::adoptMachineTypes);
         leader.start();
--- a/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
+++ b/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
@@ -1,23 +1,23 @@
 package org.spruceridge.term;
 
-/** What became of a worker's report. Only the first three renew the worker's lease. */
+/** How a worker heartbeat was answered. Only the first three outcomes renew the worker's lease. */
 public enum HeartbeatOutcome {
-    /** Answered, with no stop among the orders. */
+    /** Answered, with no stop among the commands. */
     ANSWERED,
     /** Answered with at least one stop. */
     ANSWERED_WITH_STOPS,
-    /** Answered while the failover was under way. */
+    /** Answered before the failover was complete. */
     ANSWERED_DURING_FAILOVER,
-    /** Sent to the node that leads. */
+    /** Redirected to the leader. */
     REDIRECTED,
-    /** Refused, for no leader is known. */
+    /** Refused, because no leader is known. */
     NO_LEADER,
-    /** Refused by the leader, whose view of cancellations is too old. */
+    /** Refused by the leader, because its view of cancellations is too old. */
     STALE_VIEW,
-    /** Refused, for the worker has seen a newer term. */
+    /** Refused, because the worker has seen a newer term. */
     NEWER_TERM,
-    /** Not answered, so that the lease of a worker that is not reached runs out. */
+    /** Refused, so that the lease of an unresponsive worker expires. */
     RESPONSE_WITHHELD,
-    /** Not a report. */
+    /** Refused, because it cannot be parsed. */
     UNREADABLE
 }
--- a/src/main/java/org/spruceridge/term/LeaderContext.java
+++ b/src/main/java/org/spruceridge/term/LeaderContext.java
@@ -14,7 +14,7 @@
  *
  * @param scope all that the leader has pending; closed at the end of the term
  * @param cluster the cluster state of this term
- * @param leads whether the lease of the leader key still holds
+ * @param isLeader whether the leader lease is still valid
  */
 public record LeaderContext(
         Loop loop,
@@ -23,36 +23,29 @@
         Policy policy,
         Cluster cluster,
         LeaderTerm term,
-        BooleanSupplier leads,
+        BooleanSupplier isLeader,
         RateLimitedWarnings warnings,
         Latencies latencies,
         LeaderMetrics metrics) {
 
     /** The context of a term that begins, with an empty cluster state. */
     public static LeaderContext begin(
-            Loop loop,
-            Settings settings,
-            Policy policy,
-            LeaderTerm term,
-            BooleanSupplier leads,
-            RateLimitedWarnings warnings,
-            Latencies latencies,
-            LeaderMetrics metrics) {
+            LeaderServices services, Settings settings, Policy policy, LeaderTerm term, BooleanSupplier isLeader) {
         return new LeaderContext(
-                loop,
-                new CancellationScope(loop),
+                services.loop(),
+                new CancellationScope(services.loop()),
                 settings,
                 policy,
                 new Cluster(),
                 term,
-                leads,
-                warnings,
-                latencies,
-                metrics);
+                isLeader,
+                services.warnings(),
+                services.latencies(),
+                services.metrics());
     }
 
-    /** The same with another cluster state. */
-    public LeaderContext with(Cluster other) {
-        return new LeaderContext(loop, scope, settings, policy, other, term, leads, warnings, latencies, metrics);
+    /** This context with another cluster state. */
+    public LeaderContext withCluster(Cluster other) {
+        return new LeaderContext(loop, scope, settings, policy, other, term, isLeader, warnings, latencies, metrics);
     }
 }
--- a/src/main/java/org/spruceridge/term/LeaderMetrics.java
+++ b/src/main/java/org/spruceridge/term/LeaderMetrics.java
@@ -4,35 +4,35 @@
 import com.google.common.base.CaseFormat;
 import org.spruceridge.net.Durations;
 
-/** Counts what became of reports, and times failovers, over all terms of this process. */
+/** Counts the outcomes of worker heartbeats and measures failovers, over all terms of this process. */
 public final class LeaderMetrics {
-    private final long[] heartbeats = new long[HeartbeatOutcome.values().length];
+    private final long[] heartbeatsByOutcome = new long[HeartbeatOutcome.values().length];
     private long failovers;
-    private long lastFailover;
-    private long longestFailover;
+    private long lastFailoverNanos;
+    private long longestFailoverNanos;
 
-    /** Counts a report. */
+    /** Counts a heartbeat. */
     public void count(HeartbeatOutcome outcome) {
-        heartbeats[outcome.ordinal()]++;
+        heartbeatsByOutcome[outcome.ordinal()]++;
     }
 
-    /** A failover was completed, so many nanoseconds after the election. */
-    public void failoverCompleted(long nanos) {
+    /** Counts a failover that is complete this long after the election. */
+    public void failoverCompleted(long durationNanos) {
         failovers++;
-        lastFailover = nanos;
-        longestFailover = Math.max(longestFailover, nanos);
+        lastFailoverNanos = durationNanos;
+        longestFailoverNanos = Math.max(longestFailoverNanos, durationNanos);
     }
 
-    /** Adds reports by outcome, and failovers. */
+    /** Adds {@code heartbeatOutcomes} and {@code failovers}. */
     public void writeTo(ObjectNode out) {
-        ObjectNode answers = out.putObject("reportOutcomes");
+        ObjectNode outcomes = out.putObject("heartbeatOutcomes");
         for (HeartbeatOutcome outcome : HeartbeatOutcome.values()) {
             String name = CaseFormat.UPPER_UNDERSCORE.to(CaseFormat.LOWER_CAMEL, outcome.name());
-            answers.put(name, heartbeats[outcome.ordinal()]);
+            outcomes.put(name, heartbeatsByOutcome[outcome.ordinal()]);
         }
         out.putObject("failovers")
                 .put("count", failovers)
-                .put("lastS", Durations.seconds(lastFailover))
-                .put("longestS", Durations.seconds(longestFailover));
+                .put("lastS", Durations.seconds(lastFailoverNanos))
+                .put("longestS", Durations.seconds(longestFailoverNanos));
     }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/term/LeaderServices.java
@@ -0,0 +1,8 @@
+package org.spruceridge.term;
+
+import org.spruceridge.net.Latencies;
+import org.spruceridge.net.Loop;
+import org.spruceridge.net.RateLimitedWarnings;
+
+/** The parts of a node that its leaders use in every term. */
+public record LeaderServices(Loop loop, RateLimitedWarnings warnings, Latencies latencies, LeaderMetrics metrics) {}
--- a/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
@@ -7,30 +7,31 @@
 import org.spruceridge.net.Loop;
 
 /**
- * Goes through a leader's code while this node follows, so that the virtual machine has compiled it when the node is
- * elected: interpreted, it takes ten to twenty times as long, just when every worker asks for the new leader.
+ * Runs a leader's code while this node follows, so that the virtual machine has compiled it before the node is elected.
+ * Interpreted code takes ten to twenty times as long, at the moment when every worker sends its heartbeat to the new
+ * leader.
  *
- * <p>It works on a {@link SyntheticLeader} of its own and on nothing else, sends nothing, is bounded in steps, takes a small
- * share of the processor, and makes way for any request that waits.
+ * <p>The work is done on a {@link SyntheticLeader} and touches nothing else of the node. It sends nothing, has a bounded
+ * number of steps, uses a small share of the processor, and pauses while requests wait.
  */
 public final class LeaderWarmUp {
     /** Enough for every path to pass the compiler's threshold of 200 calls. */
-    static final int STEPS = 240;
+    static final int TOTAL_STEPS = 240;
 
-    /** Between two steps there is this many times what the last has cost. */
-    private static final long COSTS_APART = 4;
+    /** The pause after a step is this many times as long as the step took. */
+    private static final long PAUSE_PER_STEP_DURATION = 4;
 
-    private static final long LEAST_SPACING = Durations.millis(50);
+    private static final long MIN_PAUSE_NANOS = Durations.millis(50);
 
     private final Loop loop;
     private final CancellationScope scope;
     private final Settings settings;
     private final Policy policy;
     private SyntheticLeader leader;
-    private boolean started;
-    private int steps;
+    private boolean startedOrStopped;
+    private int stepsTaken;
 
-    /** Steps run on {@code loop}; settings and policy say how large a leader's records and limits are. */
+    /** Steps run on {@code loop}; settings and policy determine the limits of the synthetic leader. */
     public LeaderWarmUp(Loop loop, Settings settings, Policy policy) {
         this.loop = loop;
         this.scope = new CancellationScope(loop);
@@ -38,38 +39,39 @@
         this.policy = policy;
     }
 
-    /** Begins, the first time that it is called. */
+    /** Starts the warm-up at the first call; later calls do nothing. */
     public void start() {
-        if (!started && !settings.teams().isEmpty()) {
-            started = true;
-            scope.after(LEAST_SPACING, this::next);
+        if (!startedOrStopped && !settings.teams().isEmpty()) {
+            startedOrStopped = true;
+            scope.after(MIN_PAUSE_NANOS, this::runStep);
         }
     }
 
-    /** Ends it for good, as when this node is elected. */
+    /** Ends the warm-up for good, for instance because this node is elected. */
     public void stop() {
-        started = true;
+        startedOrStopped = true;
         leader = null;
         scope.close();
     }
 
-    /** Steps that were taken so far. */
-    int steps() {
-        return steps;
+    /** The number of steps so far. */
+    int stepsTaken() {
+        return stepsTaken;
     }
 
-    private void next() {
+    private void runStep() {
         if (loop.busy()) {
-            scope.after(LEAST_SPACING, this::next);
+            scope.after(MIN_PAUSE_NANOS, this::runStep);
             return;
         }
-        long begun = loop.nanos();
+        long startedAtNanos = loop.nanos();
         if (leader == null) {
             leader = new SyntheticLeader(settings, policy);
         }
         leader.step();
-        if (++steps < STEPS) {
-            scope.after(Math.max(LEAST_SPACING, COSTS_APART * (loop.nanos() - begun)), this::next);
+        if (++stepsTaken < TOTAL_STEPS) {
+            long stepNanos = loop.nanos() - startedAtNanos;
+            scope.after(Math.max(MIN_PAUSE_NANOS, PAUSE_PER_STEP_DURATION * stepNanos), this::runStep);
         } else {
             leader = null;
         }
--- a/src/main/java/org/spruceridge/warmup/package-info.java
+++ b/src/main/java/org/spruceridge/warmup/package-info.java
@@ -1,2 +1,5 @@
-/** Runs a leader's code on synthetic state while the node follows, so that it is compiled before it is needed. */
+/**
+ * Warm-up of a follower: runs a leader's code on synthetic state, so that it is compiled before the node is elected. The
+ * node starts it once it knows a leader and stops it when it is elected. It runs in short steps on the node's event loop.
+ */
 package org.spruceridge.warmup;
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -43,6 +43,7 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
+import org.spruceridge.term.LeaderServices;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.worker.WorkerHeartbeat;
 import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
@@ -93,14 +94,11 @@
 
         Term(long number) {
             context = LeaderContext.begin(
-                    loop,
+                    new LeaderServices(loop, new RateLimitedWarnings(loop), new Latencies(loop), new LeaderMetrics()),
                     SETTINGS,
                     Policy.defaults(),
                     new LeaderTerm(number, leaderRevision, loop.nanos()),
-                    () -> true,
-                    new RateLimitedWarnings(loop),
-                    new Latencies(loop),
-                    new LeaderMetrics());
+                    () -> true);
             cluster = context.cluster();
             cluster.types(ImmutableMap.of(
                     "t4",
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -232,7 +232,7 @@
         cluster.submit(SimulatedCluster.job(1, 1));
         runUntilDone("j-000001");
         JsonNode metrics = cluster.metrics(cluster.leader());
-        JsonNode outcomes = metrics.path("reportOutcomes");
+        JsonNode outcomes = metrics.path("heartbeatOutcomes");
         assertTrue(outcomes.path("answered").asLong() > 0, outcomes.toString());
         assertEquals(0, outcomes.path("staleView").asLong());
         assertEquals(1, metrics.path("failovers").path("count").asLong());
--- a/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
@@ -27,7 +27,7 @@
         warmUp.start();
         warmUp.start();
         loop.run(120);
-        assertEquals(LeaderWarmUp.STEPS, warmUp.steps());
+        assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.stepsTaken());
         assertEquals(0, loop.pending());
     }
 
@@ -36,10 +36,10 @@
         loop.busy(true);
         warmUp.start();
         loop.run(60);
-        assertEquals(0, warmUp.steps());
+        assertEquals(0, warmUp.stepsTaken());
         loop.busy(false);
         loop.run(120);
-        assertEquals(LeaderWarmUp.STEPS, warmUp.steps());
+        assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.stepsTaken());
     }
 
     @Test
@@ -47,11 +47,11 @@
         warmUp.start();
         loop.run(1);
         warmUp.stop();
-        int steps = warmUp.steps();
+        int steps = warmUp.stepsTaken();
         assertTrue(steps > 0, "it had begun");
         warmUp.start();
         loop.run(60);
-        assertEquals(steps, warmUp.steps());
+        assertEquals(steps, warmUp.stepsTaken());
         assertEquals(0, loop.pending());
     }
 
@@ -59,9 +59,9 @@
     @Test
     void itDoesAllThatALeaderDoes() {
         SyntheticLeader leader = new SyntheticLeader(SETTINGS, Policy.defaults());
-        for (int i = 0; i < LeaderWarmUp.STEPS; i++) {
+        for (int i = 0; i < LeaderWarmUp.TOTAL_STEPS; i++) {
             leader.step();
         }
-        assertTrue(leader.completed() > 200, "tasks completed: " + leader.completed());
+        assertTrue(leader.completedTasks() > 200, "tasks completed: " + leader.completedTasks());
     }
 }
