--- a/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
+++ b/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
@@ -95,10 +95,10 @@
     }
 
     private LeaderKeyState stateAfter(Change change) {
-        if (change.dropped()) {
-            return new LeaderKeyState(Optional.empty(), 0, change.modRevision());
+        if (change instanceof Change.Put put) {
+            return new LeaderKeyState(Optional.of(parse(put.value())), put.modRevision(), put.modRevision());
         }
-        return new LeaderKeyState(Optional.of(parse(change.value())), change.modRevision(), change.modRevision());
+        return new LeaderKeyState(Optional.empty(), 0, change.modRevision());
     }
 
     private LeaderRecord parse(JsonNode value) {
--- a/src/main/java/org/spruceridge/leader/ClusterStatus.java
+++ b/src/main/java/org/spruceridge/leader/ClusterStatus.java
@@ -44,7 +44,7 @@
                 booting++;
                 return;
             }
-            if (machine.spot()) {
+            if (machine.isSpot()) {
                 spot++;
             } else {
                 onDemand++;
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -257,17 +257,14 @@
     /** Adopts machine types that this node has learned, unless the autoscaler has read them from the cloud already. */
     public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
         if (cluster.types().isEmpty()) {
-            cluster.types(types);
+            cluster.updateTypes(types);
         }
     }
 
     /** Adds the term, the age of the view of cancellations, and the age of the oldest stop without proof. */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
-        double viewAgeS = jobWatcher.cancellationViewAgeS();
-        if (Double.isFinite(viewAgeS)) {
-            out.put("viewAgeS", viewAgeS);
-        }
+        jobWatcher.cancellationViewAgeS().ifPresent(ageS -> out.put("viewAgeS", ageS));
     }
 
     private void machineAvailable(Machine machine) {
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.spruceridge.cluster.Binding;
 import org.spruceridge.cluster.BindingReleaser;
 import org.spruceridge.cluster.Cluster;
@@ -121,8 +122,8 @@
             settle(binding.job());
             return;
         }
-        binding.stage(Binding.Stage.RELEASING);
-        cluster.vacate(binding);
+        binding.advanceTo(Binding.Stage.RELEASING);
+        cluster.releaseCapacity(binding);
         waiting.merge(binding, done ? Write.END : Write.RELEASE, (a, b) -> a == Write.END ? a : b);
         pump();
     }
@@ -161,7 +162,7 @@
                 () -> {
                     waitsForTurn = false;
                     inFlight = scope.isClosed() ? null : compose();
-                    return inFlight == null ? null : inFlight.transaction();
+                    return Optional.ofNullable(inFlight).map(WriteBatch::transaction);
                 },
                 scope.guard(result -> {
                     if (inFlight == null) { // it never had its turn
@@ -242,7 +243,7 @@
         ImmutableSet.Builder<Machine> bound = ImmutableSet.builder();
         for (Binding b : batch.bound()) {
             if (b.stage() == Binding.Stage.PROPOSED) {
-                b.stage(Binding.Stage.COMMITTED);
+                b.advanceTo(Binding.Stage.COMMITTED);
                 latencies.record(Latencies.Kind.COMMITS, now - b.boundAt());
                 bound.add(b.machine());
             }
@@ -256,7 +257,7 @@
         });
         for (Job job : batch.finished()) {
             records.removeFinishedTasks(job);
-            cluster.removeIfOver(job, true);
+            cluster.removeIfEnded(job, true);
         }
         records.removeIdleMachines(batch.released().keySet());
         pump();
@@ -289,7 +290,7 @@
         for (Binding b : batch.bound()) {
             // A job that was cancelled meanwhile has let go of its proposals already, of this one not, as it was on its
             // way. Put back, it would make this and every later transaction fail: nothing would ever be bound again.
-            if (b.stage() == Binding.Stage.PROPOSED && !b.job().cancelled()) {
+            if (b.stage() == Binding.Stage.PROPOSED && !b.job().isCancelled()) {
                 waiting.put(b, Write.BIND);
             } else {
                 since.remove(b); // released or cancelled meanwhile, and never on record
@@ -304,6 +305,6 @@
 
     /** A cancelled job leaves the cluster state with its last binding. */
     private void settle(Job job) {
-        cluster.removeIfOver(job, job.cancelled());
+        cluster.removeIfEnded(job, job.isCancelled());
     }
 }
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -59,9 +59,9 @@
 
     /** True unless tasks of this job failed on the machine and the machine is to blame. */
     boolean accepts(Job job) {
-        return job.faultyOn().isEmpty()
-                || job.suspectedFaulty()
-                || !job.faultyOn().contains(machine.name());
+        return job.failedMachines().isEmpty()
+                || job.failsOnManyMachines()
+                || !job.failedMachines().contains(machine.name());
     }
 
     boolean fits(Resources task) {
@@ -90,7 +90,7 @@
     /** Keeps what is free, up to the size of one task, from the candidates that follow in this cycle. */
     void reserve(Resources task) {
         reserved = true;
-        free = free.minus(free.least(task));
+        free = free.minus(free.min(task));
     }
 
     /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never do. */
@@ -116,7 +116,7 @@
         List<ExpectedRelease> expectedReleases =
                 new ArrayList<>(machine.bindings().size());
         for (Binding binding : machine.bindings()) {
-            if (!binding.gone() && binding.ends()) {
+            if (!binding.isProvenGone() && binding.isExpectedToEnd()) {
                 double remainingS = estimates.remainingS(binding.job().spec().estimateS(), binding.elapsedS(now));
                 expectedReleases.add(
                         new ExpectedRelease(remainingS, binding.job().spec().task()));
--- a/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -31,7 +31,7 @@
         Resources expected = capacity.free();
         for (Binding binding : capacity.machine().bindings()) {
             boolean isReleasing = binding.stopMode() != Binding.StopMode.NONE || binding.phase() == Binding.Phase.ENDED;
-            expected = isReleasing && !binding.gone()
+            expected = isReleasing && !binding.isProvenGone()
                     ? expected.plus(binding.job().spec().task())
                     : expected;
         }
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -19,7 +19,7 @@
 
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
-        boolean hasStarted = row.candidate().job().begun();
+        boolean hasStarted = row.candidate().job().hasStarted();
         double startS = targetStartDelayS * (hasStarted ? STARTED_GROWTH_START_RATIO : GROWTH_START_RATIO);
         double endS = targetStartDelayS * (hasStarted ? STARTED_GROWTH_END_RATIO : GROWTH_END_RATIO);
         return Math.max(0, Math.min(1, (row.candidate().ageS() - startS) / (endS - startS)));
