--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -11,11 +11,12 @@
 import org.spruceridge.net.Response;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
+import org.spruceridge.sim.SimState;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Users cancel while something is out of order. The simulated cluster fails each scenario in which a task of a cancelled
+ * Users cancel jobs during faults. The simulated cluster fails each scenario in which a task of a cancelled
  * job is on a machine for longer than {@code cancel_s}.
  */
 final class CancellationScenarioTest {
@@ -87,12 +88,12 @@
                 (from, to, call) -> from.equals(leader) && call.target().startsWith("/follow?starts=open/")
                         ? Delivery.LOST
                         : Delivery.DELIVERED);
-        cluster.loop.run(26); // whatever was asked before is answered
+        cluster.loop.run(26); // earlier requests are answered by then
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertEquals(leader, cluster.leader());
         cluster.verifyRecovery(60);
-        assertEquals(3, cluster.starts().size(), "no lease ran out, for a listing tells as well");
+        assertEquals(3, cluster.starts().size(), "no lease expired, for a listing replaces the watch");
     }
 
     @Test
@@ -103,9 +104,9 @@
         cluster.loop.run(5);
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(leader) && readsOpenJobs(call.target()) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.loop.run(3); // what was asked before is answered
+        cluster.loop.run(3); // earlier requests are answered by then
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
-        // Renewals pass all the time, so that the grant alone would let it answer for ever.
+        // Renewals succeed all the time, so that the leader lease alone would let it answer for ever.
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 1);
         assertEquals(leader, cluster.leader());
         assertTrue(cluster.running().isEmpty());
@@ -149,7 +150,7 @@
         SimWorker hung = cluster.cloud.workers().get(0);
         hung.hang();
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
-        // Each leader has less time than the silence of a machine has to last.
+        // No leader lasts as long as a machine must be silent to be deleted.
         for (int i = 0; i < 6; i++) {
             cluster.nodes.crashLeader(1);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S / 6);
@@ -165,12 +166,12 @@
         AtomicInteger lost = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) -> {
             boolean first = call.target().equals("/do") && lost.getAndIncrement() == 0;
-            boolean cloud = to.host().equals("10.2.0.2");
+            boolean cloud = SimulatedCluster.isCloud(to);
             return silent.contains(from) || first || cloud ? Delivery.LOST : Delivery.DELIVERED;
         });
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.6);
-        assertTrue(cluster.running().isEmpty(), "before their leases end");
+        assertTrue(cluster.running().isEmpty(), "before their leases expire");
         cluster.verifyRecovery(60);
     }
 
@@ -227,7 +228,7 @@
         assertEquals("cancelled", SimulatedCluster.stage(answer));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertTrue(cluster.running().isEmpty());
-        assertFalse(cluster.hasBinding("j-000001"), "bindings of a cancelled job must be released in the end");
+        assertFalse(cluster.hasBinding("j-000001"), "bindings of a cancelled job must be released");
         assertEquals("cancelled", cluster.poll("j-000001"));
     }
 
@@ -236,9 +237,7 @@
         cluster.awaitLeader(10);
         String leader = cluster.leader();
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(leader) && call.target().equals("/txn") && new String(call.body()).contains("bound/")
-                        ? Delivery.HELD
-                        : Delivery.DELIVERED);
+                from.equals(leader) && SimState.isTransactionOn(call, "bound/") ? Delivery.HELD : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
         cluster.net.clearFaults();
@@ -256,7 +255,7 @@
     void cancellationUnknownToLeaderPreventsTaskStart() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1));
-        // From here on the leader hears of no change of jobs in any way; the machine is still booting.
+        // From here on the leader learns of no change of jobs; the machine is still booting.
         String leader = cluster.leader();
         cluster.nodes.isolateFromPeers(leader);
         cluster.net.injectFaults((from, to, call) ->
@@ -265,7 +264,8 @@
         cluster.loop.run(1);
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
         cluster.loop.run(20);
-        assertTrue(cluster.starts().isEmpty(), "the commit of the binding must have failed on the job's guard");
+        assertTrue(
+                cluster.starts().isEmpty(), "the transaction of the binding must have failed on the job's comparison");
     }
 
     @Test
@@ -292,7 +292,7 @@
         }
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000002/abort", (JsonNode) null);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 5);
-        assertFalse(cluster.hasBinding("j-000002"), "released on the proof that the machine is gone");
+        assertFalse(cluster.hasBinding("j-000002"), "released once the deletion of the machine is confirmed");
         cluster.net.deliverHeld();
         cluster.loop.run(5);
         assertTrue(cluster.starts().stream().noneMatch(start -> start.startsWith("j-000002")));
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
+import org.spruceridge.sim.SimState;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
@@ -38,10 +39,6 @@
         cluster.await(() -> cluster.running().size() == before + tasks, 40);
     }
 
-    private static boolean isCloud(String host) {
-        return host.equals("10.2.0.2");
-    }
-
     private static boolean isMachine(String host) {
         return host.startsWith("10.1.0.");
     }
@@ -54,7 +51,7 @@
             SimWorker unreachable = cluster.cloud.workers().get(0);
             cluster.net.injectFaults((from, to, call) -> from.equals(unreachable.name())
                             || to.host().equals("10.1.0." + unreachable.name())
-                            || isCloud(to.host())
+                            || SimulatedCluster.isCloud(to)
                     ? Delivery.LOST
                     : Delivery.DELIVERED);
             cluster.submit(SimJobs.array(3, 4).put("expectS", 10.0));
@@ -161,7 +158,7 @@
             List<String> silent = cluster.cloud.machineNames();
             cluster.net.injectFaults((from, to, call) -> silent.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(2.6 * SimulatedCluster.HEARTBEAT_INTERVAL_S);
-            // The answers to the stops show that they hear; their leases run out all the same.
+            // Their answers to the stop commands show that they receive commands; their leases expire all the same.
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
             cluster.await(() -> cluster.running().isEmpty(), 2);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 5.0));
@@ -172,10 +169,10 @@
     }
 
     /**
-     * Two tasks are being bound to a machine when the state service goes out for longer than leases last. After that the
-     * first start shows the leader, by its refusal, that the worker has begun a new session, and the second, on record a
-     * moment later, is carried out in that session. The machine reports to nobody yet: what was started is not gone
-     * because the session before was answered so long ago.
+     * Two tasks are being bound to a machine when the state service fails for longer than a lease. After the outage the
+     * worker rejects the first start command, which shows the leader its new incarnation, and the second task, recorded
+     * shortly after, starts in that incarnation. The machine sends no heartbeats yet: the age of the last heartbeat of the
+     * former incarnation is no proof that the task has stopped.
      */
     @Test
     void tasksPushedToUnacknowledgedIncarnationAreNotReleased() {
@@ -185,9 +182,7 @@
             cluster.cloud.limitCapacity(cluster.cloud.machineCount());
             String leader = cluster.leader();
             cluster.net.injectFaults(
-                    (from, to, call) -> call.target().equals("/txn") && new String(call.body()).contains("bound/")
-                            ? Delivery.LOST
-                            : Delivery.DELIVERED);
+                    (from, to, call) -> SimState.isTransactionOn(call, "bound/") ? Delivery.LOST : Delivery.DELIVERED);
             cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
             cluster.loop.run(0.3);
             cluster.submit(SimJobs.array(3, 1).put("expectS", 60.0));
@@ -367,8 +362,9 @@
         atEachStep(4, step -> {
             startTasks(1, 2, 600);
             SplittableRandom random = new SplittableRandom(step);
-            cluster.net.injectFaults((from, to, call) ->
-                    to.host().equals("10.2.0.1") && random.nextInt(10) < 3 ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
+            cluster.net.injectFaults((from, to, call) -> SimulatedCluster.isStateService(to) && random.nextInt(10) < 3
+                    ? Delivery.ANSWER_LOST
+                    : Delivery.DELIVERED);
             cluster.net.refuseStateRequests(cluster.leader(), 8);
             for (int i = 0; i < 4; i++) {
                 cluster.cancel(cluster.follower(), "j-000001");
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -9,6 +9,7 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
+import org.spruceridge.sim.SimState;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
@@ -19,11 +20,9 @@
     @Test
     void leaderCrashBetweenCommitAndCommandStartsTaskOnce() {
         cluster.awaitLeader(10);
-        // The binding is committed, but its leader dies before it hears of that.
-        cluster.net.injectFaults(
-                (from, to, call) -> call.target().equals("/txn") && new String(call.body()).contains("bound/")
-                        ? Delivery.ANSWER_LOST
-                        : Delivery.DELIVERED);
+        // The binding is committed, but its leader crashes before it receives the answer.
+        cluster.net.injectFaults((from, to, call) ->
+                SimState.isTransactionOn(call, "bound/") ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
         String first = cluster.leader();
@@ -41,9 +40,9 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 25.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
-        // Its task goes on while nobody can hear it, nor reach the cloud, and the leader dies.
+        // Its task keeps running while its heartbeats and all requests to the cloud are lost, and the leader crashes.
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(worker.name()) || to.host().equals("10.2.0.2") ? Delivery.LOST : Delivery.DELIVERED);
+                from.equals(worker.name()) || SimulatedCluster.isCloud(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.nodes.crash(cluster.leader());
         cluster.awaitLeader(30);
         cluster.loop.run(4);
@@ -59,23 +58,23 @@
     void quotaHoldsInFailoverWithSilentWorkers() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 30.0));
-        cluster.await(() -> cluster.running().size() == 4, 40); // the team's limit
+        cluster.await(() -> cluster.running().size() == 4, 40); // the team's quota
         cluster.net.injectFaults((from, to, call) ->
-                from.startsWith("i-") || to.host().equals("10.2.0.2") ? Delivery.LOST : Delivery.DELIVERED);
+                from.startsWith("i-") || SimulatedCluster.isCloud(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.nodes.crash(cluster.leader());
         cluster.submit(SimJobs.array(2, 4).put("expectS", 30.0));
         cluster.awaitLeader(30);
         cluster.loop.run(5);
         cluster.net.clearFaults();
         cluster.loop.run(200);
-        // The simulated cluster counts the limit at every start.
+        // The simulated cluster checks the quota at every start.
         assertEquals(8, cluster.completed().size());
     }
 
     @Test
     void newLeaderGivesWorkersOneLeaseToFindIt() {
         cluster.awaitLeader(10);
-        // One task fills the memory of a machine, so that most of the zone's four are heard.
+        // One task fills the memory of a machine, so that most of the zone's four machines send heartbeats.
         cluster.submit(SimJobs.array(1, 4).put("memGb", 20.0).put("grove", "z1").put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
         int rented = cluster.cloud.machineCount();
@@ -87,15 +86,15 @@
         cluster.nodes.crashLeader(0.1);
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.75);
         assertNotNull(cluster.leader());
-        assertEquals(rented, cluster.cloud.machineCount(), "it is still looking for its leader, as all workers are");
+        assertEquals(rented, cluster.cloud.machineCount(), "the worker may still be searching for the leader");
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(4, cluster.starts().size());
     }
 
     /**
-     * Guards against leases that are taken for over while they run: a new leader answers workers before it has read which
-     * machines there are, reads that only after more than a lease, and by then the machines cannot be reached.
+     * Guards against leases that are assumed expired while they are valid: a new leader answers workers before it has read
+     * the machines, reads them only after more than a lease, and by then the machines cannot be reached.
      */
     @Test
     void leasesRenewedDuringFailoverDelayReleaseOfTheirTasks() {
@@ -109,7 +108,7 @@
         cluster.nodes.crashLeader(1);
         cluster.awaitLeader(10);
         cluster.loop.run(SimulatedCluster.LEASE_S - 2);
-        assertTrue(cluster.completed().contains("j-000002/0"), "there is room on a machine that can be reached");
+        assertTrue(cluster.completed().contains("j-000002/0"), "there is capacity on a reachable machine");
         cluster.net.injectFaults((from, to, call) ->
                 unreachableMachines.contains(from) || listsMachines(call) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(4);
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -7,14 +7,14 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Nobody starves: the largest jobs and tasks begin too, whatever else is asked for. */
+/** No starvation: the largest jobs and tasks start too, whatever else is submitted. */
 final class FairnessScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
     void largestJobStartsDespiteStreamOfUrgentSmallJobs() {
         cluster.awaitLeader(10);
-        // Two machines' worth of room, and small jobs of a higher rank that ask for more than that all the time.
+        // Capacity for two machines, and a steady stream of small jobs of a higher priority that exceeds it.
         int number = 100;
         for (int i = 0; i < 12; i++) {
             submitUrgent(++number);
@@ -25,7 +25,7 @@
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
             submitUrgent(++number);
             cluster.loop.run(1.5);
-            assertTrue(cluster.loop.nanos() - submitted < 240e9, "the largest too must begin within four minutes");
+            assertTrue(cluster.loop.nanos() - submitted < 240e9, "the largest job must start within four minutes");
         }
     }
 
@@ -42,11 +42,11 @@
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
             submitSmall(++number);
             cluster.loop.run(0.4);
-            assertTrue(cluster.loop.nanos() - submitted < 240e9, "it must begin within four minutes");
+            assertTrue(cluster.loop.nanos() - submitted < 240e9, "the large task must start within four minutes");
         }
     }
 
-    /** Workers' reports come before decisions; but a leader that is never idle must decide all the same. */
+    /** Heartbeats have priority over scheduling; but a leader that is never idle must schedule all the same. */
     @Test
     void schedulingYieldsToPendingRequestsForBoundedTime() {
         cluster.awaitLeader(10);
@@ -57,7 +57,7 @@
         cluster.loop.busy(true);
         submitSmall(3);
         cluster.loop.run(0.08 * SimulatedCluster.LEASE_S);
-        assertFalse(started("j-000003"), "reports come first");
+        assertFalse(started("j-000003"), "heartbeats have priority");
         cluster.await(() -> started("j-000003"), 0.1 * SimulatedCluster.LEASE_S);
     }
 
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -16,11 +16,11 @@
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** What may go wrong with the nodes, their elections and the state service, and what must still hold. */
+/** Faults of nodes, elections and the state service, and what must hold in spite of them. */
 final class LeadershipScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-    /** Before that it could only turn workers away, and those would flood it while it finds out. */
+    /** Before that it could only reject workers, and their retries would overload it during start-up. */
     @Test
     void startingNodeIsReadyOnceItKnowsTheLeader() {
         cluster.awaitLeader(10);
@@ -39,12 +39,12 @@
         cluster.submit(SimJobs.array(1, 2).put("expectS", 200.0));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
         String old = cluster.leader();
-        // The old leader's writes get stuck in the network; then it loses the state service altogether.
+        // The old leader's writes are held by the network; then it loses the state service altogether.
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(old) && call.target().equals("/txn") ? Delivery.HELD : Delivery.DELIVERED);
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(old) && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
+                from.equals(old) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.awaitLeaderOtherThan(old, 30);
         cluster.await(() -> cluster.running().size() == 2, 60);
         JsonNode leader = cluster.state.value("leader");
@@ -62,7 +62,7 @@
         cluster.awaitLeader(10);
         String old = cluster.leader();
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(old) && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
+                from.equals(old) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.awaitLeaderOtherThan(old, 30);
         Response answer = cluster.request(old, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
         assertNotEquals(200, answer.status());
@@ -80,7 +80,7 @@
                 cluster.request("n0", "POST", "/api/jobs", SimJobs.array(2, 1)).status());
         cluster.loop.run(10);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(2, cluster.starts().size(), "an outage shorter than a lease costs no task");
+        assertEquals(2, cluster.starts().size(), "an outage shorter than a lease stops no task");
     }
 
     @Test
@@ -113,7 +113,7 @@
         });
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertNotEquals(old, cluster.leader());
-        assertEquals(2, cluster.starts().size(), "another leader answered before any lease ran out");
+        assertEquals(2, cluster.starts().size(), "another leader answered before any lease expired");
     }
 
     @Test
@@ -121,7 +121,7 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        cluster.net.injectFaults((from, to, call) -> to.host().equals("10.2.0.2") ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.net.injectFaults((from, to, call) -> SimulatedCluster.isCloud(to) ? Delivery.LOST : Delivery.DELIVERED);
         for (String node : new String[] {"n0", "n1", "n2"}) {
             cluster.nodes.crash(node);
         }
@@ -137,7 +137,7 @@
     void runningNodeReplacesRestartedLeaderImmediately() {
         cluster.awaitLeader(10);
         String leader = cluster.leader();
-        // Even if the others are slower to hear of it.
+        // Even if the other nodes learn of it later.
         cluster.net.injectFaults((from, to, call) -> from.equals(leader) ? Delivery.DELIVERED : Delivery.SLOW);
         cluster.nodes.crash(leader);
         cluster.nodes.start(leader);
@@ -153,7 +153,7 @@
         List.of("n0", "n1", "n2").forEach(cluster.nodes::crash);
         cluster.nodes.start(leader);
         cluster.loop.run(SimulatedCluster.LEASE_S / 4);
-        assertEquals(leader, cluster.leader(), "long before the grant of its former life ends");
+        assertEquals(leader, cluster.leader(), "long before the lease of its former incarnation expires");
     }
 
     @Test
@@ -179,19 +179,19 @@
         String isolated = cluster.follower();
         cluster.nodes.isolateFromPeers(isolated);
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(isolated) && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
+                from.equals(isolated) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(26); // past the end of its last watch
         cluster.nodes.crash(old);
         cluster.awaitLeader(30);
         assertNotEquals(isolated, cluster.leader());
-        cluster.loop.run(4); // a watch from before the cut was still answered
+        cluster.loop.run(4); // a watch from before the partition was still answered
         Response answer = cluster.request(isolated, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
-        assertEquals(503, answer.status(), "it must not send workers to a leader of which it has no fresh word");
+        assertEquals(503, answer.status(), "it must not redirect workers to a leader that it cannot confirm");
         assertEquals(
                 503,
                 cluster.request(isolated, "GET", "/healthz", (JsonNode) null).status());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertEquals(2, cluster.starts().size(), "no lease ran out");
+        assertEquals(2, cluster.starts().size(), "no lease expired");
     }
 
     @Test
@@ -202,10 +202,10 @@
         String isolated = cluster.leader();
         cluster.nodes.isolateFromPeers(isolated);
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(isolated) && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
+                from.equals(isolated) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.awaitLeaderOtherThan(isolated, 30);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertEquals(2, cluster.starts().size(), "no lease ran out");
+        assertEquals(2, cluster.starts().size(), "no lease expired");
     }
 
     @Test
@@ -236,7 +236,7 @@
             cluster.submit(SimJobs.array(i, 2).put("expectS", 10.0));
         }
         cluster.await(() -> cluster.running().size() == 4, 40);
-        // An outage, in the midst of which all nodes die; then each node in turn loses the state service.
+        // All nodes crash during an outage; then each node in turn loses the state service.
         cluster.state.outage(20);
         cluster.loop.run(5);
         for (String node : new String[] {"n0", "n1", "n2"}) {
@@ -249,7 +249,7 @@
         cluster.loop.run(15);
         for (String node : new String[] {"n0", "n1", "n2"}) {
             cluster.net.injectFaults((from, to, call) ->
-                    from.equals(node) && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
+                    from.equals(node) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(10);
         }
         cluster.net.clearFaults();
@@ -280,12 +280,11 @@
             requested.compareAndSet(false, returns);
             requestedWithoutLease.compareAndSet(false, returns && !old.equals(cluster.leader()));
             boolean watch = call.target().startsWith("/follow?starts=leader");
-            boolean isolated =
-                    from.equals(old) && (watch || requested.get() && to.host().equals("10.2.0.1"));
+            boolean isolated = from.equals(old) && (watch || requested.get() && SimulatedCluster.isStateService(to));
             return returns || isolated ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.submit(SimJobs.array(1, 1));
-        cluster.await(() -> requested.get(), 120); // and it will ask again, as no answer comes
+        cluster.await(() -> requested.get(), 120); // it will retry, as no answer arrives
         cluster.awaitLeaderOtherThan(old, 30);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         assertFalse(requestedWithoutLease.get());
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -16,7 +16,7 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** What may go wrong between the leader, the workers and the cloud, and what must still hold. */
+/** Faults between the leader, the workers and the cloud, and what must hold in spite of them. */
 final class MachineScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -46,7 +46,7 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
-        // Its reports are held back until its lease is over and the task runs elsewhere.
+        // Its heartbeats are held until its lease has expired and the task runs elsewhere.
         cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.HELD : Delivery.DELIVERED);
         cluster.await(() -> cluster.starts().size() == 2, 60);
         cluster.net.clearFaults();
@@ -66,7 +66,7 @@
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         cluster.loop.run(10);
-        assertEquals(3, lost.get(), "the request is repeated until it is answered");
+        assertEquals(3, lost.get(), "the request is retried until it is answered");
         assertEquals(1, cluster.cloud.machineCount());
     }
 
@@ -83,7 +83,7 @@
         cluster.net.clearFaults();
         cluster.net.deliverHeld();
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 120);
-        assertEquals(2, cluster.starts().size(), "each started once, by the answer to a report");
+        assertEquals(2, cluster.starts().size(), "each started once, by the answer to a heartbeat");
     }
 
     @Test
@@ -125,7 +125,7 @@
         assertFalse(cluster.starts().get(1).endsWith(worker.name()));
     }
 
-    /** From now on the worker's reports arrive, and nothing that is said to it does. */
+    /** From now on the worker's heartbeats arrive, and no answer or command reaches it. */
     private void dropMessagesTo(SimWorker worker) {
         cluster.net.injectFaults((from, to, call) -> {
             if (from.equals(worker.name())) {
@@ -142,7 +142,7 @@
         cluster.await(() -> cluster.running().size() == 4, 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         dropMessagesTo(unreachable);
-        // Its lease runs out although each of its reports is taken; being heard must not count as being reached.
+        // Its lease expires although its heartbeats arrive; a received heartbeat must not count as a renewed lease.
         cluster.await(() -> !cluster.cloud.workers().contains(unreachable), 4 * SimulatedCluster.LEASE_S);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 100);
         assertTrue(cluster.starts().stream().skip(4).noneMatch(s -> s.endsWith(unreachable.name())));
@@ -183,8 +183,7 @@
             if (from.equals(unreachable.name())) {
                 return Delivery.ANSWER_LOST;
             }
-            boolean lost = to.host().equals("10.1.0." + unreachable.name())
-                    || to.host().equals("10.2.0.2");
+            boolean lost = to.host().equals("10.1.0." + unreachable.name()) || SimulatedCluster.isCloud(to);
             return lost ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.await(() -> cluster.completed().size() == 4, 150);
@@ -203,7 +202,7 @@
         cluster.cloud.crash(worker);
         cluster.nodes.crash(old);
         cluster.net.clearFaults();
-        // The copies were on their way to the old leader, which is back by now and leads again or not.
+        // The duplicates were addressed to the old leader, which runs again by now and may lead again.
         cluster.nodes.start(old);
         cluster.awaitLeader(30);
         double leaseFrom = cluster.loop.nanos() / 1e9;
@@ -235,7 +234,9 @@
         cluster.net.deliverHeld();
         cluster.loop.run(2 * SimulatedCluster.LEASE_S);
         assertEquals(
-                deletionRequests, cluster.cloud.deletionRequests(), "nobody took the machine for one that is there");
+                deletionRequests,
+                cluster.cloud.deletionRequests(),
+                "no leader took the deleted machine for a running one");
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 30);
     }
@@ -276,7 +277,7 @@
         cluster.await(() -> cluster.running().size() == 3, 30);
         List<SimWorker> hung = List.copyOf(cluster.cloud.workers());
         hung.forEach(SimWorker::hang);
-        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // its start is on its way to one of them
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // its start command is in flight to one of them
         cluster.loop.run(2 * SimulatedCluster.LEASE_S + 5);
         hung.forEach(SimWorker::resume);
         cluster.await(() -> cluster.completed().size() == 4, 200);
@@ -285,7 +286,7 @@
         assertEquals("done", cluster.poll("j-000002"));
     }
 
-    /** Guards against a task that is never placed again, for one that no record knew was stopped and never let go. */
+    /** Guards against a task that is never placed again because an unrecorded copy of it was stopped but not released. */
     @Test
     void unrecordedTaskIsStoppedAndRunsWhereItIsBound() {
         cluster.cloud.limitCapacity(1);
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -52,7 +52,7 @@
         cluster.await(() -> cluster.running().size() == JOBS * tasks, 200);
     }
 
-    /** Cuts the leader off from the state service and from the other nodes, and names it. */
+    /** Partitions the leader from the state service and from the other nodes; returns its name. */
     private String isolateLeader() {
         String leader = cluster.leader();
         isolate(leader);
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Guards against answers that renew a lease and stop nothing: the first report of a worker to a new leader carries an
-     * older token, and where leaders change within a report period every report is the first. A few jobs are cancelled only,
-     * so that each failover is over at once.
+     * Guards against answers that renew a lease without stopping cancelled tasks: the first heartbeat of a worker to a new
+     * leader carries an older fencing token, and if leaders change within a heartbeat interval every heartbeat is the first.
+     * Only a few jobs are cancelled, so that each failover is short.
      */
     @Test
     void leadersShorterThanAHeartbeatIntervalStopCancelledTasks() {
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Guards against jobs that look open while a failover reads their records one by one: jobs are cancelled behind the
-     * back of a leader that is cut off, the state service is slow, and the next leader ends before it has read them all.
+     * Guards against jobs that appear open while a failover reads their records one by one: jobs are cancelled while the
+     * leader is partitioned, the state service is slow, and the next leader crashes before it has read them all.
      */
     @Test
     void newLeadersStopCancelledTasksWhileReadingJobs() {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Guards against the same, however fast records are read: one of them cannot be read at all, so that the failover does
-     * not come to its end while those that were read before are known.
+     * Guards against the same if records are read fast: one of them cannot be read at all, so that the failover does not
+     * complete although the others are known.
      */
     @Test
     void newLeaderStopsCancelledTasksWhileOneRecordIsUnreadable() {
@@ -118,7 +118,7 @@
         String first = isolateLeader();
         cluster.users.cancel(ids(0, CANCELLED_AT_ONCE), cluster.nodes.running(node -> !node.equals(first)));
         cluster.await(() -> cluster.users.unansweredCount() == 0, 6);
-        assertEquals(first, cluster.leader(), "its grant still runs");
+        assertEquals(first, cluster.leader(), "its lease has not expired");
         cluster.net.injectFaults((from, to, call) ->
                 call.target().equals("/store/job/" + id(CANCELLED_AT_ONCE - 1)) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
@@ -126,8 +126,8 @@
     }
 
     /**
-     * All at once at full size: a slow state service, the cloud out, machines that hang, that hear nothing, that reach
-     * nobody, or that are cut off with one of the nodes, and three leaders that end one after the other.
+     * Concurrent faults at full size: a slow state service, a cloud outage, machines that hang, that receive nothing, that
+     * reach no node, or that are partitioned with one of the nodes, and three leaders that crash in sequence.
      */
     @ParameterizedTest
     @ValueSource(ints = {1640, 4000})
@@ -145,7 +145,7 @@
         isolate(isolatedNode);
         cluster.net.injectFaults((from, to, call) -> {
             boolean toIsolatedNode = to.equals(SimulatedCluster.address(isolatedNode));
-            if (to.equals(SimulatedCluster.CLOUD_ADDRESS)
+            if (SimulatedCluster.isCloud(to)
                     || silent.contains(from)
                     || unreachableMachines.contains(from) && !toIsolatedNode
                     || call.target().equals("/do") && unreachableAddresses.contains(to)) {
@@ -154,7 +154,7 @@
             if (unreachable.contains(from)) {
                 return Delivery.ANSWER_LOST;
             }
-            return to.equals(SimulatedCluster.STATE_ADDRESS) ? Delivery.SLOW : Delivery.DELIVERED;
+            return SimulatedCluster.isStateService(to) ? Delivery.SLOW : Delivery.DELIVERED;
         });
         List<String> serving = cluster.nodes.running(node -> !node.equals(first) && !node.equals(isolatedNode));
         cluster.users.cancel(ids(0, MOST), serving);
@@ -166,7 +166,7 @@
             serving.forEach(cluster.nodes::startIfStopped);
         }
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-        assertEquals(0, cluster.users.unansweredCount(), "cancellations that were not confirmed");
+        assertEquals(0, cluster.users.unansweredCount(), "unconfirmed cancellations");
         Set<String> cancelled = Set.copyOf(ids(0, MOST));
         assertTrue(cluster.running().keySet().stream().noneMatch(part -> cancelled.contains(part.split("/")[0])));
     }
--- a/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
@@ -19,7 +19,7 @@
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
         String old = cluster.leader();
-        // A job is accepted, and its binding is about to be written, at the moment at which the leader stops.
+        // A job is accepted, and its binding is about to be written, when the leader is paused.
         cluster.submit(SimJobs.array(2, 1).put("expectS", 5.0));
         cluster.nodes.pause(old, 2 * SimulatedCluster.LEASE_S);
         cluster.loop.run(SimulatedCluster.LEASE_S);
@@ -28,8 +28,11 @@
         String outcome = SimulatedCluster.stage(answer);
         int deletionRequests = cluster.cloud.deletionRequests();
         cluster.loop.run(SimulatedCluster.LEASE_S + 1);
-        assertNotEquals(old, cluster.leader(), "what it knew before it stopped counts no more");
-        assertEquals(deletionRequests, cluster.cloud.deletionRequests(), "silence that was its own is not believed");
+        assertNotEquals(old, cluster.leader(), "its knowledge from before the pause is stale");
+        assertEquals(
+                deletionRequests,
+                cluster.cloud.deletionRequests(),
+                "missed heartbeats of its own pause are not counted");
         assertEquals(
                 outcome, SimulatedCluster.stage(cluster.request(old, "GET", "/api/jobs/j-000002", (JsonNode) null)));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
@@ -38,7 +41,7 @@
                 cluster.starts().stream()
                         .filter(start -> start.startsWith("j-000001"))
                         .count(),
-                "no lease ran out");
+                "no lease expired");
     }
 
     @Test
@@ -51,7 +54,10 @@
         cluster.nodes.pause(leader, SimulatedCluster.LEASE_S * 0.4);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         assertEquals(leader, cluster.leader());
-        assertEquals(deletionRequests, cluster.cloud.deletionRequests(), "silence that was its own is not believed");
+        assertEquals(
+                deletionRequests,
+                cluster.cloud.deletionRequests(),
+                "missed heartbeats of its own pause are not counted");
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(4, cluster.starts().size());
     }
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
@@ -21,7 +22,7 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Services: their replicas run until the job is cancelled, wherever there is room, and never twice at a time. */
+/** Services: their replicas run until the job is cancelled, wherever there is capacity, and never twice at a time. */
 final class ServiceScenarioTest {
     private static final String ID = "j-000001";
     private final SimulatedCluster cluster = SimulatedCluster.withFallingLimits(3);
@@ -50,14 +51,14 @@
         assertEquals("running", body.path("stage").asText());
         assertEquals(3, body.path("running").asInt());
         assertEquals(0, body.path("done").asInt());
-        assertEquals(3, cluster.starts().size(), "nothing stopped them");
-        assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeat is answered as ever");
+        assertEquals(3, cluster.starts().size(), "no replica was stopped");
+        assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeated submission is idempotent");
         assertEquals("cancelled", cluster.cancel("n1", ID));
         cluster.await(() -> cluster.replicas(1) == 0, SimulatedCluster.CANCELLATION_DEADLINE_S);
         cluster.verifyRecovery(60);
     }
 
-    /** What a worker reports as done of a replica, under a leader that saw it start or a later one, is no end. */
+    /** A replica that a worker reports as done restarts, under the leader that started it and under a later one. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void replicaThatEndsRunsAgain(boolean underTheNextLeader) {
@@ -74,7 +75,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** One machine fails all that it is given: replicas run elsewhere, and the machine is given few of them. */
+    /** One machine fails all its tasks: replicas run elsewhere, and few of them are placed on it. */
     @Test
     void machineThatFailsReplicasGetsFewOfThem() {
         startService(2);
@@ -89,7 +90,7 @@
         cluster.await(() -> cluster.replicas(1) == 2, 40);
     }
 
-    /** A service submitted with a mistake ends at once wherever it starts: it must not keep the leader busy. */
+    /** A misconfigured service ends immediately wherever it starts: its restarts must not overload the leader. */
     @Test
     void serviceThatEndsImmediatelyEverywhereBacksOff() {
         startService(2);
@@ -115,7 +116,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** On a notice a replica moves as soon as there is room for it elsewhere, and not before. */
+    /** On an interruption notice a replica moves as soon as there is capacity elsewhere, and not before. */
     @Test
     void replicaMovesOnInterruptionNoticeOnceCapacityExists() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
@@ -127,7 +128,7 @@
         assertEquals(2, cluster.starts().size());
     }
 
-    /** The leader ends in the middle of such a move, at any step of it. */
+    /** The leader crashes during such a move, at any step of it. */
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.6, 1.2, 1.8, 2.4, 3.0})
     void replicaMoveSurvivesLeaderCrash(double afterS) {
@@ -155,7 +156,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** All nodes are away for longer than a lease: the workers end what they have, and it runs again. */
+    /** All nodes are down for longer than a lease: the workers stop their tasks, which then run again. */
     @Test
     void servicesRestartAfterAbsenceOfAllNodes() {
         startService(3);
@@ -168,7 +169,7 @@
         assertEquals(3, cluster.replicas(1));
     }
 
-    /** Its machine is heard no more, while direct commands reach it: the replica must not start elsewhere too soon. */
+    /** Its machine sends no heartbeats but receives commands: the replica must not start elsewhere too soon. */
     @Test
     void replicaOnSilentMachineRunsOnceAtATime() {
         startService(2);
@@ -178,7 +179,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** With all its capacity taken by lower work, a service gets room by stopping some of it. */
+    /** If tasks of lower priority take all the capacity, a service preempts some of them. */
     @Test
     void servicePreemptsLowerPriorityTasks() {
         cluster.cloud.limitCapacity(2);
@@ -215,7 +216,7 @@
         assertTrue(machines.size() >= 2, machines.toString());
     }
 
-    /** The state service lowers its limits while services run, start and move; nothing is ever too large for it. */
+    /** The state service lowers its limits while services run, start and move; no write ever exceeds them. */
     @Test
     void loweredStateLimitsAreKeptWhileServicesRun() {
         startService(3);
@@ -241,12 +242,13 @@
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
         JsonNode given = value == null
                 ? Json.object().nullNode()
-                : Json.object(("{\"v\":" + value + "}").getBytes()).get("v");
+                : Json.object(("{\"v\":" + value + "}").getBytes(StandardCharsets.UTF_8))
+                        .get("v");
         assertEquals(status, cluster.submit(SimJobs.service(1, 2).set(field, given)));
         assertEquals(status == 201, cluster.state.value("job/" + ID) != null);
     }
 
-    /** Batch work goes on beside services, and services beside batch work. */
+    /** Batch jobs and services run side by side. */
     @Test
     void batchJobsAreNotStarvedByServices() {
         startService(4);
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -19,7 +19,7 @@
 
 /**
  * The version in production, as the deploy file names it, is replaced node by node while it serves. The old nodes run its
- * own code, built from the history. {@link SimulatedCluster} looks after the rules all the while.
+ * own code, built from the history. {@link SimulatedCluster} checks the rules throughout.
  */
 final class UpgradeScenarioTest {
     private static final String LEVEL = "feature-level";
@@ -29,7 +29,7 @@
         cluster.awaitLeader(30);
     }
 
-    /** The nodes, the leader in this place; the others keep their order. */
+    /** The nodes with the leader at this index; the others keep their order. */
     private List<String> orderWithLeaderAt(int place) {
         List<String> order = new ArrayList<>(List.of("n0", "n1", "n2"));
         order.remove(cluster.leader());
@@ -49,7 +49,7 @@
         return cluster.state.value(LEVEL) != null;
     }
 
-    /** Neither a task nor a mark of a finished one is lost or doubled, whenever in the roll the leader has its turn. */
+    /** No task or completion is lost or duplicated, at whatever position of the upgrade the leader is replaced. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void rollingUpgradeLosesNoTask(int leadersTurn) {
@@ -66,7 +66,7 @@
         cluster.await(this::isLevelRaised, 10);
     }
 
-    /** Old and new take the lead from each other: what one leaves, the other goes on with. */
+    /** Leaders of the old and the new version alternate: each continues from the records of the other. */
     @Test
     void leadershipMovesBetweenOldAndNewVersions() {
         awaitLeader();
@@ -79,7 +79,7 @@
             String leader = cluster.leader();
             versions.add(cluster.nodes.runsProductionVersion(leader));
             if (leader.equals("n2")) {
-                cluster.nodes.crashLeader(12); // it stays old
+                cluster.nodes.crashLeader(12); // it keeps the old version
             } else if (cluster.nodes.runsProductionVersion(leader)) {
                 cluster.nodes.upgrade(leader, 12);
             } else {
@@ -116,7 +116,7 @@
         cluster.verifyRecovery(120);
     }
 
-    /** A service's record would be unreadable to an old node, so it is taken only when there is none left. */
+    /** A service's record would be unreadable to an old node, so it is accepted only when none is left. */
     @Test
     void serviceIsAcceptedOnceEveryNodeIsUpgraded() {
         awaitLeader();
@@ -126,7 +126,7 @@
         cluster.loop.run(8);
         Response refusal = cluster.request("n0", "POST", "/api/jobs", SimJobs.service(1, 3));
         assertEquals(503, refusal.status());
-        assertTrue(refusal.retryAfterS() > 0, "the user is told when to come back");
+        assertTrue(refusal.retryAfterS() > 0, "the answer names a time to retry after");
         assertNull(cluster.state.value("job/j-000001"));
         cluster.nodes.upgrade("n2", 2);
         cluster.await(this::isLevelRaised, 30);
@@ -135,7 +135,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** A process that dies before its turn comes back old: the level waits for it, however often it was heard. */
+    /** A node that crashes before its upgrade restarts with the old version: the level must not rise before it. */
     @Test
     void nodeRestartedWithOldVersionKeepsFeatureLevel() {
         awaitLeader();
@@ -149,11 +149,11 @@
         cluster.await(this::isLevelRaised, 30);
     }
 
-    /** What a node last said counts only as long as it is heard: it may be coming back with the old version. */
+    /** The announced version of a node expires with its heartbeats: it may restart with the old version. */
     @Test
     void stoppedNodeKeepsFeatureLevelUnchanged() {
         awaitLeader();
-        cluster.submit(SimJobs.array(1, 2).put("expectS", 300.0)); // so that workers report to the leader
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 300.0)); // so that workers send heartbeats to the leader
         cluster.await(() -> cluster.running().size() == 2, 40);
         cluster.nodes.upgrade("n0", 1);
         cluster.nodes.upgrade("n1", 1);
@@ -162,15 +162,15 @@
         cluster.loop.run(5);
         cluster.nodes.upgrade("n2", 10);
         cluster.loop.run(25);
-        assertEquals("n1", cluster.leader(), "it has heard n0 with the new version");
+        assertEquals("n1", cluster.leader(), "it has received heartbeats of n0 with the new version");
         assertFalse(isLevelRaised(), "n0 is down");
         cluster.loop.run(15);
-        assertFalse(isLevelRaised(), "and came back old");
+        assertFalse(isLevelRaised(), "n0 restarted with the old version");
         cluster.nodes.upgrade("n0", 1);
         cluster.await(this::isLevelRaised, 30);
     }
 
-    /** A member that nobody hears may be an old one. */
+    /** A member without heartbeats may run the old version. */
     @Test
     void partitionedMemberKeepsFeatureLevelUnchanged() {
         awaitLeader();
@@ -195,7 +195,7 @@
         cluster.await(this::isLevelRaised, 40);
     }
 
-    /** The leader that raises the level ends at that moment, at whatever step of it. */
+    /** The leader crashes while it raises the level, at any step of it. */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 0.6, 1.0, 1.4, 1.8})
     void leaderCrashWhileRaisingFeatureLevelLosesNothing(double afterS) {
@@ -208,7 +208,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** A record that a later version wrote is not guessed at: the nodes stay up, and none of them leads. */
+    /** A record of an unknown later version is rejected: the nodes stay up, and none of them leads. */
     @Test
     void unknownFeatureLevelPreventsAnyElection() {
         awaitLeader();
@@ -248,7 +248,7 @@
         assertEquals(0, cluster.state.rejectedTransactions());
     }
 
-    /** The same when they fall in the middle of the failover, before the pages could be split. */
+    /** The same if the limits drop during the failover, before the pages could be split. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.1, 0.3, 1})
     void largePagesOfProductionAreSplitWhileLimitsDrop(double afterS) {
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -13,12 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.spruceridge.net.Json;
 import org.spruceridge.net.Response;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
+import org.spruceridge.sim.SimState;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** What users see. */
+/** Submission, polling and cancellation of jobs, and the metrics, as users and operators see them. */
 final class UserScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -98,11 +100,10 @@
     @Test
     void lostAnswerOfStateServiceIsResolvedBeforeUserResponse() {
         AtomicInteger lost = new AtomicInteger();
-        cluster.net.injectFaults((from, to, call) -> call.target().equals("/txn")
-                        && new String(call.body()).contains("job/j-000001")
-                        && lost.getAndIncrement() == 0
-                ? Delivery.ANSWER_LOST
-                : Delivery.DELIVERED);
+        cluster.net.injectFaults(
+                (from, to, call) -> SimState.isTransactionOn(call, "job/j-000001") && lost.getAndIncrement() == 0
+                        ? Delivery.ANSWER_LOST
+                        : Delivery.DELIVERED);
         assertEquals(200, cluster.submit(SimJobs.array(1, 1)));
         runUntilDone("j-000001");
     }
@@ -176,7 +177,7 @@
         "crew, \"\"",
     })
     void malformedJobIsRejectedWithBadRequest(String field, String value) {
-        String body = new String(org.spruceridge.net.Json.bytes(SimJobs.array(5, 1)), StandardCharsets.UTF_8);
+        String body = new String(Json.bytes(SimJobs.array(5, 1)), StandardCharsets.UTF_8);
         String broken = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
         Response r = cluster.request("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
         assertEquals(400, r.status(), broken);
@@ -199,7 +200,7 @@
         other.putArray("builds").add("t9");
         assertEquals(422, cluster.submit(other));
         ObjectNode largerThanItsTeam = SimJobs.array(6, 100);
-        assertEquals(201, cluster.submit(largerThanItsTeam), "an array may exceed its team's limit as a whole");
+        assertEquals(201, cluster.submit(largerThanItsTeam), "an array may exceed its team's quota as a whole");
     }
 
     @Test
@@ -226,7 +227,7 @@
         assertTrue(users.path("maxMs").asDouble() >= users.path("p50Ms").asDouble());
     }
 
-    /** An operator on call sees what became of reports, how long the failover took, and how old the leader's view is. */
+    /** Metrics show the outcomes of heartbeats, the duration of the failover and the age of the leader's view. */
     @Test
     void metricsReportHeartbeatOutcomesAndFailover() {
         cluster.submit(SimJobs.array(1, 1));
@@ -245,7 +246,7 @@
     @Test
     void nodeThatAloneLosesStateServiceIsUnhealthy() {
         cluster.net.injectFaults((from, to, call) ->
-                from.equals("n1") && to.host().startsWith("10.2.0.1") ? Delivery.LOST : Delivery.DELIVERED);
+                from.equals("n1") && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(8);
         assertEquals(
                 503, cluster.request("n1", "GET", "/healthz", (JsonNode) null).status());
@@ -255,6 +256,8 @@
         cluster.state.outage(10);
         cluster.loop.run(6);
         assertEquals(
-                200, cluster.request("n2", "GET", "/healthz", (JsonNode) null).status(), "an outage is common to all");
+                200,
+                cluster.request("n2", "GET", "/healthz", (JsonNode) null).status(),
+                "an outage that all nodes see makes no node unhealthy");
     }
 }
--- a/src/test/java/org/spruceridge/sim/NodeSettings.java
+++ b/src/test/java/org/spruceridge/sim/NodeSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.spruceridge.net.Json;
 
-/** The settings that the platform would hand over to the nodes of a simulated cluster. */
+/** The settings that the platform would pass to the nodes of a simulated cluster. */
 final class NodeSettings {
     private final List<String> names;
     private final double teamCpus;
--- a/src/test/java/org/spruceridge/sim/ProductionVersion.java
+++ b/src/test/java/org/spruceridge/sim/ProductionVersion.java
@@ -13,6 +13,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
@@ -33,7 +34,7 @@
 /**
  * The version in production, run for real: its sources are taken from the repository's history, by the commit that the
  * deploy file names, compiled against the libraries of the test, and loaded apart from the classes of this version. Its
- * interfaces to clocks and network are bridged to the stand-ins. A history without that commit fails the test.
+ * interfaces to clocks and network are bridged to the simulator. A history without that commit fails the test.
  */
 public final class ProductionVersion {
     private static final Path DEPLOY_FILE = Path.of("deploy", "service.toml");
@@ -112,21 +113,25 @@
     public static Object call(Class<?> type, String name, Object target, Object... arguments) {
         for (Method method : type.getMethods()) {
             if (method.getName().equals(name) && method.getParameterCount() == arguments.length) {
-                try {
-                    return method.invoke(target, arguments);
-                } catch (InvocationTargetException e) {
-                    if (e.getCause() instanceof Error error) {
-                        throw error;
-                    }
-                    throw new AssertionError(e.getCause());
-                } catch (IllegalAccessException e) {
-                    throw new AssertionError(e);
-                }
+                return invoke(method, target, arguments);
             }
         }
         throw new AssertionError(type + " has no method " + name);
     }
 
+    private static Object invoke(Method method, Object target, Object... arguments) {
+        try {
+            return method.invoke(target, arguments);
+        } catch (InvocationTargetException e) {
+            if (e.getCause() instanceof Error error) {
+                throw error;
+            }
+            throw new AssertionError(e.getCause());
+        } catch (IllegalAccessException e) {
+            throw new AssertionError(e);
+        }
+    }
+
     /** An object of an interface of the production version which hands all calls on to ours of the same name. */
     private static Object bridge(Class<?> type, Object ours) {
         InvocationHandler handler = (proxy, method, arguments) -> {
@@ -183,7 +188,7 @@
     /** A record of the production version by its canonical constructor. */
     private static Object create(String name, Object... components) {
         try {
-            return java.util.Arrays.stream(load(name).getConstructors())
+            return Arrays.stream(load(name).getConstructors())
                     .filter(c -> c.getParameterCount() == components.length)
                     .findFirst()
                     .orElseThrow()
--- a/src/test/java/org/spruceridge/sim/RateLimit.java
+++ b/src/test/java/org/spruceridge/sim/RateLimit.java
@@ -21,7 +21,7 @@
         this.updatedAt = clock.getAsLong();
     }
 
-    /** True if so many may be taken now. */
+    /** True if so many permits are available now. */
     boolean allows(int count) {
         return Math.min(burst, available + Durations.seconds(clock.getAsLong() - updatedAt) * perSecond) >= count;
     }
--- a/src/test/java/org/spruceridge/sim/RateLimitTest.java
+++ b/src/test/java/org/spruceridge/sim/RateLimitTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Durations;
 
-/** The stand-ins' limits let a second's worth through at once, and no more than the rate after it. */
+/** A limit allows a burst of a second's worth, and no more than its rate after that. */
 final class RateLimitTest {
     private double nowS;
     private final RateLimit limit = new RateLimit("requests", 10, 1, () -> Durations.nanos(nowS));
--- a/src/test/java/org/spruceridge/sim/RuleChecker.java
+++ b/src/test/java/org/spruceridge/sim/RuleChecker.java
@@ -13,13 +13,16 @@
 import org.spruceridge.net.Durations;
 
 /**
- * The protocol's rules over one cluster. It keeps its own book of what was submitted, what runs where and what users were
- * told, and fails the scenario at the moment at which a rule breaks.
+ * The protocol's rules over one cluster. It records on its own what was submitted, what runs where and what users were
+ * answered, and fails the scenario as soon as a rule is violated.
  */
 final class RuleChecker {
-    /** Workers drop answers after this time: a start that comes later was sent too late, or lay about. */
+    /** Workers drop answers after this time: a later start was sent too late, or delayed. */
     private static final double IN_FLIGHT_S = 4;
 
+    /** The longest time that a job may wait beside free capacity, once all faults have ended. */
+    private static final double MAX_WAIT_S = 90;
+
     private final LongSupplier clock;
     private final double teamCpus;
     private final double cancelS;
@@ -35,9 +38,6 @@
 
     private final Multiset<String> completedCounts = HashMultiset.create();
 
-    /** A job may wait so long beside room that fits it, once troubles are over. */
-    private static final double WAIT_S = 90;
-
     private final Map<String, Long> waitingSince = new HashMap<>();
 
     private record Place(String machine, String zone) {}
@@ -86,7 +86,7 @@
             violation("went_back", id + " was " + end + " and is " + stage);
         }
         if (stage.equals("cancelled") && !cancelRequested.contains(id)) {
-            violation("went_back", id + " is cancelled, which nobody asked for");
+            violation("went_back", id + " is cancelled, without a request");
         }
         if (stage.equals("done") && isService(submitted.get(id))) {
             violation("not_done", id + " is a service");
@@ -124,19 +124,25 @@
         placements.put(taskId, new Place(machine, zone));
         runningCounts.add(id);
         runningCounts.add(zoneKey(id, zone));
-        long running = runningTasks(id);
+        checkSpread(taskId, zone);
+        double cpus = runningCpus();
+        if (cpus > teamCpus) {
+            violation("quota", cpus + " CPUs");
+        }
+    }
+
+    /** The tasks of one job may be required to share a zone, or to have at most half of them in one. */
+    private void checkSpread(String taskId, String zone) {
+        String id = jobOf(taskId);
+        ObjectNode job = submitted.get(id);
         long runningInZone = runningCounts.count(zoneKey(id, zone));
-        if (job.path("samePlace").asBoolean() && runningInZone < running) {
+        if (job.path("samePlace").asBoolean() && runningInZone < runningTasks(id)) {
             violation("wrong_place", taskId + " in " + zone + ", the others elsewhere");
         }
-        int parts = job.path("parts").asInt();
-        if (job.path("scatter").asBoolean() && runningInZone > (parts + 1) / 2) {
+        int tasks = job.path("parts").asInt();
+        if (job.path("scatter").asBoolean() && runningInZone > (tasks + 1) / 2) {
             violation("wrong_place", taskId + " in " + zone + " with too many");
         }
-        double cpus = runningCpus();
-        if (cpus > teamCpus) {
-            violation("quota", cpus + " CPUs");
-        }
     }
 
     void recordStop(String taskId, String machine) {
@@ -158,7 +164,7 @@
         }
     }
 
-    /** To be called again and again: cancelled tasks must be gone in time, whether anybody can reach them or not. */
+    /** To be called periodically: cancelled tasks must stop in time, whether their machines are reachable or not. */
     void checkDeadlines() {
         for (var e : placements.entrySet()) {
             if (sinceCancelledS(jobOf(e.getKey())) > cancelS) {
@@ -167,7 +173,7 @@
         }
     }
 
-    /** To be called when all should be over: each accepted job was cancelled or is complete, and nothing runs. */
+    /** To be called at the end: each accepted job was cancelled or is complete, and no task is left running. */
     void checkAllFinished() {
         for (String id : unfinished()) {
             violation("left waiting", id + " has " + tasksCompleted(id) + " tasks complete");
@@ -178,7 +184,7 @@
         }
     }
 
-    /** Tasks on machines that should not be there in the end: those of services that were not cancelled should. */
+    /** Tasks on machines at the end, except those of services that were not cancelled. */
     private List<String> leftRunning() {
         return placements.keySet().stream()
                 .filter(taskId -> cancelled.containsKey(jobOf(taskId)) || !isService(submitted.get(jobOf(taskId))))
@@ -202,7 +208,7 @@
                 .toList();
     }
 
-    /** True if the team's limit leaves room for one more task of the job. */
+    /** True if the team's quota allows one more task of the job. */
     boolean limitAllows(String id) {
         return runningCpus() + submitted.get(id).path("cpus").asDouble() <= teamCpus;
     }
@@ -215,14 +221,14 @@
                 .sum();
     }
 
-    /** To be told again and again, once troubles are over, of each job that waits: is there room that fits it? */
+    /** To be called periodically for each waiting job, once all faults have ended. */
     void checkWaiting(String id, boolean hasCapacity) {
         if (!hasCapacity) {
             waitingSince.remove(id);
             return;
         }
         long since = waitingSince.computeIfAbsent(id, i -> clock.getAsLong());
-        if (Durations.seconds(clock.getAsLong() - since) > WAIT_S) {
+        if (Durations.seconds(clock.getAsLong() - since) > MAX_WAIT_S) {
             violation("waits beside room", id);
         }
     }
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Durations;
 
-/** Each clause of the stand-ins' rules fails on a simulated cluster that breaks it, and on no other. */
+/** Each rule of the checker fails on a history that violates it, and on no other. */
 final class RuleCheckerTest {
     private static final String JOB = "j-000001";
     private static final String TASK = "j-000001/0";
@@ -152,7 +152,7 @@
         assertTrue(rules.limitAllows(JOB));
         rules.checkWaiting(JOB, true);
         nowS = 80;
-        rules.checkWaiting(JOB, false); // for a moment there was none
+        rules.checkWaiting(JOB, false); // no capacity for a moment
         nowS = 85;
         rules.checkWaiting(JOB, true);
         nowS = 175;
@@ -170,7 +170,7 @@
         assertViolates("left running", rules::checkAllFinished);
     }
 
-    /** Neither a leader's bindings nor a worker's word count: a task that hangs, or that nobody bound, is on its machine. */
+    /** Deadlines are checked against actual task starts, at full size too, not against bindings or heartbeats. */
     @Test
     void oneCancelledTaskAmongFourThousandMachinesIsDetected() {
         for (int i = 0; i < 4000; i++) {
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -18,7 +18,7 @@
 
 /** The cloud, written from its published protocol, with one machine type. */
 public final class SimCloud implements SimNet.Server {
-    /** What each machine has. */
+    /** The CPUs of each machine. */
     static final double CPUS = 8;
 
     private final SimulatedCluster cluster;
@@ -50,23 +50,23 @@
         this.calls = new RateLimit("calls of the cloud", SimulatedCluster.CLOUD_RPS, 2, cluster.loop::nanos);
     }
 
-    /** What tasks do on all machines, those to come included. */
+    /** Sets what tasks do on all machines, those launched later included. */
     public void setBehaviour(SimWorker.Behaviour next) {
         behaviour = next;
         workers().forEach(w -> w.setBehaviour(next));
     }
 
-    /** The most machines that can be rented at one time. */
+    /** Limits how many machines can run at one time. */
     public void limitCapacity(int machines) {
         capacity = machines;
     }
 
-    /** Requests to give machines back. */
+    /** Requests to delete machines so far. */
     public int deletionRequests() {
         return deletionRequests;
     }
 
-    /** Machines rented and not given back. */
+    /** Machines that were launched and not deleted. */
     public int machineCount() {
         return hosts.size();
     }
@@ -81,7 +81,7 @@
         return workers().stream().map(SimWorker::name).toList();
     }
 
-    /** Ends a machine as if it had lost power; the list shows it later. */
+    /** Crashes a machine; the listing shows it as failed 30 s later. */
     public void crash(SimWorker worker) {
         worker.kill();
         Host host = hosts.get(worker.name());
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -10,7 +10,7 @@
     private final ManualLoop time = new ManualLoop();
     private boolean busy;
 
-    /** Begins some time after the clock's zero, as clocks do. */
+    /** Starts at 1000 s, as the zero of a steady clock is arbitrary. */
     public SimLoop() {
         time.pass(Durations.nanos(1000));
     }
@@ -35,7 +35,7 @@
         return busy;
     }
 
-    /** Lets requests wait for this loop's time, or none any more. */
+    /** Sets whether requests wait for the loop. */
     public void busy(boolean value) {
         busy = value;
     }
@@ -45,7 +45,7 @@
         return time.pending();
     }
 
-    /** Time passes within a task, as when it costs much processor. */
+    /** Lets time pass within a task, as if it used much CPU time. */
     public void pass(double seconds) {
         time.pass(Durations.nanos(seconds));
     }
@@ -55,7 +55,7 @@
         time.advance(Durations.nanos(seconds));
     }
 
-    /** This loop as one process has it: from its end on nothing of it runs, and while it stands still all waits. */
+    /** The loop of one process: nothing runs once the process is killed, and all tasks wait while it is paused. */
     public static final class Process implements Loop {
         private final SimLoop loop;
         private boolean stopped;
@@ -65,7 +65,7 @@
             this.loop = loop;
         }
 
-        /** Lets the process stand still while its clocks run on; then all that was due meanwhile runs, in order. */
+        /** Pauses the process while its clocks run on; then all tasks that became due meanwhile run, in order. */
         void pause(double seconds) {
             pausedUntil = loop.nanos() + Durations.nanos(seconds);
         }
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -17,22 +17,22 @@
 public final class SimNet {
     private static final long LATENCY_NANOS = Durations.millis(1);
 
-    /** What becomes of a request. */
+    /** How the network delivers a request. */
     public enum Delivery {
         DELIVERED,
         /** It arrives a tenth of a second later than others. */
         SLOW,
         /** It never arrives. */
         LOST,
-        /** It is carried out, and its answer never arrives. */
+        /** It is processed, and its answer never arrives. */
         ANSWER_LOST,
-        /** Its sender gives up; it arrives when held messages are let go. */
+        /** Its sender times out; it arrives when held messages are delivered. */
         HELD,
-        /** It arrives, and a copy of it when held messages are let go. */
+        /** It arrives, and a duplicate of it when held messages are delivered. */
         DUPLICATED,
-        /** It arrives, and a copy of it some seconds to more than a lease later. */
+        /** It arrives, and a duplicate of it 2 seconds to one and a half leases later. */
         DUPLICATED_LATE,
-        /** Its sender hears nothing; it arrives 2 to 12 seconds later. */
+        /** Its sender gets no answer; it arrives 2 to 12 seconds later. */
         DELAYED,
         /** It is answered 503. */
         REFUSED;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Decides over requests. */
+    /** Decides how each request is delivered. */
     public interface FaultPolicy {
         Delivery deliveryOf(String from, Address to, HttpCall call);
     }
@@ -78,7 +78,7 @@
                 && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
     }
 
-    /** No message is lost or held any more, and no node refused. */
+    /** From now on all requests are delivered, and no node is refused; held messages stay held. */
     public void clearFaults() {
         refusedUntil.clear();
         faultPolicy = (from, to, call) -> Delivery.DELIVERED;
--- a/src/test/java/org/spruceridge/sim/SimNode.java
+++ b/src/test/java/org/spruceridge/sim/SimNode.java
@@ -12,18 +12,18 @@
 import org.spruceridge.node.Node;
 import org.spruceridge.peer.PeerTransport;
 
-/** A controller node of any version, as the stand-ins see it. */
+/** A controller node of any version, as the simulator sees it. */
 interface SimNode {
-    /** Begins all duties; {@code ready} runs once the node knows where workers belong. */
+    /** Starts the node; {@code ready} runs once it knows which node leads. */
     void start(Runnable ready);
 
     /** True while it may act as leader. */
     boolean leads();
 
-    /** Takes a request. */
+    /** Handles a request. */
     void handle(Request request, Consumer<Response> answer);
 
-    /** What a node is made of. */
+    /** The dependencies of a node. */
     record Parts(Loop loop, HttpClient http, PeerTransport link, SplittableRandom random, JsonNode settings) {}
 
     /** A node of this version. */
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -74,13 +74,13 @@
         expireLeases();
     }
 
-    /** Refuses everything for a while; grants get their full time back after it. */
+    /** Refuses all requests for a while; leases get their full time again after it. */
     public void outage(double seconds) {
         outageUntil = loop.nanos() + Durations.nanos(seconds);
         loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.expiresAt = loop.nanos() + g.ttl));
     }
 
-    /** Takes less from now on: larger values and transactions get 400, changes beyond the rate 429. */
+    /** Lowers the limits: larger values and transactions get 400, writes beyond the rate 429. */
     public void lowerLimits(double nextValueKb, int nextTxnOps, double writeRps) {
         valueKb = nextValueKb;
         maxOps = nextTxnOps;
@@ -88,7 +88,7 @@
         refuseWritesBeyondRate();
     }
 
-    /** Answers 429 to changes beyond the rate, as the service does, where a scenario would otherwise fail. */
+    /** Answers 429 to writes beyond the rate, as the service does, where a scenario would otherwise fail. */
     public void refuseWritesBeyondRate() {
         refusesExcessWrites = true;
     }
@@ -112,13 +112,13 @@
         return was;
     }
 
-    /** Writes a value as another version might have left it; returns its stamp. */
+    /** Writes a value as another version might have left it; returns its revision. */
     public long put(String key, JsonNode value) {
         keys.put(key, new Value(value, ++revision, 0));
         return revision;
     }
 
-    /** Transactions that were asked for. */
+    /** Transactions requested so far. */
     public int transactions() {
         return transactions;
     }
@@ -133,6 +133,11 @@
         return Set.copyOf(keys.subMap(prefix, prefix + '\uffff').keySet());
     }
 
+    /** True if the request is a transaction that names a key with this text in it. */
+    public static boolean isTransactionOn(HttpCall call, String keyPart) {
+        return call.target().equals("/txn") && new String(call.body(), StandardCharsets.UTF_8).contains(keyPart);
+    }
+
     private boolean isOut() {
         return loop.nanos() < outageUntil;
     }
--- a/src/test/java/org/spruceridge/sim/SimUsers.java
+++ b/src/test/java/org/spruceridge/sim/SimUsers.java
@@ -11,7 +11,7 @@
 
 /**
  * Many users at once, written from the published protocol: each repeats its request at another node a second after anything
- * but the answer that it needs, or after five seconds of silence.
+ * but the answer that it needs, or after five seconds without an answer.
  */
 public final class SimUsers {
     private static final double ANSWER_TIMEOUT_S = 5;
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -16,7 +16,7 @@
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
 
-/** A worker, written from its published protocol. */
+/** A worker, written from its published protocol, on the simulated loop. */
 public final class SimWorker {
     private final SimulatedCluster cluster;
     private final SimLoop.Process process;
@@ -42,7 +42,7 @@
     public enum Behaviour {
         COMPLETES,
         FAILS,
-        /** Services too come to their end, at once. */
+        /** Replicas of services end too. */
         ENDS_SERVICES
     }
 
@@ -89,7 +89,7 @@
         return zoneFits && (!spot || job.path("windfall").asBoolean());
     }
 
-    /** Tells the controllers that the cloud will take the machine away. */
+    /** Announces in its heartbeats that the cloud will reclaim the machine in so many seconds. */
     public void announceInterruption(double seconds) {
         interruptionNoticeS = seconds;
     }
@@ -110,7 +110,7 @@
         late.forEach(Runnable::run);
     }
 
-    /** The machine is off and on again at once: its tasks are gone, and so is all that its worker knew. */
+    /** Restarts the machine at once: its tasks are lost, and so is the state of its worker. */
     public void restart() {
         tasks.values().forEach(t -> cluster.taskEnded(t.id, name));
         tasks.clear();
@@ -119,12 +119,12 @@
         leaseStart = cluster.loop.nanos();
     }
 
-    /** Lets a task run here that no leader has bound to this machine. */
+    /** Starts a task that no leader has bound to this machine. */
     public void startUnboundTask(String id, long attempt) {
         startTask(new Task(id, attempt), id + "#" + attempt);
     }
 
-    /** Replicas of services on the machine come to their end by themselves. */
+    /** Ends all replicas of services on the machine with this cause. */
     public void endReplicas(String cause) {
         for (Task task : List.copyOf(tasks.values())) {
             if (cluster.isReplica(task.id) && !task.stage.equals("ended")) {
@@ -141,7 +141,7 @@
                 .toList();
     }
 
-    /** Where the worker with this name takes direct commands. */
+    /** Where the worker with this name accepts direct commands. */
     public static Address address(String name) {
         return new Address("10.1.0." + name, 9000);
     }
@@ -192,7 +192,7 @@
         }
     }
 
-    /** A higher token is worth a report of its own once in half a lease, as the protocol has it. */
+    /** A higher fencing token is announced by an extra heartbeat, at most once in half a lease, as in the protocol. */
     private void announceToken() {
         long now = cluster.loop.nanos();
         if (now - tokenAnnouncedAt >= Durations.nanos(SimulatedCluster.LEASE_S / 2)) {
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -19,8 +19,8 @@
 import org.spruceridge.record.BindingsRecord;
 
 /**
- * A small deployment on simulated time: nodes as they are, everything around them from these stand-ins. It keeps
- * book by {@link RuleChecker}, which fails the scenario at the moment at which one breaks.
+ * A deployment on simulated time: real nodes, and simulated clients, workers, network, state service and cloud. Every
+ * event is recorded by {@link RuleChecker}, which fails the scenario as soon as a rule is violated.
  */
 public final class SimulatedCluster {
     public static final double HEARTBEAT_INTERVAL_S = 2;
@@ -47,7 +47,7 @@
     public final SimUsers users;
     private final RuleChecker rules;
     private final List<String> starts = new ArrayList<>();
-    /** The limits of the state service; whether the settings say that they will fall. */
+    /** The limits of the state service, and whether the settings announce lower ones. */
     private record Limits(int txnOps, int pageSize, boolean announcesLowerLimits) {}
 
     /** What the one team may use, and the sockets of a node. */
@@ -59,12 +59,12 @@
         this(nodeCount, 12, 1000);
     }
 
-    /** A cluster whose nodes all run the version in production; the state service will lower its limits some time. */
+    /** A cluster whose nodes all run the version in production; the settings announce lower limits of the state service. */
     public static SimulatedCluster inProduction(int nodeCount) {
         return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL, true);
     }
 
-    /** A cluster of this version whose state service will lower its limits some time. */
+    /** A cluster of this version whose settings announce lower limits of the state service. */
     public static SimulatedCluster withFallingLimits(int nodeCount) {
         return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL, false);
     }
@@ -74,11 +74,11 @@
         this(nodeCount, new Limits(txnOps, pageSize, false), SMALL, false);
     }
 
-    /** A cluster whose one team may fill so many machines. */
+    /** A cluster whose only team has a quota of so many machines. */
     public static SimulatedCluster ofSize(int nodeCount, int machines) {
         Size size = new Size(machines * SimCloud.CPUS, 2 * machines);
         SimulatedCluster cluster = new SimulatedCluster(nodeCount, new Limits(12, 1000, false), size, false);
-        // Users come at once to all nodes, and the nodes' bursts together are more than the service's.
+        // Users reach all nodes at once, and the nodes' bursts together exceed that of the service.
         cluster.state.refuseWritesBeyondRate();
         return cluster;
     }
@@ -106,12 +106,22 @@
         loop.after(Durations.millis(100), this::checkRulesPeriodically);
     }
 
-    /** Where a node serves. */
+    /** The address at which a node serves. */
     public static Address address(String node) {
         return new Address("10.0.0." + node, 8080);
     }
 
-    /** The state service takes less from now on, without notice. */
+    /** True if a request to this address is one to the state service. */
+    public static boolean isStateService(Address address) {
+        return address.equals(STATE_ADDRESS);
+    }
+
+    /** True if a request to this address is one to the cloud. */
+    public static boolean isCloud(Address address) {
+        return address.equals(CLOUD_ADDRESS);
+    }
+
+    /** Lowers the limits of the state service, without notice. */
     public void lowerLimits() {
         state.lowerLimits(NEXT_VALUE_KB, NEXT_TXN_OPS, NEXT_WRITE_RPS);
     }
@@ -155,12 +165,12 @@
         nodes.node(call.node()).handle(call.request(), call.answer());
     }
 
-    /** What a node tells operators. */
+    /** The metrics of a node. */
     public JsonNode metrics(String node) {
         return json(request(node, "GET", "/metrics", (JsonNode) null));
     }
 
-    /** Lets time pass until something holds. */
+    /** Lets time pass until a condition holds; fails if it does not within so many seconds. */
     public void await(BooleanSupplier condition, double seconds) {
         for (int i = 0; i < seconds * 20 && !condition.getAsBoolean(); i++) {
             loop.run(0.05);
@@ -194,15 +204,14 @@
         return status;
     }
 
-    /** Cancels through a node; what it answered, or the status if that is not 200. */
+    /** Cancels through a node; returns the stage that it answered, or the status if that is not 200. */
     public String cancel(String node, String id) {
         Response r = request(node, "POST", "/api/jobs/" + id + "/abort", (JsonNode) null);
         return r == null ? "none" : r.status() == 200 ? stage(r) : String.valueOf(r.status());
     }
 
     /**
-     * All troubles are over: every accepted job has to come to its end within this time, and every node to answer for
-     * each of them.
+     * Ends all faults: every accepted job must end within this time, and every node must know each of them.
      */
     public void verifyRecovery(double seconds) {
         net.clearFaults();
@@ -225,13 +234,13 @@
         }
     }
 
-    /** What a node says of a job: its stage, or the status if that is not 200. */
+    /** The stage of a job as a node answers it, or the status if that is not 200. */
     public String poll(String id) {
         Response r = request(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id, (JsonNode) null);
         return r == null ? "none" : r.status() == 200 ? stage(r) : String.valueOf(r.status());
     }
 
-    /** True if a machine that is up has room for one more task of the job, and its team too. */
+    /** True if a running machine and the quota of its team have capacity for one more task of the job. */
     private boolean hasCapacityFor(String id) {
         ObjectNode job = rules.job(id);
         return rules.limitAllows(id)
@@ -258,7 +267,7 @@
         return running().keySet().stream().filter(p -> p.startsWith(id + "/")).count();
     }
 
-    /** What the records say is bound to each machine. */
+    /** The recorded bindings of each machine. */
     public List<BindingsRecord.MachineBindings> recordedBindings() {
         List<BindingsRecord.MachineBindings> out = new ArrayList<>();
         for (String key : new TreeSet<>(state.keys("bound/"))) {
@@ -278,7 +287,7 @@
                 .anyMatch(b -> b.task().job().equals(job));
     }
 
-    /** Every start so far, as {@code part@machine}. */
+    /** Every start so far, as {@code task@machine}. */
     public List<String> starts() {
         return starts;
     }
