--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -147,18 +147,8 @@
                 term.leaderRevision(),
                 allMembersSupportNextLevel,
                 recordWriter::levelRaised);
-        this.autoscaler = new Autoscaler(
-                loop,
-                scope,
-                cloud,
-                cluster,
-                recordWriter,
-                settings,
-                context.policy(),
-                term.term(),
-                context.isLeader(),
-                schedulingLoop::lastPlan,
-                schedulingLoop::request);
+        this.autoscaler =
+                new Autoscaler(context, cloud, recordWriter, schedulingLoop::lastPlan, schedulingLoop::request);
     }
 
     private Matching newMatching() {
@@ -243,7 +233,7 @@
 
     /** Heartbeats arrive faster than this node can handle them, and some were dropped unread. */
     public void heartbeatsDropped() {
-        autoscaler.fallsBehind();
+        autoscaler.recordOverload();
     }
 
     /** Another node has confirmed the cancellation of this job to a user; the job watch may deliver it later. */
