--- a/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
+++ b/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
@@ -30,12 +30,15 @@
 import picocli.CommandLine.Model.CommandSpec;
 
 /**
- * Runs a node on loopback for a moment, with nothing behind it, so that the build can write an archive of the classes
- * that a start needs.
+ * Runs a node on the loopback interface for a moment, without the services that it needs, so that the build can write the
+ * class data sharing archive for a fast start.
  */
 final class ClassArchiveCommand implements Callable<Integer> {
     private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
+    /** Time for peer heartbeats and retries, so that their classes are in the archive too. */
+    private static final long BACKGROUND_DUTIES_MILLIS = 1500;
+
     static CommandSpec describe() {
         CommandSpec spec =
                 Commands.describe("rehearse", "Loads what a start needs, and ends.", new ClassArchiveCommand());
@@ -56,6 +59,14 @@
         transport.listen();
         new HttpServer(loop, connectionLimiter, REQUEST_TIMEOUT_NANOS, node.handler()).start(settings.serveOn());
         loop.execute(() -> node.start(() -> {}));
+        sendRequests(loop, client, settings.serveOn());
+        TimeUnit.MILLISECONDS.sleep(BACKGROUND_DUTIES_MILLIS);
+        loadOwnClasses();
+        return 0;
+    }
+
+    private static void sendRequests(NettyLoop loop, NettyHttpClient client, Address server)
+            throws InterruptedException {
         List<HttpCall> calls = List.of(
                 HttpCall.get("/healthz"),
                 HttpCall.post("/hello", Json.bytes(heartbeat())),
@@ -63,13 +74,9 @@
                 HttpCall.get("/api/jobs/j-000001"));
         CountDownLatch answered = new CountDownLatch(calls.size());
         for (HttpCall call : calls) {
-            loop.execute(
-                    () -> client.call(settings.serveOn(), call, REQUEST_TIMEOUT_NANOS, answer -> answered.countDown()));
+            loop.execute(() -> client.call(server, call, REQUEST_TIMEOUT_NANOS, answer -> answered.countDown()));
         }
         answered.await();
-        TimeUnit.MILLISECONDS.sleep(1500); // heartbeats, retries
-        loadOwnClasses();
-        return 0;
     }
 
     private static void loadOwnClasses() throws IOException, URISyntaxException, ClassNotFoundException {
--- a/src/main/java/org/spruceridge/cli/Commands.java
+++ b/src/main/java/org/spruceridge/cli/Commands.java
@@ -6,13 +6,13 @@
 import picocli.CommandLine.Model.OptionSpec;
 
 /**
- * How the program's commands are described. This is picocli's model and not its annotations: those cost a tenth of a
- * second of processor time in each start, which on the smallest machines is more than a second.
+ * Builds the command line of the program. It uses picocli's programmatic model and not its annotations: these cost a tenth
+ * of a second of processor time in each start, which is more than a second on the smallest machines.
  */
 final class Commands {
     private Commands() {}
 
-    /** A command with the options that all have. */
+    /** A command with the options that all commands have. */
     static CommandSpec describe(String name, String description, Callable<Integer> work) {
         CommandSpec spec = CommandSpec.wrapWithoutInspection(work).name(name);
         spec.usageMessage().description(description);
@@ -38,7 +38,7 @@
         return new String[] {"spruceridge " + (version == null ? "(unpackaged)" : version)};
     }
 
-    /** The whole program. */
+    /** The program with all its commands. */
     static CommandLine commandLine() {
         CommandSpec root = describe("spruceridge", "A cluster scheduler after Convergent Scheduling 2.0.", null);
         root.addSubcommand("serve", ServeCommand.describe());
--- a/src/main/java/org/spruceridge/cli/LogLevel.java
+++ b/src/main/java/org/spruceridge/cli/LogLevel.java
@@ -1,13 +1,16 @@
 package org.spruceridge.cli;
 
-/** Hands the level of LOG_LEVEL to the logging library, before its first logger is made. */
+import java.util.Locale;
+
+/** Configures the logging library. This must run before the first logger is created. */
 final class LogLevel {
     private static final String PREFIX = "org.slf4j.simpleLogger.";
 
     private LogLevel() {}
 
+    /** {@code requested} is the value of LOG_LEVEL; null or an unknown level means info. */
     static void apply(String requested) {
-        String level = requested == null ? "info" : requested.trim().toLowerCase(java.util.Locale.ROOT);
+        String level = requested == null ? "info" : requested.trim().toLowerCase(Locale.ROOT);
         boolean known = level.equals("error") || level.equals("info") || level.equals("debug");
         System.setProperty(PREFIX + "defaultLogLevel", "error");
         System.setProperty(PREFIX + "log.org.spruceridge", known ? level : "info");
--- a/src/main/java/org/spruceridge/cli/Main.java
+++ b/src/main/java/org/spruceridge/cli/Main.java
@@ -1,8 +1,8 @@
 package org.spruceridge.cli;
 
-/** The program: a command for each thing an operator does. */
+/** The entry point of the program. */
 public final class Main {
-    /** Settings that cannot be used. */
+    /** The exit code for settings that cannot be used. */
     static final int BAD_SETTINGS = 3;
 
     private Main() {}
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -19,7 +19,7 @@
 
 /** Runs a controller node until the process is killed. */
 final class ServeCommand implements Callable<Integer> {
-    /** It listens after this share of a lease at the latest: in an outage of the state service nobody knows a leader. */
+    /** The server listens after this time at the latest: in an outage of the state service no leader is known. */
     private static final double MAX_LISTEN_DELAY_LEASES = 0.125;
 
     private final SettingsFiles files = new SettingsFiles();
@@ -34,29 +34,39 @@
         Settings settings = files.settings();
         Policy policy = files.policy();
         Logger log = LoggerFactory.getLogger(ServeCommand.class);
-        log.info("{} starts, in {}", settings.hostName(), settings.zone());
+        log.info("controller starting node={} zone={}", settings.hostName(), settings.zone());
         NettyLoop loop = new NettyLoop();
-        SplittableRandom random = new SplittableRandom(System.nanoTime()
-                ^ System.currentTimeMillis()
-                ^ settings.hostName().hashCode());
         NettyPeerTransport transport = new NettyPeerTransport(
                 loop.group(),
                 settings.peerListen(),
                 settings.members().stream().map(Settings.Member::address).toList());
         ConnectionLimiter connectionLimiter =
                 new ConnectionLimiter(settings.resources().maxSockets());
-        Node node = new Node(loop, new NettyHttpClient(loop, connectionLimiter), transport, random, settings, policy);
-        // A worker that has not reported for a lease has lost it: it is gone, or comes on another connection.
+        Node node = new Node(
+                loop, new NettyHttpClient(loop, connectionLimiter), transport, random(settings), settings, policy);
+        // The lease of a worker that sent no heartbeat for this time has expired: it is gone, or uses another
+        // connection.
         long workerIdleNanos = Durations.nanos(settings.workers().leaseS());
         HttpServer server = new HttpServer(loop, connectionLimiter, workerIdleNanos, node.handler());
         transport.listen();
-        CountDownLatch ready = new CountDownLatch(1);
-        loop.execute(() -> node.start(ready::countDown));
-        // Until it knows the leader it could only turn workers away. They would all be back a second later, and keep it
-        // from finding out. A refused connection costs nothing, and they go on to the next node.
-        ready.await(Durations.nanos(settings.workers().leaseS() * MAX_LISTEN_DELAY_LEASES), TimeUnit.NANOSECONDS);
+        startNode(node, loop, settings);
         server.start(settings.serveOn());
         loop.join();
         return 0;
     }
+
+    /** Returns when the node is ready, or when it has to listen all the same. */
+    private static void startNode(Node node, NettyLoop loop, Settings settings) throws InterruptedException {
+        CountDownLatch ready = new CountDownLatch(1);
+        loop.execute(() -> node.start(ready::countDown));
+        // Until this node knows the leader it could only refuse workers. All would retry a second later, and take the
+        // processor time it needs to find the leader. A refused connection is free, and workers try the next node.
+        ready.await(Durations.nanos(settings.workers().leaseS() * MAX_LISTEN_DELAY_LEASES), TimeUnit.NANOSECONDS);
+    }
+
+    private static SplittableRandom random(Settings settings) {
+        return new SplittableRandom(System.nanoTime()
+                ^ System.currentTimeMillis()
+                ^ settings.hostName().hashCode());
+    }
 }
--- a/src/main/java/org/spruceridge/cli/SettingsErrorHandler.java
+++ b/src/main/java/org/spruceridge/cli/SettingsErrorHandler.java
@@ -3,7 +3,7 @@
 import org.spruceridge.config.SettingsException;
 import picocli.CommandLine;
 
-/** Says in one line what is wrong with the settings. */
+/** Prints an error in the settings in one line and maps it to its exit code. Other exceptions are passed on. */
 final class SettingsErrorHandler implements CommandLine.IExecutionExceptionHandler {
     @Override
     public int handleExecutionException(Exception e, CommandLine line, CommandLine.ParseResult parsed)
--- a/src/main/java/org/spruceridge/cli/SettingsFiles.java
+++ b/src/main/java/org/spruceridge/cli/SettingsFiles.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Model.OptionSpec;
 
-/** The two settings files that commands take. */
+/** The options for the two settings files: the platform's settings and the operators' policy. */
 final class SettingsFiles {
     private final OptionSpec config =
             file("--config", "the platform's settings, JSON").required(true).build();
@@ -18,7 +18,7 @@
         return OptionSpec.builder(name).type(Path.class).paramLabel("FILE").description(description);
     }
 
-    /** Makes a command take them. */
+    /** Adds the options to a command. */
     CommandSpec addTo(CommandSpec spec) {
         return spec.addOption(config).addOption(policy);
     }
@@ -28,7 +28,7 @@
         try {
             return Settings.load(file);
         } catch (SettingsException e) {
-            throw new SettingsException(file + ": " + e.getMessage());
+            throw e.inFile(file);
         }
     }
 
@@ -40,7 +40,7 @@
         try {
             return Policy.load(file);
         } catch (SettingsException e) {
-            throw new SettingsException(file + ": " + e.getMessage());
+            throw e.inFile(file);
         }
     }
 }
