--- a/src/main/java/org/spruceridge/config/Address.java
+++ b/src/main/java/org/spruceridge/config/Address.java
@@ -2,9 +2,13 @@
 
 import com.google.common.net.HostAndPort;
 
-/** Where something listens: an IP number and a port. */
+/** A network address: an IP address and a port. */
 public record Address(String host, int port) {
-    /** Reads {@code host:port}. */
+    /**
+     * Parses {@code host:port}.
+     *
+     * @throws IllegalArgumentException if the text is not of this form
+     */
     public static Address parse(String text) {
         HostAndPort parsed = HostAndPort.fromString(text);
         if (!parsed.hasPort() || parsed.getHost().isEmpty()) {
--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Reads one object of a settings file and names the field in every complaint. */
+/** Reads the fields of one object of a settings file. Every error names the field with its path. */
 final class Fields {
     private final JsonNode node;
     private final String path;
@@ -30,6 +30,7 @@
         return new Fields(child, path + name + ".");
     }
 
+    /** True if the field is given and not null. */
     boolean has(String name) {
         return node.hasNonNull(name);
     }
@@ -119,6 +120,7 @@
         });
     }
 
+    /** The error for a field; {@code problem} continues a sentence that begins with its name. */
     SettingsException invalid(String name, String problem) {
         return new SettingsException(path + name + " " + problem);
     }
--- a/src/main/java/org/spruceridge/config/Policy.java
+++ b/src/main/java/org/spruceridge/config/Policy.java
@@ -1,21 +1,15 @@
 package org.spruceridge.config;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.dataformat.yaml.YAMLMapper;
-import com.google.common.collect.ImmutableSet;
-import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 
 /**
- * The operators' own settings: the weights of the document's terms and the ratios by which everything else follows
- * from the platform's figures.
+ * The operators' own settings: the weights of the scheduling terms, and the ratios by which timeouts and intervals follow
+ * from the platform's settings. Each field is a field of the policy file.
  */
 public record Policy(
         Weights weights, Scheduling scheduling, Preemption preemption, Leadership leadership, FleetTimeouts fleet) {
 
-    /** The document's weights, and those of our own terms. */
+    /** The weights of the design document's terms, and of the terms that were added to them. */
     public record Weights(
             double deadline,
             double overhead,
@@ -26,8 +20,13 @@
             double spotPreference,
             double packing) {}
 
-    /** How far apart cycles are, against the workers' report period, the least remaining time that the scores assume, and
-     * when each job should have begun.
+    /**
+     * How scheduling cycles run.
+     *
+     * @param minCycleIntervalHeartbeats the least time between two cycles, in heartbeat intervals of the workers
+     * @param minRemainingTimeS the least remaining time that the scores assume for a task, in seconds
+     * @param reservedShare the share of all machines on which capacity may be reserved for large tasks
+     * @param targetStartDelayS within which time after its submission each job should have started, in seconds
      */
     public record Scheduling(
             double minCycleIntervalHeartbeats,
@@ -35,16 +34,31 @@
             double reservedShare,
             double targetStartDelayS) {}
 
-    /** How often a running task of one machine may be stopped for a waiting one. */
+    /**
+     * How often running tasks are preempted.
+     *
+     * @param minIntervalPerMachineS the least time between two preemptions on one machine, in seconds
+     */
     public record Preemption(double minIntervalPerMachineS) {}
 
-    /** The grant behind the leader key, against {@code lease_s}. */
+    /**
+     * The lease behind the leader key.
+     *
+     * @param ttlWorkerLeases its time to live, in worker leases
+     * @param renewalsPerTtl how often it is renewed within its time to live
+     */
     public record Leadership(double ttlWorkerLeases, double renewalsPerTtl) {}
 
-    /** How machines are rented and returned, against a type's boot time and a worker's lease. */
+    /**
+     * When machines are returned.
+     *
+     * @param idleTimeoutBoots how long an idle machine of the cheapest kind is kept, in boot times
+     * @param bootTimeoutBoots how long a machine may take to come up, in boot times
+     * @param silenceTimeoutLeases how long a machine may be silent, in worker leases
+     */
     public record FleetTimeouts(double idleTimeoutBoots, double bootTimeoutBoots, double silenceTimeoutLeases) {}
 
-    /** The values that the program starts with. */
+    /** The values that hold without a policy file. */
     public static Policy defaults() {
         return new Policy(
                 new Weights(15, 40, 8, 5, 40, 40, 2, 3),
@@ -54,86 +68,12 @@
                 new FleetTimeouts(0.25, 4, 0.5));
     }
 
-    /** Reads and checks a policy file; what it leaves out keeps its default. */
+    /**
+     * Reads and checks a policy file; what it leaves out keeps its default.
+     *
+     * @throws SettingsException if the file cannot be read, or holds an unknown field or an invalid value
+     */
     public static Policy load(Path file) {
-        JsonNode root;
-        try {
-            root = new YAMLMapper().readTree(Files.readAllBytes(file));
-        } catch (JsonProcessingException e) {
-            throw new SettingsException("not YAML: " + firstLine(e.getOriginalMessage()));
-        } catch (IOException e) {
-            throw new SettingsException(
-                    "cannot read " + file + ": " + e.getClass().getSimpleName());
-        }
-        if (root == null || root.isMissingNode() || root.isNull()) {
-            return defaults();
-        }
-        return read(root);
-    }
-
-    private static Policy read(JsonNode root) {
-        Policy defaults = defaults();
-        Fields top = Fields.root(root);
-        top.rejectUnknown(ImmutableSet.of("weights", "rounds", "stops", "leading", "fleet"));
-        Weights weights = defaults.weights;
-        if (top.has("weights")) {
-            Fields f = top.object("weights");
-            f.rejectUnknown(ImmutableSet.of(
-                    "deadline", "overhead", "wait", "aging", "patience", "availability", "thrift", "packing"));
-            weights = new Weights(
-                    f.atLeastZeroOr("deadline", weights.deadline),
-                    f.atLeastZeroOr("overhead", weights.overhead),
-                    f.atLeastZeroOr("wait", weights.waiting),
-                    f.atLeastZeroOr("aging", weights.aging),
-                    f.atLeastZeroOr("patience", weights.starvation),
-                    f.atLeastZeroOr("availability", weights.availability),
-                    f.atLeastZeroOr("thrift", weights.spotPreference),
-                    f.atLeastZeroOr("packing", weights.packing));
-        }
-        Scheduling scheduling = defaults.scheduling;
-        if (top.has("rounds")) {
-            Fields f = top.object("rounds");
-            f.rejectUnknown(ImmutableSet.of("spacing_of_report", "remaining_floor_s", "held_share", "begin_within_s"));
-            scheduling = new Scheduling(
-                    f.positiveOr("spacing_of_report", scheduling.minCycleIntervalHeartbeats),
-                    f.positiveOr("remaining_floor_s", scheduling.minRemainingTimeS),
-                    f.atLeastZeroOr("held_share", scheduling.reservedShare),
-                    f.positiveOr("begin_within_s", scheduling.targetStartDelayS));
-        }
-        Preemption preemption = defaults.preemption;
-        if (top.has("stops")) {
-            Fields f = top.object("stops");
-            f.rejectUnknown(ImmutableSet.of("per_machine_s"));
-            preemption = new Preemption(f.positiveOr("per_machine_s", preemption.minIntervalPerMachineS));
-        }
-        Leadership leadership = defaults.leadership;
-        if (top.has("leading")) {
-            Fields f = top.object("leading");
-            f.rejectUnknown(ImmutableSet.of("ttl_of_lease", "renewals_per_ttl"));
-            leadership = new Leadership(
-                    f.positiveOr("ttl_of_lease", leadership.ttlWorkerLeases),
-                    f.positiveOr("renewals_per_ttl", leadership.renewalsPerTtl));
-            if (leadership.ttlWorkerLeases > 0.5) {
-                throw f.invalid("ttl_of_lease", "must not be above 0.5");
-            }
-            if (leadership.renewalsPerTtl < 2) {
-                throw f.invalid("renewals_per_ttl", "must be at least 2");
-            }
-        }
-        FleetTimeouts fleet = defaults.fleet;
-        if (top.has("fleet")) {
-            Fields f = top.object("fleet");
-            f.rejectUnknown(ImmutableSet.of("idle_of_boot", "stuck_of_boot", "silent_of_lease"));
-            fleet = new FleetTimeouts(
-                    f.positiveOr("idle_of_boot", fleet.idleTimeoutBoots),
-                    f.positiveOr("stuck_of_boot", fleet.bootTimeoutBoots),
-                    f.positiveOr("silent_of_lease", fleet.silenceTimeoutLeases));
-        }
-        return new Policy(weights, scheduling, preemption, leadership, fleet);
-    }
-
-    private static String firstLine(String text) {
-        int end = text.indexOf('\n');
-        return end < 0 ? text : text.substring(0, end);
+        return PolicyReader.load(file);
     }
 }
--- /dev/null
+++ b/src/main/java/org/spruceridge/config/PolicyReader.java
@@ -0,0 +1,120 @@
+package org.spruceridge.config;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.dataformat.yaml.YAMLMapper;
+import com.google.common.collect.ImmutableSet;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Optional;
+import org.spruceridge.config.Policy.FleetTimeouts;
+import org.spruceridge.config.Policy.Leadership;
+import org.spruceridge.config.Policy.Preemption;
+import org.spruceridge.config.Policy.Scheduling;
+import org.spruceridge.config.Policy.Weights;
+
+/**
+ * Reads and checks a policy file, section by section. Sections and fields that the file leaves out keep their defaults;
+ * unknown ones are refused.
+ */
+final class PolicyReader {
+    private static final double MAX_TTL_WORKER_LEASES = 0.5;
+    private static final double MIN_RENEWALS_PER_TTL = 2;
+
+    private final Policy defaults = Policy.defaults();
+    private final Fields top;
+
+    private PolicyReader(JsonNode root) {
+        this.top = Fields.root(root);
+    }
+
+    static Policy load(Path file) {
+        JsonNode root;
+        try {
+            root = new YAMLMapper().readTree(Files.readAllBytes(file));
+        } catch (JsonProcessingException e) {
+            throw new SettingsException("not YAML: " + firstLine(e.getOriginalMessage()));
+        } catch (IOException e) {
+            throw SettingsException.unreadableFile(file, e);
+        }
+        if (root == null || root.isMissingNode() || root.isNull()) {
+            return Policy.defaults();
+        }
+        return new PolicyReader(root).read();
+    }
+
+    private Policy read() {
+        top.rejectUnknown(ImmutableSet.of("weights", "rounds", "stops", "leading", "fleet"));
+        return new Policy(
+                section("weights").map(this::weights).orElse(defaults.weights()),
+                section("rounds").map(this::scheduling).orElse(defaults.scheduling()),
+                section("stops").map(this::preemption).orElse(defaults.preemption()),
+                section("leading").map(this::leadership).orElse(defaults.leadership()),
+                section("fleet").map(this::fleet).orElse(defaults.fleet()));
+    }
+
+    private Optional<Fields> section(String name) {
+        return top.has(name) ? Optional.of(top.object(name)) : Optional.empty();
+    }
+
+    private Weights weights(Fields fields) {
+        fields.rejectUnknown(ImmutableSet.of(
+                "deadline", "overhead", "wait", "aging", "patience", "availability", "thrift", "packing"));
+        Weights weights = defaults.weights();
+        return new Weights(
+                fields.atLeastZeroOr("deadline", weights.deadline()),
+                fields.atLeastZeroOr("overhead", weights.overhead()),
+                fields.atLeastZeroOr("wait", weights.waiting()),
+                fields.atLeastZeroOr("aging", weights.aging()),
+                fields.atLeastZeroOr("patience", weights.starvation()),
+                fields.atLeastZeroOr("availability", weights.availability()),
+                fields.atLeastZeroOr("thrift", weights.spotPreference()),
+                fields.atLeastZeroOr("packing", weights.packing()));
+    }
+
+    private Scheduling scheduling(Fields fields) {
+        fields.rejectUnknown(ImmutableSet.of("spacing_of_report", "remaining_floor_s", "held_share", "begin_within_s"));
+        Scheduling scheduling = defaults.scheduling();
+        return new Scheduling(
+                fields.positiveOr("spacing_of_report", scheduling.minCycleIntervalHeartbeats()),
+                fields.positiveOr("remaining_floor_s", scheduling.minRemainingTimeS()),
+                fields.atLeastZeroOr("held_share", scheduling.reservedShare()),
+                fields.positiveOr("begin_within_s", scheduling.targetStartDelayS()));
+    }
+
+    private Preemption preemption(Fields fields) {
+        fields.rejectUnknown(ImmutableSet.of("per_machine_s"));
+        return new Preemption(
+                fields.positiveOr("per_machine_s", defaults.preemption().minIntervalPerMachineS()));
+    }
+
+    private Leadership leadership(Fields fields) {
+        fields.rejectUnknown(ImmutableSet.of("ttl_of_lease", "renewals_per_ttl"));
+        String ttlName = "ttl_of_lease";
+        Leadership leadership = new Leadership(
+                fields.positiveOr(ttlName, defaults.leadership().ttlWorkerLeases()),
+                fields.positiveOr("renewals_per_ttl", defaults.leadership().renewalsPerTtl()));
+        if (leadership.ttlWorkerLeases() > MAX_TTL_WORKER_LEASES) {
+            throw fields.invalid(ttlName, "must not be above 0.5");
+        }
+        if (leadership.renewalsPerTtl() < MIN_RENEWALS_PER_TTL) {
+            throw fields.invalid("renewals_per_ttl", "must be at least 2");
+        }
+        return leadership;
+    }
+
+    private FleetTimeouts fleet(Fields fields) {
+        fields.rejectUnknown(ImmutableSet.of("idle_of_boot", "stuck_of_boot", "silent_of_lease"));
+        FleetTimeouts fleet = defaults.fleet();
+        return new FleetTimeouts(
+                fields.positiveOr("idle_of_boot", fleet.idleTimeoutBoots()),
+                fields.positiveOr("stuck_of_boot", fleet.bootTimeoutBoots()),
+                fields.positiveOr("silent_of_lease", fleet.silenceTimeoutLeases()));
+    }
+
+    private static String firstLine(String text) {
+        int end = text.indexOf('\n');
+        return end < 0 ? text : text.substring(0, end);
+    }
+}
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.spruceridge.net.Durations;
 
-/** The sums of docs/safety.md, for settings of many shapes: each way ends within {@code cancel_s}. */
+/** The sums of docs/safety.md for many settings: each path of a cancellation ends within {@code cancel_s}. */
 final class CancellationTimesTest {
     @ParameterizedTest
     @CsvSource({
@@ -23,11 +23,11 @@
     void everyCancellationPathEndsBeforeTheDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
 
-        // A machine that is out of reach: answered last by a leader that did not know, then a lease.
+        // A machine that is unreachable: last answered by a leader that did not know the cancellation, then one lease.
         assertTrue(times.maxStalenessS() + times.fullLeaseS() < cancelS);
-        // The leader hears of it from its watch well before it may answer no more.
+        // The leader receives the cancellation from its watch well before its view becomes too old.
         assertTrue(times.watchTimeoutS() > 0 && times.watchTimeoutS() < times.maxStalenessS() / 2);
-        // The lease itself is never counted shorter than a worker's slowest clock has it.
+        // The lease is never counted shorter than it is on the slowest clock of a worker.
         assertTrue(times.fullLeaseS() >= leaseS * (1 + Durations.MAX_CLOCK_DRIFT_RATIO));
     }
 
@@ -36,7 +36,7 @@
     void withDeployedSettingsStopsAndDeletionsMeetTheDeadline(
             double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
-        // A machine that is reached: the stop goes with the answer to its next report, up to a quarter late.
+        // A machine that is reachable: the stop is in the answer to its next heartbeat, up to a quarter late.
         assertTrue(times.maxStalenessS() + 1.25 * heartbeatIntervalS < cancelS);
         double checkIntervalS = heartbeatIntervalS / 3;
         double decidedS = Math.max(times.unprovenStopTimeoutS(), times.maxStalenessS() + times.stopProofTimeoutS())
--- a/src/test/java/org/spruceridge/config/SettingsTest.java
+++ b/src/test/java/org/spruceridge/config/SettingsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is read from the settings, and what is said of wrong ones. */
+/** What is read from the settings, and the messages about invalid ones. */
 final class SettingsTest {
     private static final String GOOD =
             """
@@ -77,7 +77,7 @@
                         .getMessage());
     }
 
-    /** Sizes fit both sets from the start, rates are kept until the service shows the new ones. */
+    /** Sizes respect both sets of limits from the start; the current rates are kept until the service rejects a request. */
     @Test
     void upcomingLimitsAreReadBesideTheCurrentOnes() throws IOException {
         Settings.State now = Settings.read(json(GOOD)).state();
