--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -111,6 +111,19 @@
         return out.build();
     }
 
+    /**
+     * The name under which a renamed field is given in the file: its name, or its former name. Both at once are an error.
+     */
+    String givenName(String name, String formerName) {
+        if (!node.has(formerName)) {
+            return name;
+        }
+        if (node.has(name)) {
+            throw invalid(name, "and " + path + formerName + " are names of the same field; only one may be given");
+        }
+        return formerName;
+    }
+
     /** Refuses every field that is not among the known ones. */
     void rejectUnknown(Set<String> known) {
         node.fieldNames().forEachRemaining(name -> {
--- a/src/main/java/org/spruceridge/config/PolicyReader.java
+++ b/src/main/java/org/spruceridge/config/PolicyReader.java
@@ -16,7 +16,7 @@
 
 /**
  * Reads and checks a policy file, section by section. Sections and fields that the file leaves out keep their defaults;
- * unknown ones are refused.
+ * unknown ones are refused. A renamed section or field is also accepted under its former name, but not under both at once.
  */
 final class PolicyReader {
     private static final double MAX_TTL_WORKER_LEASES = 0.5;
@@ -45,12 +45,19 @@
     }
 
     private Policy read() {
-        top.rejectUnknown(ImmutableSet.of("weights", "rounds", "stops", "leading", "fleet"));
+        top.rejectUnknown(ImmutableSet.of(
+                "weights", "scheduling", "rounds", "preemption", "stops", "leadership", "leading", "fleet"));
         return new Policy(
                 section("weights").map(this::weights).orElse(defaults.weights()),
-                section("rounds").map(this::scheduling).orElse(defaults.scheduling()),
-                section("stops").map(this::preemption).orElse(defaults.preemption()),
-                section("leading").map(this::leadership).orElse(defaults.leadership()),
+                section(top.givenName("scheduling", "rounds"))
+                        .map(this::scheduling)
+                        .orElse(defaults.scheduling()),
+                section(top.givenName("preemption", "stops"))
+                        .map(this::preemption)
+                        .orElse(defaults.preemption()),
+                section(top.givenName("leadership", "leading"))
+                        .map(this::leadership)
+                        .orElse(defaults.leadership()),
                 section("fleet").map(this::fleet).orElse(defaults.fleet()));
     }
 
@@ -60,38 +67,60 @@
 
     private Weights weights(Fields fields) {
         fields.rejectUnknown(ImmutableSet.of(
-                "deadline", "overhead", "wait", "aging", "patience", "availability", "thrift", "packing"));
+                "deadline",
+                "overhead",
+                "wait",
+                "aging",
+                "starvation",
+                "patience",
+                "availability",
+                "spot",
+                "thrift",
+                "packing"));
         Weights weights = defaults.weights();
         return new Weights(
                 fields.atLeastZeroOr("deadline", weights.deadline()),
                 fields.atLeastZeroOr("overhead", weights.overhead()),
                 fields.atLeastZeroOr("wait", weights.waiting()),
                 fields.atLeastZeroOr("aging", weights.aging()),
-                fields.atLeastZeroOr("patience", weights.starvation()),
+                fields.atLeastZeroOr(fields.givenName("starvation", "patience"), weights.starvation()),
                 fields.atLeastZeroOr("availability", weights.availability()),
-                fields.atLeastZeroOr("thrift", weights.spotPreference()),
+                fields.atLeastZeroOr(fields.givenName("spot", "thrift"), weights.spotPreference()),
                 fields.atLeastZeroOr("packing", weights.packing()));
     }
 
     private Scheduling scheduling(Fields fields) {
-        fields.rejectUnknown(ImmutableSet.of("spacing_of_report", "remaining_floor_s", "held_share", "begin_within_s"));
+        fields.rejectUnknown(ImmutableSet.of(
+                "min_cycle_interval_heartbeats",
+                "spacing_of_report",
+                "min_remaining_time_s",
+                "remaining_floor_s",
+                "reserved_share",
+                "held_share",
+                "target_start_delay_s",
+                "begin_within_s"));
         Scheduling scheduling = defaults.scheduling();
         return new Scheduling(
-                fields.positiveOr("spacing_of_report", scheduling.minCycleIntervalHeartbeats()),
-                fields.positiveOr("remaining_floor_s", scheduling.minRemainingTimeS()),
-                fields.atLeastZeroOr("held_share", scheduling.reservedShare()),
-                fields.positiveOr("begin_within_s", scheduling.targetStartDelayS()));
+                fields.positiveOr(
+                        fields.givenName("min_cycle_interval_heartbeats", "spacing_of_report"),
+                        scheduling.minCycleIntervalHeartbeats()),
+                fields.positiveOr(
+                        fields.givenName("min_remaining_time_s", "remaining_floor_s"), scheduling.minRemainingTimeS()),
+                fields.atLeastZeroOr(fields.givenName("reserved_share", "held_share"), scheduling.reservedShare()),
+                fields.positiveOr(
+                        fields.givenName("target_start_delay_s", "begin_within_s"), scheduling.targetStartDelayS()));
     }
 
     private Preemption preemption(Fields fields) {
-        fields.rejectUnknown(ImmutableSet.of("per_machine_s"));
-        return new Preemption(
-                fields.positiveOr("per_machine_s", defaults.preemption().minIntervalPerMachineS()));
+        fields.rejectUnknown(ImmutableSet.of("min_interval_per_machine_s", "per_machine_s"));
+        return new Preemption(fields.positiveOr(
+                fields.givenName("min_interval_per_machine_s", "per_machine_s"),
+                defaults.preemption().minIntervalPerMachineS()));
     }
 
     private Leadership leadership(Fields fields) {
-        fields.rejectUnknown(ImmutableSet.of("ttl_of_lease", "renewals_per_ttl"));
-        String ttlName = "ttl_of_lease";
+        fields.rejectUnknown(ImmutableSet.of("ttl_worker_leases", "ttl_of_lease", "renewals_per_ttl"));
+        String ttlName = fields.givenName("ttl_worker_leases", "ttl_of_lease");
         Leadership leadership = new Leadership(
                 fields.positiveOr(ttlName, defaults.leadership().ttlWorkerLeases()),
                 fields.positiveOr("renewals_per_ttl", defaults.leadership().renewalsPerTtl()));
@@ -105,12 +134,19 @@
     }
 
     private FleetTimeouts fleet(Fields fields) {
-        fields.rejectUnknown(ImmutableSet.of("idle_of_boot", "stuck_of_boot", "silent_of_lease"));
+        fields.rejectUnknown(ImmutableSet.of(
+                "idle_timeout_boots",
+                "idle_of_boot",
+                "boot_timeout_boots",
+                "stuck_of_boot",
+                "silence_timeout_leases",
+                "silent_of_lease"));
         FleetTimeouts fleet = defaults.fleet();
         return new FleetTimeouts(
-                fields.positiveOr("idle_of_boot", fleet.idleTimeoutBoots()),
-                fields.positiveOr("stuck_of_boot", fleet.bootTimeoutBoots()),
-                fields.positiveOr("silent_of_lease", fleet.silenceTimeoutLeases()));
+                fields.positiveOr(fields.givenName("idle_timeout_boots", "idle_of_boot"), fleet.idleTimeoutBoots()),
+                fields.positiveOr(fields.givenName("boot_timeout_boots", "stuck_of_boot"), fleet.bootTimeoutBoots()),
+                fields.positiveOr(
+                        fields.givenName("silence_timeout_leases", "silent_of_lease"), fleet.silenceTimeoutLeases()));
     }
 
     private static String firstLine(String text) {
