--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -34,6 +34,7 @@
 final class WriteBatchTest {
     private static final Settings.State LIMITS = new Settings.State(200, 50, 8, 24);
     private static final long ATTEMPT = 9L << 24;
+    private static final int JOBS = 60;
 
     private final Cluster cluster = new Cluster();
     private RecordPages records = new RecordPages(LIMITS, FeatureLevel.SUPPORTED);
@@ -79,49 +80,62 @@
     /** A fleet of both deployments, at half as many machines again as they have now. */
     @ParameterizedTest
     @CsvSource({"1640, 8, 24", "1460, 4, 12", "4400, 8, 24", "4400, 2, 8", "4400, 2, 4"})
-    void theFleetsPictureGoesIntoAFewTransactionsWithinAllLimits(int machines, double valueKb, int txnOps)
+    void theFleetsClusterStateGoesIntoAFewTransactionsWithinAllLimits(int machines, double valueKb, int txnOps)
             throws BadMessageException {
         Settings.State limits = new Settings.State(200, 50, valueKb, txnOps);
         records = new RecordPages(limits, FeatureLevel.SUPPORTED);
-        Deque<Binding> waiting = new ArrayDeque<>();
-        List<Job> jobs = new ArrayList<>();
-        for (int i = 0; i < 60; i++) {
-            jobs.add(job(i, 110));
-        }
-        int count = 0;
-        for (int i = 0; i < machines; i++) {
-            Machine m = machine(i);
-            for (int k = 0; k < 4; k++, count++) {
-                waiting.add(binding(jobs.get(count % 60), count / 60, m));
-            }
-        }
+        Deque<Binding> waiting = fourBindingsOnEach(machines);
         int transactions = 0;
         Set<String> keys = new HashSet<>();
         while (!waiting.isEmpty()) {
             WriteBatch batch = batch();
             waiting.removeIf(batch::bind);
             commit(batch, ++transactions);
-            assertTrue(batch.transaction().changeCount() <= limits.txnOps());
-            assertTrue(batch.transaction().comparisonCount() <= 4 * limits.txnOps());
-            assertTrue(
-                    batch.transaction().bodyBytes() <= 64 << 10,
-                    "body of " + batch.transaction().bodyBytes());
+            assertWithinLimits(batch, limits);
             batch.bound()
                     .forEach(b -> keys.add(
                             records.bindings().pageOf(b.machine()).orElseThrow().key()));
         }
         int pages = keys.size();
-        // A transaction guards the open entries of so many jobs beside the leader key and its pages. Those of 60 jobs
-        // do not
-        // go
-        // into one, so that each page is written twice at most, or more often where that takes more transactions.
+        // A transaction compares the open entries of so many jobs, beside the leader key and its pages. Those of 60
+        // jobs
+        // do not go into one, so that each page is written twice at most, or more often where that takes more
+        // transactions.
         int guardedJobs = 4 * limits.txnOps() - 1 - limits.txnOps();
-        int timesWritten = Math.max(2, (60 + guardedJobs - 1) / guardedJobs);
+        int timesWritten = Math.max(2, (JOBS + guardedJobs - 1) / guardedJobs);
         int most = timesWritten * (1 + pages / Math.min(records.maxPages(), limits.txnOps()));
         assertTrue(transactions <= most, transactions + " transactions for " + pages + " pages");
+        assertEquals(4 * machines, bindingsRecordedOn(keys, limits));
+    }
+
+    private Deque<Binding> fourBindingsOnEach(int machines) {
+        List<Job> jobs = new ArrayList<>();
+        for (int i = 0; i < JOBS; i++) {
+            jobs.add(job(i, 110));
+        }
+        Deque<Binding> bindings = new ArrayDeque<>();
+        int count = 0;
+        for (int i = 0; i < machines; i++) {
+            Machine machine = machine(i);
+            for (int k = 0; k < 4; k++, count++) {
+                bindings.add(binding(jobs.get(count % JOBS), count / JOBS, machine));
+            }
+        }
+        return bindings;
+    }
+
+    private static void assertWithinLimits(WriteBatch batch, Settings.State limits) {
+        assertTrue(batch.transaction().changeCount() <= limits.txnOps());
+        assertTrue(batch.transaction().comparisonCount() <= 4 * limits.txnOps());
+        assertTrue(
+                batch.transaction().bodyBytes() <= 64 << 10,
+                "body of " + batch.transaction().bodyBytes());
+    }
+
+    private int bindingsRecordedOn(Set<String> keys, Settings.State limits) throws BadMessageException {
         int recorded = 0;
-        for (Machine m : cluster.machines()) {
-            PageIndex.Page<Machine> page = records.bindings().pageOf(m).orElseThrow();
+        for (Machine machine : cluster.machines()) {
+            PageIndex.Page<Machine> page = records.bindings().pageOf(machine).orElseThrow();
             if (keys.remove(page.key())) {
                 var value = records.bindingsPage("w", page, b -> true);
                 assertTrue(Json.bytes(value).length <= limits.valueKb() * 1024);
@@ -130,7 +144,7 @@
                         .sum();
             }
         }
-        assertEquals(4 * machines, recorded);
+        return recorded;
     }
 
     @Test
