--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -19,7 +19,7 @@
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.net.BadMessageException;
 
-/** One page of bindings: what is bound to each of many machines, grouped by their kind. */
+/** One page of bindings: the tasks bound to each of many machines, grouped by machine kind. */
 public final class BindingsRecord {
     /** Array headers and numbers of a machine beside its name, and of one of its bindings beside the job's id. */
     private static final int MACHINE_BYTES = 5;
@@ -39,7 +39,7 @@
     /** One task and attempt. */
     public record BoundTask(TaskId task, long attempt) {}
 
-    /** A machine and what is bound to it. */
+    /** A machine and the tasks bound to it. */
     public record MachineBindings(String name, MachineKind kind, ImmutableList<BoundTask> bound) {}
 
     /** The most bindings of one machine that a page holds. */
@@ -69,7 +69,7 @@
     }
 
     /** A page with those bindings of the machines that belong on record. */
-    public static ObjectNode write(String write, Collection<Machine> machines, Predicate<Binding> recorded) {
+    public static ObjectNode write(String transactionId, Collection<Machine> machines, Predicate<Binding> recorded) {
         ImmutableListMultimap.Builder<MachineKind, MachineBindings> byKind = ImmutableListMultimap.builder();
         for (Machine m : machines) {
             ImmutableList.Builder<BoundTask> list = ImmutableList.builder();
@@ -84,7 +84,7 @@
             }
         }
         ImmutableListMultimap<MachineKind, MachineBindings> groups = byKind.build();
-        return PackedValue.write(write, out -> {
+        return PackedValue.write(transactionId, out -> {
             out.packArrayHeader(groups.keySet().size());
             for (MachineKind kind : groups.keySet()) {
                 out.packArrayHeader(4);
--- a/src/main/java/org/spruceridge/record/CatalogueRecord.java
+++ b/src/main/java/org/spruceridge/record/CatalogueRecord.java
@@ -11,8 +11,8 @@
 import org.spruceridge.net.Json;
 
 /**
- * The machine types as the cloud last told them, kept so that a node which starts while the cloud is out can still judge
- * and place jobs. Prices in it are those of the day it was written.
+ * The machine types as last read from the cloud, kept so that a node which starts during an outage of the cloud can still
+ * validate and place jobs. Its prices are those of the time at which it was written.
  */
 public record CatalogueRecord(ImmutableMap<String, MachineType> types) {
 
@@ -59,7 +59,7 @@
         return out;
     }
 
-    /** True if both tell of the same types; prices move all the time and do not count. */
+    /** True if both hold the same types; prices change all the time and are not compared. */
     public boolean sameTypes(CatalogueRecord other) {
         return types.keySet().equals(other.types.keySet())
                 && types.values().stream().allMatch(t -> {
--- a/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
@@ -39,12 +39,13 @@
     }
 
     /**
-     * A page with these chunks in the form of a feature level; {@code write} names the transaction. At the base level all
-     * chunks have the size {@code baseChunkSize}.
+     * A page with these chunks in the form of a feature level, written by a transaction. At the base level all chunks have
+     * the size {@code baseChunkSize}.
      */
-    public static ObjectNode write(String write, FeatureLevel level, int baseChunkSize, Collection<Chunk> chunks) {
+    public static ObjectNode write(
+            String transactionId, FeatureLevel level, int baseChunkSize, Collection<Chunk> chunks) {
         boolean withFirstTask = level.includes(FeatureLevel.SERVICES);
-        ObjectNode page = PackedValue.write(write, out -> {
+        ObjectNode page = PackedValue.write(transactionId, out -> {
             out.packArrayHeader(chunks.size());
             for (Chunk c : chunks) {
                 byte[] bits = c.tasks.toByteArray();
--- a/src/main/java/org/spruceridge/record/JobRecord.java
+++ b/src/main/java/org/spruceridge/record/JobRecord.java
@@ -12,11 +12,11 @@
  * open entry of an unfinished job has the same form.
  */
 public record JobRecord(JobSpec spec, long submittedMs, Stage stage, long endedMs) {
-    /** What the state service may count beside the value itself. */
+    /** Bytes that the state service may count beside the value itself. */
     private static final int FRAME_BYTES = 32;
 
-    /** The length to which names are cut. */
-    private static final int CUT_TO = 16;
+    /** The length to which names are truncated, in code points. */
+    private static final int TRUNCATED_NAME_LENGTH = 16;
 
     /** A job's state on record. */
     public enum Stage {
@@ -57,13 +57,13 @@
         if (fits(valueBytes)) {
             return write();
         }
-        JobSpec shorter =
-                spec.withNames(cut(spec.jobClass()), cut(spec.image())).withTypes(Optional.empty());
+        JobSpec shorter = spec.withNames(truncate(spec.jobClass()), truncate(spec.image()))
+                .withTypes(Optional.empty());
         return new JobRecord(shorter, submittedMs, stage, endedMs).write();
     }
 
-    private static String cut(String name) {
-        int most = Math.min(name.codePointCount(0, name.length()), CUT_TO);
+    private static String truncate(String name) {
+        int most = Math.min(name.codePointCount(0, name.length()), TRUNCATED_NAME_LENGTH);
         return name.substring(0, name.offsetByCodePoints(0, most));
     }
 
--- a/src/main/java/org/spruceridge/record/LeaderRecord.java
+++ b/src/main/java/org/spruceridge/record/LeaderRecord.java
@@ -5,7 +5,7 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** Who leads: a node, which incarnation of it, and its term. */
+/** The record of the leader: its host, the incarnation of its process, and its term. */
 public record LeaderRecord(String hostName, String incarnation, long term) {
     /** Reads the record. */
     public static LeaderRecord read(JsonNode value) throws BadMessageException {
--- a/src/main/java/org/spruceridge/record/PackedValue.java
+++ b/src/main/java/org/spruceridge/record/PackedValue.java
@@ -12,13 +12,13 @@
 import org.spruceridge.net.Json;
 
 /**
- * MessagePack inside a JSON value of the state service, beside the name of the transaction that wrote it: a value
+ * MessagePack inside a JSON value of the state service, beside the id of the transaction that wrote it: a value
  * holds several times as much as it would in plain JSON.
  */
 public final class PackedValue {
     private static final String BYTES = "b";
-    private static final String WRITE = "w";
-    /** About what a value takes beside the packed bytes. */
+    private static final String TRANSACTION_ID = "w";
+    /** About how many bytes a value takes beside the packed ones. */
     private static final int FRAME_BYTES = 128;
 
     private PackedValue() {}
@@ -40,13 +40,13 @@
         return Math.max(256, (int) ((valueKb * 1024 - FRAME_BYTES) * 3 / 4));
     }
 
-    /** A value that names the transaction which writes it. */
-    public static ObjectNode write(String write, Writer writer) {
+    /** A value that carries the id of the transaction which writes it. */
+    public static ObjectNode write(String transactionId, Writer writer) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             writer.write(out);
             return Json.object()
                     .put(BYTES, out.toByteArray()) // Jackson writes it as Base64, without a string in between
-                    .put(WRITE, write);
+                    .put(TRANSACTION_ID, transactionId);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -62,8 +62,8 @@
         }
     }
 
-    /** The name of the transaction that wrote a value. */
+    /** The id of the transaction that wrote a value. */
     public static String transactionIdOf(JsonNode value) {
-        return value.path(WRITE).asText();
+        return value.path(TRANSACTION_ID).asText();
     }
 }
--- a/src/main/java/org/spruceridge/record/StateKeys.java
+++ b/src/main/java/org/spruceridge/record/StateKeys.java
@@ -1,6 +1,6 @@
 package org.spruceridge.record;
 
-/** The names under which the service keeps its records in the state service. */
+/** The keys of the records in the state service. */
 public final class StateKeys {
     public static final String LEADER = "leader";
     public static final String TERM = "term";
@@ -17,12 +17,12 @@
 
     private StateKeys() {}
 
-    /** The record of a job, which is never dropped. */
+    /** The record of a job, which is never deleted. */
     public static String job(String id) {
         return JOBS_PREFIX + id;
     }
 
-    /** The open entry of an unfinished job, which is written with its record and dropped with its end. */
+    /** The open entry of an unfinished job, which is written with its record and deleted when the job ends. */
     public static String openJob(String id) {
         return OPEN_JOBS_PREFIX + id;
     }
