--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -15,28 +15,28 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Finds the machines whose leases have run out, and those that have to be given up. It changes nothing itself. */
+/** Finds the machines whose leases have expired and those that are declared dead. It changes no state of the cluster. */
 final class FailureDetector {
-    /** Beyond a lease's drift: late timers, on both sides. */
+    /** Added to the lease beyond clock drift, for late timers on both sides. */
     private static final double LEASE_MARGIN_S = 1;
 
-    /** After this many leases a machine is given up even if most of its zone is silent too. */
-    private static final double LEASES_OF_A_CUT_ZONE = 4;
+    /** After this many leases a machine is declared dead even if its zone seems to be partitioned. */
+    private static final double PARTITIONED_ZONE_LEASES = 4;
 
     private final Loop loop;
     private final Cluster cluster;
     private final Settings settings;
     private final Policy policy;
     private final CancellationTimes times;
-    private long behindUntil = Long.MIN_VALUE;
+    private long overloadedUntil = Long.MIN_VALUE;
 
-    /** A zone from which nothing was heard for so many report periods is cut off, or this node is. */
-    private static final double CUT_OF_REPORT = 1.5;
+    /** A zone without a heartbeat for so many heartbeat intervals is partitioned, or this node is. */
+    private static final double PARTITIONED_ZONE_HEARTBEATS = 1.5;
 
-    /** How many machines of a zone there are, how many of them are in touch, and when one was last heard. */
+    /** The machines of a zone, how many of them are responsive, and when one last sent a heartbeat. */
     private static final class ZoneCount {
         private int machines;
-        private int inTouch;
+        private int responsive;
         private long lastHeartbeat = Long.MIN_VALUE;
     }
 
@@ -48,37 +48,37 @@
         this.times = CancellationTimes.of(settings.workers());
     }
 
-    /** This node does not keep up: what it has not heard yet may well have been said. */
-    void fallsBehind() {
-        behindUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
+    /** Records that this node does not keep up: heartbeats may have arrived that it has not handled yet. */
+    void recordOverload() {
+        overloadedUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
     }
 
-    /** Machines that nobody can have answered for a whole lease: they have killed their tasks. */
-    List<Machine> withExpiredLeases() {
+    /** Machines whose lease no leader can have renewed in time: their workers have killed all tasks. */
+    List<Machine> findExpiredLeases() {
         long lease = Durations.nanos(
                 settings.workers().leaseS() * (1 + 2 * Durations.MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_S);
         long now = loop.nanos();
         List<Machine> expired = new ArrayList<>();
-        for (Machine m : cluster.machines()) {
-            if (now - m.lease().lastRenewal() > lease && hasOpenBinding(m)) {
-                expired.add(m);
+        for (Machine machine : cluster.machines()) {
+            if (now - machine.lease().lastRenewal() > lease && hasOpenBinding(machine)) {
+                expired.add(machine);
             }
         }
         return expired;
     }
 
-    private static boolean hasOpenBinding(Machine m) {
-        return m.bindings().stream().anyMatch(b -> b.stage() != Binding.Stage.RELEASING);
+    private static boolean hasOpenBinding(Machine machine) {
+        return machine.bindings().stream().anyMatch(binding -> binding.stage() != Binding.Stage.RELEASING);
     }
 
     /**
      * Machines on which the stop of a cancelled task has gone unproven for too long: a machine that hangs or cannot be
      * reached keeps the task, and only its deletion is sure to come in time.
      */
-    List<Machine> withOverdueStops() {
+    List<Machine> findOverdueStops() {
         long now = loop.nanos();
         return cluster.machines().stream()
-                .filter(m -> m.bindings().stream().anyMatch(b -> stopOverdue(b, now)))
+                .filter(machine -> machine.bindings().stream().anyMatch(binding -> stopOverdue(binding, now)))
                 .toList();
     }
 
@@ -86,91 +86,93 @@
     double oldestUnprovenStopS() {
         long now = loop.nanos();
         return cluster.machines().stream()
-                .flatMap(m -> m.bindings().stream())
+                .flatMap(machine -> machine.bindings().stream())
                 .filter(FailureDetector::stopUnproven)
-                .mapToDouble(b -> Durations.secondsSince(b.job().cancelledAt(), now))
+                .mapToDouble(binding -> Durations.secondsSince(binding.job().cancelledAt(), now))
                 .max()
                 .orElse(0);
     }
 
-    private static boolean stopUnproven(Binding b) {
-        return b.job().isCancelled() && b.stage() != Binding.Stage.PROPOSED && !b.isProvenGone();
+    private static boolean stopUnproven(Binding binding) {
+        return binding.job().isCancelled() && binding.stage() != Binding.Stage.PROPOSED && !binding.isProvenGone();
     }
 
-    private boolean stopOverdue(Binding b, long now) {
-        Job job = b.job();
-        return stopUnproven(b)
+    private boolean stopOverdue(Binding binding, long now) {
+        Job job = binding.job();
+        return stopUnproven(binding)
                 && Durations.secondsSince(job.cancelledAt(), now) > times.unprovenStopTimeoutS()
                 && Durations.secondsSince(job.cancellationLearnedAt(), now) > times.stopProofTimeoutS();
     }
 
     /**
-     * Machines that fell silent, that are heard but not reached, or that never came up; none while this node does not
-     * keep up with the reports that come.
+     * Machines that stopped sending heartbeats, do not acknowledge commands, or failed to boot; none while this node does
+     * not keep up with the heartbeats that arrive.
      */
-    List<Machine> lost() {
+    List<Machine> findDead() {
         long now = loop.nanos();
-        List<Machine> lost = new ArrayList<>();
-        if (now < behindUntil) {
-            return lost;
+        List<Machine> dead = new ArrayList<>();
+        if (now < overloadedUntil) {
+            return dead;
         }
         Map<String, ZoneCount> zones = zones(now);
-        for (Machine m : cluster.machines()) {
-            if (m.hasReported() ? silentAlone(m, zones.get(m.zone()), now) : neverCameUp(m, now)) {
-                lost.add(m);
+        for (Machine machine : cluster.machines()) {
+            if (machine.hasReported() ? isDead(machine, zones.get(machine.zone()), now) : failedToBoot(machine, now)) {
+                dead.add(machine);
             }
         }
-        return lost;
+        return dead;
     }
 
     private Map<String, ZoneCount> zones(long now) {
         Map<String, ZoneCount> zones = new HashMap<>();
-        for (Machine m : cluster.machines()) {
-            if (m.hasReported()) {
-                ZoneCount count = zones.computeIfAbsent(m.zone(), z -> new ZoneCount());
+        for (Machine machine : cluster.machines()) {
+            if (machine.hasReported()) {
+                ZoneCount count = zones.computeIfAbsent(machine.zone(), z -> new ZoneCount());
                 count.machines++;
-                count.inTouch += outOfTouchS(m, now) < silentS() ? 1 : 0;
-                count.lastHeartbeat = Math.max(count.lastHeartbeat, m.lease().lastHeartbeat());
+                count.responsive += unresponsiveS(machine, now) < deadAfterS() ? 1 : 0;
+                count.lastHeartbeat =
+                        Math.max(count.lastHeartbeat, machine.lease().lastHeartbeat());
             }
         }
         return zones;
     }
 
-    private double silentS() {
+    private double deadAfterS() {
         return policy.fleet().silenceTimeoutLeases() * settings.workers().leaseS();
     }
 
-    private boolean neverCameUp(Machine m, long now) {
-        double bootS = cluster.typeOf(m).map(MachineType::bootS).orElse(Double.MAX_VALUE);
-        return Durations.secondsSince(m.launchedAt(), now) > policy.fleet().bootTimeoutBoots() * bootS
-                && Durations.secondsSince(m.knownSince(), now)
+    private boolean failedToBoot(Machine machine, long now) {
+        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(Double.MAX_VALUE);
+        return Durations.secondsSince(machine.launchedAt(), now)
+                        > policy.fleet().bootTimeoutBoots() * bootS
+                && Durations.secondsSince(machine.knownSince(), now)
                         > settings.workers().leaseS();
     }
 
-    /** Where most machines of a zone are silent it is rather the network, and they may be back. */
-    private boolean silentAlone(Machine m, ZoneCount zone, long now) {
+    /** Where most machines of a zone are unresponsive, the network is the likely cause, and they may return. */
+    private boolean isDead(Machine machine, ZoneCount zone, long now) {
         double leaseS = settings.workers().leaseS();
-        double silentForS = outOfTouchS(m, now);
-        // One that this leader has not heard at all may still be looking for it, with all the others.
-        boolean silent = silentForS > (m.lease().isFenced() ? silentS() : leaseS);
-        return silent && (inTouch(zone, now) || silentForS > LEASES_OF_A_CUT_ZONE * leaseS);
+        double unresponsiveForS = unresponsiveS(machine, now);
+        // A worker that has not sent a heartbeat to this leader yet may still be looking for it.
+        boolean exceeded = unresponsiveForS > (machine.lease().isFenced() ? deadAfterS() : leaseS);
+        return exceeded && (responsive(zone, now) || unresponsiveForS > PARTITIONED_ZONE_LEASES * leaseS);
     }
 
     /**
-     * True if most machines of a zone are in touch. That alone would not do: as a zone is cut off, those that reported
-     * first are silent for long enough while most others are not yet.
+     * True if most machines of a zone are responsive and one sent a heartbeat lately. The majority alone is not enough:
+     * when a zone is partitioned, the machines that sent theirs first exceed the limit while most others do not yet.
      */
-    private boolean inTouch(ZoneCount zone, long now) {
+    private boolean responsive(ZoneCount zone, long now) {
         double quietS = Durations.secondsSince(zone.lastHeartbeat, now);
-        return zone.inTouch * 2 > zone.machines
-                && quietS < CUT_OF_REPORT * settings.workers().heartbeatIntervalS();
+        return zone.responsive * 2 > zone.machines
+                && quietS < PARTITIONED_ZONE_HEARTBEATS * settings.workers().heartbeatIntervalS();
     }
 
-    /** How long the machine has not been heard, or has been heard without doing as it was told. */
-    private static double outOfTouchS(Machine m, long now) {
-        double silentS = Durations.secondsSince(m.lease().lastHeartbeat(), now);
-        return m.awaitsAcknowledgement()
-                ? Math.max(silentS, Durations.secondsSince(m.unacknowledgedSince(), now))
+    /** For how many seconds the machine has sent no heartbeat, or has not acknowledged a command. */
+    private static double unresponsiveS(Machine machine, long now) {
+        double silentS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
+        return machine.awaitsAcknowledgement()
+                ? Math.max(silentS, Durations.secondsSince(machine.unacknowledgedSince(), now))
                 : silentS;
     }
 }
