--- a/src/main/java/org/spruceridge/schedule/BinPacking.java
+++ b/src/main/java/org/spruceridge/schedule/BinPacking.java
@@ -1,7 +1,8 @@
 package org.spruceridge.schedule;
 
 /**
- * Ours: how full a machine is. Ties alone do not keep small tasks together once scores differ between machines, and
+ * Not of the paper: how full a machine is. Ties alone do not keep small tasks together once scores differ between
+ * machines, and
  * tasks that take a whole machine then find none.
  */
 public final class BinPacking implements Heuristic {
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -38,7 +38,7 @@
 
     /**
      * The machine that carries most replicas of any service among those that can take one more of this service and have
-     * fewer than {@code max} of it, or null.
+     * fewer than {@code max} of it, or null: Optional would allocate on the hot path.
      */
     MachineCapacity mostReplicasFor(WaitingJob service, CycleState state, int max) {
         Resources task = service.job().spec().task();
@@ -55,7 +55,7 @@
         return best;
     }
 
-    /** The fullest machine that can take a task of the job now, or null. */
+    /** The fullest machine that can take a task of the job now, or null: Optional would allocate on the hot path. */
     MachineCapacity fullestFor(WaitingJob waiting, CycleState state) {
         Resources task = waiting.job().spec().task();
         MachineCapacity best = null;
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -23,7 +23,7 @@
     private boolean reserved;
     private List<ExpectedRelease> releases;
 
-    /** A running task: when it is expected to end, and what it will leave. */
+    /** A running task: when it is expected to end, and what it will free. */
     private record ExpectedRelease(double inS, Resources resources) {}
 
     /** {@code kindIndex} numbers the machine's kind within the cycle. */
@@ -87,13 +87,13 @@
         return reserved;
     }
 
-    /** Keeps what is free, up to the size of one task, from the candidates that follow in this cycle. */
+    /** Withholds what is free, up to the size of one task, from the candidates that follow in this cycle. */
     void reserve(Resources task) {
         reserved = true;
         free = free.minus(free.min(task));
     }
 
-    /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never do. */
+    /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never will. */
     double secondsUntilFit(Resources task, Estimates estimates, long now) {
         if (releases == null) {
             releases = releases(estimates, now);
--- a/src/main/java/org/spruceridge/schedule/MachinePrice.java
+++ b/src/main/java/org/spruceridge/schedule/MachinePrice.java
@@ -1,6 +1,6 @@
 package org.spruceridge.schedule;
 
-/** Ours: what a machine costs, so that dear machines fall idle first and can be returned. */
+/** Not of the paper: the price of a machine, so that expensive machines become idle first and can be scaled in. */
 public final class MachinePrice implements Heuristic {
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
--- a/src/main/java/org/spruceridge/schedule/Matching.java
+++ b/src/main/java/org/spruceridge/schedule/Matching.java
@@ -26,7 +26,7 @@
                 policy.weights(), estimates, policy.scheduling().targetStartDelayS());
     }
 
-    /** Plans one scheduling cycle, at a moment of the steady clock and of the time of day. */
+    /** Plans one scheduling cycle, {@code now} is on the monotonic clock in nanoseconds, {@code wallMs} the time of day. */
     public Plan plan(Cluster cluster, long now, long wallMs) {
         CycleState state = new CycleState(cluster, settings, maxBindingsPerMachine, now);
         return new SchedulingCycle(state, matrix, estimates, policy, wallMs).run();
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -7,12 +7,12 @@
 import org.spruceridge.cluster.Machine;
 
 /**
- * What a cycle decided.
+ * The decisions of one scheduling cycle.
  *
- * @param preemptions tasks to be stopped for waiting ones
- * @param evictions replicas to be stopped where they are, for which there is room elsewhere
- * @param unplaced tasks of each job for which only room was lacking, the most urgent job first
- * @param machineGroups how many machine groups the matrix had, which is what a cycle costs
+ * @param preemptions tasks to preempt for waiting ones of a higher priority
+ * @param evictions replicas to evict from machines about to be reclaimed, with room reserved for them elsewhere
+ * @param unplaced number of tasks of each job for which only capacity was lacking, the most urgent job first
+ * @param machineGroups the number of machine groups, the columns of the matrix, which decides what a cycle costs
  */
 public record Plan(
         ImmutableList<Placement> placements,
@@ -21,6 +21,6 @@
         ImmutableMap<Job, Integer> unplaced,
         int machineGroups) {
 
-    /** A waiting task to be bound to a machine. */
+    /** A waiting task, by its index in the job, to bind to a machine. */
     public record Placement(Job job, int index, Machine machine) {}
 }
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -12,7 +12,7 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.schedule.PreemptionTarget.Victim;
 
-/** Chooses running tasks to stop for waiting ones of a higher rank that would otherwise miss their deadline. */
+/** Chooses running tasks to preempt for waiting ones of a higher priority that would otherwise miss their deadline. */
 final class Preemption {
     private final CycleState state;
     private final double minIntervalPerMachineS;
@@ -21,13 +21,13 @@
     private Resources smallestTask = Resources.NONE;
     private JobPriority highestPriority = JobPriority.LOW;
 
-    /** {@code minIntervalPerMachineS} is the least time between two stops on one machine. */
+    /** {@code minIntervalPerMachineS} is the least time between two preemptions on one machine. */
     Preemption(CycleState state, double minIntervalPerMachineS) {
         this.state = state;
         this.minIntervalPerMachineS = minIntervalPerMachineS;
     }
 
-    /** The tasks to stop for these jobs, the most urgent of which comes first. */
+    /** The tasks to preempt for these jobs, which are sorted by urgency, the most urgent first. */
     List<Binding> planFor(Collection<WaitingJob> urgentJobs) {
         if (!urgentJobs.isEmpty()) {
             findTargets(urgentJobs);
@@ -36,7 +36,7 @@
         return preempted;
     }
 
-    /** Only machines that can be of use to one of the jobs are looked at for each of them. */
+    /** Keeps only machines that can be of use to one of the jobs, so that each job is tried on few. */
     private void findTargets(Collection<WaitingJob> urgentJobs) {
         smallestTask = Resources.minOf(
                 urgentJobs.stream().map(waiting -> waiting.job().spec().task()));
@@ -59,7 +59,7 @@
 
     private void preemptFor(WaitingJob waiting) {
         JobSpec spec = waiting.job().spec();
-        int wanted = Math.min(waiting.remaining(), state.tasksWithinQuota(spec));
+        int wanted = Math.min(waiting.remaining(), state.quotas().admits(spec));
         List<Victim> victims = new ArrayList<>();
         for (PreemptionTarget target : targets) {
             if (wanted <= 0) {
@@ -78,7 +78,7 @@
         preemptCheapest(victims, wanted, spec);
     }
 
-    /** Room for a replica is made on machines that have to be kept for replicas anyway. */
+    /** For a replica, machines that carry other replicas come first: they have to be kept anyway. */
     private void preemptCheapest(List<Victim> victims, int wanted, JobSpec spec) {
         Comparator<Victim> order = Comparator.comparingDouble(Victim::lostWorkS);
         if (spec.isService()) {
--- a/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -8,25 +8,25 @@
 import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.Resources;
 
-/** One machine as the preemption of a cycle sees it: what will be free there, and which tasks may be stopped. */
+/** One machine on which tasks may be preempted: its expected free capacity and its possible victims. */
 final class PreemptionTarget {
     private final MachineCapacity capacity;
-    /** The tasks that may be stopped, the one that loses least work first. */
+    /** The tasks that may be preempted, the one that loses least work first. */
     private final List<Victim> victims;
 
     private Resources expectedFree;
 
-    /** A running task that may be stopped, and what stopping it throws away, in seconds of work. */
+    /** A running task that may be preempted, and the work that this would lose, in seconds. */
     record Victim(PreemptionTarget target, Binding binding, double lostWorkS) {}
 
-    /** {@code canPreempt} is false while the machine had a task stopped too recently. */
+    /** {@code canPreempt} is false while the last preemption on the machine is too recent. */
     PreemptionTarget(MachineCapacity capacity, boolean canPreempt, long now) {
         this.capacity = capacity;
         this.expectedFree = expectedFree(capacity);
         this.victims = canPreempt ? victims(now) : new ArrayList<>();
     }
 
-    /** What is free on the machine, or is being left by tasks that end. */
+    /** What is free on the machine, and what tasks that are being stopped or have ended will free. */
     private static Resources expectedFree(MachineCapacity capacity) {
         Resources expected = capacity.free();
         for (Binding binding : capacity.machine().bindings()) {
@@ -50,7 +50,7 @@
         return preemptible;
     }
 
-    /** What stopping the task throws away: the time it takes to save, or all that it has run. Services are stopped last. */
+    /** The work lost by a preemption: the time of a checkpoint, or all that the task has run. Services come last. */
     private static double lostWorkS(Binding binding, long now) {
         JobSpec spec = binding.job().spec();
         if (spec.isService()) {
@@ -63,7 +63,7 @@
         return capacity;
     }
 
-    /** True if a task of this size and rank may find room here, with or without a stop. */
+    /** True if a task of this size and priority may fit here, with or without a preemption. */
     boolean canHost(Resources smallestTask, JobPriority highestPriority) {
         if (smallestTask.fitsIn(expectedFree)) {
             return true;
@@ -77,7 +77,7 @@
         return false;
     }
 
-    /** Counts on what will be free there anyway for at most {@code wanted} tasks; returns for how many it is enough. */
+    /** Claims expected free capacity for at most {@code wanted} tasks; returns for how many it is enough. */
     int claim(Resources task, int wanted) {
         if (!task.fitsIn(expectedFree)) {
             return 0;
@@ -89,7 +89,7 @@
         return count;
     }
 
-    /** The task that loses least work among those whose stop makes room for such a task, or null. */
+    /** The victim that loses least work among those whose preemption makes room for such a task, or null: the hot path. */
     Victim cheapestVictim(JobSpec spec) {
         for (int i = 0; i < victims.size(); i++) {
             JobSpec victimSpec = victims.get(i).binding.job().spec();
@@ -108,8 +108,8 @@
     }
 
     /**
-     * The victim is stopped for at most {@code wanted} tasks of this size; returns for how many it makes room. Nothing else
-     * is stopped here in this cycle.
+     * Preempts the victim for at most {@code wanted} tasks of this size; returns for how many it makes room. Nothing else is
+     * preempted here in this cycle.
      */
     int preempt(Victim victim, Resources task, int wanted) {
         expectedFree = expectedFree.plus(victim.binding.job().spec().task());
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -7,7 +7,7 @@
 
 /**
  * Reservations for well-scored tasks that fit nowhere now, on the machines that will have room for them soonest. Without
- * them each piece of capacity that becomes free would go to a smaller task, and large tasks would never run.
+ * them each piece of capacity that becomes free would go to a smaller task, and large tasks would starve.
  */
 final class Reservations {
     private final CycleState state;
@@ -27,7 +27,7 @@
 
     /** Reserves for those tasks of a job that the walk will not place, before it places the others. */
     void reserveFor(WaitingJob waiting) {
-        int admitted = state.tasksWithinQuota(waiting.job().spec());
+        int admitted = state.quotas().admits(waiting.job().spec());
         if (admitted == 0) {
             reserveTeamQuota(waiting);
             return;
@@ -67,18 +67,18 @@
     }
 
     /**
-     * Where the team's limit alone keeps a job back, what is left of the limit is reserved like capacity on a machine:
-     * else each piece that becomes free goes to a smaller task of the team, and a large one never begins.
+     * Where the team's quota alone holds a job back, what is left of the quota is reserved like capacity on a machine:
+     * otherwise each piece that becomes free goes to a smaller task of the team, and a large one never starts.
      */
     private void reserveTeamQuota(WaitingJob waiting) {
         String team = waiting.job().spec().team();
-        if (max == 0 || state.isQuotaReserved(team)) {
+        if (max == 0 || state.quotas().isReserved(team)) {
             return;
         }
         Resources task = waiting.job().spec().task();
         for (MachineCapacity capacity : state.machines()) {
             if (capacity.fits(task) && state.isEligible(waiting, capacity)) {
-                state.reserveQuota(team);
+                state.quotas().reserve(team);
                 return;
             }
         }
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Replicas to be stopped because their machine is about to be taken away: those for which there is room elsewhere. The
-     * room is kept in each cycle until the replica is gone and is placed like any that is missing.
+     * Replicas to evict because the cloud is about to reclaim their machine: those for which there is room elsewhere. The
+     * room is reserved in each cycle until the replica is gone, which is then placed like any that is missing.
      */
     private ImmutableList<Binding> evictions() {
         ImmutableList.Builder<Binding> evictions = ImmutableList.builder();
@@ -156,7 +156,7 @@
     }
 
     private boolean canPlace(WaitingJob waiting) {
-        return waiting.remaining() > 0 && state.tasksWithinQuota(waiting.job().spec()) > 0;
+        return waiting.remaining() > 0 && state.quotas().admits(waiting.job().spec()) > 0;
     }
 
     /** Services that miss replicas, and jobs that can still meet their deadline if they begin now, the best score first. */
@@ -176,8 +176,9 @@
         ImmutableMap.Builder<Job, Integer> unplaced = ImmutableMap.builder();
         for (WaitingJob waiting : waitingJobs.values()) {
             Job job = waiting.job();
-            int wanted =
-                    job.failsOnManyMachines() ? 0 : Math.min(waiting.remaining(), state.tasksWithinQuota(job.spec()));
+            int wanted = job.failsOnManyMachines()
+                    ? 0
+                    : Math.min(waiting.remaining(), state.quotas().admits(job.spec()));
             if (wanted > 0) {
                 unplaced.put(job, wanted);
             }
--- a/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
+++ b/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
@@ -1,7 +1,8 @@
 package org.spruceridge.schedule;
 
 /**
- * Ours: the urgency of a service of which replicas are missing. The document's jobs end, and their urgency follows from a
+ * Not of the paper: the urgency of a service of which replicas are missing. The paper's jobs end, and their urgency
+ * follows from a
  * deadline; a service has none, and each second without a replica is lost. The term is 0 for all other jobs, at least a
  * half for a service, and grows with the time that the replica has been missing, in the shape of equation 13.
  *
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -1,9 +1,9 @@
 package org.spruceridge.schedule;
 
 /**
- * Ours, beside the Anti-aging term, which is bounded and loses to a lasting stream of short or urgent work: a job that
- * has waited long without any of its tasks begun comes first in the end, and so does, later, one that has begun. It is 0
- * for everything younger.
+ * Not of the paper. The Anti-aging term (equation 13) is bounded and loses to a lasting stream of short or urgent work: with
+ * this term a job none of whose tasks has started comes first in the end, and so does, later, one that has started. It is 0
+ * for all younger jobs.
  *
  * @param targetStartDelayS the time within which every job should have begun
  */
--- /dev/null
+++ b/src/main/java/org/spruceridge/schedule/ZoneConstraints.java
@@ -0,0 +1,46 @@
+package org.spruceridge.schedule;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.JobSpec;
+
+/**
+ * The zones that jobs with a zone constraint (all tasks in one zone, or spread over zones) occupy during a scheduling cycle,
+ * counted over bindings and the cycle's placements.
+ */
+final class ZoneConstraints {
+    private final Map<Job, Map<String, Integer>> tasksByZone = new HashMap<>();
+
+    /** True if the job's constraint, if it has any, permits one more task in the zone. */
+    boolean permits(Job job, String zone) {
+        JobSpec spec = job.spec();
+        if (!isConstrained(spec)) {
+            return true;
+        }
+        Map<String, Integer> used = tasksByZone(job);
+        boolean keepsOneZone = !spec.oneZone() || used.isEmpty() || used.containsKey(zone);
+        return keepsOneZone && used.getOrDefault(zone, 0) < spec.zoneLimit();
+    }
+
+    /** Counts one more task of the job in the zone. */
+    void add(Job job, String zone) {
+        if (isConstrained(job.spec())) {
+            tasksByZone(job).merge(zone, 1, Integer::sum);
+        }
+    }
+
+    private static boolean isConstrained(JobSpec spec) {
+        return spec.oneZone() || spec.spread();
+    }
+
+    private Map<String, Integer> tasksByZone(Job job) {
+        return tasksByZone.computeIfAbsent(job, ZoneConstraints::count);
+    }
+
+    private static Map<String, Integer> count(Job job) {
+        Map<String, Integer> used = new HashMap<>();
+        job.bindings().forEach(binding -> used.merge(binding.machine().zone(), 1, Integer::sum));
+        return used;
+    }
+}
