--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -127,18 +127,8 @@
                 term.leaderRevision(),
                 everyMemberSupportsLevel,
                 recordWriter::levelRaised);
-        this.autoscaler = new Autoscaler(
-                loop,
-                scope,
-                cloud,
-                cluster,
-                recordWriter,
-                settings,
-                context.policy(),
-                term.term(),
-                context.leads(),
-                schedulingLoop::lastPlan,
-                schedulingLoop::request);
+        this.autoscaler =
+                new Autoscaler(context, cloud, recordWriter, schedulingLoop::lastPlan, schedulingLoop::request);
     }
 
     /** Takes over from the records, and then begins to schedule. */
@@ -206,7 +196,7 @@
 
     /** Reports come faster than this node can take them. */
     public void heartbeatsDropped() {
-        autoscaler.fallsBehind();
+        autoscaler.recordOverload();
     }
 
     /** Takes over what is known of the machine types, unless the autoscaler has asked the cloud itself by now. */
