--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -89,8 +89,8 @@
         this.workers = new WorkerClient(http, warnings);
         this.level = new ClusterFeatureLevel(state);
         state.onRateExceeded(() -> rateBudget.stateRateExceeded(role()));
-        this.election = new Election(
-                new ElectionDependencies(loop, state, level, random, warnings), settings, policy, this);
+        this.election =
+                new Election(new ElectionDependencies(loop, state, level, random, warnings), settings, policy, this);
         StateServiceHealth stateHealth = new StateServiceHealth(state);
         RecentCancellations cancellations = new RecentCancellations(
                 loop, Durations.nanos(CancellationTimes.of(settings.workers()).maxStalenessS()));
@@ -166,7 +166,11 @@
         warmUp.stop();
         rateBudget.apply(RateBudget.Role.LEADER);
         LeaderContext context = LeaderContext.begin(
-                new LeaderServices(loop, warnings, latencies, leaderMetrics), settings, policy, term, election::isLeader);
+                new LeaderServices(loop, warnings, latencies, leaderMetrics),
+                settings,
+                policy,
+                term,
+                election::isLeader);
         Leader leader =
                 new Leader(context, state, cloud, workers, level, this::allMembersSupportLevel, election::resign);
         currentLeader.begin(leader);
