--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -44,7 +44,8 @@
     private long lastCycleDurationNanos;
 
     /**
-     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code resign} ends the leadership, for
+     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code resign} ends the
+     * leadership, for
      * a reason.
      */
     public SchedulingLoop(
