--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -52,7 +52,7 @@
         this.cloud = cloud;
         this.cluster = context.cluster();
         this.settings = context.settings();
-        this.leads = context.leads();
+        this.leads = context.isLeader();
         this.lastPlan = lastPlan;
         this.changed = changed;
         this.failureDetector = new FailureDetector(loop, cluster, settings, context.policy());
--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Reads one object of a settings file and names the field in every complaint. */
+/** Reads the fields of one object of a settings file. Every error names the field with its path. */
 final class Fields {
     private final JsonNode node;
     private final String path;
@@ -30,6 +30,7 @@
         return new Fields(child, path + name + ".");
     }
 
+    /** True if the field is given and not null. */
     boolean has(String name) {
         return node.hasNonNull(name);
     }
@@ -110,6 +111,19 @@
         return out.build();
     }
 
+    /**
+     * The name under which a renamed field is given in the file: its name, or its former name. Both at once are an error.
+     */
+    String givenName(String name, String formerName) {
+        if (!node.has(formerName)) {
+            return name;
+        }
+        if (node.has(name)) {
+            throw invalid(name, "and " + path + formerName + " are names of the same field; only one may be given");
+        }
+        return formerName;
+    }
+
     /** Refuses every field that is not among the known ones. */
     void rejectUnknown(Set<String> known) {
         node.fieldNames().forEachRemaining(name -> {
@@ -119,6 +133,7 @@
         });
     }
 
+    /** The error for a field; {@code problem} continues a sentence that begins with its name. */
     SettingsException invalid(String name, String problem) {
         return new SettingsException(path + name + " " + problem);
     }
