--- a/src/main/java/org/spruceridge/schedule/Candidate.java
+++ b/src/main/java/org/spruceridge/schedule/Candidate.java
@@ -11,7 +11,7 @@
  * @param slackS until the job's deadline, infinite without one
  */
 public record Candidate(Job job, double elapsedS, double ageS, double slackS) {
-    /** The waiting tasks of a job, at a moment of the steady clock and a time of day in milliseconds. */
+    /** The waiting tasks of a job, at a moment of the monotonic clock and a time of day in milliseconds. */
     static Candidate waiting(Job job, long now, long wallMs) {
         boolean missing = job.spec().isService() && job.isIncompleteAgain();
         double ageS =
--- a/src/main/java/org/spruceridge/schedule/MachineGroup.java
+++ b/src/main/java/org/spruceridge/schedule/MachineGroup.java
@@ -6,7 +6,7 @@
  * One column of the matrix: the machines that score alike for every candidate, because they are of one kind and equally
  * full.
  *
- * @param price what such a machine costs per CPU, as a share of the dearest in the matrix
+ * @param price what such a machine costs per CPU, as a share of the highest in the matrix
  * @param fullness the share of such a machine's CPUs that is taken
  */
 public record MachineGroup(MachineKind kind, double price, double fullness) {
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Answers everybody; workers report to {@code /hello}. */
+    /** Answers everybody; workers send heartbeats to {@code /hello}. */
     private static final class ServesAll implements RequestHandler {
         @Override
         public void handle(Request request, Consumer<Response> answer) {
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void aFleetThatComesAndGoesShutsNobodyOut() throws Exception {
+    void reconnectingFleetLeavesRoomForUsersAndHealthChecks() throws Exception {
         serve(new ConnectionLimiter(40), REQUEST_TIMEOUT);
         Socket user = connect();
         assertTrue(asks(user, "/api/jobs/j-1"));
@@ -190,7 +190,7 @@
         Socket last = first;
         for (int i = 0; i < 160; i++) {
             last = connect();
-            assertTrue(asks(last, "/hello"), "the newest report is answered");
+            assertTrue(asks(last, "/hello"), "the newest heartbeat is answered");
         }
         assertTrue(asks(user, "/api/jobs/j-1"), "a user's connection stays");
         assertTrue(asks(connect(), "/healthz"), "a health check gets in");
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void aWorkersConnectionEndsSoonAfterItsLastReport() throws Exception {
+    void idleWorkerConnectionIsClosedAfterItsLastHeartbeat() throws Exception {
         serve(new ConnectionLimiter(40), Durations.millis(200));
         Socket worker = connect();
         assertTrue(asks(worker, "/hello"));
--- a/src/test/java/org/spruceridge/net/RateLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/RateLimiterTest.java
@@ -27,29 +27,29 @@
     }
 
     @Test
-    void reportsGoBeforeDecisionsAndThoseBeforeSubmissions() {
+    void heartbeatsGoBeforeSchedulingAndSchedulingBeforeSubmissions() {
         for (int i = 0; i < 10; i++) {
             submit(Priority.SCHEDULING, 0, "spends all requests");
         }
         ran.clear();
         submit(Priority.SUBMISSIONS, 2, "submission");
-        submit(Priority.SCHEDULING, 2, "decision");
-        submit(Priority.HEARTBEATS, 2, "report");
+        submit(Priority.SCHEDULING, 2, "scheduling");
+        submit(Priority.HEARTBEATS, 2, "heartbeat");
         submit(Priority.LEASE_RENEWAL, 0, "renewal");
         loop.run(1);
-        assertEquals(List.of("renewal", "report", "decision", "submission"), ran);
+        assertEquals(List.of("renewal", "heartbeat", "scheduling", "submission"), ran);
     }
 
     @Test
     void readsDoNotWaitForChangesNorUsersForTheLeadersWrites() {
         submit(Priority.SCHEDULING, 4, "spends all changes");
-        submit(Priority.HEARTBEATS, 2, "report");
-        submit(Priority.SCHEDULING, 1, "decision");
+        submit(Priority.HEARTBEATS, 2, "heartbeat");
+        submit(Priority.SCHEDULING, 1, "scheduling");
         submit(Priority.SUBMISSIONS, 0, "poll");
         submit(Priority.SUBMISSIONS, 2, "submission");
         assertEquals(List.of("spends all changes", "poll", "submission"), ran);
         loop.run(1);
-        assertEquals(List.of("report", "decision"), ran.subList(3, 5), "the smaller one does not slip past");
+        assertEquals(List.of("heartbeat", "scheduling"), ran.subList(3, 5), "the smaller one does not slip past");
     }
 
     @Test
@@ -92,6 +92,6 @@
         assertTrue(submit(Priority.SUBMISSIONS, 2, "s1"));
         assertTrue(submit(Priority.SUBMISSIONS, 2, "s2"));
         assertFalse(submit(Priority.SUBMISSIONS, 2, "s3"));
-        assertTrue(submit(Priority.HEARTBEATS, 2, "reports wait for their turn"));
+        assertTrue(submit(Priority.HEARTBEATS, 2, "heartbeats wait for their turn"));
     }
 }
--- a/src/test/java/org/spruceridge/net/RequestQueueTest.java
+++ b/src/test/java/org/spruceridge/net/RequestQueueTest.java
@@ -8,7 +8,7 @@
 import org.spruceridge.net.RequestQueue.Priority;
 import org.spruceridge.sim.SimLoop;
 
-/** With too little processor, reports come before users, and nothing is done for those who wait no more. */
+/** With too little processor, heartbeats come before users, and nothing is done for those who wait no more. */
 final class RequestQueueTest {
     private final SimLoop loop = new SimLoop();
     private final RequestQueue requestQueue = new RequestQueue(loop);
@@ -51,25 +51,25 @@
     }
 
     @Test
-    void whenTheyComeTooFastReportsGoBeforeUsersAndHealthBeforeBoth() {
+    void underOverloadHealthGoesBeforeHeartbeatsAndHeartbeatsBeforeUsers() {
         requestQueue.add(Priority.USER, new Request("first", 0.2));
         requestQueue.add(Priority.USER, new Request("user", 0.2));
-        requestQueue.add(Priority.HEARTBEAT, new Request("report", 0.2));
+        requestQueue.add(Priority.HEARTBEAT, new Request("heartbeat", 0.2));
         requestQueue.add(Priority.HEALTH, new Request("health", 0.01));
         loop.run(1);
-        assertEquals(List.of("first", "health", "report", "user"), done);
+        assertEquals(List.of("first", "health", "heartbeat", "user"), done);
     }
 
     @Test
-    void whoWaitsTooLongIsRefusedAndWhoHasGoneIsNotServed() {
+    void expiredRequestsAreRejectedAndAbandonedOnesNotServed() {
         requestQueue.add(Priority.HEARTBEAT, new Request("first", 2));
         requestQueue.add(Priority.USER, new Request("user", 0.1));
         Request gone = new Request("gone", 0.1);
         requestQueue.add(Priority.HEARTBEAT, gone);
-        requestQueue.add(Priority.HEARTBEAT, new Request("report", 2.5));
+        requestQueue.add(Priority.HEARTBEAT, new Request("heartbeat", 2.5));
         gone.isAbandoned = true;
         loop.run(10);
-        assertEquals(List.of("first", "no gone", "report", "no user"), done);
+        assertEquals(List.of("first", "no gone", "heartbeat", "no user"), done);
         loop.run(1);
         requestQueue.add(Priority.USER, new Request("later", 0.1));
         assertEquals("later", done.get(4), "all is as before");
