--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -12,6 +12,7 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.config.Settings;
 import org.spruceridge.election.Election;
+import org.spruceridge.election.ElectionDependencies;
 import org.spruceridge.leader.Leader;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
@@ -28,6 +29,7 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
+import org.spruceridge.term.LeaderServices;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 import org.spruceridge.upgrade.FeatureLevel;
@@ -87,7 +89,8 @@
         this.workers = new WorkerClient(http, warnings);
         this.level = new ClusterFeatureLevel(state);
         state.onRateExceeded(() -> rateBudget.stateRateExceeded(role()));
-        this.election = new Election(loop, state, level, random, warnings, settings, policy, this);
+        this.election =
+                new Election(new ElectionDependencies(loop, state, level, random, warnings), settings, policy, this);
         StateServiceHealth stateHealth = new StateServiceHealth(state);
         RecentCancellations cancellations = new RecentCancellations(
                 loop, Durations.nanos(CancellationTimes.of(settings.workers()).maxStalenessS()));
@@ -163,7 +166,11 @@
         warmUp.stop();
         rateBudget.apply(RateBudget.Role.LEADER);
         LeaderContext context = LeaderContext.begin(
-                loop, settings, policy, term, election::isLeader, warnings, latencies, leaderMetrics);
+                new LeaderServices(loop, warnings, latencies, leaderMetrics),
+                settings,
+                policy,
+                term,
+                election::isLeader);
         Leader leader =
                 new Leader(context, state, cloud, workers, level, this::allMembersSupportLevel, election::resign);
         currentLeader.begin(leader);
