--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -148,28 +148,30 @@
 
     private LaunchResult readLaunchResult(HttpAnswer answer) {
         try {
-            switch (answer.status()) {
-                case 200:
-                    ImmutableList.Builder<String> names = ImmutableList.builder();
-                    Json.list(Json.object(answer.body()), "hosts").forEach(name -> names.add(name.asText()));
-                    return new LaunchResult(LaunchResult.Kind.LAUNCHED, names.build());
-                case 503:
-                    boolean full =
-                            Json.object(answer.body()).path("error").asText().contains("capacity");
-                    return LaunchResult.of(full ? LaunchResult.Kind.NO_CAPACITY : LaunchResult.Kind.REFUSED);
-                case 400:
-                    return LaunchResult.of(LaunchResult.Kind.REJECTED);
-                case 429:
-                    return LaunchResult.of(LaunchResult.Kind.REFUSED);
-                default:
-                    return LaunchResult.of(LaunchResult.Kind.UNKNOWN);
-            }
+            return switch (answer.status()) {
+                case 200 -> new LaunchResult(LaunchResult.Kind.LAUNCHED, launchedNames(answer));
+                case 503 -> LaunchResult.of(
+                        isOutOfCapacity(answer) ? LaunchResult.Kind.NO_CAPACITY : LaunchResult.Kind.REFUSED);
+                case 400 -> LaunchResult.of(LaunchResult.Kind.REJECTED);
+                case 429 -> LaunchResult.of(LaunchResult.Kind.REFUSED);
+                default -> LaunchResult.of(LaunchResult.Kind.UNKNOWN);
+            };
         } catch (BadMessageException e) {
             warnInvalid(e);
             return LaunchResult.of(answer.status() == 200 ? LaunchResult.Kind.UNKNOWN : LaunchResult.Kind.REFUSED);
         }
     }
 
+    private static ImmutableList<String> launchedNames(HttpAnswer answer) throws BadMessageException {
+        ImmutableList.Builder<String> names = ImmutableList.builder();
+        Json.list(Json.object(answer.body()), "hosts").forEach(name -> names.add(name.asText()));
+        return names.build();
+    }
+
+    private static boolean isOutOfCapacity(HttpAnswer answer) throws BadMessageException {
+        return Json.object(answer.body()).path("error").asText().contains("capacity");
+    }
+
     private void send(Priority priority, HttpCall call, Consumer<HttpAnswer> done) {
         if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT_NANOS, done))) {
             done.accept(new HttpAnswer(429, new byte[0]));
--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -108,7 +108,7 @@
             JobRecord record = JobRecord.read(entry.value());
             long ageMs = Math.max(0, loop.wallMillis() - record.endedMs());
             Job job = new Job(record.spec(), entry.modRevision(), record.submittedMs());
-            job.cancel(loop.nanos() - Durations.millis(ageMs), loop.nanos());
+            job.cancel(loop.nanos() - Durations.millis((double) ageMs), loop.nanos());
             cancelledJobs.add(job);
             cluster.add(job);
         } catch (BadMessageException e) {
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -37,7 +37,7 @@
     private final RateLimiter limiter;
     private final Latencies latencies;
     private final StateResponses responses;
-    private final ServiceAvailability availability;
+    private final StateServiceAvailability availability;
     private Runnable rateExceeded = () -> {};
 
     /** Requests go to {@code address}, within the limits of {@code limiter}. */
@@ -54,7 +54,7 @@
         this.limiter = limiter;
         this.latencies = latencies;
         this.responses = new StateResponses(warnings);
-        this.availability = new ServiceAvailability(loop);
+        this.availability = new StateServiceAvailability(loop);
     }
 
     /** {@code listener} runs whenever the service answers 429, that its limits were exceeded. */
@@ -151,7 +151,7 @@
                 watch.sent(http.call(
                         address,
                         StateRequests.watch(prefix, fromRevision, blockMs),
-                        Durations.millis(blockMs) + WATCH_TIMEOUT_SLACK_NANOS,
+                        Durations.millis((double) blockMs) + WATCH_TIMEOUT_SLACK_NANOS,
                         observed(answer -> done.accept(responses.changes(answer)))));
             }
         });
--- a/src/main/java/org/spruceridge/state/ServiceAvailability.java
+++ b/src/main/java/org/spruceridge/state/StateServiceAvailability.java
@@ -4,12 +4,12 @@
 import org.spruceridge.net.Loop;
 
 /** When the state service last executed or judged a request of this node. An answer 503 tells of an outage instead. */
-final class ServiceAvailability {
+final class StateServiceAvailability {
     private final Loop loop;
     private long lastServedNanos;
     private boolean everServed;
 
-    ServiceAvailability(Loop loop) {
+    StateServiceAvailability(Loop loop) {
         this.loop = loop;
         this.lastServedNanos = loop.nanos();
     }
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -280,7 +280,7 @@
             requested.compareAndSet(false, returns);
             requestedWithoutLease.compareAndSet(false, returns && !old.equals(cluster.leader()));
             boolean watch = call.target().startsWith("/follow?starts=leader");
-            boolean isolated = from.equals(old) && (watch || requested.get() && SimulatedCluster.isStateService(to));
+            boolean isolated = from.equals(old) && (watch || (requested.get() && SimulatedCluster.isStateService(to)));
             return returns || isolated ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.submit(SimJobs.array(1, 1));
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -147,8 +147,8 @@
             boolean toIsolatedNode = to.equals(SimulatedCluster.address(isolatedNode));
             if (SimulatedCluster.isCloud(to)
                     || silent.contains(from)
-                    || unreachableMachines.contains(from) && !toIsolatedNode
-                    || call.target().equals("/do") && unreachableAddresses.contains(to)) {
+                    || (unreachableMachines.contains(from) && !toIsolatedNode)
+                    || (call.target().equals("/do") && unreachableAddresses.contains(to))) {
                 return Delivery.LOST;
             }
             if (unreachable.contains(from)) {
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -63,7 +63,7 @@
             machine.lease().fence();
             cluster.add(machine);
             Job running = i % 2 == 0 ? small : large;
-            for (int k = 0; running.spec().task().fitsIn(cluster.freeCapacity(machine)); k++) {
+            while (running.spec().task().fitsIn(cluster.freeCapacity(machine))) {
                 Binding b = new Binding(running, running.nextWaiting(0), 1, machine, Binding.Stage.COMMITTED, NOW);
                 b.recordPhase(Binding.Phase.RUNNING, NOW);
                 cluster.bind(b);
--- a/src/test/java/org/spruceridge/sim/ProductionVersion.java
+++ b/src/test/java/org/spruceridge/sim/ProductionVersion.java
@@ -86,7 +86,7 @@
                             policy);
             return new ProductionNode(node);
         } catch (ReflectiveOperationException e) {
-            throw new AssertionError(e);
+            throw new LinkageError("the version in production has other constructors", e);
         }
     }
 
@@ -194,7 +194,7 @@
                     .orElseThrow()
                     .newInstance(components);
         } catch (ReflectiveOperationException e) {
-            throw new AssertionError(e);
+            throw new LinkageError("the version in production has other constructors", e);
         }
     }
 
--- a/src/test/java/org/spruceridge/sim/RuleChecker.java
+++ b/src/test/java/org/spruceridge/sim/RuleChecker.java
@@ -117,8 +117,8 @@
         if (sinceCancelledS(id) > IN_FLIGHT_S) {
             violation("ran_cancelled", taskId + " started " + sinceCancelledS(id) + " s after its cancellation");
         }
-        if (spot && !job.path("windfall").asBoolean()
-                || job.hasNonNull("grove") && !job.path("grove").asText().equals(zone)) {
+        if ((spot && !job.path("windfall").asBoolean())
+                || (job.hasNonNull("grove") && !job.path("grove").asText().equals(zone))) {
             violation("wrong_place", taskId + " in " + zone);
         }
         placements.put(taskId, new Place(machine, zone));
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -56,12 +56,12 @@
     }
 
     /** The loop of one process: nothing runs once the process is killed, and all tasks wait while it is paused. */
-    public static final class Process implements Loop {
+    public static final class ProcessLoop implements Loop {
         private final SimLoop loop;
         private boolean stopped;
         private long pausedUntil = Long.MIN_VALUE;
 
-        Process(SimLoop loop) {
+        ProcessLoop(SimLoop loop) {
             this.loop = loop;
         }
 
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -112,7 +112,7 @@
     }
 
     /** The network as one process has it. */
-    HttpClient client(String from, SimLoop.Process process) {
+    HttpClient client(String from, SimLoop.ProcessLoop process) {
         return (to, call, timeout, done) -> {
             Exchange exchange = new Exchange(from, to, call, process, done);
             process.after(timeout, () -> exchange.complete(HttpAnswer.noResponse()));
@@ -126,11 +126,11 @@
         private final String from;
         private final Address to;
         private final HttpCall call;
-        private final SimLoop.Process process;
+        private final SimLoop.ProcessLoop process;
         private final Consumer<HttpAnswer> done;
         private boolean isComplete;
 
-        Exchange(String from, Address to, HttpCall call, SimLoop.Process process, Consumer<HttpAnswer> done) {
+        Exchange(String from, Address to, HttpCall call, SimLoop.ProcessLoop process, Consumer<HttpAnswer> done) {
             this.from = from;
             this.to = to;
             this.call = call;
--- a/src/test/java/org/spruceridge/sim/SimNodes.java
+++ b/src/test/java/org/spruceridge/sim/SimNodes.java
@@ -25,7 +25,7 @@
     private final Set<String> onProductionVersion = new HashSet<>();
     private int incarnations;
 
-    private record Running(SimNode node, SimLoop.Process process) {
+    private record Running(SimNode node, SimLoop.ProcessLoop process) {
         boolean leads() {
             return !process.isStopped() && node.leads();
         }
@@ -54,7 +54,7 @@
 
     /** Starts a node for the first time, or again after a crash. */
     public void start(String name) {
-        SimLoop.Process process = new SimLoop.Process(loop);
+        SimLoop.ProcessLoop process = new SimLoop.ProcessLoop(loop);
         SimPeers.Link link = peers.link(name, process);
         SimNode.Parts parts = new SimNode.Parts(
                 process, net.client(name, process), link, new SplittableRandom(++incarnations), settings.of(name));
@@ -65,7 +65,7 @@
         process.after(0, () -> node.start(() -> ready.add(name)));
     }
 
-    private void serve(Address address, SimNode node, SimLoop.Process process) {
+    private void serve(Address address, SimNode node, SimLoop.ProcessLoop process) {
         net.serve(
                 address,
                 (call, answer) -> process.after(
--- a/src/test/java/org/spruceridge/sim/SimPeers.java
+++ b/src/test/java/org/spruceridge/sim/SimPeers.java
@@ -16,7 +16,7 @@
     private final Set<String> isolated = new HashSet<>();
 
     /** A node's end of the network, which receives nothing before {@link #connect}. */
-    Link link(String node, SimLoop.Process process) {
+    Link link(String node, SimLoop.ProcessLoop process) {
         return new Link(node, process);
     }
 
@@ -38,10 +38,10 @@
     /** The transport of one incarnation of a node. */
     final class Link implements PeerTransport {
         private final String node;
-        private final SimLoop.Process process;
+        private final SimLoop.ProcessLoop process;
         private Consumer<byte[]> receiver = frame -> {};
 
-        private Link(String node, SimLoop.Process process) {
+        private Link(String node, SimLoop.ProcessLoop process) {
             this.node = node;
             this.process = process;
         }
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -320,7 +320,7 @@
     private void openWatch(String target, Consumer<HttpAnswer> answer) {
         Watch watch = new Watch(query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer);
         watches.add(watch);
-        loop.after(Durations.millis(Long.parseLong(query(target, "blockMs", "0"))), () -> timeOut(watch));
+        loop.after(Durations.millis(Double.parseDouble(query(target, "blockMs", "0"))), () -> timeOut(watch));
         notifyWatches();
     }
 
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -19,7 +19,7 @@
 /** A worker, written from its published protocol, on the simulated loop. */
 public final class SimWorker {
     private final SimulatedCluster cluster;
-    private final SimLoop.Process process;
+    private final SimLoop.ProcessLoop process;
     private final HttpClient http;
     private final String name;
     private final String zone;
@@ -62,7 +62,7 @@
 
     SimWorker(SimulatedCluster cluster, String name, String zone, boolean spot) {
         this.cluster = cluster;
-        this.process = new SimLoop.Process(cluster.loop);
+        this.process = new SimLoop.ProcessLoop(cluster.loop);
         this.http = cluster.net.client(name, process);
         this.name = name;
         this.zone = zone;
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -11,6 +11,7 @@
 import com.google.common.collect.ImmutableMap;
 import com.google.common.collect.ImmutableSet;
 import com.google.common.io.BaseEncoding;
+import java.nio.charset.StandardCharsets;
 import java.util.BitSet;
 import java.util.List;
 import java.util.Optional;
@@ -71,7 +72,7 @@
     }
 
     private static String text(JsonNode value) {
-        return new String(Json.bytes(value));
+        return new String(Json.bytes(value), StandardCharsets.UTF_8);
     }
 
     private static final String SPEC_OF_AN_ARRAY =
