--- /dev/null
+++ b/src/main/java/org/spruceridge/dispatch/CommandBatch.java
@@ -0,0 +1,57 @@
+package org.spruceridge.dispatch;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.net.Loop;
+import org.spruceridge.reconciliation.HeartbeatHandler;
+import org.spruceridge.worker.WorkerCommand;
+
+/** The commands of one direct request to a worker, and the bindings that it starts and stops. */
+record CommandBatch(List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
+    /** Without commands: it only asks for a reply. */
+    static final CommandBatch PROBE = new CommandBatch(List.of(), List.of(), List.of());
+
+    /** Collects the due commands of a machine that were not sent directly yet, and records them as sent. */
+    static CommandBatch collect(Machine machine, HeartbeatHandler heartbeatHandler, Loop loop) {
+        CommandBatch batch = new CommandBatch(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        for (Binding binding : machine.bindings()) {
+            Optional<WorkerCommand> command = heartbeatHandler.dueCommand(binding);
+            if (command.isPresent()) {
+                batch.addUnlessSent(binding, command.get(), loop);
+            }
+        }
+        return batch;
+    }
+
+    private void addUnlessSent(Binding binding, WorkerCommand command, Loop loop) {
+        switch (command.verb()) {
+            case START -> {
+                // Only the first start is sent directly; later ones are left to the responses to heartbeats.
+                if (binding.isStartSent() || binding.machine().directCommands().hasUncertainStart()) {
+                    return;
+                }
+                starts.add(binding);
+                binding.recordStartSent();
+            }
+            case STOP -> {
+                if (binding.isStopSent()) {
+                    return;
+                }
+                stops.add(binding);
+                binding.recordStopSent();
+            }
+            default -> {
+                return;
+            }
+        }
+        commands.add(command);
+        binding.recordCommandSent(loop.nanos());
+    }
+
+    boolean isEmpty() {
+        return commands.isEmpty();
+    }
+}
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -1,8 +1,6 @@
 package org.spruceridge.dispatch;
 
-import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
@@ -17,15 +15,14 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.worker.CommandResult;
 import org.spruceridge.worker.WorkerClient;
-import org.spruceridge.worker.WorkerCommand;
 
 /**
- * Sends starts and stops to workers without waiting for their next report.
+ * Sends starts and stops directly to workers, without waiting for their next heartbeat.
  *
- * <p>Such an order can arrive minutes late, as long as the token and the session still match. A late stop names an
- * attempt and harms nothing. A late start would, once its binding is released: so while a pushed start is unresolved
- * its absence from a report proves nothing, the worker is not told to forget the attempt, and a machine that did not
- * answer a push gets no more work and is returned. A new session or a newer token voids whatever is on its way.
+ * <p>Such a command can arrive minutes late, as long as the fencing token and the incarnation still match. A late stop names
+ * an attempt and harms nothing. A late start would, once its binding is released: so while a direct start is unresolved, its
+ * absence from a heartbeat proves nothing, the worker is not told to forget the attempt, and a machine that did not answer a
+ * direct start gets no more tasks and is terminated. A new incarnation or a newer token voids whatever is on its way.
  */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
@@ -38,10 +35,12 @@
     private final Runnable onReply;
     private final long term;
     private final long timeoutNanos;
+    /** Machines with a request under way. */
     private final Set<Machine> awaitingReply = new HashSet<>();
+    /** Of these, machines for which commands may have become due since. */
     private final Set<Machine> sendAfterReply = new HashSet<>();
 
-    /** {@code isLeader} tells whether commands may still be sent; {@code onReply} hears of each answer. */
+    /** {@code onReply} is called after the result of each request, which may be that there was no reply. */
     public CommandSender(
             LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onReply) {
         this.loop = context.loop();
@@ -54,87 +53,82 @@
         this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
-    /** Asks a machine for a sign that our words reach it. */
+    /** Asks a suspect machine for a reply, which shows that commands reach it. */
     public void probe(Machine machine) {
         if (isLeader.getAsBoolean()) {
-            send(machine, List.of(), List.of(), List.of());
+            send(machine, CommandBatch.PROBE);
         }
     }
 
-    /** Pushes whatever is due on a machine, unless a push is on its way: then once that has been answered. */
+    /** Sends the commands that are due on a machine; if a request to it is under way, after the reply to that. */
     public void sendDueCommands(Machine machine) {
         if (!machine.lease().isFenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
-            return; // the answers to its reports will do
+            return; // the responses to its heartbeats carry the commands
         }
         if (awaitingReply.contains(machine)) {
             sendAfterReply.add(machine);
             return;
         }
-        List<WorkerCommand> commands = new ArrayList<>();
-        List<Binding> starts = new ArrayList<>();
-        List<Binding> stops = new ArrayList<>();
-        for (Binding binding : machine.bindings()) {
-            WorkerCommand command = heartbeatHandler.dueCommand(binding);
-            // Only the first start is pushed: what that did not bring about is left to the answers to reports.
-            boolean start = command != null
-                    && command.verb() == WorkerCommand.Verb.START
-                    && !binding.isStartSent()
-                    && !machine.directCommands().hasUncertainStart();
-            boolean stop = command != null && command.verb() == WorkerCommand.Verb.STOP && !binding.isStopSent();
-            if (start) {
-                starts.add(binding);
-                binding.recordStartSent();
-            }
-            if (stop) {
-                stops.add(binding);
-                binding.recordStopSent();
-            }
-            if (start || stop) {
-                commands.add(command);
-                binding.recordCommandSent(loop.nanos());
-            }
-        }
-        if (commands.isEmpty()) {
-            return;
+        CommandBatch batch = CommandBatch.collect(machine, heartbeatHandler, loop);
+        if (!batch.isEmpty()) {
+            send(machine, batch);
         }
-        send(machine, commands, starts, stops);
     }
 
-    private void send(Machine machine, List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
+    private void send(Machine machine, CommandBatch batch) {
         Address address;
         try {
             address = Address.parse(machine.address());
         } catch (IllegalArgumentException e) {
-            return; // the answers to its reports will do
+            return; // the responses to its heartbeats carry the commands
         }
         awaitingReply.add(machine);
         long incarnation = machine.incarnation();
-        starts.forEach(binding -> machine.directCommands().startSent(binding.attempt()));
-        workers.send(address, term, incarnation, commands, timeoutNanos, scope.guard(result -> {
-            awaitingReply.remove(machine);
-            if (result.kind() == CommandResult.Kind.UNKNOWN) {
-                if (!starts.isEmpty() && machine.incarnation() == incarnation) {
-                    LOG.info("machine {} did not answer a push: it gets no more work", machine.name());
-                    machine.directCommands().markStartUncertain();
-                }
-            } else {
-                starts.forEach(binding -> machine.directCommands().startResolved(binding.attempt()));
-            }
-            if (result.heartbeat().isEmpty() && !stops.isEmpty()) {
-                // The answers to its reports repeat a stop; a machine that cannot report is told again from here.
-                stops.forEach(binding -> binding.recordStopUnanswered());
-                scope.after(timeoutNanos, () -> sendDueCommands(machine));
-            }
-            if (result.heartbeat().isPresent()) {
-                machine.suspicion().recordAcknowledgement();
-            } else if (machine.suspicion().isSuspect() && !machine.isTerminating()) {
-                scope.after(timeoutNanos, () -> probe(machine));
-            }
-            result.heartbeat().ifPresent(heartbeatHandler::apply);
-            if (sendAfterReply.remove(machine)) {
-                sendDueCommands(machine);
+        for (Binding binding : batch.starts()) {
+            machine.directCommands().startSent(binding.attempt());
+        }
+        workers.send(
+                address,
+                term,
+                incarnation,
+                batch.commands(),
+                timeoutNanos,
+                scope.guard(result -> handleResult(machine, incarnation, batch, result)));
+    }
+
+    private void handleResult(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
+        awaitingReply.remove(machine);
+        resolveStarts(machine, incarnation, batch, result);
+        retryStops(machine, batch, result);
+        if (result.heartbeat().isPresent()) {
+            machine.suspicion().recordAcknowledgement();
+        } else if (machine.suspicion().isSuspect() && !machine.isTerminating()) {
+            scope.after(timeoutNanos, () -> probe(machine));
+        }
+        result.heartbeat().ifPresent(heartbeatHandler::handleReply);
+        if (sendAfterReply.remove(machine)) {
+            sendDueCommands(machine);
+        }
+        onReply.run();
+    }
+
+    private void resolveStarts(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
+        if (result.kind() != CommandResult.Kind.UNKNOWN) {
+            for (Binding binding : batch.starts()) {
+                machine.directCommands().startResolved(binding.attempt());
             }
-            onReply.run();
-        }));
+        } else if (!batch.starts().isEmpty() && machine.incarnation() == incarnation) {
+            LOG.info("machine excluded from scheduling machine={} reason=start-unanswered", machine.name());
+            machine.directCommands().markStartUncertain();
+        }
+    }
+
+    /** Responses to heartbeats repeat a stop; to a machine that cannot send heartbeats it is sent directly again. */
+    private void retryStops(Machine machine, CommandBatch batch, CommandResult result) {
+        if (result.heartbeat().isPresent() || batch.stops().isEmpty()) {
+            return;
+        }
+        batch.stops().forEach(Binding::recordStopUnanswered);
+        scope.after(timeoutNanos, () -> sendDueCommands(machine));
     }
 }
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -44,8 +44,8 @@
     private long lastCycleDurationNanos;
 
     /**
-     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code resign} ends the leadership, for
-     * a reason.
+     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code resign} ends the leadership,
+     * for a reason.
      */
     public SchedulingLoop(
             LeaderContext context,
--- /dev/null
+++ b/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
@@ -0,0 +1,100 @@
+package org.spruceridge.reconciliation;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.spruceridge.cluster.Binding;
+import org.spruceridge.cluster.Job;
+import org.spruceridge.cluster.Machine;
+import org.spruceridge.config.Settings;
+import org.spruceridge.net.Durations;
+import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
+
+/**
+ * Tells faulty machines from faulty jobs by the exits of their tasks: machines are cordoned, and jobs are retried with a
+ * growing backoff.
+ */
+final class FailureTracker {
+    private static final Logger LOG = LoggerFactory.getLogger(FailureTracker.class);
+
+    /** How many jobs must fail on a machine before it is cordoned. */
+    private static final int FAILED_JOBS_BEFORE_CORDON = 2;
+    /** How long an early exit of a replica counts, in cancellation times, which also limit the backoff. */
+    private static final double EARLY_EXIT_MEMORY_IN_CANCEL_TIMES = 2;
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 16;
+
+    private final Settings.Workers workers;
+
+    FailureTracker(Settings.Workers workers) {
+        this.workers = workers;
+    }
+
+    /** Records that a task ended by itself after it was seen running for {@code elapsedS} seconds. */
+    void recordExit(Binding binding, ExitCause cause, double elapsedS, long now) {
+        Job job = binding.job();
+        Machine machine = binding.machine();
+        if (job.spec().isService()) {
+            recordReplicaExit(job, machine, elapsedS, now);
+        } else if (cause == ExitCause.ERROR) {
+            recordFailure(job, machine, now);
+        } else {
+            machine.suspicion().failedJobs().clear();
+            job.failedMachines().clear();
+        }
+    }
+
+    /** Records that a worker refused to start a task of the job. */
+    void recordRefusedStart(Job job, long now) {
+        delayRetry(job, workers.heartbeatIntervalS(), now);
+    }
+
+    /** Several failed jobs speak against their machine; one job that fails on many machines speaks against the job. */
+    private void recordFailure(Job job, Machine machine, long now) {
+        job.failedMachines().add(machine.name());
+        machine.suspicion().failedJobs().add(job.id());
+        LOG.info("task failed job={} machine={}", job.id(), machine.name());
+        if (isFaulty(machine, job)) {
+            machine.suspicion().cordon();
+            LOG.info(
+                    "machine cordoned machine={} reason=task-failures failedJobs={}",
+                    machine.name(),
+                    machine.suspicion().failedJobs());
+        }
+        if (job.failsOnManyMachines()) {
+            backOff(job, job.failedMachines().size(), now);
+        }
+    }
+
+    private static boolean isFaulty(Machine machine, Job job) {
+        return !machine.suspicion().isCordoned()
+                && machine.suspicion().failedJobs().size() >= FAILED_JOBS_BEFORE_CORDON
+                && !job.failsOnManyMachines();
+    }
+
+    /**
+     * A replica never should exit by itself. It is restarted at once, on another machine if it ran for a short time only,
+     * and with a growing backoff once more of them have exited early in a row than the service has replicas.
+     */
+    private void recordReplicaExit(Job job, Machine machine, double elapsedS, long now) {
+        if (elapsedS >= workers.leaseS()) {
+            job.recordStableRun();
+            return;
+        }
+        recordFailure(job, machine, now);
+        job.countEarlyExit(now, Durations.nanos(EARLY_EXIT_MEMORY_IN_CANCEL_TIMES * workers.cancelS()));
+        int excessExits = job.earlyExits() - job.spec().tasks();
+        if (excessExits > 0) {
+            backOff(job, Math.min(excessExits, MAX_BACKOFF_DOUBLINGS), now);
+        }
+    }
+
+    /** Exponential backoff from the heartbeat interval, up to the cancellation time of the settings. */
+    private void backOff(Job job, int doublings, long now) {
+        double backoffS = workers.heartbeatIntervalS() * Math.pow(2, doublings);
+        delayRetry(job, Math.min(backoffS, workers.cancelS()), now);
+    }
+
+    private static void delayRetry(Job job, double seconds, long now) {
+        job.retryAfter(Math.max(job.retryAfter(), now + Durations.nanos(seconds)));
+    }
+}
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -45,8 +45,8 @@
     private Cancellable watch = () -> {};
 
     /**
-     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code onJobsChanged} after jobs were
-     * added or cancelled.
+     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code onJobsChanged} after jobs
+     * were added or cancelled.
      */
     public JobWatcher(
             LeaderContext context,
