--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -21,15 +21,15 @@
 import org.spruceridge.net.RateLimiter;
 import org.spruceridge.net.RateLimiter.Priority;
 
-/** The cloud's protocol with typed messages, within this node's share of its limit. */
+/** The client of the cloud's API. It keeps to this node's share of the rate limit of the cloud. */
 public final class CloudClient {
-    /** The most machines that one rental may name. */
-    public static final int MOST_RENTED = 50;
-    /** The most machines that one deletion may name. */
-    public static final int MOST_DELETED = 100;
+    /** The maximum number of machines in one launch request. */
+    public static final int MAX_LAUNCH_BATCH = 50;
+    /** The maximum number of machines in one deletion. */
+    public static final int MAX_DELETE_BATCH = 100;
 
-    private static final int PAGE = 500;
-    private static final long REQUEST_TIMEOUT = Durations.nanos(5);
+    private static final int PAGE_SIZE = 500;
+    private static final long REQUEST_TIMEOUT_NANOS = Durations.nanos(5);
 
     private final HttpClient http;
     private final Address address;
@@ -44,23 +44,24 @@
         this.warnings = warnings;
     }
 
-    /** The machine types and their present prices; empty if the cloud did not say. */
+    /** Gets the machine types and their present prices; empty if there was no usable answer. */
     public void catalogue(Consumer<Optional<ImmutableMap<String, MachineType>>> done) {
         send(Priority.SCHEDULING, HttpCall.get("/flavors"), answer -> done.accept(readCatalogue(answer)));
     }
 
-    /** Asks for machines. The claim must be new, or that of a request that got no answer or a refusal. */
-    public void rent(String claim, String type, String zone, boolean spot, int count, Consumer<Rental> done) {
+    /** Launches machines. The request id must be new, or that of a request that got no answer or was refused. */
+    public void launch(
+            String requestId, String type, String zone, boolean spot, int count, Consumer<LaunchResult> done) {
         byte[] body = Json.bytes(Json.object()
-                .put("claim", claim)
+                .put("claim", requestId)
                 .put("build", type)
                 .put("grove", zone)
                 .put("windfall", spot)
                 .put("howMany", count));
-        send(Priority.SCHEDULING, HttpCall.post("/hosts", body), answer -> done.accept(readRental(answer)));
+        send(Priority.SCHEDULING, HttpCall.post("/hosts", body), answer -> done.accept(readLaunchResult(answer)));
     }
 
-    /** Gives machines back; true means that they are gone with all that was on them. */
+    /** Deletes machines; true means that they are deleted with everything on them. */
     public void delete(List<String> machines, Consumer<Boolean> done) {
         ArrayNode names = Json.array();
         machines.forEach(names::add);
@@ -68,13 +69,13 @@
         send(Priority.HEARTBEATS, HttpCall.post("/hosts/delete", body), answer -> done.accept(answer.status() == 200));
     }
 
-    /** All machines, page by page; empty if the cloud did not say. The list lags and may go backwards. */
-    public void machines(Consumer<Optional<ImmutableList<HostInfo>>> done) {
+    /** Lists all machines, page by page; empty if there was no usable answer. The list lags and may go backwards. */
+    public void machines(Consumer<Optional<ImmutableList<CloudMachine>>> done) {
         page("", new ArrayList<>(), done);
     }
 
-    private void page(String from, List<HostInfo> sofar, Consumer<Optional<ImmutableList<HostInfo>>> done) {
-        String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE;
+    private void page(String from, List<CloudMachine> listed, Consumer<Optional<ImmutableList<CloudMachine>>> done) {
+        String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE_SIZE;
         send(Priority.SCHEDULING, HttpCall.get(target), answer -> {
             if (answer.status() != 200) {
                 done.accept(Optional.empty());
@@ -83,29 +84,29 @@
             try {
                 JsonNode body = Json.object(answer.body());
                 for (JsonNode item : Json.list(body, "hosts")) {
-                    sofar.add(host(item));
+                    listed.add(host(item));
                 }
-                if (body.path("truncated").asBoolean() && !sofar.isEmpty()) {
-                    page(sofar.get(sofar.size() - 1).name(), sofar, done);
+                if (body.path("truncated").asBoolean() && !listed.isEmpty()) {
+                    page(listed.get(listed.size() - 1).name(), listed, done);
                 } else {
-                    done.accept(Optional.of(ImmutableList.copyOf(sofar)));
+                    done.accept(Optional.of(ImmutableList.copyOf(listed)));
                 }
             } catch (BadMessageException e) {
-                unreadable(e);
+                warnInvalid(e);
                 done.accept(Optional.empty());
             }
         });
     }
 
-    private static HostInfo host(JsonNode item) throws BadMessageException {
-        HostInfo.Stage stage =
+    private static CloudMachine host(JsonNode item) throws BadMessageException {
+        CloudMachine.Stage stage =
                 switch (Json.text(item, "stage")) {
-                    case "booting" -> HostInfo.Stage.BOOTING;
-                    case "running" -> HostInfo.Stage.RUNNING;
-                    case "failed" -> HostInfo.Stage.FAILED;
+                    case "booting" -> CloudMachine.Stage.BOOTING;
+                    case "running" -> CloudMachine.Stage.RUNNING;
+                    case "failed" -> CloudMachine.Stage.FAILED;
                     default -> throw new BadMessageException("unknown state of a machine");
                 };
-        return new HostInfo(
+        return new CloudMachine(
                 Json.text(item, "nameId"),
                 Json.text(item, "endpoint"),
                 Json.text(item, "build"),
@@ -122,61 +123,60 @@
         try {
             ImmutableMap.Builder<String, MachineType> out = ImmutableMap.builder();
             for (JsonNode item : Json.list(Json.object(answer.body()), "builds")) {
-                ImmutableList.Builder<String> zones = ImmutableList.builder();
-                Json.list(item, "groves").forEach(z -> zones.add(z.asText()));
-                String name = Json.text(item, "name");
-                out.put(
-                        name,
-                        new MachineType(
-                                name,
-                                new Resources(
-                                        Json.number(item, "cpus"),
-                                        Json.number(item, "accelerators"),
-                                        Json.number(item, "memGb")),
-                                Json.number(item, "fetchGbPerS"),
-                                Json.number(item, "rate"),
-                                Json.number(item, "lowPrice"),
-                                Json.number(item, "startupS"),
-                                zones.build()));
+                MachineType type = machineType(item);
+                out.put(type.name(), type);
             }
             return Optional.of(out.buildKeepingLast());
         } catch (BadMessageException e) {
-            unreadable(e);
+            warnInvalid(e);
             return Optional.empty();
         }
     }
 
-    private Rental readRental(HttpAnswer answer) {
+    private static MachineType machineType(JsonNode item) throws BadMessageException {
+        ImmutableList.Builder<String> zones = ImmutableList.builder();
+        Json.list(item, "groves").forEach(zone -> zones.add(zone.asText()));
+        return new MachineType(
+                Json.text(item, "name"),
+                new Resources(Json.number(item, "cpus"), Json.number(item, "accelerators"), Json.number(item, "memGb")),
+                Json.number(item, "fetchGbPerS"),
+                Json.number(item, "rate"),
+                Json.number(item, "lowPrice"),
+                Json.number(item, "startupS"),
+                zones.build());
+    }
+
+    private LaunchResult readLaunchResult(HttpAnswer answer) {
         try {
             switch (answer.status()) {
                 case 200:
                     ImmutableList.Builder<String> names = ImmutableList.builder();
-                    Json.list(Json.object(answer.body()), "hosts").forEach(n -> names.add(n.asText()));
-                    return new Rental(Rental.Kind.RENTED, names.build());
+                    Json.list(Json.object(answer.body()), "hosts").forEach(name -> names.add(name.asText()));
+                    return new LaunchResult(LaunchResult.Kind.LAUNCHED, names.build());
                 case 503:
                     boolean full =
                             Json.object(answer.body()).path("error").asText().contains("capacity");
-                    return Rental.of(full ? Rental.Kind.NO_CAPACITY : Rental.Kind.REFUSED);
+                    return LaunchResult.of(full ? LaunchResult.Kind.NO_CAPACITY : LaunchResult.Kind.REFUSED);
                 case 400:
-                    return Rental.of(Rental.Kind.REJECTED);
+                    return LaunchResult.of(LaunchResult.Kind.REJECTED);
                 case 429:
-                    return Rental.of(Rental.Kind.REFUSED);
+                    return LaunchResult.of(LaunchResult.Kind.REFUSED);
                 default:
-                    return Rental.of(Rental.Kind.UNKNOWN);
+                    return LaunchResult.of(LaunchResult.Kind.UNKNOWN);
             }
         } catch (BadMessageException e) {
-            unreadable(e);
-            return Rental.of(answer.status() == 200 ? Rental.Kind.UNKNOWN : Rental.Kind.REFUSED);
+            warnInvalid(e);
+            return LaunchResult.of(answer.status() == 200 ? LaunchResult.Kind.UNKNOWN : LaunchResult.Kind.REFUSED);
         }
     }
 
     private void send(Priority priority, HttpCall call, Consumer<HttpAnswer> done) {
-        if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT, done))) {
+        if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT_NANOS, done))) {
             done.accept(new HttpAnswer(429, new byte[0]));
         }
     }
 
-    private void unreadable(BadMessageException e) {
-        warnings.warn("unreadable answer of the cloud", e.getMessage());
+    private void warnInvalid(BadMessageException e) {
+        warnings.warn("invalid cloud response", e.getMessage());
     }
 }
