--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
@@ -224,7 +223,7 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
         cluster.await(() -> cluster.hasBinding("j-000001"), 40);
-        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
+        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         assertEquals("cancelled", SimulatedCluster.stage(answer));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertTrue(cluster.running().isEmpty());
@@ -241,7 +240,7 @@
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
         cluster.net.clearFaults();
-        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
+        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         assertEquals("cancelled", SimulatedCluster.stage(answer));
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 60);
@@ -262,7 +261,7 @@
                 from.equals(leader) && call.target().contains("?starts=open/") ? Delivery.LOST : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(2, 1));
         cluster.loop.run(1);
-        cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
+        cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         cluster.loop.run(20);
         assertTrue(
                 cluster.starts().isEmpty(), "the transaction of the binding must have failed on the job's comparison");
@@ -274,7 +273,7 @@
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
         cluster.nodes.crash(cluster.leader());
-        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort", (JsonNode) null);
+        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         assertEquals("cancelled", SimulatedCluster.stage(answer));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertTrue(cluster.running().isEmpty());
@@ -290,7 +289,7 @@
         while (cluster.net.heldCount() == 0) {
             cluster.loop.run(0.01);
         }
-        cluster.request(cluster.follower(), "POST", "/api/jobs/j-000002/abort", (JsonNode) null);
+        cluster.request(cluster.follower(), "POST", "/api/jobs/j-000002/abort");
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 5);
         assertFalse(cluster.hasBinding("j-000002"), "released once the deletion of the machine is confirmed");
         cluster.net.deliverHeld();
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -50,7 +50,7 @@
             startTasks(2, 2, 40);
             SimWorker unreachable = cluster.cloud.workers().get(0);
             cluster.net.injectFaults((from, to, call) -> from.equals(unreachable.name())
-                            || to.host().equals("10.1.0." + unreachable.name())
+                            || to.equals(SimWorker.address(unreachable.name()))
                             || SimulatedCluster.isCloud(to)
                     ? Delivery.LOST
                     : Delivery.DELIVERED);
@@ -312,7 +312,7 @@
             cluster.net.injectFaults((from, to, call) -> {
                 boolean here = zone.contains(from);
                 boolean there =
-                        to.equals(SimulatedCluster.address(inside)) || to.host().equals("10.1.0." + zone.get(1));
+                        to.equals(SimulatedCluster.address(inside)) || to.equals(SimWorker.address(zone.get(1)));
                 return here == there ? Delivery.DELIVERED : Delivery.HELD;
             });
             cluster.loop.run(3);
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -77,16 +77,16 @@
         // One task fills the memory of a machine, so that most of the zone's four machines send heartbeats.
         cluster.submit(SimJobs.array(1, 4).put("memGb", 20.0).put("grove", "z1").put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
-        int rented = cluster.cloud.machineCount();
+        int machinesBefore = cluster.cloud.machineCount();
         SimWorker slow = cluster.cloud.workers().get(0);
         cluster.net.injectFaults(
-                (from, to, call) -> from.equals(slow.name()) || to.host().equals("10.1.0." + slow.name())
+                (from, to, call) -> from.equals(slow.name()) || to.equals(SimWorker.address(slow.name()))
                         ? Delivery.LOST
                         : Delivery.DELIVERED);
         cluster.nodes.crashLeader(0.1);
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.75);
         assertNotNull(cluster.leader());
-        assertEquals(rented, cluster.cloud.machineCount(), "the worker may still be searching for the leader");
+        assertEquals(machinesBefore, cluster.cloud.machineCount(), "the worker may still be searching for the leader");
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(4, cluster.starts().size());
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -187,9 +187,7 @@
         cluster.loop.run(4); // a watch from before the partition was still answered
         Response answer = cluster.request(isolated, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
         assertEquals(503, answer.status(), "it must not redirect workers to a leader that it cannot confirm");
-        assertEquals(
-                503,
-                cluster.request(isolated, "GET", "/healthz", (JsonNode) null).status());
+        assertEquals(503, cluster.request(isolated, "GET", "/healthz").status());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(2, cluster.starts().size(), "no lease expired");
     }
@@ -255,15 +253,11 @@
         cluster.net.clearFaults();
         cluster.loop.run(5);
         for (String node : new String[] {"n0", "n1", "n2"}) {
-            assertEquals(
-                    200,
-                    cluster.request(node, "GET", "/healthz", (JsonNode) null).status());
+            assertEquals(200, cluster.request(node, "GET", "/healthz").status());
             for (int i = 1; i <= 4; i++) {
                 String id = SimJobs.id(i);
                 assertEquals(
-                        200,
-                        cluster.request(node, "GET", "/api/jobs/" + id, (JsonNode) null)
-                                .status());
+                        200, cluster.request(node, "GET", "/api/jobs/" + id).status());
             }
         }
         cluster.await(() -> cluster.completed().size() == 8, 120);
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -131,7 +130,7 @@
             if (from.equals(worker.name())) {
                 return Delivery.ANSWER_LOST;
             }
-            return to.host().equals("10.1.0." + worker.name()) ? Delivery.LOST : Delivery.DELIVERED;
+            return to.equals(SimWorker.address(worker.name())) ? Delivery.LOST : Delivery.DELIVERED;
         });
     }
 
@@ -183,7 +182,7 @@
             if (from.equals(unreachable.name())) {
                 return Delivery.ANSWER_LOST;
             }
-            boolean lost = to.host().equals("10.1.0." + unreachable.name()) || SimulatedCluster.isCloud(to);
+            boolean lost = to.equals(SimWorker.address(unreachable.name())) || SimulatedCluster.isCloud(to);
             return lost ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.await(() -> cluster.completed().size() == 4, 150);
@@ -261,7 +260,7 @@
         cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0));
         cluster.submit(SimJobs.array(3, 1).put("expectS", 20.0));
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.4);
-        cluster.request(cluster.follower(), "POST", "/api/jobs/j-000003/abort", (JsonNode) null);
+        cluster.request(cluster.follower(), "POST", "/api/jobs/j-000003/abort");
         worker.resume();
         cluster.await(() -> cluster.completed().size() == 2, 120);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
--- a/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Response;
 import org.spruceridge.sim.SimJobs;
@@ -24,7 +23,7 @@
         cluster.nodes.pause(old, 2 * SimulatedCluster.LEASE_S);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         assertNotEquals(old, cluster.leader());
-        Response answer = cluster.request(cluster.leader(), "POST", "/api/jobs/j-000002/abort", (JsonNode) null);
+        Response answer = cluster.request(cluster.leader(), "POST", "/api/jobs/j-000002/abort");
         String outcome = SimulatedCluster.stage(answer);
         int deletionRequests = cluster.cloud.deletionRequests();
         cluster.loop.run(SimulatedCluster.LEASE_S + 1);
@@ -33,8 +32,7 @@
                 deletionRequests,
                 cluster.cloud.deletionRequests(),
                 "missed heartbeats of its own pause are not counted");
-        assertEquals(
-                outcome, SimulatedCluster.stage(cluster.request(old, "GET", "/api/jobs/j-000002", (JsonNode) null)));
+        assertEquals(outcome, SimulatedCluster.stage(cluster.request(old, "GET", "/api/jobs/j-000002")));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(
                 2,
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -46,7 +46,7 @@
     void serviceRunsUntilCancelledAndIsNeverDone() throws BadMessageException {
         startService(3);
         cluster.loop.run(120);
-        Response poll = cluster.request("n0", "GET", "/api/jobs/" + ID, (JsonNode) null);
+        Response poll = cluster.request("n0", "GET", "/api/jobs/" + ID);
         JsonNode body = Json.object(poll.body());
         assertEquals("running", body.path("stage").asText());
         assertEquals(3, body.path("running").asInt());
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -30,10 +29,10 @@
     }
 
     /** The nodes with the leader at this index; the others keep their order. */
-    private List<String> orderWithLeaderAt(int place) {
+    private List<String> nodesWithLeaderAt(int index) {
         List<String> order = new ArrayList<>(List.of("n0", "n1", "n2"));
         order.remove(cluster.leader());
-        order.add(place, cluster.leader());
+        order.add(index, cluster.leader());
         return order;
     }
 
@@ -52,12 +51,12 @@
     /** No task or completion is lost or duplicated, at whatever position of the upgrade the leader is replaced. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void rollingUpgradeLosesNoTask(int leadersTurn) {
+    void rollingUpgradeLosesNoTask(int leaderIndex) {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 2).put("expectS", 70.0));
         cluster.submit(SimJobs.array(2, 12).put("expectS", 6.0));
         cluster.await(() -> !cluster.completed().isEmpty(), 40);
-        for (String node : orderWithLeaderAt(leadersTurn)) {
+        for (String node : nodesWithLeaderAt(leaderIndex)) {
             cluster.nodes.upgrade(node, 3);
             cluster.loop.run(10);
         }
@@ -219,12 +218,8 @@
         cluster.nodes.crashLeader(2);
         cluster.loop.run(40);
         assertNull(cluster.leader());
-        assertEquals(
-                200, cluster.request("n0", "GET", "/healthz", (JsonNode) null).status());
-        assertEquals(
-                200,
-                cluster.request("n0", "GET", "/api/jobs/j-000001", (JsonNode) null)
-                        .status());
+        assertEquals(200, cluster.request("n0", "GET", "/healthz").status());
+        assertEquals(200, cluster.request("n0", "GET", "/api/jobs/j-000001").status());
         cluster.state.put(LEVEL, Json.object().put("level", 2));
         awaitLeader();
     }
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -112,10 +112,7 @@
     void acceptedJobsAreKnownOnEveryNodeImmediately() {
         cluster.submit(SimJobs.array(1, 1));
         for (String node : List.of("n0", "n1", "n2")) {
-            assertEquals(
-                    200,
-                    cluster.request(node, "GET", "/api/jobs/j-000001", (JsonNode) null)
-                            .status());
+            assertEquals(200, cluster.request(node, "GET", "/api/jobs/j-000001").status());
         }
     }
 
@@ -123,7 +120,7 @@
     void unknownJobsAreNeverInvented() {
         assertEquals("404", cluster.poll("j-999999"));
         assertEquals("404", cluster.poll("job-1"));
-        Response abort = cluster.request("n0", "POST", "/api/jobs/j-999999/abort", (JsonNode) null);
+        Response abort = cluster.request("n0", "POST", "/api/jobs/j-999999/abort");
         assertEquals(404, abort.status());
     }
 
@@ -131,15 +128,10 @@
     void terminalStagesOfJobsNeverChange() {
         cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
-        assertEquals("done", SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000001/abort", (JsonNode)
-                null)));
+        assertEquals("done", SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000001/abort")));
         cluster.submit(SimJobs.array(2, 1));
-        assertEquals(
-                "cancelled",
-                SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
-        assertEquals(
-                "cancelled",
-                SimulatedCluster.stage(cluster.request("n2", "POST", "/api/jobs/j-000002/abort", (JsonNode) null)));
+        assertEquals("cancelled", SimulatedCluster.stage(cluster.request("n1", "POST", "/api/jobs/j-000002/abort")));
+        assertEquals("cancelled", SimulatedCluster.stage(cluster.request("n2", "POST", "/api/jobs/j-000002/abort")));
         assertEquals(200, cluster.submit(SimJobs.array(2, 1)));
         cluster.loop.run(60);
         assertEquals("cancelled", cluster.poll("j-000002"));
@@ -205,17 +197,11 @@
 
     @Test
     void wrongPathsAndMethodsGetDistinctStatuses() {
-        assertEquals(
-                404, cluster.request("n0", "GET", "/nothing", (JsonNode) null).status());
-        assertEquals(
-                405,
-                cluster.request("n0", "DELETE", "/api/jobs", (JsonNode) null).status());
-        assertEquals(
-                405, cluster.request("n0", "GET", "/hello", (JsonNode) null).status());
-        assertEquals(
-                400, cluster.request("n0", "POST", "/hello", (JsonNode) null).status());
-        assertEquals(
-                200, cluster.request("n0", "GET", "/healthz", (JsonNode) null).status());
+        assertEquals(404, cluster.request("n0", "GET", "/nothing").status());
+        assertEquals(405, cluster.request("n0", "DELETE", "/api/jobs").status());
+        assertEquals(405, cluster.request("n0", "GET", "/hello").status());
+        assertEquals(400, cluster.request("n0", "POST", "/hello").status());
+        assertEquals(200, cluster.request("n0", "GET", "/healthz").status());
     }
 
     @Test
@@ -248,16 +234,14 @@
         cluster.net.injectFaults((from, to, call) ->
                 from.equals("n1") && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(8);
-        assertEquals(
-                503, cluster.request("n1", "GET", "/healthz", (JsonNode) null).status());
-        assertEquals(
-                200, cluster.request("n2", "GET", "/healthz", (JsonNode) null).status());
+        assertEquals(503, cluster.request("n1", "GET", "/healthz").status());
+        assertEquals(200, cluster.request("n2", "GET", "/healthz").status());
         cluster.net.clearFaults();
         cluster.state.outage(10);
         cluster.loop.run(6);
         assertEquals(
                 200,
-                cluster.request("n2", "GET", "/healthz", (JsonNode) null).status(),
+                cluster.request("n2", "GET", "/healthz").status(),
                 "an outage that all nodes see makes no node unhealthy");
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -138,9 +138,14 @@
                 .orElseThrow();
     }
 
+    /** Sends a request without a body to a node and lets time pass until it is answered; null after five seconds. */
+    public Response request(String node, String method, String path) {
+        return request(node, method, path, new byte[0]);
+    }
+
     /** Sends a request to a node and lets time pass until it is answered; null after five seconds. */
     public Response request(String node, String method, String path, JsonNode body) {
-        return request(node, method, path, body == null ? new byte[0] : Json.bytes(body));
+        return request(node, method, path, Json.bytes(body));
     }
 
     public Response request(String node, String method, String path, byte[] body) {
@@ -167,7 +172,7 @@
 
     /** The metrics of a node. */
     public JsonNode metrics(String node) {
-        return json(request(node, "GET", "/metrics", (JsonNode) null));
+        return json(request(node, "GET", "/metrics"));
     }
 
     /** Lets time pass until a condition holds; fails if it does not within so many seconds. */
@@ -197,17 +202,17 @@
 
     public int submit(String node, ObjectNode job) {
         rules.recordSubmission(job);
-        Response r = request(node, "POST", "/api/jobs", job);
-        int status = r == null ? 0 : r.status();
-        boolean taken = status == 200 || status == 201;
-        rules.recordAnswer(job.path("nameId").asText(), status, taken ? stage(r) : "");
+        Response response = request(node, "POST", "/api/jobs", job);
+        int status = response == null ? 0 : response.status();
+        boolean isAccepted = status == 200 || status == 201;
+        rules.recordAnswer(job.path("nameId").asText(), status, isAccepted ? stage(response) : "");
         return status;
     }
 
     /** Cancels through a node; returns the stage that it answered, or the status if that is not 200. */
     public String cancel(String node, String id) {
-        Response r = request(node, "POST", "/api/jobs/" + id + "/abort", (JsonNode) null);
-        return r == null ? "none" : r.status() == 200 ? stage(r) : String.valueOf(r.status());
+        Response response = request(node, "POST", "/api/jobs/" + id + "/abort");
+        return stageOrStatus(response);
     }
 
     /**
@@ -226,8 +231,8 @@
         loop.run(8);
         for (String id : rules.accepted()) {
             for (String name : nodes.names()) {
-                Response r = request(name, "GET", "/api/jobs/" + id, (JsonNode) null);
-                if (r == null || r.status() != 200) {
+                Response response = request(name, "GET", "/api/jobs/" + id);
+                if (response == null || response.status() != 200) {
                     throw new AssertionError("forgotten: " + name + " gives no answer about " + id);
                 }
             }
@@ -236,8 +241,8 @@
 
     /** The stage of a job as a node answers it, or the status if that is not 200. */
     public String poll(String id) {
-        Response r = request(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id, (JsonNode) null);
-        return r == null ? "none" : r.status() == 200 ? stage(r) : String.valueOf(r.status());
+        Response response = request(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id);
+        return stageOrStatus(response);
     }
 
     /** True if a running machine and the quota of its team have capacity for one more task of the job. */
@@ -249,13 +254,21 @@
                                 && rules.cpusOn(w.name()) + job.path("cpus").asDouble() <= SimCloud.CPUS);
     }
 
-    public static String stage(Response r) {
-        return json(r).path("stage").asText();
+    private static String stageOrStatus(Response response) {
+        if (response == null) {
+            return "none";
+        }
+        return response.status() == 200 ? stage(response) : String.valueOf(response.status());
+    }
+
+    /** The stage of the job in an answer about it. */
+    public static String stage(Response response) {
+        return json(response).path("stage").asText();
     }
 
-    private static JsonNode json(Response r) {
+    private static JsonNode json(Response response) {
         try {
-            return Json.object(r.body());
+            return Json.object(response.body());
         } catch (BadMessageException e) {
             throw new AssertionError(e);
         }
