--- a/src/main/java/org/spruceridge/api/JobLookup.java
+++ b/src/main/java/org/spruceridge/api/JobLookup.java
@@ -62,7 +62,7 @@
         try {
             return Optional.of(JobRecord.read(value));
         } catch (BadMessageException e) {
-            warnings.warn("unreadable job record", id + ": " + e.getMessage());
+            warnings.warn("unreadable job record", "job=" + id + " reason=" + e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -179,6 +179,6 @@
     }
 
     private void warnInvalid(BadMessageException e) {
-        warnings.warn("invalid cloud response", e.getMessage());
+        warnings.warn("invalid cloud response", "reason=" + e.getMessage());
     }
 }
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -112,7 +112,8 @@
             }
             stepDown(
                     leadership.get(),
-                    "leader key names " + record.map(LeaderRecord::hostName).orElse("none"));
+                    "leader-key-changed node="
+                            + record.map(LeaderRecord::hostName).orElse("none"));
         }
         if (record.isEmpty()) {
             campaign(0);
@@ -186,7 +187,7 @@
     }
 
     private void leaseExpired(Leadership held) {
-        stepDown(held, "lease expired");
+        stepDown(held, "lease-expired");
         leaderKey.read();
     }
 
--- a/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
+++ b/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
@@ -105,7 +105,7 @@
         try {
             return LeaderRecord.read(value);
         } catch (BadMessageException e) {
-            warnings.warn("unreadable leader record", e.getMessage());
+            warnings.warn("unreadable leader record", "reason=" + e.getMessage());
             return UNREADABLE;
         }
     }
--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -48,7 +48,7 @@
                 JobRecord record = JobRecord.read(entry.value());
                 cluster.add(new Job(record.spec(), entry.modRevision(), record.submittedMs()));
             } catch (BadMessageException e) {
-                warnings.warn("unreadable job record", entry.key() + ": " + e.getMessage());
+                warnings.warn("unreadable job record", "path=" + entry.key() + " reason=" + e.getMessage());
             }
         }
     }
@@ -58,7 +58,7 @@
             try {
                 addFinishedTasks(entry);
             } catch (BadMessageException e) {
-                warnings.warn("unreadable record of finished tasks", e.getMessage());
+                warnings.warn("unreadable record of finished tasks", "reason=" + e.getMessage());
             }
         }
     }
@@ -80,7 +80,7 @@
             try {
                 BindingsRecord.read(entry.value()).forEach(machine -> machines.add(new RecordedMachine(page, machine)));
             } catch (BadMessageException e) {
-                warnings.warn("unreadable record of bindings", entry.key() + ": " + e.getMessage());
+                warnings.warn("unreadable record of bindings", "path=" + entry.key() + " reason=" + e.getMessage());
             }
         }
         return machines;
@@ -112,7 +112,7 @@
             cancelledJobs.add(job);
             cluster.add(job);
         } catch (BadMessageException e) {
-            warnings.warn("unreadable job record", id + ": " + e.getMessage());
+            warnings.warn("unreadable job record", "job=" + id + " reason=" + e.getMessage());
         }
     }
 
@@ -144,7 +144,7 @@
         int index = bound.task().index();
         Job job = cluster.job(bound.task().job());
         if (job == null || index >= job.spec().tasks()) {
-            warnings.warn("binding of an unknown task", bound.task() + " on " + machine.name());
+            warnings.warn("binding of an unknown task", "task=" + bound.task() + " machine=" + machine.name());
             return;
         }
         cluster.bind(new Binding(job, index, bound.attempt(), machine, Binding.Stage.COMMITTED, loop.nanos()));
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -82,7 +82,7 @@
     private void list(String prefix, long startedAtNanos, Consumer<Listing> done) {
         state.list(prefix, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (!result.isOk()) {
-                warnings.warn("failover listing failed, retrying", prefix);
+                warnings.warn("failover listing failed, retrying", "path=" + prefix);
                 scope.after(RETRY_DELAY_NANOS, () -> list(prefix, startedAtNanos, done));
                 return;
             }
--- a/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
+++ b/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
@@ -61,7 +61,7 @@
             return answer(leader.get(), WorkerHeartbeat.read(body));
         } catch (BadMessageException e) {
             metrics.count(HeartbeatOutcome.UNREADABLE);
-            warnings.warn("unreadable worker heartbeat", e.getMessage());
+            warnings.warn("unreadable worker heartbeat", "reason=" + e.getMessage());
             return Response.error(400, e.getMessage());
         }
     }
--- a/src/main/java/org/spruceridge/node/LeadershipYield.java
+++ b/src/main/java/org/spruceridge/node/LeadershipYield.java
@@ -48,7 +48,7 @@
         long now = loop.nanos();
         if (isUnreachableLeader() && now >= cooldownUntil) {
             cooldownUntil = now + cooldownNanos;
-            election.resign("workers reach other nodes, and not this one");
+            election.resign("unreachable-for-workers");
         }
     }
 
--- a/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
+++ b/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
@@ -120,7 +120,7 @@
         try {
             return Optional.of(CatalogueRecord.read(found.value().value()));
         } catch (BadMessageException e) {
-            warnings.warn("unreadable machine type catalogue", e.getMessage());
+            warnings.warn("unreadable machine type catalogue", "reason=" + e.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -140,7 +140,7 @@
             }
             heartbeat.cancelled().forEach(jobCancelled);
         } catch (BadMessageException e) {
-            warnings.warn("unreadable peer heartbeat", e.getMessage());
+            warnings.warn("unreadable peer heartbeat", "reason=" + e.getMessage());
         }
     }
 }
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -33,7 +33,7 @@
     private final PageIndex<TaskChunk> finished;
     private FeatureLevel level;
 
-    /** A run of a job's tasks whose ends are kept together, by the first of them. */
+    /** A run of a job's tasks, beginning with {@code first}, whose completion is recorded together. */
     public record TaskChunk(Job job, int first) {}
 
     /** Pages in the forms of a cluster feature level, within the limits of the state service. */
@@ -59,7 +59,7 @@
         return finished;
     }
 
-    /** A batch begins: what is bound and proposed since the last is counted in. */
+    /** The sizes of pages are computed anew, as bindings were added since the last batch. */
     void invalidateSizes() {
         bindings.invalidateSizes();
         finished.invalidateSizes();
@@ -87,7 +87,7 @@
         return baseChunkSize;
     }
 
-    /** Takes over tasks, counted from {@code first}, whose ends a page holds. */
+    /** Restores finished tasks that a page holds; {@code tasks} counts from {@code first}. */
     public void restoreFinished(Job job, int first, BitSet tasks, Page<TaskChunk> page) {
         for (int i = tasks.nextSetBit(0); i >= 0; i = tasks.nextSetBit(i + 1)) {
             job.markDone(first + i);
@@ -95,7 +95,7 @@
         }
     }
 
-    /** From now on records have the forms of this level. No transaction may be on its way. */
+    /** Records are written in the forms of this level from now on. No transaction may be in flight. */
     void raiseLevel(FeatureLevel raised) {
         Map<TaskChunk, Page<TaskChunk>> old = finished.pagesByItem();
         level = raised;
@@ -140,45 +140,45 @@
                 txnOps, Math.min(maxPages(), bindings.pageCount() + finished.pageCount()) + CHANGES_FOR_COMPLETED_JOBS);
     }
 
-    /** The finished tasks of a job that is over are of no use any more. */
+    /** Removes the finished tasks of a job that has ended. */
     void removeFinishedTasks(Job job) {
         for (int first = 0; first < job.spec().tasks(); first = endOf(new TaskChunk(job, first))) {
             finished.remove(new TaskChunk(job, first));
         }
     }
 
-    /** Machines of which nothing is bound any more need no record. */
+    /** Removes the machines that have no binding left; {@code released} are the bindings that were just released. */
     void removeIdleMachines(Collection<Binding> released) {
-        for (Binding b : released) {
-            if (b.machine().bindings().isEmpty()) {
-                bindings.remove(b.machine());
+        for (Binding binding : released) {
+            if (binding.machine().bindings().isEmpty()) {
+                bindings.remove(binding.machine());
             }
         }
     }
 
-    ObjectNode bindingsPage(String write, Page<Machine> page, Predicate<Binding> recorded) {
-        return BindingsRecord.write(write, page.items(), recorded);
+    ObjectNode bindingsPage(String transactionId, Page<Machine> page, Predicate<Binding> recorded) {
+        return BindingsRecord.write(transactionId, page.items(), recorded);
     }
 
     /** A page of finished tasks, with those that end in this transaction. */
-    ObjectNode finishedPage(String write, Page<TaskChunk> page, Map<TaskChunk, BitSet> ending) {
+    ObjectNode finishedPage(String transactionId, Page<TaskChunk> page, Map<TaskChunk, BitSet> ending) {
         return FinishedTasksRecord.write(
-                write,
+                transactionId,
                 level,
                 baseChunkSize,
                 page.items().stream()
-                        .map(c -> {
-                            BitSet bits = c.job.done().get(c.first, endOf(c));
-                            bits.or(ending.getOrDefault(c, new BitSet()));
-                            return new FinishedTasksRecord.Chunk(c.job.id(), c.first, bits);
+                        .map(chunk -> {
+                            BitSet bits = chunk.job.done().get(chunk.first, endOf(chunk));
+                            bits.or(ending.getOrDefault(chunk, new BitSet()));
+                            return new FinishedTasksRecord.Chunk(chunk.job.id(), chunk.first, bits);
                         })
                         .toList());
     }
 
     private int bytes(Collection<TaskChunk> chunks) {
         int sum = 5;
-        for (TaskChunk c : chunks) {
-            sum += FinishedTasksRecord.bytes(c.job.id(), endOf(c) - c.first);
+        for (TaskChunk chunk : chunks) {
+            sum += FinishedTasksRecord.bytes(chunk.job.id(), endOf(chunk) - chunk.first);
         }
         return sum;
     }
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -54,7 +54,7 @@
 
         @Override
         public void onBatchRejected() {
-            listener.onWriteFailed("a transaction was rejected");
+            listener.onWriteFailed("transaction-rejected");
         }
     }
 
@@ -227,14 +227,14 @@
     /** A comparison failed: nothing was written. That is ordinary if jobs were cancelled, and else ends the term. */
     private void handleConflict(WriteBatch batch, ImmutableList<String> conflictingKeys) {
         if (conflictingKeys.contains(StateKeys.LEADER)) {
-            listener.onWriteFailed("another node leads");
+            listener.onWriteFailed("leader-key-changed");
             return;
         }
         List<Job> cancelledJobs = new ArrayList<>();
         for (String key : conflictingKeys) {
             Optional<Job> job = jobOf(key);
             if (job.isEmpty()) {
-                listener.onWriteFailed("not as this leader left it: " + key);
+                listener.onWriteFailed("unexpected-mod-revision path=" + key);
                 return;
             }
             cancelledJobs.add(job.get());
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -191,10 +191,10 @@
     }
 
     /** The machine's page has no room for more: the machine moves to another, both written together. */
-    private boolean moveAndBind(Binding b, Page<Machine> from) {
-        Machine machine = b.machine();
+    private boolean moveAndBind(Binding binding, Page<Machine> from) {
+        Machine machine = binding.machine();
         Page<Machine> to = records.bindings().pageWithRoomFor(machine, List.of());
-        boolean both = hasRoom(newPage(from), 0, newGuardedJob(b.job()))
+        boolean both = hasRoom(newPage(from), 0, newGuardedJob(binding.job()))
                 && bindings.size() + newPage(from) < records.maxPages()
                 && operationCount() + 2 <= records.txnOps();
         if (!both) {
@@ -205,8 +205,8 @@
         records.bindings().assign(machine, to);
         // Were this write to fail, the machine is still recorded where it was.
         rollback.add(() -> records.bindings().assign(machine, from));
-        bound.add(b);
-        guardedJobs.add(b.job());
+        bound.add(binding);
+        guardedJobs.add(binding.job());
         return true;
     }
 
@@ -261,18 +261,19 @@
     }
 
     private Transaction build() {
-        Transaction.Builder txn = Transaction.builder().compare(StateKeys.LEADER, term.leaderRevision());
-        guardedJobs.forEach(job -> txn.compare(StateKeys.openJob(job.id()), job.modRevision()));
-        bindings.forEach(
-                p -> txn.put(p.key(), p.modRevision(), records.bindingsPage(transactionId, p, this::recorded)));
-        chunks.forEach(p -> txn.put(p.key(), p.modRevision(), records.finishedPage(transactionId, p, ending)));
-        completedJobs.addTo(txn);
-        return txn.build();
+        Transaction.Builder builder = Transaction.builder().compare(StateKeys.LEADER, term.leaderRevision());
+        guardedJobs.forEach(job -> builder.compare(StateKeys.openJob(job.id()), job.modRevision()));
+        bindings.forEach(page ->
+                builder.put(page.key(), page.modRevision(), records.bindingsPage(transactionId, page, this::recorded)));
+        chunks.forEach(
+                page -> builder.put(page.key(), page.modRevision(), records.finishedPage(transactionId, page, ending)));
+        completedJobs.addTo(builder);
+        return builder.build();
     }
 
-    private boolean recorded(Binding b) {
-        boolean before = b.stage() == Binding.Stage.COMMITTED || b.stage() == Binding.Stage.RELEASING;
-        return bound.contains(b) || (before && !released.containsKey(b));
+    private boolean recorded(Binding binding) {
+        boolean before = binding.stage() == Binding.Stage.COMMITTED || binding.stage() == Binding.Stage.RELEASING;
+        return bound.contains(binding) || (before && !released.containsKey(binding));
     }
 
     /** A key that shows whether this transaction was committed. */
@@ -289,8 +290,8 @@
 
     /** The transaction was committed: its pages have this mod revision now. */
     void markCommitted(long revision) {
-        bindings.forEach(p -> p.modRevision(revision));
-        chunks.forEach(p -> p.modRevision(revision));
+        bindings.forEach(page -> page.modRevision(revision));
+        chunks.forEach(page -> page.modRevision(revision));
     }
 
     /** The transaction was not and will not be executed: items return to the pages on which they are recorded. */
--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -52,17 +52,19 @@
     public static int bytes(Collection<Machine> machines) {
         Set<MachineKind> kinds = new HashSet<>();
         int sum = 5;
-        for (Machine m : machines) {
-            if (kinds.add(m.kind())) {
-                sum += KIND_BYTES + m.type().length() + m.zone().length();
+        for (Machine machine : machines) {
+            if (kinds.add(machine.kind())) {
+                sum += KIND_BYTES + machine.type().length() + machine.zone().length();
             }
-            sum += MACHINE_BYTES + 1 + m.name().length();
+            sum += MACHINE_BYTES + 1 + machine.name().length();
             String job = "";
-            for (Binding b : m.bindings()) {
+            for (Binding binding : machine.bindings()) {
                 // Bindings of one job that follow each other share its id; leaving some out never takes more.
-                sum += 1 + size(b.task().index()) + size(b.attempt());
-                sum += b.task().job().equals(job) ? 0 : b.task().job().length();
-                job = b.task().job();
+                sum += 1 + size(binding.task().index()) + size(binding.attempt());
+                sum += binding.task().job().equals(job)
+                        ? 0
+                        : binding.task().job().length();
+                job = binding.task().job();
             }
         }
         return sum;
@@ -71,16 +73,16 @@
     /** A page with those bindings of the machines that belong on record. */
     public static ObjectNode write(String transactionId, Collection<Machine> machines, Predicate<Binding> recorded) {
         ImmutableListMultimap.Builder<MachineKind, MachineBindings> byKind = ImmutableListMultimap.builder();
-        for (Machine m : machines) {
+        for (Machine machine : machines) {
             ImmutableList.Builder<BoundTask> list = ImmutableList.builder();
-            for (Binding b : m.bindings()) {
-                if (recorded.test(b)) {
-                    list.add(new BoundTask(b.task(), b.attempt()));
+            for (Binding binding : machine.bindings()) {
+                if (recorded.test(binding)) {
+                    list.add(new BoundTask(binding.task(), binding.attempt()));
                 }
             }
             ImmutableList<BoundTask> bound = list.build();
             if (!bound.isEmpty()) {
-                byKind.put(m.kind(), new MachineBindings(m.name(), m.kind(), bound));
+                byKind.put(machine.kind(), new MachineBindings(machine.name(), machine.kind(), bound));
             }
         }
         ImmutableListMultimap<MachineKind, MachineBindings> groups = byKind.build();
@@ -92,8 +94,8 @@
                 out.packString(kind.zone());
                 out.packBoolean(kind.spot());
                 out.packArrayHeader(groups.get(kind).size());
-                for (MachineBindings m : groups.get(kind)) {
-                    writeMachine(out, m);
+                for (MachineBindings machine : groups.get(kind)) {
+                    writeMachine(out, machine);
                 }
             }
         });
@@ -104,19 +106,19 @@
         return number < 1 << 7 ? 1 : number < 1 << 16 ? 3 : number < 1L << 32 ? 5 : 9;
     }
 
-    private static void writeMachine(MessageBufferPacker out, MachineBindings m) throws IOException {
-        out.packString(m.name);
-        out.packArrayHeader(m.bound.size());
+    private static void writeMachine(MessageBufferPacker out, MachineBindings machine) throws IOException {
+        out.packString(machine.name);
+        out.packArrayHeader(machine.bound.size());
         String job = "";
-        for (BoundTask b : m.bound) {
-            if (b.task.job().equals(job)) {
+        for (BoundTask task : machine.bound) {
+            if (task.task.job().equals(job)) {
                 out.packNil(); // the same as before
             } else {
-                out.packString(b.task.job());
-                job = b.task.job();
+                out.packString(task.task.job());
+                job = task.task.job();
             }
-            out.packInt(b.task.index());
-            out.packLong(b.attempt);
+            out.packInt(task.task.index());
+            out.packLong(task.attempt);
         }
     }
 
--- a/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
@@ -47,10 +47,10 @@
         boolean withFirstTask = level.includes(FeatureLevel.SERVICES);
         ObjectNode page = PackedValue.write(transactionId, out -> {
             out.packArrayHeader(chunks.size());
-            for (Chunk c : chunks) {
-                byte[] bits = c.tasks.toByteArray();
-                out.packString(c.job);
-                out.packInt(withFirstTask ? c.first : c.first / baseChunkSize);
+            for (Chunk chunk : chunks) {
+                byte[] bits = chunk.tasks.toByteArray();
+                out.packString(chunk.job);
+                out.packInt(withFirstTask ? chunk.first : chunk.first / baseChunkSize);
                 out.packBinaryHeader(bits.length);
                 out.writePayload(bits);
             }
--- a/src/main/java/org/spruceridge/state/StateResponses.java
+++ b/src/main/java/org/spruceridge/state/StateResponses.java
@@ -128,6 +128,6 @@
     }
 
     private void warnUnreadable(BadMessageException e) {
-        warnings.warn("unreadable state service response", e.getMessage());
+        warnings.warn("unreadable state service response", "reason=" + e.getMessage());
     }
 }
