--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -31,8 +31,7 @@
     private final RecordPages records;
     private final LeaderTerm term;
     private final String transactionId;
-    private final Set<Page<Machine>> bindings = new LinkedHashSet<>();
-    private final Set<Page<TaskChunk>> chunks = new LinkedHashSet<>();
+    private final WrittenPages pages = new WrittenPages();
     private final Map<Binding, WriteKind> released = new LinkedHashMap<>();
     private final Set<Binding> bound = new LinkedHashSet<>();
     private final Set<Job> guardedJobs = new HashSet<>();
@@ -90,9 +89,9 @@
         Optional<Page<TaskChunk>> ofFinished = records.finished().firstOversized();
         PageSplitter splitter = new PageSplitter(Math.min(records.txnOps(), records.maxPages()), rollback);
         if (ofBindings.isPresent()) {
-            splitter.split(records.bindings(), ofBindings.get(), bindings);
+            splitter.split(records.bindings(), ofBindings.get(), pages.bindings());
         } else if (ofFinished.isPresent()) {
-            splitter.split(records.finished(), ofFinished.get(), chunks);
+            splitter.split(records.finished(), ofFinished.get(), pages.chunks());
         }
         return ofBindings.isPresent() || ofFinished.isPresent();
     }
@@ -132,11 +131,11 @@
         if (records.finished().isOversized(chunkPage)) {
             return false;
         }
-        if (!hasRoom(newPage(page) + (chunks.contains(chunkPage) ? 0 : 1), 0, 0)) {
+        if (!hasRoom(newPage(page) + (pages.chunks().contains(chunkPage) ? 0 : 1), 0, 0)) {
             return false;
         }
         addRelease(binding, page, WriteKind.COMPLETE);
-        chunks.add(chunkPage);
+        pages.chunks().add(chunkPage);
         ending.computeIfAbsent(chunk, c -> new BitSet()).set(index - chunk.first());
         return true;
     }
@@ -160,11 +159,11 @@
     private void addRelease(Binding binding, Optional<Page<Machine>> recordedOn, WriteKind kind) {
         Machine machine = binding.machine();
         if (recordedOn.isPresent()) {
-            bindings.add(recordedOn.get());
+            pages.bindings().add(recordedOn.get());
         } else { // an orphan, which no record knows: some page must carry the id of this transaction
             Page<Machine> page = pageFor(machine);
             records.bindings().assign(machine, page);
-            bindings.add(page);
+            pages.bindings().add(page);
         }
         released.put(binding, kind);
     }
@@ -184,7 +183,7 @@
             return false;
         }
         records.bindings().assign(machine, page);
-        bindings.add(page);
+        pages.bindings().add(page);
         bound.add(binding);
         guardedJobs.add(binding.job());
         return true;
@@ -195,13 +194,13 @@
         Machine machine = binding.machine();
         Page<Machine> to = records.bindings().pageWithRoomFor(machine, List.of());
         boolean both = hasRoom(newPage(from), 0, newGuardedJob(binding.job()))
-                && bindings.size() + newPage(from) < records.maxPages()
+                && pages.bindings().size() + newPage(from) < records.maxPages()
                 && operationCount() + 2 <= records.txnOps();
         if (!both) {
             return false;
         }
-        bindings.add(from);
-        bindings.add(to);
+        pages.bindings().add(from);
+        pages.bindings().add(to);
         records.bindings().assign(machine, to);
         // Were this write to fail, the machine is still recorded where it was.
         rollback.add(() -> records.bindings().assign(machine, from));
@@ -211,7 +210,7 @@
     }
 
     private Page<Machine> pageFor(Machine machine) {
-        return records.bindings().pageWithRoomFor(machine, bindings);
+        return records.bindings().pageWithRoomFor(machine, pages.bindings());
     }
 
     private Page<TaskChunk> pageOf(TaskChunk chunk) {
@@ -219,13 +218,13 @@
         if (recordedOn.isPresent()) {
             return recordedOn.get();
         }
-        Page<TaskChunk> page = records.finished().pageWithRoomFor(chunk, chunks);
+        Page<TaskChunk> page = records.finished().pageWithRoomFor(chunk, pages.chunks());
         records.finished().assign(chunk, page);
         return page;
     }
 
     private int operationCount() {
-        return bindings.size() + chunks.size() + completedJobs.operationCount();
+        return pages.count() + completedJobs.operationCount();
     }
 
     /** An item without a page gets one that this transaction does not write yet, as far as is known here. */
@@ -234,7 +233,7 @@
     }
 
     private int newPage(Page<Machine> page) {
-        return bindings.contains(page) ? 0 : 1;
+        return pages.bindings().contains(page) ? 0 : 1;
     }
 
     private int newGuardedJob(Job job) {
@@ -249,7 +248,7 @@
         int comparisons = 1 + records.txnOps() + guardedJobs.size() + newGuardedJobs;
         boolean fits = operationCount() + newOperations <= records.txnOps()
                 && comparisons <= COMPARISONS_PER_OPERATION * records.txnOps()
-                && (newPages == 0 || bindings.size() + chunks.size() + newPages <= records.maxPages());
+                && (newPages == 0 || pages.count() + newPages <= records.maxPages());
         return fits || isEmpty();
     }
 
@@ -263,10 +262,12 @@
     private Transaction build() {
         Transaction.Builder builder = Transaction.builder().compare(StateKeys.LEADER, term.leaderRevision());
         guardedJobs.forEach(job -> builder.compare(StateKeys.openJob(job.id()), job.modRevision()));
-        bindings.forEach(page ->
-                builder.put(page.key(), page.modRevision(), records.bindingsPage(transactionId, page, this::recorded)));
-        chunks.forEach(
-                page -> builder.put(page.key(), page.modRevision(), records.finishedPage(transactionId, page, ending)));
+        pages.bindings()
+                .forEach(page -> builder.put(
+                        page.key(), page.modRevision(), records.bindingsPage(transactionId, page, this::recorded)));
+        pages.chunks()
+                .forEach(page ->
+                        builder.put(page.key(), page.modRevision(), records.finishedPage(transactionId, page, ending)));
         completedJobs.addTo(builder);
         return builder.build();
     }
@@ -278,9 +279,7 @@
 
     /** A key that shows whether this transaction was committed. */
     String verificationKey() {
-        return bindings.isEmpty()
-                ? chunks.iterator().next().key()
-                : bindings.iterator().next().key();
+        return pages.verificationKey();
     }
 
     /** True if this transaction wrote the value of {@link #verificationKey}. */
@@ -290,8 +289,7 @@
 
     /** The transaction was committed: its pages have this mod revision now. */
     void markCommitted(long revision) {
-        bindings.forEach(page -> page.modRevision(revision));
-        chunks.forEach(page -> page.modRevision(revision));
+        pages.modRevision(revision);
     }
 
     /** The transaction was not and will not be executed: items return to the pages on which they are recorded. */
