--- a/src/main/java/org/spruceridge/election/Campaign.java
+++ b/src/main/java/org/spruceridge/election/Campaign.java
@@ -4,10 +4,10 @@
 import java.util.function.Consumer;
 import org.spruceridge.net.CancellationScope;
 import org.spruceridge.net.Durations;
-import org.spruceridge.net.Json;
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.record.LeaderRecord;
 import org.spruceridge.record.StateKeys;
+import org.spruceridge.record.TermRecord;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
@@ -83,12 +83,13 @@
                 return;
             }
             long termRevision = lastTerm.isOk() ? lastTerm.value().modRevision() : 0;
-            long term = lastTerm.isOk() ? lastTerm.value().value().path("term").asLong() + 1 : 1;
-            LeaderRecord record = candidate.recordOf(term);
+            TermRecord term =
+                    lastTerm.isOk() ? TermRecord.read(lastTerm.value().value()).next() : new TermRecord(1);
+            LeaderRecord record = candidate.recordOf(term.term());
             Transaction transaction = Transaction.builder()
                     .compare(StateKeys.FEATURE_LEVEL, level.modRevision())
                     .putWithLease(StateKeys.LEADER, expectedLeaderRevision, record.write(), lease.id())
-                    .put(StateKeys.TERM, termRevision, Json.object().put("term", term))
+                    .put(StateKeys.TERM, termRevision, term.write())
                     .build();
             compareAndSwap(transaction, record, lease, level);
         }));
