--- a/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
@@ -16,9 +16,9 @@
 /** Encodes peer heartbeats as MessagePack arrays. A later version may append fields; readers ignore those. */
 public final class PeerHeartbeatCodec {
     /** Version 0.1 knows these fields and ignores those that follow. */
-    private static final int FIELDS_OF_VERSION_0_1 = 6;
+    private static final int VERSION_0_1_FIELD_COUNT = 6;
 
-    private static final int FIELDS = FIELDS_OF_VERSION_0_1 + 2;
+    private static final int FIELDS = VERSION_0_1_FIELD_COUNT + 2;
     private static final int MAX_JOBS = 5000;
 
     private PeerHeartbeatCodec() {}
@@ -66,7 +66,7 @@
     public static PeerHeartbeat decode(byte[] frame) throws BadMessageException {
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
             int fields = in.unpackArrayHeader();
-            if (fields < FIELDS_OF_VERSION_0_1) {
+            if (fields < VERSION_0_1_FIELD_COUNT) {
                 throw new BadMessageException("a heartbeat is too short");
             }
             // Arguments are evaluated from left to right, which is the order of the fields in the frame.
--- a/src/test/java/org/spruceridge/docs/DocumentationTest.java
+++ b/src/test/java/org/spruceridge/docs/DocumentationTest.java
@@ -51,7 +51,15 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"docs/architecture.md", "docs/design.md", "docs/glossary.md", "CONTRIBUTING.md"})
+    @ValueSource(
+            strings = {
+                "docs/architecture.md",
+                "docs/design.md",
+                "docs/glossary.md",
+                "docs/operations.md",
+                "README.md",
+                "CONTRIBUTING.md"
+            })
     void everyTypeThatAPageNamesExists(String page) throws IOException {
         Set<String> types = declaredTypes();
         Set<String> missing = typesNamedIn(Files.readString(Path.of(page)))
--- a/src/test/java/org/spruceridge/docs/VocabularyTest.java
+++ b/src/test/java/org/spruceridge/docs/VocabularyTest.java
@@ -27,6 +27,9 @@
     /** The keyword of sealed types, which is also a withdrawn word. */
     private static final String PERMITS_CLAUSE = "\\bpermits(?= [A-Z])";
 
+    /** A constant named like a phrase says neither what it is nor its unit: CEILING_OF_X. */
+    private static final Pattern PHRASE_CONSTANT = Pattern.compile("[A-Z0-9_]+_OF_[A-Z0-9_]+");
+
     private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_$][\\w$]*");
 
     /** A statement that logs, up to its end; the texts in it are what an operator reads. */
@@ -60,6 +63,7 @@
         assertEquals(List.of("grant in LAST_GRANTS"), violations("int LAST_GRANTS = 1;"));
         assertEquals(List.of("hold back in holdBackUntil"), violations("long holdBackUntil;"));
         assertEquals(List.of("takeover in TakeoverTest"), violations("class TakeoverTest {}"));
+        assertEquals(List.of("phrase in STAY_OF_TERM"), violations("double STAY_OF_TERM = 10;"));
     }
 
     @Test
@@ -95,7 +99,16 @@
                 .flatMap(statement -> STRING.matcher(statement.group()).results())
                 .flatMap(text -> withdrawnWordsIn(text.group(1).toLowerCase(Locale.ROOT))
                         .map(word -> word + " in " + text.group()));
-        return Stream.concat(inIdentifiers, inLogTexts).toList();
+        Stream<String> phraseConstants = IDENTIFIER
+                .matcher(code)
+                .results()
+                .map(MatchResult::group)
+                .distinct()
+                .filter(identifier -> PHRASE_CONSTANT.matcher(identifier).matches())
+                .map(identifier -> "phrase in " + identifier);
+        return Stream.of(inIdentifiers, inLogTexts, phraseConstants)
+                .flatMap(found -> found)
+                .toList();
     }
 
     private Stream<String> withdrawnWordsIn(String text) {
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -24,7 +24,7 @@
 final class MassCancellationScenarioTest {
     private static final int JOBS = 200;
     private static final double RUN_S = 200;
-    private static final int CANCELLED_AT_ONCE = 60;
+    private static final int CONCURRENT_CANCELLATIONS = 60;
     private static final int FEW = 8;
     private static final int MOST = 160;
 
@@ -116,11 +116,13 @@
     void newLeaderStopsCancelledTasksWhileOneRecordIsUnreadable() {
         fillMachines(3, JOBS);
         String first = isolateLeader();
-        cluster.users.cancel(ids(0, CANCELLED_AT_ONCE), cluster.nodes.running(node -> !node.equals(first)));
+        cluster.users.cancel(ids(0, CONCURRENT_CANCELLATIONS), cluster.nodes.running(node -> !node.equals(first)));
         cluster.await(() -> cluster.users.unansweredCount() == 0, 6);
         assertEquals(first, cluster.leader(), "its lease has not expired");
-        cluster.net.injectFaults((from, to, call) ->
-                call.target().equals("/store/job/" + id(CANCELLED_AT_ONCE - 1)) ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.net.injectFaults(
+                (from, to, call) -> call.target().equals("/store/job/" + id(CONCURRENT_CANCELLATIONS - 1))
+                        ? Delivery.LOST
+                        : Delivery.DELIVERED);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         cluster.verifyRecovery(600);
     }
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -75,7 +75,7 @@
         return new String(Json.bytes(value), StandardCharsets.UTF_8);
     }
 
-    private static final String SPEC_OF_AN_ARRAY =
+    private static final String JOB_ARRAY_SPEC =
             "{\"nameId\":\"j-000007\",\"lot\":\"nightly\",\"crew\":\"red\",\"shape\":\"sweep\",\"rank\":\"high\","
                     + "\"parts\":3,"
                     + "\"cpus\":2.0,\"accelerators\":0.0,\"memGb\":3.5,\"bundle\":\"img\",\"pullGb\":1.5,"
@@ -108,10 +108,10 @@
     @Test
     void recordsAreWrittenAsBefore() {
         assertEquals(
-                "{\"stage\":\"open\",\"at\":5,\"spec\":" + SPEC_OF_AN_ARRAY + "}",
+                "{\"stage\":\"open\",\"at\":5,\"spec\":" + JOB_ARRAY_SPEC + "}",
                 text(JobRecord.open(spec(JobKind.ARRAY), 5).write()));
         assertEquals(
-                "{\"stage\":\"cancelled\",\"at\":5,\"ended_at\":8,\"spec\":" + SPEC_OF_AN_ARRAY + "}",
+                "{\"stage\":\"cancelled\",\"at\":5,\"ended_at\":8,\"spec\":" + JOB_ARRAY_SPEC + "}",
                 text(JobRecord.open(spec(JobKind.ARRAY), 5)
                         .ended(JobRecord.Stage.CANCELLED, 8)
                         .write()));
@@ -134,7 +134,7 @@
                 "{\"b\":\"kahqLTAwMDAwN80H0MQCAQI=\",\"w\":\"w9.1\",\"f\":2}", text(finished(FeatureLevel.SERVICES)));
         assertEquals(
                 "{\"stage\":\"open\",\"at\":5,\"spec\":"
-                        + SPEC_OF_AN_ARRAY
+                        + JOB_ARRAY_SPEC
                                 .replace("\"sweep\"", "\"standing\"")
                                 .replace("\"expectS\":60.0", "\"expectS\":0.0")
                         + "}",
