--- a/src/test/java/org/spruceridge/config/SettingsTest.java
+++ b/src/test/java/org/spruceridge/config/SettingsTest.java
@@ -6,6 +6,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import com.google.common.collect.ImmutableList;
+import com.google.common.collect.ImmutableMap;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,6 +31,22 @@
               "resources":{"core_share":0.25,"mem_mb":263.0,"max_sockets":3000},"time_bound_ms":25.0}}
             """;
 
+    /** Every field that is read, each with a value of its own. */
+    private static final String COMPLETE =
+            """
+            {"host_name":"n0","domain":"a","serve_on":"10.0.0.1:8080","peer_listen":"10.0.0.2:8081",
+             "members":[{"host_name":"n1","domain":"b","peer_addr":"10.0.0.3:8082"}],
+             "endpoints":{"cloud":"10.2.0.4:8443","state":"10.2.0.5:2379"},
+             "facts":{"zones":["c","d"],
+              "teams":[{"name":"red","cpus":1.5,"cpus_max":2.5,"gpus":3.5,"gpus_max":4.5}],
+              "objectives":[{"kind":"wait","class":"nightly","within_s":5.5,"share":0.9}],
+              "workers":{"report_s":6.5,"lease_s":22.5,"cancel_s":42.5},
+              "state":{"rps":200.5,"write_rps":50.5,"value_kb":8.5,"txn_ops":24,
+               "next":{"rps":100.5,"write_rps":40.5,"value_kb":7.5,"txn_ops":12}},
+              "cloud":{"rps":9.5,"list_lag_s":10.5},
+              "resources":{"core_share":0.25,"mem_mb":263.5,"max_sockets":3000},"time_bound_ms":25.5}}
+            """;
+
     @TempDir
     private Path folder;
 
@@ -49,6 +67,28 @@
         assertEquals(4, settings.teams().get("red").cpus());
     }
 
+    @Test
+    void completeSettingsYieldEachValueUnderItsName() throws IOException {
+        Settings expected = new Settings(
+                "n0",
+                "a",
+                new Address("10.0.0.1", 8080),
+                new Address("10.0.0.2", 8081),
+                ImmutableList.of(new Settings.Member("n1", "b", new Address("10.0.0.3", 8082))),
+                new Address("10.2.0.4", 8443),
+                new Address("10.2.0.5", 2379),
+                ImmutableList.of("c", "d"),
+                ImmutableMap.of("red", new Settings.Team("red", 1.5, 2.5, 3.5, 4.5)),
+                ImmutableList.of(new Settings.Objective("wait", "nightly", 5.5, 0.9)),
+                new Settings.Workers(6.5, 22.5, 42.5),
+                new Settings.State(
+                        new Settings.StateLimits(200.5, 50.5, 8.5, 24), new Settings.StateLimits(100.5, 40.5, 7.5, 12)),
+                new Settings.Cloud(9.5, 10.5),
+                new Settings.Resources(0.25, 263.5, 3000),
+                25.5);
+        assertEquals(expected, Settings.read(json(COMPLETE)));
+    }
+
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
--- /dev/null
+++ b/src/test/java/org/spruceridge/record/JobSpecMessageTest.java
@@ -0,0 +1,171 @@
+package org.spruceridge.record;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.google.common.collect.ImmutableSet;
+import java.nio.charset.StandardCharsets;
+import java.util.EnumSet;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.spruceridge.cluster.JobKind;
+import org.spruceridge.cluster.JobPriority;
+import org.spruceridge.cluster.JobSpec;
+import org.spruceridge.cluster.Resources;
+import org.spruceridge.net.BadMessageException;
+import org.spruceridge.net.Json;
+
+/** A job in JSON: each field and each value is read and written under the name that users send. */
+final class JobSpecMessageTest {
+    /** Every field, each with a value of its own, in the order in which it is written. */
+    private static final String COMPLETE =
+            "{\"nameId\":\"j-000412\",\"lot\":\"nightly\",\"crew\":\"red\",\"shape\":\"sweep\",\"rank\":\"high\","
+                    + "\"parts\":7,\"cpus\":2.0,\"accelerators\":3.0,\"memGb\":4.5,\"bundle\":\"img-1\","
+                    + "\"pullGb\":1.5,\"samePlace\":false,\"scatter\":false,\"windfall\":false,\"expectS\":60.0,"
+                    + "\"markEveryS\":20.0,\"markS\":5.0,\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0}";
+
+    private static JobSpec complete() {
+        return spec(JobKind.ARRAY, JobPriority.HIGH, "", 60);
+    }
+
+    /** {@code flag} is the one of the three flags that is set, by its name in the message; empty for none. */
+    private static JobSpec spec(JobKind kind, JobPriority priority, String flag, double estimateS) {
+        return new JobSpec(
+                "j-000412",
+                "nightly",
+                "red",
+                kind,
+                priority,
+                7,
+                new Resources(2, 3, 4.5),
+                Optional.of(ImmutableSet.of("t4", "t8")),
+                Optional.of("a"),
+                flag.equals("samePlace"),
+                flag.equals("scatter"),
+                flag.equals("windfall"),
+                "img-1",
+                1.5,
+                estimateS,
+                20,
+                5,
+                OptionalDouble.of(90));
+    }
+
+    private static void assertReadAndWritten(JobSpec spec, String text) throws BadMessageException {
+        JsonNode body = Json.object(text.getBytes(StandardCharsets.UTF_8));
+        assertEquals(spec, JobSpecMessage.read(body));
+        assertEquals(text, new String(Json.bytes(JobSpecMessage.write(spec)), StandardCharsets.UTF_8));
+    }
+
+    @Test
+    void completeJobIsReadAndWrittenUnderTheNamesOfUsers() throws BadMessageException {
+        assertReadAndWritten(complete(), COMPLETE);
+    }
+
+    @Test
+    void jobWithoutOptionalFieldsIsReadAndWrittenWithoutThem() throws BadMessageException {
+        JobSpec full = complete();
+        JobSpec spec = new JobSpec(
+                full.id(),
+                full.jobClass(),
+                full.team(),
+                full.kind(),
+                full.priority(),
+                full.tasks(),
+                full.task(),
+                Optional.empty(),
+                Optional.empty(),
+                full.oneZone(),
+                full.spread(),
+                full.spot(),
+                full.image(),
+                full.imageGb(),
+                full.estimateS(),
+                full.checkpointIntervalS(),
+                full.checkpointDurationS(),
+                OptionalDouble.empty());
+        assertReadAndWritten(spec, COMPLETE.replace(",\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0", ""));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"samePlace", "scatter", "windfall"})
+    void flagIsReadAndWrittenUnderItsName(String flag) throws BadMessageException {
+        assertReadAndWritten(
+                spec(JobKind.ARRAY, JobPriority.HIGH, flag, 60),
+                COMPLETE.replace("\"" + flag + "\":false", "\"" + flag + "\":true"));
+    }
+
+    static Stream<Arguments> ranks() {
+        return Stream.of(
+                Arguments.of("production", JobPriority.PRODUCTION),
+                Arguments.of("high", JobPriority.HIGH),
+                Arguments.of("normal", JobPriority.NORMAL),
+                Arguments.of("best_effort", JobPriority.LOW));
+    }
+
+    @ParameterizedTest
+    @MethodSource("ranks")
+    void rankIsReadAndWrittenUnderItsName(String rank, JobPriority priority) throws BadMessageException {
+        assertReadAndWritten(spec(JobKind.ARRAY, priority, "", 60), COMPLETE.replace("\"high\"", "\"" + rank + "\""));
+    }
+
+    static Stream<Arguments> shapes() {
+        return Stream.of(Arguments.of("sweep", JobKind.ARRAY, 60.0), Arguments.of("standing", JobKind.SERVICE, 0.0));
+    }
+
+    @ParameterizedTest
+    @MethodSource("shapes")
+    void shapeIsReadAndWrittenUnderItsName(String shape, JobKind kind, double estimateS) throws BadMessageException {
+        String text = COMPLETE.replace("\"sweep\"", "\"" + shape + "\"")
+                .replace("\"expectS\":60.0", "\"expectS\":" + estimateS);
+        assertReadAndWritten(spec(kind, JobPriority.HIGH, "", estimateS), text);
+    }
+
+    @Test
+    void everyRankAndEveryShapeHasItsName() {
+        assertEquals(EnumSet.allOf(JobPriority.class), secondArguments(ranks()));
+        assertEquals(EnumSet.allOf(JobKind.class), secondArguments(shapes()));
+    }
+
+    private static Set<Object> secondArguments(Stream<Arguments> rows) {
+        return rows.map(row -> row.get()[1]).collect(Collectors.toSet());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"rank, low, rank is not known", "shape, array, shape is not known: array"})
+    void unknownValueIsRejectedWithTheNameOfItsField(String field, String value, String message)
+            throws BadMessageException {
+        String text = COMPLETE.replaceFirst("\"" + field + "\":\"[a-z]*\"", "\"" + field + "\":\"" + value + "\"");
+        JsonNode body = Json.object(text.getBytes(StandardCharsets.UTF_8));
+        assertEquals(
+                message,
+                assertThrows(BadMessageException.class, () -> JobSpecMessage.read(body))
+                        .getMessage());
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"j-0", "j-000412", "j-123456789012345678"})
+    void idOfThisFormIsAccepted(String id) {
+        assertTrue(JobSpecMessage.isId(id));
+        assertEquals(Optional.of(id), JobSpecMessage.idOf(Json.object().put("nameId", id)));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"", "j-", "j-1234567890123456789", "j-12a", "k-1", "J-1", "j1", "j-1/0"})
+    void idOfAnotherFormIsRefused(String id) {
+        assertFalse(JobSpecMessage.isId(id));
+        assertEquals(Optional.empty(), JobSpecMessage.idOf(Json.object().put("nameId", id)));
+    }
+}
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -31,6 +31,7 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
+import org.spruceridge.peer.MemberVersion;
 import org.spruceridge.peer.PeerHeartbeatCodec;
 import org.spruceridge.record.BindingsRecord;
 import org.spruceridge.record.CatalogueRecord;
@@ -207,6 +208,8 @@
         assertEquals(
                 FeatureLevel.BASE.number(),
                 PeerHeartbeatCodec.decode(theirs).version().supportedLevel());
+        assertEquals(
+                new MemberVersion(1, "0.1"), PeerHeartbeatCodec.decode(theirs).version());
     }
 
     @Test
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -4,11 +4,15 @@
 
 import com.google.common.collect.ImmutableList;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.spruceridge.cloud.CloudClient;
 import org.spruceridge.cloud.CloudMachine;
@@ -41,6 +45,9 @@
 import org.spruceridge.worker.WorkerClient;
 import org.spruceridge.worker.WorkerCommand;
 import org.spruceridge.worker.WorkerHeartbeat;
+import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
+import org.spruceridge.worker.WorkerHeartbeat.TaskState;
+import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
  * The requests to the state service, the cloud and the workers, byte by byte, and what their answers are read as. The
@@ -57,17 +64,21 @@
     private final StateClient state = new StateClient(loop, http, SERVICE, limiter, warnings, new Latencies(loop));
     private final CloudClient cloud = new CloudClient(http, SERVICE, limiter, warnings);
 
-    /** Notes each request as a line of text, and gives the same answer to all. */
+    /** Notes each request as a line of text, and gives the same answer to all unless more are set. */
     private static final class FixedAnswer implements HttpClient {
         private final List<String> requests = new ArrayList<>();
+        private final Deque<String> laterBodies = new ArrayDeque<>();
         private int status = 200;
         private String body = "{}";
+        private boolean sent = true;
 
         @Override
         public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done) {
             String text = call.method() + " " + call.target() + " " + new String(call.body(), StandardCharsets.UTF_8);
             requests.add(text.strip());
-            done.accept(new HttpAnswer(status, body.getBytes(StandardCharsets.UTF_8)));
+            HttpAnswer answer = new HttpAnswer(status, body.getBytes(StandardCharsets.UTF_8), sent);
+            body = laterBodies.isEmpty() ? body : laterBodies.remove();
+            done.accept(answer);
             return () -> {};
         }
 
@@ -75,6 +86,11 @@
             status = newStatus;
             body = newBody;
         }
+
+        /** Sets the body of the answer after those that are set already. */
+        void thenAnswer(String laterBody) {
+            laterBodies.add(laterBody);
+        }
     }
 
     private void assertRequest(String expected) {
@@ -120,6 +136,24 @@
         assertRequest("GET /store?starts=open/&limit=500");
     }
 
+    @Test
+    void listingInPagesContinuesAfterTheLastKey() {
+        String page = "{\"entries\":[{\"k\":\"%s\",\"v\":{},\"stamp\":%d}],\"truncated\":%b,\"ring\":%d}";
+        String second = String.format(page, "open/j-2", 6, false, 10);
+        http.answer(200, String.format(page, "open/j-1", 5, true, 9));
+        http.thenAnswer(second);
+        long bytes = (long) http.body.length() + second.length();
+        List<StateResult<Listing>> results = new ArrayList<>();
+        state.list("open/", Priority.LEASE_RENEWAL, results::add);
+        loop.advance(1);
+        ImmutableList<Entry> entries =
+                ImmutableList.of(new Entry("open/j-1", Json.object(), 5), new Entry("open/j-2", Json.object(), 6));
+        assertEquals(List.of(StateResult.ok(new Listing(entries, 9, bytes))), results);
+        assertEquals(
+                List.of("GET /store?starts=open/&limit=500", "GET /store?starts=open/&from=open/j-1&limit=500"),
+                http.requests);
+    }
+
     @Test
     void aTransactionIsCommitted() {
         http.answer(200, "{\"ring\":12}");
@@ -240,6 +274,74 @@
         assertRequest("GET /hosts?limit=500");
     }
 
+    @Test
+    void machinesListedInPagesAreReadInEachStage() {
+        String host = "{\"nameId\":\"%s\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
+                + "\"windfall\":false,\"stage\":\"%s\",\"heldS\":3.5}";
+        http.answer(200, "{\"hosts\":[" + String.format(host, "i-1", "booting") + "],\"truncated\":true}");
+        http.thenAnswer("{\"hosts\":[" + String.format(host, "i-2", "running") + ","
+                + String.format(host, "i-3", "failed") + "],\"truncated\":false}");
+        List<Optional<ImmutableList<CloudMachine>>> results = new ArrayList<>();
+        cloud.machines(results::add);
+        loop.advance(1);
+        assertEquals(
+                List.of(Optional.of(ImmutableList.of(
+                        new CloudMachine("i-1", "10.0.0.1:9000", "t4", "a", false, CloudMachine.Stage.BOOTING, 3.5),
+                        new CloudMachine("i-2", "10.0.0.1:9000", "t4", "a", false, CloudMachine.Stage.RUNNING, 3.5),
+                        new CloudMachine("i-3", "10.0.0.1:9000", "t4", "a", false, CloudMachine.Stage.FAILED, 3.5)))),
+                results);
+        assertEquals(List.of("GET /hosts?limit=500", "GET /hosts?from=i-1&limit=500"), http.requests);
+    }
+
+    private CommandResult reply(int status, String body, boolean sent) {
+        http.answer(status, body);
+        http.sent = sent;
+        List<CommandResult> results = new ArrayList<>();
+        List<WorkerCommand> commands = List.of(WorkerCommand.start(new TaskId("j-1", 3), 8));
+        new WorkerClient(http, warnings).send(SERVICE, 9, 2, commands, 1000, results::add);
+        assertEquals(1, results.size());
+        return results.get(0);
+    }
+
+    @Test
+    void commandReplyIsReadWithEachReason() {
+        String body = "{\"host\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
+                + "\"windfall\":true,\"watch\":2,\"tally\":5,\"warrant\":9,\"warningS\":null,\"parts\":["
+                + Stream.of("done", "stopped", "error", "no_room", "in_use", "unknown")
+                        .map(cause -> String.format(
+                                "{\"part\":\"j-1/3\",\"try\":8,\"stage\":\"ended\",\"cause\":\"%s\"}", cause))
+                        .collect(Collectors.joining(","))
+                + "]}";
+        WorkerHeartbeat status = new WorkerHeartbeat(
+                "i-1",
+                "10.0.0.1:9000",
+                new MachineKind("t4", "a", true),
+                2,
+                5,
+                9,
+                OptionalDouble.empty(),
+                Stream.of(
+                                ExitCause.DONE,
+                                ExitCause.STOPPED,
+                                ExitCause.ERROR,
+                                ExitCause.NO_ROOM,
+                                ExitCause.BUSY,
+                                ExitCause.UNKNOWN)
+                        .map(cause -> new TaskStatus(new TaskId("j-1", 3), 8, TaskState.EXITED, cause))
+                        .collect(ImmutableList.toImmutableList()));
+        assertEquals(new CommandResult(CommandResult.Kind.EXECUTED, Optional.of(status)), reply(200, body, true));
+        assertEquals(new CommandResult(CommandResult.Kind.REFUSED, Optional.of(status)), reply(409, body, true));
+    }
+
+    @Test
+    void commandReplyWithoutStatusIsReadByItsCode() {
+        assertEquals(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty()), reply(400, "{}", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), reply(200, "{}", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), reply(503, "{}", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), reply(0, "", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNSENT, Optional.empty()), reply(0, "", false));
+    }
+
     @Test
     void commandsAnswerAReport() {
         TaskId task = new TaskId("j-1", 3);
@@ -264,10 +366,8 @@
     @Test
     void aReportHasTheNamesOfTheProtocol() {
         MachineKind kind = new MachineKind("t4", "a", true);
-        WorkerHeartbeat.TaskStatus running = new WorkerHeartbeat.TaskStatus(
-                new TaskId("j-1", 3), 8, WorkerHeartbeat.TaskState.RUNNING, WorkerHeartbeat.ExitCause.NONE);
-        WorkerHeartbeat.TaskStatus exited = new WorkerHeartbeat.TaskStatus(
-                new TaskId("j-1", 4), 7, WorkerHeartbeat.TaskState.EXITED, WorkerHeartbeat.ExitCause.NO_ROOM);
+        TaskStatus running = new TaskStatus(new TaskId("j-1", 3), 8, TaskState.RUNNING, ExitCause.NONE);
+        TaskStatus exited = new TaskStatus(new TaskId("j-1", 4), 7, TaskState.EXITED, ExitCause.NO_ROOM);
         WorkerHeartbeat heartbeat = new WorkerHeartbeat(
                 "i-1", "10.0.0.1:9000", kind, 2, 5, 9, OptionalDouble.of(4.5), ImmutableList.of(running, exited));
         assertEquals(
