--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -15,15 +15,15 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Users cancel jobs during faults. The simulated cluster fails each scenario in which a task of a cancelled
- * job is on a machine for longer than {@code cancel_s}.
+ * Users cancel jobs during faults. The simulated cluster fails each scenario in which a task of a cancelled job is on a
+ * machine for longer than {@code cancel_s}.
  */
 final class CancellationScenarioTest {
-    private static final String LONG = "j-000001";
+    private static final String LONG_JOB_ID = "j-000001";
 
     private SimulatedCluster cluster = new SimulatedCluster(3);
 
-    /** A leader, and two tasks of a job that runs for ten minutes. */
+    /** Waits for a leader, submits a job of two ten-minute tasks and waits until both run. */
     private void startLongJob() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
@@ -36,8 +36,8 @@
 
     @Test
     void cancellationMeetsDeadlineWhenStateServiceRefusesLeaderThenFails() {
-        for (double before : new double[] {0.1, 1, 2, 6}) {
-            for (double outage : new double[] {
+        for (double beforeOutageS : new double[] {0.1, 1, 2, 6}) {
+            for (double outageS : new double[] {
                 6,
                 8,
                 13,
@@ -48,12 +48,12 @@
                 cluster = new SimulatedCluster(3);
                 startLongJob();
                 cluster.submit(SimJobs.array(2, 2).put("expectS", 20.0));
-                cluster.net.refuseStateRequests(cluster.leader(), before + 12);
-                cluster.loop.run(before / 2);
-                assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
-                cluster.loop.run(before / 2);
-                cluster.state.outage(outage);
-                cluster.loop.run(Math.max(outage, SimulatedCluster.CANCELLATION_DEADLINE_S));
+                cluster.net.refuseStateRequests(cluster.leader(), beforeOutageS + 12);
+                cluster.loop.run(beforeOutageS / 2);
+                assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
+                cluster.loop.run(beforeOutageS / 2);
+                cluster.state.outage(outageS);
+                cluster.loop.run(Math.max(outageS, SimulatedCluster.CANCELLATION_DEADLINE_S));
                 cluster.verifyRecovery(120);
             }
         }
@@ -65,7 +65,7 @@
         cluster.submit(SimJobs.array(2, 1).put("expectS", 30.0));
         cluster.net.refuseStateRequests(cluster.leader(), 10);
         cluster.loop.run(1);
-        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
+        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
         cluster.state.outage(SimulatedCluster.LEASE_S - 1);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         String leader = cluster.leader() == null ? cluster.follower() : cluster.leader();
@@ -87,12 +87,12 @@
                 (from, to, call) -> from.equals(leader) && call.target().startsWith("/follow?starts=open/")
                         ? Delivery.LOST
                         : Delivery.DELIVERED);
-        cluster.loop.run(26); // earlier requests are answered by then
-        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
+        cluster.loop.run(26); // until earlier requests have been answered
+        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertEquals(leader, cluster.leader());
         cluster.verifyRecovery(60);
-        assertEquals(3, cluster.starts().size(), "no lease expired, for a listing replaces the watch");
+        assertEquals(3, cluster.starts().size(), "no lease expired, because a listing replaces the stuck watch");
     }
 
     @Test
@@ -103,9 +103,9 @@
         cluster.loop.run(5);
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(leader) && readsOpenJobs(call.target()) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.loop.run(3); // earlier requests are answered by then
-        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
-        // Renewals succeed all the time, so that the leader lease alone would let it answer for ever.
+        cluster.loop.run(3); // until earlier requests have been answered
+        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
+        // Lease renewals keep succeeding, so the leader lease alone would allow it to answer workers indefinitely.
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 1);
         assertEquals(leader, cluster.leader());
         assertTrue(cluster.running().isEmpty());
@@ -113,19 +113,19 @@
     }
 
     @Test
-    void newLeaderDoesNotKeepCancelledTasksWhileReadingState() {
+    void newLeaderKeepsNoCancelledTaskRunningWhileReadingState() {
         for (String unreadablePrefix : List.of("open/", "parts/", "bound/")) {
             cluster = new SimulatedCluster(3);
             startLongJob();
-            String old = cluster.leader();
-            cluster.nodes.isolateFromPeers(old);
-            cluster.net.refuseStateRequests(old, 60);
+            String oldLeader = cluster.leader();
+            cluster.nodes.isolateFromPeers(oldLeader);
+            cluster.net.refuseStateRequests(oldLeader, 60);
             cluster.loop.run(1);
-            String other = cluster.follower();
-            assertEquals("cancelled", cluster.cancel(other, LONG));
+            String follower = cluster.follower();
+            assertEquals("cancelled", cluster.cancel(follower, LONG_JOB_ID));
             cluster.net.injectFaults((from, to, call) ->
                     call.target().startsWith("/store?starts=" + unreadablePrefix) ? Delivery.LOST : Delivery.DELIVERED);
-            cluster.nodes.crash(old);
+            cluster.nodes.crash(oldLeader);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
             assertTrue(cluster.running().isEmpty(), unreadablePrefix);
             cluster.verifyRecovery(60);
@@ -137,7 +137,7 @@
         startLongJob();
         cluster.net.refuseStateRequests(cluster.leader(), 14);
         cluster.loop.run(0.1);
-        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
+        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
         cluster.loop.run(2);
         assertTrue(cluster.running().isEmpty());
         cluster.verifyRecovery(60);
@@ -148,8 +148,8 @@
         startLongJob();
         SimWorker hung = cluster.cloud.workers().get(0);
         hung.hang();
-        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
-        // No leader lasts as long as a machine must be silent to be deleted.
+        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
+        // Each leader's term is shorter than the time for which a machine must be silent to be deleted.
         for (int i = 0; i < 6; i++) {
             cluster.nodes.crashLeader(1);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S / 6);
@@ -161,16 +161,16 @@
     @Test
     void stopCommandIsRetriedToMachineThatCannotSendHeartbeats() {
         startLongJob();
-        List<String> silent = cluster.cloud.machineNames();
-        AtomicInteger lost = new AtomicInteger();
+        List<String> silentMachines = cluster.cloud.machineNames();
+        AtomicInteger commandCalls = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) -> {
-            boolean first = call.target().equals("/do") && lost.getAndIncrement() == 0;
-            boolean cloud = SimulatedCluster.isCloud(to);
-            return silent.contains(from) || first || cloud ? Delivery.LOST : Delivery.DELIVERED;
+            boolean isFirstCommand = call.target().equals("/do") && commandCalls.getAndIncrement() == 0;
+            boolean isToCloud = SimulatedCluster.isCloud(to);
+            return silentMachines.contains(from) || isFirstCommand || isToCloud ? Delivery.LOST : Delivery.DELIVERED;
         });
-        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG));
+        assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.6);
-        assertTrue(cluster.running().isEmpty(), "before their leases expire");
+        assertTrue(cluster.running().isEmpty(), "tasks must stop before the leases of their machines expire");
         cluster.verifyRecovery(60);
     }
 
@@ -180,19 +180,19 @@
             cluster = new SimulatedCluster(3);
             startLongJob();
             cluster.submit(SimJobs.array(2, 2).put("expectS", 20.0));
-            String old = cluster.leader();
-            String other = cluster.follower();
-            int cancelAt = step;
-            for (int at = 0; at < 12; at++) {
-                if (at == 3) {
-                    cluster.nodes.crash(old);
+            String oldLeader = cluster.leader();
+            String follower = cluster.follower();
+            int cancelTick = step;
+            for (int tick = 0; tick < 12; tick++) {
+                if (tick == 3) {
+                    cluster.nodes.crash(oldLeader);
                 }
-                if (at == cancelAt) {
-                    cluster.cancel(other, LONG);
+                if (tick == cancelTick) {
+                    cluster.cancel(follower, LONG_JOB_ID);
                 }
                 cluster.loop.run(0.8);
             }
-            cluster.await(() -> cluster.cancel(other, LONG).equals("cancelled"), 20);
+            cluster.await(() -> cluster.cancel(follower, LONG_JOB_ID).equals("cancelled"), 20);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
             cluster.verifyRecovery(120);
         }
@@ -206,14 +206,15 @@
             cluster.submit(SimJobs.array(1, 1).put("expectS", 5.0));
             cluster.await(() -> cluster.running().size() == 1, 40);
             cluster.loop.run(4.9);
-            // From before the task's end to after its record, in steps of a message or two.
+            // The steps of 5 ms, a message or two, range from before the end of the task to after the write of its
+            // record.
             cluster.loop.run(step * 0.005);
-            String outcome = cluster.cancel(step % 2 == 0 ? cluster.follower() : cluster.leader(), LONG);
+            String outcome = cluster.cancel(step % 2 == 0 ? cluster.follower() : cluster.leader(), LONG_JOB_ID);
             assertTrue(outcome.equals("cancelled") || outcome.equals("done"), outcome);
-            assertEquals(outcome, cluster.poll(LONG));
+            assertEquals(outcome, cluster.poll(LONG_JOB_ID));
             assertEquals(
                     200, cluster.submit(cluster.follower(), SimJobs.array(1, 1).put("expectS", 5.0)));
-            assertEquals(outcome, cluster.cancel(cluster.follower(), LONG));
+            assertEquals(outcome, cluster.cancel(cluster.follower(), LONG_JOB_ID));
             cluster.verifyRecovery(40);
         }
     }
@@ -223,8 +224,8 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
         cluster.await(() -> cluster.hasBinding("j-000001"), 40);
-        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
-        assertEquals("cancelled", SimulatedCluster.stage(answer));
+        Response response = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
+        assertEquals("cancelled", SimulatedCluster.stage(response));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertTrue(cluster.running().isEmpty());
         assertFalse(cluster.hasBinding("j-000001"), "bindings of a cancelled job must be released");
@@ -240,8 +241,8 @@
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
         cluster.net.clearFaults();
-        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
-        assertEquals("cancelled", SimulatedCluster.stage(answer));
+        Response response = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
+        assertEquals("cancelled", SimulatedCluster.stage(response));
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 60);
         assertEquals(1, cluster.starts().size());
@@ -254,7 +255,7 @@
     void cancellationUnknownToLeaderPreventsTaskStart() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1));
-        // From here on the leader learns of no change of jobs; the machine is still booting.
+        // From here on the leader receives no changes of jobs; the machine is still booting.
         String leader = cluster.leader();
         cluster.nodes.isolateFromPeers(leader);
         cluster.net.injectFaults((from, to, call) ->
@@ -264,7 +265,8 @@
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         cluster.loop.run(20);
         assertTrue(
-                cluster.starts().isEmpty(), "the transaction of the binding must have failed on the job's comparison");
+                cluster.starts().isEmpty(),
+                "the binding transaction must have failed on its comparison of the job's record");
     }
 
     @Test
@@ -273,14 +275,14 @@
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
         cluster.nodes.crash(cluster.leader());
-        Response answer = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
-        assertEquals("cancelled", SimulatedCluster.stage(answer));
+        Response response = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
+        assertEquals("cancelled", SimulatedCluster.stage(response));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertTrue(cluster.running().isEmpty());
     }
 
     @Test
-    void pendingStartOfCancelledJobDeletesItsMachine() {
+    void machineWithUnansweredStartCommandOfCancelledJobIsDeleted() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 600.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
@@ -291,7 +293,9 @@
         }
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000002/abort");
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 5);
-        assertFalse(cluster.hasBinding("j-000002"), "released once the deletion of the machine is confirmed");
+        assertFalse(
+                cluster.hasBinding("j-000002"),
+                "the binding is released once the deletion of the machine is confirmed");
         cluster.net.deliverHeld();
         cluster.loop.run(5);
         assertTrue(cluster.starts().stream().noneMatch(start -> start.startsWith("j-000002")));
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -14,13 +14,14 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Two faults at once, each time at a moment that differs by a counted step. The simulated cluster checks the rules
- * throughout; {@link SimulatedCluster#verifyRecovery} then requires that every accepted job ends and is known to every node.
+ * Two concurrent faults, repeated with a step number that varies their times, their kinds or the random losses. The
+ * simulated cluster checks the rules throughout; {@link SimulatedCluster#verifyRecovery} then requires that every
+ * accepted job ends and is known to every node.
  */
 final class ConcurrentFaultsScenarioTest {
     private SimulatedCluster cluster;
 
-    private void atEachStep(int steps, IntConsumer scenario) {
+    private void forEachStep(int steps, IntConsumer scenario) {
         for (int step = 0; step < steps; step++) {
             cluster = new SimulatedCluster(3);
             cluster.awaitLeader(10);
@@ -33,10 +34,10 @@
         }
     }
 
-    private void startTasks(int number, int tasks, double seconds) {
-        int before = cluster.running().size();
-        cluster.submit(SimJobs.array(number, tasks).put("expectS", seconds));
-        cluster.await(() -> cluster.running().size() == before + tasks, 40);
+    private void startTasks(int jobNumber, int tasks, double durationS) {
+        int runningBefore = cluster.running().size();
+        cluster.submit(SimJobs.array(jobNumber, tasks).put("expectS", durationS));
+        cluster.await(() -> cluster.running().size() == runningBefore + tasks, 40);
     }
 
     private static boolean isMachine(String host) {
@@ -44,8 +45,8 @@
     }
 
     @Test
-    void quotaHoldsWhenLeaderChangesWithUnreachableMachines() {
-        atEachStep(6, step -> {
+    void quotaHoldsAcrossFailoverWithUnreachableMachine() {
+        forEachStep(6, step -> {
             startTasks(1, 2, 300);
             startTasks(2, 2, 40);
             SimWorker unreachable = cluster.cloud.workers().get(0);
@@ -64,15 +65,17 @@
     }
 
     @Test
-    void allJobsCompleteWhenLeaderCrashesAndMachinesReceiveNothing() {
-        atEachStep(6, step -> {
+    void allJobsCompleteAfterLeaderCrashWithUnreachableMachine() {
+        forEachStep(6, step -> {
             startTasks(1, 4, 60);
-            List<String> unreachable = List.of(cluster.cloud.workers().get(0).name());
+            List<String> unreachableMachines =
+                    List.of(cluster.cloud.workers().get(0).name());
             cluster.net.injectFaults((from, to, call) -> {
-                if (unreachable.contains(from)) {
+                if (unreachableMachines.contains(from)) {
                     return step % 2 == 0 ? Delivery.ANSWER_LOST : Delivery.LOST;
                 }
-                return isMachine(to.host()) && unreachable.contains(to.host().substring(7))
+                return isMachine(to.host())
+                                && unreachableMachines.contains(to.host().substring(7))
                         ? Delivery.LOST
                         : Delivery.DELIVERED;
             });
@@ -83,8 +86,8 @@
     }
 
     @Test
-    void mixedPrioritiesBeyondCapacityCompleteOverLossyNetwork() {
-        atEachStep(3, step -> {
+    void jobsOfMixedPrioritiesBeyondCapacityCompleteOverLossyNetwork() {
+        forEachStep(3, step -> {
             cluster.cloud.limitCapacity(2);
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.injectFaults(
@@ -100,7 +103,7 @@
 
     @Test
     void heartbeatsDelayedBeyondFailoverChangeNothing() {
-        atEachStep(8, step -> {
+        forEachStep(8, step -> {
             startTasks(1, 2, 20);
             SimWorker worker = cluster.cloud.workers().get(0);
             cluster.net.injectFaults(
@@ -118,7 +121,7 @@
 
     @Test
     void duplicateHeartbeatsArrivingLateChangeNothing() {
-        atEachStep(4, step -> {
+        forEachStep(4, step -> {
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.injectFaults((from, to, call) ->
                     from.startsWith("i-") && random.nextInt(10) < 4 ? Delivery.DUPLICATED_LATE : Delivery.DELIVERED);
@@ -136,10 +139,11 @@
 
     @Test
     void cancellationReachesMachinesThatCannotSendHeartbeats() {
-        atEachStep(6, step -> {
+        forEachStep(6, step -> {
             startTasks(1, 3, 60);
-            List<String> silent = cluster.cloud.machineNames();
-            cluster.net.injectFaults((from, to, call) -> silent.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
+            List<String> silentMachines = cluster.cloud.machineNames();
+            cluster.net.injectFaults(
+                    (from, to, call) -> silentMachines.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(step);
             cluster.submit(SimJobs.array(2, 1).put("expectS", 10.0));
             cluster.loop.run(1);
@@ -152,31 +156,32 @@
     }
 
     @Test
-    void machinesThatCannotSendHeartbeatsGetNoNewTasks() {
-        atEachStep(1, step -> {
+    void machinesThatCannotSendHeartbeatsReceiveNoNewTasks() {
+        forEachStep(1, step -> {
             startTasks(1, 3, 60);
-            List<String> silent = cluster.cloud.machineNames();
-            cluster.net.injectFaults((from, to, call) -> silent.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
+            List<String> silentMachines = cluster.cloud.machineNames();
+            cluster.net.injectFaults(
+                    (from, to, call) -> silentMachines.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(2.6 * SimulatedCluster.HEARTBEAT_INTERVAL_S);
-            // Their answers to the stop commands show that they receive commands; their leases expire all the same.
+            // Their answers to the stop commands show that they receive commands, but their leases still expire.
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
             cluster.await(() -> cluster.running().isEmpty(), 2);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 5.0));
             cluster.await(() -> cluster.starts().size() == 5, 40);
-            assertFalse(silent.contains(cluster.running().get("j-000002/0")));
-            assertFalse(silent.contains(cluster.running().get("j-000002/1")));
+            assertFalse(silentMachines.contains(cluster.running().get("j-000002/0")));
+            assertFalse(silentMachines.contains(cluster.running().get("j-000002/1")));
         });
     }
 
     /**
-     * Two tasks are being bound to a machine when the state service fails for longer than a lease. After the outage the
-     * worker rejects the first start command, which shows the leader its new incarnation, and the second task, recorded
-     * shortly after, starts in that incarnation. The machine sends no heartbeats yet: the age of the last heartbeat of the
-     * former incarnation is no proof that the task has stopped.
+     * Guards against the age of a former incarnation's last heartbeat counting as proof that a task of the new
+     * incarnation has stopped. Two tasks are being bound to a machine when the state service fails for longer than a
+     * lease. After the outage the worker rejects the first start command and thereby reports its new incarnation, in
+     * which the second task, recorded shortly after, starts before the machine sends any heartbeat.
      */
     @Test
     void tasksPushedToUnacknowledgedIncarnationAreNotReleased() {
-        atEachStep(30, step -> {
+        forEachStep(30, step -> {
             startTasks(1, 1, 3);
             cluster.await(() -> cluster.running().isEmpty(), 10);
             cluster.cloud.limitCapacity(cluster.cloud.machineCount());
@@ -187,11 +192,11 @@
             cluster.loop.run(0.3);
             cluster.submit(SimJobs.array(3, 1).put("expectS", 60.0));
             cluster.loop.run(0.3);
-            double outage = 2.5 * SimulatedCluster.LEASE_S + 0.07 * step;
-            cluster.state.outage(outage);
-            cluster.loop.run(outage - 1);
-            List<String> silent = cluster.cloud.machineNames();
-            cluster.net.injectFaults((from, to, call) -> silent.contains(from)
+            double outageS = 2.5 * SimulatedCluster.LEASE_S + 0.07 * step;
+            cluster.state.outage(outageS);
+            cluster.loop.run(outageS - 1);
+            List<String> silentMachines = cluster.cloud.machineNames();
+            cluster.net.injectFaults((from, to, call) -> silentMachines.contains(from)
                     ? Delivery.LOST
                     : call.target().equals("/txn") ? Delivery.SLOW : Delivery.DELIVERED);
             cluster.cloud.limitCapacity(Integer.MAX_VALUE);
@@ -202,7 +207,7 @@
 
     @Test
     void tasksEndingUnderDifferentLeadersCompleteTheirJobs() {
-        atEachStep(5, step -> {
+        forEachStep(5, step -> {
             cluster.cloud.limitCapacity(1);
             cluster.submit(SimJobs.array(1, 3).put("cpus", 8.0).put("expectS", 9.0));
             cluster.submit(SimJobs.array(2, 2).put("cpus", 8.0).put("expectS", 7.0));
@@ -214,42 +219,42 @@
     }
 
     @Test
-    void cancellationThroughNextLeaderHoldsWhenOldLeaderIsPartitioned() {
-        atEachStep(5, step -> {
+    void cancellationThroughFollowerHoldsWhileLeaderIsPartitioned() {
+        forEachStep(5, step -> {
             startTasks(1, 2, 600);
             startTasks(2, 1, 30);
-            String isolated = cluster.leader();
-            String other = cluster.follower();
-            cluster.nodes.isolateFromPeers(isolated);
-            cluster.net.refuseStateRequests(isolated, 25);
+            String isolatedLeader = cluster.leader();
+            String follower = cluster.follower();
+            cluster.nodes.isolateFromPeers(isolatedLeader);
+            cluster.net.refuseStateRequests(isolatedLeader, 25);
             cluster.loop.run(step * 3);
-            assertEquals("cancelled", cluster.cancel(other, "j-000001"));
+            assertEquals("cancelled", cluster.cancel(follower, "j-000001"));
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-            cluster.nodes.reconnectToPeers(isolated);
+            cluster.nodes.reconnectToPeers(isolatedLeader);
         });
     }
 
     @Test
     void repeatedFailoversThenCrashOfAllNodesLoseNoTask() {
-        atEachStep(6, step -> {
+        forEachStep(6, step -> {
             startTasks(1, 4, 40);
-            String first = cluster.leader();
-            cluster.net.refuseStateRequests(first, 9);
-            cluster.awaitLeaderOtherThan(first, 30);
-            String second = cluster.leader();
-            cluster.net.refuseStateRequests(second, 9);
-            cluster.awaitLeaderOtherThan(second, 30);
-            List<String> all = List.of("n0", "n1", "n2");
-            all.forEach(cluster.nodes::crash);
+            String firstLeader = cluster.leader();
+            cluster.net.refuseStateRequests(firstLeader, 9);
+            cluster.awaitLeaderOtherThan(firstLeader, 30);
+            String secondLeader = cluster.leader();
+            cluster.net.refuseStateRequests(secondLeader, 9);
+            cluster.awaitLeaderOtherThan(secondLeader, 30);
+            List<String> nodes = List.of("n0", "n1", "n2");
+            nodes.forEach(cluster.nodes::crash);
             cluster.loop.run(0.15 * step);
-            cluster.nodes.start(second);
+            cluster.nodes.start(secondLeader);
             cluster.loop.run(3);
         });
     }
 
     @Test
-    void transactionsAppliedLateOverwriteNothingNewer() {
-        atEachStep(6, step -> {
+    void delayedTransactionsOverwriteNoNewerValues() {
+        forEachStep(6, step -> {
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.injectFaults((from, to, call) ->
                     call.target().equals("/txn") && random.nextInt(10) < 3 ? Delivery.DELAYED : Delivery.DELIVERED);
@@ -269,7 +274,7 @@
 
     @Test
     void tenFailoversInTwoMinutesWithOutageMeetCancellationDeadline() {
-        atEachStep(4, step -> {
+        forEachStep(4, step -> {
             startTasks(1, 2, 600);
             cluster.submit(SimJobs.array(2, 6).put("expectS", 12.0));
             for (int i = 0; i < 10; i++) {
@@ -288,8 +293,8 @@
     }
 
     @Test
-    void jobsBoundToOneZoneSurviveLossOfAllMachines() {
-        atEachStep(4, step -> {
+    void jobsConstrainedToOneZoneSurviveLossOfAllMachines() {
+        forEachStep(4, step -> {
             cluster.submit(SimJobs.array(1, 3).put("samePlace", true).put("expectS", 15.0));
             cluster.submit(SimJobs.array(2, 1).put("grove", "z2").put("expectS", 15.0));
             cluster.await(() -> cluster.running().size() == 4, 60);
@@ -303,47 +308,48 @@
     }
 
     @Test
-    void partitionOfNodeAndMachinesBeyondLeaseLosesNoJob() {
-        atEachStep(4, step -> {
+    void partitionOfNodeAndMachineBeyondLeaseLosesNoJob() {
+        forEachStep(4, step -> {
             startTasks(1, 4, 50);
-            String inside = step % 2 == 0 ? cluster.leader() : cluster.follower();
-            List<String> zone = List.of(inside, cluster.cloud.workers().get(0).name());
-            cluster.nodes.isolateFromPeers(inside);
+            String partitionedNode = step % 2 == 0 ? cluster.leader() : cluster.follower();
+            List<String> partition =
+                    List.of(partitionedNode, cluster.cloud.workers().get(0).name());
+            cluster.nodes.isolateFromPeers(partitionedNode);
             cluster.net.injectFaults((from, to, call) -> {
-                boolean here = zone.contains(from);
-                boolean there =
-                        to.equals(SimulatedCluster.address(inside)) || to.equals(SimWorker.address(zone.get(1)));
-                return here == there ? Delivery.DELIVERED : Delivery.HELD;
+                boolean isFromPartition = partition.contains(from);
+                boolean isToPartition = to.equals(SimulatedCluster.address(partitionedNode))
+                        || to.equals(SimWorker.address(partition.get(1)));
+                return isFromPartition == isToPartition ? Delivery.DELIVERED : Delivery.HELD;
             });
             cluster.loop.run(3);
-            String outside = List.of("n0", "n1", "n2").stream()
-                    .filter(n -> !n.equals(inside))
+            String connectedNode = List.of("n0", "n1", "n2").stream()
+                    .filter(n -> !n.equals(partitionedNode))
                     .findFirst()
                     .orElseThrow();
             if (step >= 2) {
-                cluster.cancel(outside, "j-000001");
+                cluster.cancel(connectedNode, "j-000001");
             }
             cluster.loop.run(SimulatedCluster.LEASE_S + 10);
-            cluster.nodes.reconnectToPeers(inside);
+            cluster.nodes.reconnectToPeers(partitionedNode);
         });
     }
 
     @Test
-    void absenceOfAllNodesBeyondLeaseLosesNoJob() {
-        atEachStep(3, step -> {
+    void outageOfAllNodesBeyondLeaseLosesNoJob() {
+        forEachStep(3, step -> {
             startTasks(1, 2, 30);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 30.0));
             cluster.loop.run(step * 0.05);
-            List<String> all = List.of("n0", "n1", "n2");
-            all.forEach(cluster.nodes::crash);
+            List<String> nodes = List.of("n0", "n1", "n2");
+            nodes.forEach(cluster.nodes::crash);
             cluster.loop.run(SimulatedCluster.LEASE_S + 3);
-            all.forEach(cluster.nodes::start);
+            nodes.forEach(cluster.nodes::start);
         });
     }
 
     @Test
     void delayedCommandOrAcknowledgementStartsNoTaskTwice() {
-        atEachStep(6, step -> {
+        forEachStep(6, step -> {
             cluster.net.injectFaults((from, to, call) -> call.target().equals("/do")
                     ? step % 2 == 0 ? Delivery.HELD : Delivery.ANSWER_LOST
                     : Delivery.DELIVERED);
@@ -358,8 +364,8 @@
     }
 
     @Test
-    void lossyStateServiceThatRefusesLeaderMeetsCancellationDeadline() {
-        atEachStep(4, step -> {
+    void cancellationMeetsDeadlineWhileLossyStateServiceRefusesLeader() {
+        forEachStep(4, step -> {
             startTasks(1, 2, 600);
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.injectFaults((from, to, call) -> SimulatedCluster.isStateService(to) && random.nextInt(10) < 3
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -13,7 +13,7 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Failovers: tasks, leases and quota survive them, also where workers stay silent or the failover takes long. */
+/** Tasks, leases and quotas survive failovers, even if workers are silent or the failover takes long. */
 final class FailoverScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -25,17 +25,17 @@
                 SimState.isTransactionOn(call, "bound/") ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
-        String first = cluster.leader();
+        String firstLeader = cluster.leader();
         cluster.await(() -> cluster.hasBinding("j-000001"), 30);
-        assertTrue(cluster.starts().isEmpty(), "the start must come after the commit");
-        cluster.nodes.crash(first);
+        assertTrue(cluster.starts().isEmpty(), "no task may start before the leader knows of the commit");
+        cluster.nodes.crash(firstLeader);
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(1, cluster.starts().size());
     }
 
     @Test
-    void failoverWaitsForLeaseOfSilentWorker() {
+    void failoverWaitsForLeaseExpiryOfSilentWorker() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 25.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void quotaHoldsInFailoverWithSilentWorkers() {
+    void quotaHoldsDuringFailoverWithSilentWorkers() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 30.0));
         cluster.await(() -> cluster.running().size() == 4, 40); // the team's quota
@@ -72,15 +72,15 @@
     }
 
     @Test
-    void newLeaderGivesWorkersOneLeaseToFindIt() {
+    void newLeaderWaitsOneLeaseForWorkersToFindIt() {
         cluster.awaitLeader(10);
-        // One task fills the memory of a machine, so that most of the zone's four machines send heartbeats.
+        // One task fills the memory of a machine, so the zone has four machines, most of which send heartbeats.
         cluster.submit(SimJobs.array(1, 4).put("memGb", 20.0).put("grove", "z1").put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
         int machinesBefore = cluster.cloud.machineCount();
-        SimWorker slow = cluster.cloud.workers().get(0);
-        cluster.net.injectFaults(
-                (from, to, call) -> from.equals(slow.name()) || to.equals(SimWorker.address(slow.name()))
+        SimWorker silentWorker = cluster.cloud.workers().get(0);
+        cluster.net.injectFaults((from, to, call) ->
+                from.equals(silentWorker.name()) || to.equals(SimWorker.address(silentWorker.name()))
                         ? Delivery.LOST
                         : Delivery.DELIVERED);
         cluster.nodes.crashLeader(0.1);
@@ -93,11 +93,12 @@
     }
 
     /**
-     * Guards against leases that are assumed expired while they are valid: a new leader answers workers before it has read
-     * the machines, reads them only after more than a lease, and by then the machines cannot be reached.
+     * Guards against leases that are assumed expired while they are valid: a new leader answers workers before it has
+     * read the bindings of the machines, reads these only after more than a lease, and cannot reach the machines by
+     * then.
      */
     @Test
-    void leasesRenewedDuringFailoverDelayReleaseOfTheirTasks() {
+    void leasesRenewedDuringFailoverDelayTaskRelease() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 90.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -16,20 +16,23 @@
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Faults of nodes, elections and the state service, and what must hold in spite of them. */
+/** Faults of nodes, elections and the state service, and the guarantees that must hold despite them. */
 final class LeadershipScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-    /** Before that it could only reject workers, and their retries would overload it during start-up. */
+    /**
+     * A node that knows no leader can only reject workers, and their retries would overload it during start-up, so it
+     * is not ready until it knows the leader.
+     */
     @Test
-    void startingNodeIsReadyOnceItKnowsTheLeader() {
+    void startingNodeIsReadyOnceItKnowsLeader() {
         cluster.awaitLeader(10);
         cluster.await(() -> List.of("n0", "n1", "n2").stream().allMatch(cluster.nodes::isReady), 5);
         List.of("n0", "n1", "n2").forEach(cluster.nodes::crash);
         cluster.state.outage(8);
         cluster.nodes.start("n1");
         cluster.loop.run(7);
-        assertFalse(cluster.nodes.isReady("n1"), "without state service and peers it knows no leader");
+        assertFalse(cluster.nodes.isReady("n1"), "a node without state service and peers knows no leader");
         cluster.await(() -> cluster.nodes.isReady("n1"), 20);
     }
 
@@ -38,21 +41,21 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 200.0));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
-        String old = cluster.leader();
-        // The old leader's writes are held by the network; then it loses the state service altogether.
+        String oldLeader = cluster.leader();
+        // The network holds the old leader's writes; then the leader loses all access to the state service.
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(old) && call.target().equals("/txn") ? Delivery.HELD : Delivery.DELIVERED);
+                from.equals(oldLeader) && call.target().equals("/txn") ? Delivery.HELD : Delivery.DELIVERED);
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(old) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.awaitLeaderOtherThan(old, 30);
+                from.equals(oldLeader) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.awaitLeaderOtherThan(oldLeader, 30);
         cluster.await(() -> cluster.running().size() == 2, 60);
-        JsonNode leader = cluster.state.value("leader");
-        List<BindingsRecord.MachineBindings> machines = cluster.recordedBindings();
+        JsonNode leaderRecord = cluster.state.value("leader");
+        List<BindingsRecord.MachineBindings> bindings = cluster.recordedBindings();
         cluster.net.deliverHeld();
         cluster.loop.run(0.1);
-        assertEquals(leader, cluster.state.value("leader"));
-        assertEquals(machines, cluster.recordedBindings());
+        assertEquals(leaderRecord, cluster.state.value("leader"));
+        assertEquals(bindings, cluster.recordedBindings());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 300);
         assertEquals(2, cluster.starts().size());
     }
@@ -60,12 +63,12 @@
     @Test
     void leaderThatLosesStateServiceStopsAnsweringWorkers() {
         cluster.awaitLeader(10);
-        String old = cluster.leader();
+        String oldLeader = cluster.leader();
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(old) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.awaitLeaderOtherThan(old, 30);
-        Response answer = cluster.request(old, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
-        assertNotEquals(200, answer.status());
+                from.equals(oldLeader) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.awaitLeaderOtherThan(oldLeader, 30);
+        Response response = cluster.request(oldLeader, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
+        assertNotEquals(200, response.status());
     }
 
     @Test
@@ -105,14 +108,14 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
-        String old = cluster.leader();
+        String oldLeader = cluster.leader();
         cluster.net.injectFaults((from, to, call) -> {
-            boolean in = from.startsWith("i-") && to.equals(SimulatedCluster.address(old));
-            boolean out = from.equals(old) && call.target().equals("/do");
-            return in || out ? Delivery.LOST : Delivery.DELIVERED;
+            boolean isHeartbeat = from.startsWith("i-") && to.equals(SimulatedCluster.address(oldLeader));
+            boolean isCommand = from.equals(oldLeader) && call.target().equals("/do");
+            return isHeartbeat || isCommand ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertNotEquals(old, cluster.leader());
+        assertNotEquals(oldLeader, cluster.leader());
         assertEquals(2, cluster.starts().size(), "another leader answered before any lease expired");
     }
 
@@ -137,7 +140,7 @@
     void runningNodeReplacesRestartedLeaderImmediately() {
         cluster.awaitLeader(10);
         String leader = cluster.leader();
-        // Even if the other nodes learn of it later.
+        // Only the leader's messages are fast, so the other nodes learn of its restart late.
         cluster.net.injectFaults((from, to, call) -> from.equals(leader) ? Delivery.DELIVERED : Delivery.SLOW);
         cluster.nodes.crash(leader);
         cluster.nodes.start(leader);
@@ -153,7 +156,8 @@
         List.of("n0", "n1", "n2").forEach(cluster.nodes::crash);
         cluster.nodes.start(leader);
         cluster.loop.run(SimulatedCluster.LEASE_S / 4);
-        assertEquals(leader, cluster.leader(), "long before the lease of its former incarnation expires");
+        assertEquals(
+                leader, cluster.leader(), "must be elected long before the lease of its former incarnation expires");
     }
 
     @Test
@@ -175,19 +179,19 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
-        String old = cluster.leader();
-        String isolated = cluster.follower();
-        cluster.nodes.isolateFromPeers(isolated);
+        String oldLeader = cluster.leader();
+        String isolatedNode = cluster.follower();
+        cluster.nodes.isolateFromPeers(isolatedNode);
         cluster.net.injectFaults((from, to, call) ->
-                from.equals(isolated) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.loop.run(26); // past the end of its last watch
-        cluster.nodes.crash(old);
+                from.equals(isolatedNode) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
+        cluster.loop.run(26); // until after the end of its last watch
+        cluster.nodes.crash(oldLeader);
         cluster.awaitLeader(30);
-        assertNotEquals(isolated, cluster.leader());
-        cluster.loop.run(4); // a watch from before the partition was still answered
-        Response answer = cluster.request(isolated, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
-        assertEquals(503, answer.status(), "it must not redirect workers to a leader that it cannot confirm");
-        assertEquals(503, cluster.request(isolated, "GET", "/healthz").status());
+        assertNotEquals(isolatedNode, cluster.leader());
+        cluster.loop.run(4); // a watch opened before the partition was still answered
+        Response response = cluster.request(isolatedNode, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
+        assertEquals(503, response.status(), "a node must not redirect workers to a leader that it cannot confirm");
+        assertEquals(503, cluster.request(isolatedNode, "GET", "/healthz").status());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(2, cluster.starts().size(), "no lease expired");
     }
@@ -197,34 +201,36 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
-        String isolated = cluster.leader();
-        cluster.nodes.isolateFromPeers(isolated);
-        cluster.net.injectFaults((from, to, call) ->
-                from.equals(isolated) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.awaitLeaderOtherThan(isolated, 30);
+        String isolatedLeader = cluster.leader();
+        cluster.nodes.isolateFromPeers(isolatedLeader);
+        cluster.net.injectFaults((from, to, call) -> from.equals(isolatedLeader) && SimulatedCluster.isStateService(to)
+                ? Delivery.LOST
+                : Delivery.DELIVERED);
+        cluster.awaitLeaderOtherThan(isolatedLeader, 30);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(2, cluster.starts().size(), "no lease expired");
     }
 
     @Test
-    void restartedNodeLeadsDespiteLateElectionOfItsFormerIncarnation() {
-        SimulatedCluster late = new SimulatedCluster(1);
-        late.net.injectFaults((from, to, call) -> call.target().equals("/txn") ? Delivery.HELD : Delivery.DELIVERED);
-        while (late.net.heldCount() == 0) {
-            late.loop.run(0.01);
+    void restartedNodeLeadsDespiteLateElectionTransactionOfFormerIncarnation() {
+        SimulatedCluster singleNodeCluster = new SimulatedCluster(1);
+        singleNodeCluster.net.injectFaults(
+                (from, to, call) -> call.target().equals("/txn") ? Delivery.HELD : Delivery.DELIVERED);
+        while (singleNodeCluster.net.heldCount() == 0) {
+            singleNodeCluster.loop.run(0.01);
         }
-        late.nodes.crash("n0");
-        late.loop.run(0.05);
-        late.nodes.start("n0");
-        late.loop.run(0.3);
-        late.net.clearFaults();
-        late.net.deliverHeld();
-        late.loop.run(5);
-        assertEquals("n0", late.leader());
-        late.submit(SimJobs.array(1, 1));
-        late.loop.run(40);
-        assertEquals("done", late.poll("j-000001"));
-        assertEquals(1, late.starts().size());
+        singleNodeCluster.nodes.crash("n0");
+        singleNodeCluster.loop.run(0.05);
+        singleNodeCluster.nodes.start("n0");
+        singleNodeCluster.loop.run(0.3);
+        singleNodeCluster.net.clearFaults();
+        singleNodeCluster.net.deliverHeld();
+        singleNodeCluster.loop.run(5);
+        assertEquals("n0", singleNodeCluster.leader());
+        singleNodeCluster.submit(SimJobs.array(1, 1));
+        singleNodeCluster.loop.run(40);
+        assertEquals("done", singleNodeCluster.poll("j-000001"));
+        assertEquals(1, singleNodeCluster.starts().size());
     }
 
     @Test
@@ -264,23 +270,25 @@
     }
 
     @Test
-    void leaderWithExpiredLeaseDeletesNoMachineOfItsSuccessor() {
+    void leaderWithExpiredLeaseDeletesNoMachineOfSuccessor() {
         cluster.awaitLeader(10);
-        String old = cluster.leader();
-        AtomicBoolean requested = new AtomicBoolean();
-        AtomicBoolean requestedWithoutLease = new AtomicBoolean();
+        String oldLeader = cluster.leader();
+        AtomicBoolean deletionRequested = new AtomicBoolean();
+        AtomicBoolean deletionRequestedWithoutLease = new AtomicBoolean();
         cluster.net.injectFaults((from, to, call) -> {
-            boolean returns = from.equals(old) && call.target().equals("/hosts/delete");
-            requested.compareAndSet(false, returns);
-            requestedWithoutLease.compareAndSet(false, returns && !old.equals(cluster.leader()));
-            boolean watch = call.target().startsWith("/follow?starts=leader");
-            boolean isolated = from.equals(old) && (watch || (requested.get() && SimulatedCluster.isStateService(to)));
-            return returns || isolated ? Delivery.LOST : Delivery.DELIVERED;
+            boolean isDeletionRequest = from.equals(oldLeader) && call.target().equals("/hosts/delete");
+            deletionRequested.compareAndSet(false, isDeletionRequest);
+            deletionRequestedWithoutLease.compareAndSet(
+                    false, isDeletionRequest && !oldLeader.equals(cluster.leader()));
+            boolean isLeaderWatch = call.target().startsWith("/follow?starts=leader");
+            boolean isIsolated = from.equals(oldLeader)
+                    && (isLeaderWatch || (deletionRequested.get() && SimulatedCluster.isStateService(to)));
+            return isDeletionRequest || isIsolated ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.submit(SimJobs.array(1, 1));
-        cluster.await(() -> requested.get(), 120); // it will retry, as no answer arrives
-        cluster.awaitLeaderOtherThan(old, 30);
+        cluster.await(() -> deletionRequested.get(), 120); // the leader retries, as no answer arrives
+        cluster.awaitLeaderOtherThan(oldLeader, 30);
         cluster.loop.run(SimulatedCluster.LEASE_S);
-        assertFalse(requestedWithoutLease.get());
+        assertFalse(deletionRequestedWithoutLease.get());
     }
 }
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -15,7 +15,7 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Faults between the leader, the workers and the cloud, and what must hold in spite of them. */
+/** Faults between the leader, the workers and the cloud, and the guarantees that must hold despite them. */
 final class MachineScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -25,18 +25,19 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 30.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         cluster.loop.run(3);
-        BindingsRecord.MachineBindings on = cluster.recordedBindings().get(0);
-        ObjectNode stale = SimJobs.heartbeat(on.name(), 1);
-        stale.put("warrant", cluster.state.value("leader").path("term").asLong());
-        stale.withArray("parts")
+        BindingsRecord.MachineBindings machine = cluster.recordedBindings().get(0);
+        ObjectNode staleHeartbeat = SimJobs.heartbeat(machine.name(), 1);
+        staleHeartbeat.put("warrant", cluster.state.value("leader").path("term").asLong());
+        staleHeartbeat
+                .withArray("parts")
                 .addObject()
                 .put("part", "j-000001/0")
-                .put("try", on.bound().get(0).attempt())
+                .put("try", machine.bound().get(0).attempt())
                 .put("stage", "ended")
                 .put("cause", "done");
-        cluster.request(cluster.leader(), "POST", "/hello", stale);
+        cluster.request(cluster.leader(), "POST", "/hello", staleHeartbeat);
         cluster.loop.run(3);
-        assertEquals("running", cluster.poll("j-000001"), "not done before its task is");
+        assertEquals("running", cluster.poll("j-000001"), "a job must not be done before its task has ended");
     }
 
     @Test
@@ -45,7 +46,7 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
-        // Its heartbeats are held until its lease has expired and the task runs elsewhere.
+        // The worker's heartbeats are held until its lease has expired and the task runs on another machine.
         cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.HELD : Delivery.DELIVERED);
         cluster.await(() -> cluster.starts().size() == 2, 60);
         cluster.net.clearFaults();
@@ -55,22 +56,22 @@
     }
 
     @Test
-    void lostAnswerToLaunchRequestLaunchesNothingTwice() {
+    void lostLaunchAnswerLaunchesNoMachineTwice() {
         cluster.awaitLeader(10);
-        AtomicInteger lost = new AtomicInteger();
+        AtomicInteger launchCalls = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) ->
-                call.target().equals("/hosts") && call.method().equals("POST") && lost.getAndIncrement() < 2
+                call.target().equals("/hosts") && call.method().equals("POST") && launchCalls.getAndIncrement() < 2
                         ? Delivery.ANSWER_LOST
                         : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         cluster.loop.run(10);
-        assertEquals(3, lost.get(), "the request is retried until it is answered");
+        assertEquals(3, launchCalls.get(), "the request is retried until it is answered");
         assertEquals(1, cluster.cloud.machineCount());
     }
 
     @Test
-    void startCommandDeliveredMinutesLateStartsNothingAgain() {
+    void startCommandDeliveredMinutesLateStartsNoTaskAgain() {
         cluster.awaitLeader(10);
         cluster.net.injectFaults((from, to, call) -> call.target().equals("/do") ? Delivery.HELD : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 3.0));
@@ -82,7 +83,7 @@
         cluster.net.clearFaults();
         cluster.net.deliverHeld();
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 120);
-        assertEquals(2, cluster.starts().size(), "each started once, by the answer to a heartbeat");
+        assertEquals(2, cluster.starts().size(), "each task started once, by the answer to a heartbeat");
     }
 
     @Test
@@ -107,11 +108,13 @@
                 () -> cluster.poll("j-000001").equals("done")
                         && cluster.poll("j-000002").equals("done"),
                 120);
-        assertFalse(cluster.cloud.workers().contains(faulty), "two jobs failed on it");
+        assertFalse(
+                cluster.cloud.workers().contains(faulty),
+                "a machine on which tasks of two jobs failed must be replaced");
     }
 
     @Test
-    void machineWithInterruptionNoticeGetsNoNewTasks() {
+    void machineWithInterruptionNoticeReceivesNoNewTasks() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
@@ -124,7 +127,7 @@
         assertFalse(cluster.starts().get(1).endsWith(worker.name()));
     }
 
-    /** From now on the worker's heartbeats arrive, and no answer or command reaches it. */
+    /** Drops all answers and commands to the worker; its heartbeats still arrive. */
     private void dropMessagesTo(SimWorker worker) {
         cluster.net.injectFaults((from, to, call) -> {
             if (from.equals(worker.name())) {
@@ -182,8 +185,8 @@
             if (from.equals(unreachable.name())) {
                 return Delivery.ANSWER_LOST;
             }
-            boolean lost = to.equals(SimWorker.address(unreachable.name())) || SimulatedCluster.isCloud(to);
-            return lost ? Delivery.LOST : Delivery.DELIVERED;
+            boolean isLost = to.equals(SimWorker.address(unreachable.name())) || SimulatedCluster.isCloud(to);
+            return isLost ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.await(() -> cluster.completed().size() == 4, 150);
     }
@@ -197,21 +200,21 @@
         cluster.net.injectFaults(
                 (from, to, call) -> from.equals(worker.name()) ? Delivery.DUPLICATED : Delivery.DELIVERED);
         cluster.loop.run(12);
-        String old = cluster.leader();
+        String oldLeader = cluster.leader();
         cluster.cloud.crash(worker);
-        cluster.nodes.crash(old);
+        cluster.nodes.crash(oldLeader);
         cluster.net.clearFaults();
-        // The duplicates were addressed to the old leader, which runs again by now and may lead again.
-        cluster.nodes.start(old);
+        // The duplicates are addressed to the old leader, which has been restarted and may lead again.
+        cluster.nodes.start(oldLeader);
         cluster.awaitLeader(30);
-        double leaseFrom = cluster.loop.nanos() / 1e9;
+        double leaderElectedAtS = cluster.loop.nanos() / 1e9;
         while (cluster.net.heldCount() > 0) {
             cluster.net.deliverOldestHeld();
             cluster.loop.run(2);
         }
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(2, cluster.starts().size());
-        assertTrue(cluster.loop.nanos() / 1e9 - leaseFrom < 3 * SimulatedCluster.LEASE_S + 20);
+        assertTrue(cluster.loop.nanos() / 1e9 - leaderElectedAtS < 3 * SimulatedCluster.LEASE_S + 20);
     }
 
     @Test
@@ -225,9 +228,9 @@
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 40);
         cluster.await(() -> cluster.cloud.machineCount() == 0, 120);
         cluster.net.clearFaults();
-        String old = cluster.leader();
-        cluster.nodes.crash(old);
-        cluster.nodes.start(old);
+        String oldLeader = cluster.leader();
+        cluster.nodes.crash(oldLeader);
+        cluster.nodes.start(oldLeader);
         cluster.awaitLeader(30);
         int deletionRequests = cluster.cloud.deletionRequests();
         cluster.net.deliverHeld();
@@ -235,7 +238,7 @@
         assertEquals(
                 deletionRequests,
                 cluster.cloud.deletionRequests(),
-                "no leader took the deleted machine for a running one");
+                "no leader may treat the deleted machine as running");
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 30);
     }
@@ -251,7 +254,7 @@
     }
 
     @Test
-    void machineHungForLessThanALeaseExecutesPendingCommands() {
+    void machineHungShorterThanLeaseExecutesPendingCommands() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 1, 30);
@@ -270,22 +273,22 @@
     }
 
     @Test
-    void machinesHungForLongerThanALeaseStartNothingTwice() {
+    void machinesHungLongerThanLeaseStartNoTaskTwice() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 3).put("expectS", 40.0));
         cluster.await(() -> cluster.running().size() == 3, 30);
-        List<SimWorker> hung = List.copyOf(cluster.cloud.workers());
-        hung.forEach(SimWorker::hang);
-        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // its start command is in flight to one of them
+        List<SimWorker> hungMachines = List.copyOf(cluster.cloud.workers());
+        hungMachines.forEach(SimWorker::hang);
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // its start command is in flight to a hung machine
         cluster.loop.run(2 * SimulatedCluster.LEASE_S + 5);
-        hung.forEach(SimWorker::resume);
+        hungMachines.forEach(SimWorker::resume);
         cluster.await(() -> cluster.completed().size() == 4, 200);
         // The simulated cluster fails the scenario when a task is on two machines.
         assertEquals("done", cluster.poll("j-000001"));
         assertEquals("done", cluster.poll("j-000002"));
     }
 
-    /** Guards against a task that is never placed again because an unrecorded copy of it was stopped but not released. */
+    /** Guards against a task that is never placed again because its unrecorded copy is stopped but not released. */
     @Test
     void unrecordedTaskIsStoppedAndRunsWhereItIsBound() {
         cluster.cloud.limitCapacity(1);
@@ -296,7 +299,7 @@
         cluster.loop.run(2);
         cluster.cloud.workers().get(0).startUnboundTask("j-000002/0", 7);
         cluster.loop.run(5);
-        assertEquals(2, cluster.running().size(), "stopped");
+        assertEquals(2, cluster.running().size(), "the unrecorded copy must be stopped");
         cluster.verifyRecovery(120);
     }
 }
--- a/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
@@ -8,31 +8,31 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Nodes whose process is paused while its clocks run on: none of them acts on a lease that expired meanwhile. */
+/** Node processes are paused while clocks run on: no node may act on a lease that expired during its pause. */
 final class PausedNodeScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
-    void leaderPausedForLongerThanALeaseIsReplaced() {
+    void leaderPausedLongerThanLeaseIsReplaced() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 2, 40);
-        String old = cluster.leader();
+        String oldLeader = cluster.leader();
         // A job is accepted, and its binding is about to be written, when the leader is paused.
         cluster.submit(SimJobs.array(2, 1).put("expectS", 5.0));
-        cluster.nodes.pause(old, 2 * SimulatedCluster.LEASE_S);
+        cluster.nodes.pause(oldLeader, 2 * SimulatedCluster.LEASE_S);
         cluster.loop.run(SimulatedCluster.LEASE_S);
-        assertNotEquals(old, cluster.leader());
-        Response answer = cluster.request(cluster.leader(), "POST", "/api/jobs/j-000002/abort");
-        String outcome = SimulatedCluster.stage(answer);
+        assertNotEquals(oldLeader, cluster.leader());
+        Response response = cluster.request(cluster.leader(), "POST", "/api/jobs/j-000002/abort");
+        String outcome = SimulatedCluster.stage(response);
         int deletionRequests = cluster.cloud.deletionRequests();
         cluster.loop.run(SimulatedCluster.LEASE_S + 1);
-        assertNotEquals(old, cluster.leader(), "its knowledge from before the pause is stale");
+        assertNotEquals(oldLeader, cluster.leader(), "the state that it read before the pause is stale");
         assertEquals(
                 deletionRequests,
                 cluster.cloud.deletionRequests(),
-                "missed heartbeats of its own pause are not counted");
-        assertEquals(outcome, SimulatedCluster.stage(cluster.request(old, "GET", "/api/jobs/j-000002")));
+                "heartbeats missed during its own pause are not counted");
+        assertEquals(outcome, SimulatedCluster.stage(cluster.request(oldLeader, "GET", "/api/jobs/j-000002")));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(
                 2,
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void leaderPausedForLessThanALeaseKeepsLeading() {
+    void leaderPausedShorterThanLeaseKeepsLeading() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
@@ -55,26 +55,26 @@
         assertEquals(
                 deletionRequests,
                 cluster.cloud.deletionRequests(),
-                "missed heartbeats of its own pause are not counted");
+                "heartbeats missed during its own pause are not counted");
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(4, cluster.starts().size());
     }
 
     @Test
-    void nodePausedInElectionOrFailoverDoesNotLeadAfterwards() {
+    void nodePausedDuringElectionOrFailoverDoesNotLeadAfterwards() {
         for (int step = 0; step < 12; step++) {
-            SimulatedCluster fresh = new SimulatedCluster(2);
-            fresh.loop.run(0.0004 * step * step); // somewhere between its first request and the end of its failover
-            fresh.nodes.pause("n1", 3 * SimulatedCluster.LEASE_S);
-            fresh.nodes.pause("n0", 0.5);
-            fresh.loop.run(10);
-            assertEquals("n0", fresh.leader(), "step " + step);
-            fresh.submit(SimJobs.array(1, 1).put("expectS", 60.0));
-            fresh.loop.run(3 * SimulatedCluster.LEASE_S);
-            assertEquals("n0", fresh.leader(), "step " + step);
-            fresh.loop.run(60);
-            assertEquals("done", fresh.poll("j-000001"));
-            assertEquals(1, fresh.starts().size());
+            SimulatedCluster twoNodeCluster = new SimulatedCluster(2);
+            twoNodeCluster.loop.run(0.0004 * step * step); // between its first request and the end of its failover
+            twoNodeCluster.nodes.pause("n1", 3 * SimulatedCluster.LEASE_S);
+            twoNodeCluster.nodes.pause("n0", 0.5);
+            twoNodeCluster.loop.run(10);
+            assertEquals("n0", twoNodeCluster.leader(), "step " + step);
+            twoNodeCluster.submit(SimJobs.array(1, 1).put("expectS", 60.0));
+            twoNodeCluster.loop.run(3 * SimulatedCluster.LEASE_S);
+            assertEquals("n0", twoNodeCluster.leader(), "step " + step);
+            twoNodeCluster.loop.run(60);
+            assertEquals("done", twoNodeCluster.poll("j-000001"));
+            assertEquals(1, twoNodeCluster.starts().size());
         }
     }
 }
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -22,9 +22,9 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Services: their replicas run until the job is cancelled, wherever there is capacity, and never twice at a time. */
+/** Replicas of services run until the job is cancelled, on any machine with capacity, and never twice concurrently. */
 final class ServiceScenarioTest {
-    private static final String ID = "j-000001";
+    private static final String SERVICE_ID = "j-000001";
     private final SimulatedCluster cluster = SimulatedCluster.withFallingLimits(3);
 
     private void startService(int replicas) {
@@ -46,119 +46,119 @@
     void serviceRunsUntilCancelledAndIsNeverDone() throws BadMessageException {
         startService(3);
         cluster.loop.run(120);
-        Response poll = cluster.request("n0", "GET", "/api/jobs/" + ID);
-        JsonNode body = Json.object(poll.body());
+        Response response = cluster.request("n0", "GET", "/api/jobs/" + SERVICE_ID);
+        JsonNode body = Json.object(response.body());
         assertEquals("running", body.path("stage").asText());
         assertEquals(3, body.path("running").asInt());
         assertEquals(0, body.path("done").asInt());
         assertEquals(3, cluster.starts().size(), "no replica was stopped");
         assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeated submission is idempotent");
-        assertEquals("cancelled", cluster.cancel("n1", ID));
+        assertEquals("cancelled", cluster.cancel("n1", SERVICE_ID));
         cluster.await(() -> cluster.replicas(1) == 0, SimulatedCluster.CANCELLATION_DEADLINE_S);
         cluster.verifyRecovery(60);
     }
 
-    /** A replica that a worker reports as done restarts, under the leader that started it and under a later one. */
+    /** A replica that its worker reports as done is started again, by the leader that started it or by a later one. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void replicaThatEndsRunsAgain(boolean underTheNextLeader) {
+    void endedReplicaIsStartedAgain(boolean underNextLeader) {
         startService(2);
-        SimWorker worker = workerOf(ID + "/0");
+        SimWorker worker = workerOf(SERVICE_ID + "/0");
         worker.endReplicas("done");
-        if (underTheNextLeader) {
+        if (underNextLeader) {
             cluster.nodes.crashLeader(3);
         }
         cluster.await(() -> cluster.replicas(1) < 2, 10);
         cluster.await(() -> cluster.replicas(1) == 2, 60);
         cluster.loop.run(10);
-        assertEquals("running", cluster.poll(ID));
+        assertEquals("running", cluster.poll(SERVICE_ID));
         cluster.verifyRecovery(60);
     }
 
-    /** One machine fails all its tasks: replicas run elsewhere, and few of them are placed on it. */
+    /** One machine fails all its tasks: replicas run on other machines, and few are placed on the faulty one. */
     @Test
-    void machineThatFailsReplicasGetsFewOfThem() {
+    void machineThatFailsReplicasReceivesFewStarts() {
         startService(2);
-        SimWorker faulty = workerOf(ID + "/0");
+        SimWorker faulty = workerOf(SERVICE_ID + "/0");
         faulty.setBehaviour(SimWorker.Behaviour.FAILS);
         faulty.endReplicas("error");
         cluster.loop.run(30);
-        long there = cluster.starts().stream()
+        long startsOnFaultyMachine = cluster.starts().stream()
                 .filter(s -> s.endsWith("@" + faulty.name()))
                 .count();
-        assertTrue(there <= 4, "starts on the faulty machine: " + there);
+        assertTrue(startsOnFaultyMachine <= 4, "starts on the faulty machine: " + startsOnFaultyMachine);
         cluster.await(() -> cluster.replicas(1) == 2, 40);
     }
 
-    /** A misconfigured service ends immediately wherever it starts: its restarts must not overload the leader. */
+    /** A misconfigured service ends immediately on every machine: its restarts must not overload the leader. */
     @Test
-    void serviceThatEndsImmediatelyEverywhereBacksOff() {
+    void serviceThatEndsImmediatelyOnEveryMachineBacksOff() {
         startService(2);
         cluster.cloud.setBehaviour(SimWorker.Behaviour.ENDS_SERVICES);
         cluster.cloud.workers().forEach(w -> w.endReplicas("done"));
-        int before = cluster.starts().size();
+        int startsBefore = cluster.starts().size();
         cluster.loop.run(300);
-        int starts = cluster.starts().size() - before;
+        int starts = cluster.starts().size() - startsBefore;
         assertTrue(starts > 2 && starts < 60, starts + " starts in 300 s");
         cluster.submit(SimJobs.array(2, 2));
         cluster.await(() -> cluster.completed().size() >= 2, 60);
-        assertEquals("cancelled", cluster.cancel("n0", ID));
+        assertEquals("cancelled", cluster.cancel("n0", SERVICE_ID));
         cluster.verifyRecovery(120);
     }
 
     @Test
     void replicaOfCrashedMachineRunsOnAnotherMachine() {
         startService(2);
-        SimWorker lost = workerOf(ID + "/0");
-        cluster.cloud.crash(lost);
+        SimWorker crashed = workerOf(SERVICE_ID + "/0");
+        cluster.cloud.crash(crashed);
         cluster.await(() -> cluster.replicas(1) == 2, 60);
-        assertFalse(cluster.running().containsValue(lost.name()));
+        assertFalse(cluster.running().containsValue(crashed.name()));
         cluster.verifyRecovery(60);
     }
 
-    /** On an interruption notice a replica moves as soon as there is capacity elsewhere, and not before. */
+    /** After an interruption notice a replica moves as soon as another machine has capacity, and not before. */
     @Test
     void replicaMovesOnInterruptionNoticeOnceCapacityExists() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimJobs.service(1, 1).put("windfall", true));
         cluster.await(() -> cluster.replicas(1) == 1, 40);
-        SimWorker leaving = workerOf(ID + "/0");
-        leaving.announceInterruption(60);
-        cluster.await(() -> cluster.replicas(1) == 1 && !cluster.running().containsValue(leaving.name()), 50);
+        SimWorker interrupted = workerOf(SERVICE_ID + "/0");
+        interrupted.announceInterruption(60);
+        cluster.await(() -> cluster.replicas(1) == 1 && !cluster.running().containsValue(interrupted.name()), 50);
         assertEquals(2, cluster.starts().size());
     }
 
-    /** The leader crashes during such a move, at any step of it. */
+    /** The leader crashes at different times while a replica moves after an interruption notice. */
     @ParameterizedTest
     @ValueSource(doubles = {0.1, 0.6, 1.2, 1.8, 2.4, 3.0})
-    void replicaMoveSurvivesLeaderCrash(double afterS) {
+    void replicaMoveSurvivesLeaderCrash(double crashDelayS) {
         startService(2);
         cluster.submit(SimJobs.service(2, 2).put("windfall", true));
         cluster.await(() -> cluster.replicas(2) == 2, 40);
-        SimWorker leaving = workerOf("j-000002/0");
-        leaving.announceInterruption(40);
-        cluster.loop.run(afterS);
+        SimWorker interrupted = workerOf("j-000002/0");
+        interrupted.announceInterruption(40);
+        cluster.loop.run(crashDelayS);
         cluster.nodes.crashLeader(3);
-        cluster.await(() -> !cluster.running().containsValue(leaving.name()), 60);
+        cluster.await(() -> !cluster.running().containsValue(interrupted.name()), 60);
         cluster.verifyRecovery(90);
     }
 
-    /** A service is cancelled while a replica moves. */
+    /** A service is cancelled at different times while a replica moves after an interruption notice. */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 0.8, 1.4, 2.0, 3.0})
-    void cancellationDuringReplicaMoveStopsService(double afterS) {
+    void cancellationDuringReplicaMoveStopsService(double cancelDelayS) {
         startService(2);
-        workerOf(ID + "/0").announceInterruption(40);
-        cluster.loop.run(afterS);
-        assertEquals("cancelled", cluster.cancel("n2", ID));
+        workerOf(SERVICE_ID + "/0").announceInterruption(40);
+        cluster.loop.run(cancelDelayS);
+        assertEquals("cancelled", cluster.cancel("n2", SERVICE_ID));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertEquals(0, cluster.replicas(1));
         cluster.verifyRecovery(60);
     }
 
-    /** All nodes are down for longer than a lease: the workers stop their tasks, which then run again. */
+    /** All nodes are down for longer than a lease: the workers stop their tasks, which must start again afterwards. */
     @Test
-    void servicesRestartAfterAbsenceOfAllNodes() {
+    void servicesRestartAfterOutageOfAllNodes() {
         startService(3);
         for (String node : List.of("n0", "n1", "n2")) {
             cluster.nodes.crash(node);
@@ -169,17 +169,17 @@
         assertEquals(3, cluster.replicas(1));
     }
 
-    /** Its machine sends no heartbeats but receives commands: the replica must not start elsewhere too soon. */
+    /** A machine sends no heartbeats but receives commands: its replica must not start elsewhere while it runs. */
     @Test
-    void replicaOnSilentMachineRunsOnceAtATime() {
+    void replicaOnSilentMachineNeverRunsTwiceConcurrently() {
         startService(2);
-        SimWorker silent = workerOf(ID + "/0");
+        SimWorker silent = workerOf(SERVICE_ID + "/0");
         cluster.net.injectFaults((from, to, call) -> from.equals(silent.name()) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(60);
         cluster.verifyRecovery(60);
     }
 
-    /** If tasks of lower priority take all the capacity, a service preempts some of them. */
+    /** If tasks of lower priority use all the capacity, a service preempts some of them. */
     @Test
     void servicePreemptsLowerPriorityTasks() {
         cluster.cloud.limitCapacity(2);
@@ -202,7 +202,7 @@
         cluster.await(() -> cluster.replicas(1) == 2, 40);
     }
 
-    /** Replicas are spread over zones as the job asks, and over machines. */
+    /** Replicas are spread over zones, as the job requests, and over machines. */
     @Test
     void replicasAreSpreadOverMachines() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
@@ -216,16 +216,16 @@
         assertTrue(machines.size() >= 2, machines.toString());
     }
 
-    /** The state service lowers its limits while services run, start and move; no write ever exceeds them. */
+    /** The state service lowers its limits while services run, start and move: no write may exceed the limits. */
     @Test
-    void loweredStateLimitsAreKeptWhileServicesRun() {
+    void loweredStateServiceLimitsAreNotExceededWhileServicesRun() {
         startService(3);
         cluster.submit(SimJobs.array(2, 5).put("cpus", 1.0).put("expectS", 15.0));
         cluster.loop.run(4);
         cluster.lowerLimits();
         cluster.nodes.crashLeader(2);
         cluster.submit("n1", SimJobs.service(3, 2));
-        cluster.cloud.crash(workerOf(ID + "/1"));
+        cluster.cloud.crash(workerOf(SERVICE_ID + "/1"));
         cluster.verifyRecovery(120);
         assertEquals(0, cluster.state.rejectedTransactions());
         assertTrue(cluster.state.largestTransactionOps() <= 4);
@@ -238,17 +238,17 @@
         "parts, 9, 422", "cpus, 9, 422", "crew, \"nobody\", 422", "grove, \"z9\", 422", "dueS, 30, 201",
         "dueS, -1, 400", "samePlace, true, 201", "markEveryS, 10, 201"
     })
-    void submissionsOfServicesAreValidated(String field, String value, int status) throws BadMessageException {
+    void serviceSubmissionFieldsAreValidated(String field, String value, int status) throws BadMessageException {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
-        JsonNode given = value == null
+        JsonNode fieldValue = value == null
                 ? Json.object().nullNode()
                 : Json.object(("{\"v\":" + value + "}").getBytes(StandardCharsets.UTF_8))
                         .get("v");
-        assertEquals(status, cluster.submit(SimJobs.service(1, 2).set(field, given)));
-        assertEquals(status == 201, cluster.state.value("job/" + ID) != null);
+        assertEquals(status, cluster.submit(SimJobs.service(1, 2).set(field, fieldValue)));
+        assertEquals(status == 201, cluster.state.value("job/" + SERVICE_ID) != null);
     }
 
-    /** Batch jobs and services run side by side. */
+    /** Batch jobs complete beside running services. */
     @Test
     void batchJobsAreNotStarvedByServices() {
         startService(4);
@@ -261,7 +261,7 @@
                 90);
         assertEquals(4, cluster.replicas(1));
         assertEquals(
-                Set.of(ID),
+                Set.of(SERVICE_ID),
                 cluster.running().keySet().stream().map(t -> t.split("/")[0]).collect(Collectors.toSet()));
     }
 }
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -17,18 +17,19 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * The version in production, as the deploy file names it, is replaced node by node while it serves. The old nodes run its
- * own code, built from the history. {@link SimulatedCluster} checks the rules throughout.
+ * Rolling upgrades from the version in production, which the deploy file names, while the cluster serves requests.
+ * Nodes of that version run its own code, built from the repository's history. {@link SimulatedCluster} checks the
+ * rules throughout.
  */
 final class UpgradeScenarioTest {
-    private static final String LEVEL = "feature-level";
+    private static final String FEATURE_LEVEL_KEY = "feature-level";
     private final SimulatedCluster cluster = SimulatedCluster.inProduction(3);
 
     private void awaitLeader() {
         cluster.awaitLeader(30);
     }
 
-    /** The nodes with the leader at this index; the others keep their order. */
+    /** Returns all nodes with the leader at this index; the others keep their order. */
     private List<String> nodesWithLeaderAt(int index) {
         List<String> order = new ArrayList<>(List.of("n0", "n1", "n2"));
         order.remove(cluster.leader());
@@ -36,19 +37,19 @@
         return order;
     }
 
-    private void upgradeAll(double apartS) {
+    private void upgradeAll(double intervalS) {
         for (String node : List.of("n0", "n1", "n2")) {
             cluster.nodes.upgrade(node, 3);
-            cluster.loop.run(apartS);
+            cluster.loop.run(intervalS);
         }
         awaitLeader();
     }
 
-    private boolean isLevelRaised() {
-        return cluster.state.value(LEVEL) != null;
+    private boolean isFeatureLevelRaised() {
+        return cluster.state.value(FEATURE_LEVEL_KEY) != null;
     }
 
-    /** No task or completion is lost or duplicated, at whatever position of the upgrade the leader is replaced. */
+    /** No task or completion is lost or duplicated, whether the leader is upgraded first, second or last. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
     void rollingUpgradeLosesNoTask(int leaderIndex) {
@@ -62,45 +63,47 @@
         }
         cluster.verifyRecovery(200);
         assertEquals(14, cluster.starts().size(), "each task started once");
-        cluster.await(this::isLevelRaised, 10);
+        cluster.await(this::isFeatureLevelRaised, 10);
     }
 
-    /** Leaders of the old and the new version alternate: each continues from the records of the other. */
+    /** Leaders of the old and the new version alternate; each continues from the records of the other version. */
     @Test
     void leadershipMovesBetweenOldAndNewVersions() {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 2).put("expectS", 120.0));
         cluster.submit(SimJobs.array(2, 20).put("expectS", 4.0));
-        List<Boolean> versions = new ArrayList<>();
+        List<Boolean> ledByProductionVersion = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             cluster.loop.run(7);
             awaitLeader();
             String leader = cluster.leader();
-            versions.add(cluster.nodes.runsProductionVersion(leader));
+            ledByProductionVersion.add(cluster.nodes.runsProductionVersion(leader));
             if (leader.equals("n2")) {
-                cluster.nodes.crashLeader(12); // it keeps the old version
+                cluster.nodes.crashLeader(12); // n2 keeps the old version
             } else if (cluster.nodes.runsProductionVersion(leader)) {
                 cluster.nodes.upgrade(leader, 12);
             } else {
                 cluster.nodes.downgrade(leader, 12);
             }
             awaitLeader();
-            assertFalse(isLevelRaised(), "an old node is among the members");
+            assertFalse(isFeatureLevelRaised(), "a member still runs the old version");
         }
-        assertTrue(versions.contains(true) && versions.contains(false), "both versions led: " + versions);
+        assertTrue(
+                ledByProductionVersion.contains(true) && ledByProductionVersion.contains(false),
+                "both versions led: " + ledByProductionVersion);
         cluster.verifyRecovery(240);
         assertEquals(22, cluster.starts().size(), "each task started once");
     }
 
-    /** A cancellation that one version confirmed holds under the next leader of the other. */
+    /** A cancellation confirmed by one version stays in force under the next leader of the other version. */
     @Test
-    void cancellationSurvivesChangeOfVersion() {
+    void cancellationSurvivesLeaderVersionChange() {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 4).put("expectS", 300.0));
         cluster.await(() -> cluster.running().size() == 4, 40);
-        String old = cluster.leader();
+        String oldLeader = cluster.leader();
         assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
-        cluster.nodes.upgrade(old, 1);
+        cluster.nodes.upgrade(oldLeader, 1);
         awaitLeader();
         cluster.await(() -> cluster.running().isEmpty(), 30);
         cluster.submit(SimJobs.array(2, 4).put("expectS", 300.0));
@@ -115,7 +118,7 @@
         cluster.verifyRecovery(120);
     }
 
-    /** A service's record would be unreadable to an old node, so it is accepted only when none is left. */
+    /** Nodes of the old version cannot read a service's record, so services are accepted once all are upgraded. */
     @Test
     void serviceIsAcceptedOnceEveryNodeIsUpgraded() {
         awaitLeader();
@@ -125,32 +128,32 @@
         cluster.loop.run(8);
         Response refusal = cluster.request("n0", "POST", "/api/jobs", SimJobs.service(1, 3));
         assertEquals(503, refusal.status());
-        assertTrue(refusal.retryAfterS() > 0, "the answer names a time to retry after");
+        assertTrue(refusal.retryAfterS() > 0, "the response must contain a retry delay");
         assertNull(cluster.state.value("job/j-000001"));
         cluster.nodes.upgrade("n2", 2);
-        cluster.await(this::isLevelRaised, 30);
+        cluster.await(this::isFeatureLevelRaised, 30);
         assertEquals(201, cluster.submit("n1", SimJobs.service(1, 3)));
         cluster.await(() -> cluster.replicas(1) == 3, 40);
         cluster.verifyRecovery(60);
     }
 
-    /** A node that crashes before its upgrade restarts with the old version: the level must not rise before it. */
+    /** A node that crashes before its upgrade restarts with the old version; until its upgrade the level must stay. */
     @Test
-    void nodeRestartedWithOldVersionKeepsFeatureLevel() {
+    void nodeRestartedWithOldVersionPreventsFeatureLevelIncrease() {
         awaitLeader();
         cluster.nodes.upgrade("n0", 2);
         cluster.nodes.upgrade("n1", 2);
         cluster.loop.run(10);
         cluster.nodes.downgrade("n2", 1);
         cluster.loop.run(20);
-        assertFalse(isLevelRaised());
+        assertFalse(isFeatureLevelRaised());
         cluster.nodes.upgrade("n2", 1);
-        cluster.await(this::isLevelRaised, 30);
+        cluster.await(this::isFeatureLevelRaised, 30);
     }
 
-    /** The announced version of a node expires with its heartbeats: it may restart with the old version. */
+    /** The announced version of a node expires with its heartbeats, because it may restart with the old version. */
     @Test
-    void stoppedNodeKeepsFeatureLevelUnchanged() {
+    void stoppedNodePreventsFeatureLevelIncrease() {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 2).put("expectS", 300.0)); // so that workers send heartbeats to the leader
         cluster.await(() -> cluster.running().size() == 2, 40);
@@ -162,27 +165,27 @@
         cluster.nodes.upgrade("n2", 10);
         cluster.loop.run(25);
         assertEquals("n1", cluster.leader(), "it has received heartbeats of n0 with the new version");
-        assertFalse(isLevelRaised(), "n0 is down");
+        assertFalse(isFeatureLevelRaised(), "n0 is down");
         cluster.loop.run(15);
-        assertFalse(isLevelRaised(), "n0 restarted with the old version");
+        assertFalse(isFeatureLevelRaised(), "n0 restarted with the old version");
         cluster.nodes.upgrade("n0", 1);
-        cluster.await(this::isLevelRaised, 30);
+        cluster.await(this::isFeatureLevelRaised, 30);
     }
 
-    /** A member without heartbeats may run the old version. */
+    /** A member that sends no heartbeats may run the old version. */
     @Test
-    void partitionedMemberKeepsFeatureLevelUnchanged() {
+    void partitionedMemberPreventsFeatureLevelIncrease() {
         awaitLeader();
         cluster.nodes.isolateFromPeers("n2");
         upgradeAll(8);
         cluster.loop.run(30);
-        assertFalse(isLevelRaised());
+        assertFalse(isFeatureLevelRaised());
         cluster.nodes.reconnectToPeers("n2");
-        cluster.await(this::isLevelRaised, 10);
+        cluster.await(this::isFeatureLevelRaised, 10);
     }
 
     @Test
-    void featureLevelIsRaisedAfterOutage() {
+    void featureLevelIsRaisedAfterStateServiceOutage() {
         awaitLeader();
         cluster.nodes.upgrade("n0", 1);
         cluster.nodes.upgrade("n1", 1);
@@ -190,41 +193,41 @@
         cluster.nodes.upgrade("n2", 1);
         cluster.state.outage(25);
         cluster.loop.run(20);
-        assertFalse(isLevelRaised());
-        cluster.await(this::isLevelRaised, 40);
+        assertFalse(isFeatureLevelRaised());
+        cluster.await(this::isFeatureLevelRaised, 40);
     }
 
-    /** The leader crashes while it raises the level, at any step of it. */
+    /** The leader crashes at different times while it raises the feature level. */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 0.6, 1.0, 1.4, 1.8})
-    void leaderCrashWhileRaisingFeatureLevelLosesNothing(double afterS) {
+    void leaderCrashWhileRaisingFeatureLevelLosesNothing(double crashDelayS) {
         awaitLeader();
         upgradeAll(4);
-        cluster.loop.run(afterS);
+        cluster.loop.run(crashDelayS);
         cluster.nodes.crashLeader(3);
-        cluster.await(this::isLevelRaised, 40);
+        cluster.await(this::isFeatureLevelRaised, 40);
         assertEquals(201, cluster.submit("n1", SimJobs.service(1, 2)));
         cluster.verifyRecovery(60);
     }
 
-    /** A record of an unknown later version is rejected: the nodes stay up, and none of them leads. */
+    /** A feature level of an unknown later version is rejected: the nodes stay up, but none of them leads. */
     @Test
     void unknownFeatureLevelPreventsAnyElection() {
         awaitLeader();
         upgradeAll(8);
-        cluster.await(this::isLevelRaised, 20);
+        cluster.await(this::isFeatureLevelRaised, 20);
         cluster.submit(SimJobs.array(1, 1));
-        cluster.state.put(LEVEL, Json.object().put("level", 9));
+        cluster.state.put(FEATURE_LEVEL_KEY, Json.object().put("level", 9));
         cluster.nodes.crashLeader(2);
         cluster.loop.run(40);
         assertNull(cluster.leader());
         assertEquals(200, cluster.request("n0", "GET", "/healthz").status());
         assertEquals(200, cluster.request("n0", "GET", "/api/jobs/j-000001").status());
-        cluster.state.put(LEVEL, Json.object().put("level", 2));
+        cluster.state.put(FEATURE_LEVEL_KEY, Json.object().put("level", 2));
         awaitLeader();
     }
 
-    /** Pages that production left larger than the limits to come are split, and nothing on them is lost. */
+    /** Pages that the production version wrote larger than the announced limits are split without losing records. */
     @Test
     void largePagesOfProductionAreSplitBeforeLimitsDrop() {
         awaitLeader();
@@ -232,7 +235,7 @@
         cluster.await(() -> cluster.running().size() == 320, 40);
         assertTrue(cluster.state.largestValueBytes() > 2048, "production writes large pages");
         upgradeAll(5);
-        cluster.await(this::isLevelRaised, 20);
+        cluster.await(this::isFeatureLevelRaised, 20);
         cluster.loop.run(5);
         for (String key : cluster.state.keys("bound/")) {
             assertTrue(Json.bytes(cluster.state.value(key)).length <= 2048, key);
@@ -243,10 +246,10 @@
         assertEquals(0, cluster.state.rejectedTransactions());
     }
 
-    /** The same if the limits drop during the failover, before the pages could be split. */
+    /** Large pages are also split if the limits drop during the failover, before the pages could be split. */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.1, 0.3, 1})
-    void largePagesOfProductionAreSplitWhileLimitsDrop(double afterS) {
+    void largePagesOfProductionAreSplitWhileLimitsDrop(double limitDropDelayS) {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 60.0));
         cluster.await(() -> cluster.running().size() == 320, 40);
@@ -257,10 +260,10 @@
         cluster.nodes.upgrade("n1", 0);
         cluster.nodes.upgrade("n2", 0);
         awaitLeader();
-        cluster.loop.run(afterS);
+        cluster.loop.run(limitDropDelayS);
         cluster.lowerLimits();
         cluster.verifyRecovery(240);
         assertEquals(0, cluster.state.rejectedTransactions());
-        assertNotNull(cluster.state.value(LEVEL));
+        assertNotNull(cluster.state.value(FEATURE_LEVEL_KEY));
     }
 }
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -20,7 +20,7 @@
 import org.spruceridge.sim.SimState;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Submission, polling and cancellation of jobs, and the metrics, as users and operators see them. */
+/** Submission, polling and cancellation of jobs, and metrics, through the interfaces that users and operators use. */
 final class UserScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void jobIsDoneOnceAllItsTasksAre() {
+    void jobIsDoneOnceAllTasksComplete() {
         assertEquals(201, cluster.submit(SimJobs.array(1, 6)));
         while (cluster.completed().size() < 6) {
             assertTrue(List.of("pending", "running").contains(cluster.poll("j-000001")));
@@ -58,34 +58,34 @@
 
     @Test
     void jobOfManyTasksIsRecordedInChunksAndPages() {
-        SimulatedCluster small = new SimulatedCluster(2, 6, 2);
-        small.loop.run(5);
-        small.submit(SimJobs.array(7, 40).put("expectS", 1.0));
-        small.loop.run(20);
-        small.nodes.crash(small.leader());
-        small.loop.run(200);
-        assertEquals(40, small.completed().size());
-        assertEquals("done", small.poll("j-000007"));
-        assertTrue(small.recordedBindings().isEmpty());
-        assertTrue(small.state.keys("open/").isEmpty());
+        SimulatedCluster smallPageCluster = new SimulatedCluster(2, 6, 2);
+        smallPageCluster.loop.run(5);
+        smallPageCluster.submit(SimJobs.array(7, 40).put("expectS", 1.0));
+        smallPageCluster.loop.run(20);
+        smallPageCluster.nodes.crash(smallPageCluster.leader());
+        smallPageCluster.loop.run(200);
+        assertEquals(40, smallPageCluster.completed().size());
+        assertEquals("done", smallPageCluster.poll("j-000007"));
+        assertTrue(smallPageCluster.recordedBindings().isEmpty());
+        assertTrue(smallPageCluster.state.keys("open/").isEmpty());
     }
 
     @Test
-    void repeatedSubmissionReturnsStateOfJob() {
+    void repeatedSubmissionReturnsStageOfJob() {
         ObjectNode job = SimJobs.array(1, 1);
         assertEquals(201, cluster.submit(job));
         assertEquals(200, cluster.submit(job));
         runUntilDone("j-000001");
         for (String node : List.of("n0", "n1", "n2")) {
-            Response again = cluster.request(node, "POST", "/api/jobs", job);
-            assertEquals(200, again.status());
-            assertEquals("done", SimulatedCluster.stage(again));
+            Response response = cluster.request(node, "POST", "/api/jobs", job);
+            assertEquals(200, response.status());
+            assertEquals("done", SimulatedCluster.stage(response));
         }
         assertEquals(1, cluster.starts().size());
     }
 
     @Test
-    void acceptedIdIsNeverRefusedWhateverTheRepeatContains() {
+    void repeatedSubmissionWithInvalidFieldsIsNotRejected() {
         cluster.submit(SimJobs.array(1, 1));
         assertEquals(
                 200,
@@ -98,10 +98,10 @@
     }
 
     @Test
-    void lostAnswerOfStateServiceIsResolvedBeforeUserResponse() {
-        AtomicInteger lost = new AtomicInteger();
-        cluster.net.injectFaults(
-                (from, to, call) -> SimState.isTransactionOn(call, "job/j-000001") && lost.getAndIncrement() == 0
+    void lostStateServiceAnswerIsResolvedBeforeUserResponse() {
+        AtomicInteger transactionCalls = new AtomicInteger();
+        cluster.net.injectFaults((from, to, call) ->
+                SimState.isTransactionOn(call, "job/j-000001") && transactionCalls.getAndIncrement() == 0
                         ? Delivery.ANSWER_LOST
                         : Delivery.DELIVERED);
         assertEquals(200, cluster.submit(SimJobs.array(1, 1)));
@@ -117,11 +117,11 @@
     }
 
     @Test
-    void unknownJobsAreNeverInvented() {
+    void unknownJobsAreReportedAsNotFound() {
         assertEquals("404", cluster.poll("j-999999"));
         assertEquals("404", cluster.poll("job-1"));
-        Response abort = cluster.request("n0", "POST", "/api/jobs/j-999999/abort");
-        assertEquals(404, abort.status());
+        Response response = cluster.request("n0", "POST", "/api/jobs/j-999999/abort");
+        assertEquals(404, response.status());
     }
 
     @Test
@@ -170,16 +170,16 @@
     })
     void malformedJobIsRejectedWithBadRequest(String field, String value) {
         String body = new String(Json.bytes(SimJobs.array(5, 1)), StandardCharsets.UTF_8);
-        String broken = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
-        Response r = cluster.request("n1", "POST", "/api/jobs", broken.getBytes(StandardCharsets.UTF_8));
-        assertEquals(400, r.status(), broken);
+        String malformedBody = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
+        Response response = cluster.request("n1", "POST", "/api/jobs", malformedBody.getBytes(StandardCharsets.UTF_8));
+        assertEquals(400, response.status(), malformedBody);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "7", "null", "{} {}", "{\"nameId\":\"j-1\",\"nameId\":\"j-1\"}"})
-    void bodyThatIsNoObjectIsRejected(String body) {
-        Response r = cluster.request("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
-        assertEquals(400, r.status());
+    void bodyOtherThanOneValidObjectIsRejected(String body) {
+        Response response = cluster.request("n1", "POST", "/api/jobs", body.getBytes(StandardCharsets.UTF_8));
+        assertEquals(400, response.status());
     }
 
     @Test
@@ -188,15 +188,15 @@
         assertEquals(422, cluster.submit(SimJobs.array(2, 1).put("cpus", 9.0)));
         assertEquals(422, cluster.submit(SimJobs.array(3, 1).put("cpus", 20.0)));
         assertEquals(422, cluster.submit(SimJobs.array(4, 1).put("grove", "z9")));
-        ObjectNode other = SimJobs.array(5, 1);
-        other.putArray("builds").add("t9");
-        assertEquals(422, cluster.submit(other));
-        ObjectNode largerThanItsTeam = SimJobs.array(6, 100);
-        assertEquals(201, cluster.submit(largerThanItsTeam), "an array may exceed its team's quota as a whole");
+        ObjectNode jobForUnknownMachineType = SimJobs.array(5, 1);
+        jobForUnknownMachineType.putArray("builds").add("t9");
+        assertEquals(422, cluster.submit(jobForUnknownMachineType));
+        ObjectNode arrayLargerThanTeamQuota = SimJobs.array(6, 100);
+        assertEquals(201, cluster.submit(arrayLargerThanTeamQuota), "an array may exceed its team's quota as a whole");
     }
 
     @Test
-    void wrongPathsAndMethodsGetDistinctStatuses() {
+    void invalidPathsAndMethodsReceiveDistinctStatuses() {
         assertEquals(404, cluster.request("n0", "GET", "/nothing").status());
         assertEquals(405, cluster.request("n0", "DELETE", "/api/jobs").status());
         assertEquals(405, cluster.request("n0", "GET", "/hello").status());
@@ -208,12 +208,13 @@
     void metricsReportUserRequestLatencies() {
         cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
-        JsonNode users = cluster.metrics("n0").path("users");
-        assertTrue(users.path("count").asLong() > 0);
-        assertTrue(users.path("maxMs").asDouble() >= users.path("p50Ms").asDouble());
+        JsonNode userLatencies = cluster.metrics("n0").path("users");
+        assertTrue(userLatencies.path("count").asLong() > 0);
+        assertTrue(userLatencies.path("maxMs").asDouble()
+                >= userLatencies.path("p50Ms").asDouble());
     }
 
-    /** Metrics show the outcomes of heartbeats, the duration of the failover and the age of the leader's view. */
+    /** Metrics report the outcomes of heartbeats, the duration of the failover and the age of the leader's view. */
     @Test
     void metricsReportHeartbeatOutcomesAndFailover() {
         cluster.submit(SimJobs.array(1, 1));
