--- a/src/main/java/org/spruceridge/election/Campaign.java
+++ b/src/main/java/org/spruceridge/election/Campaign.java
@@ -16,16 +16,16 @@
 import org.spruceridge.upgrade.StoredFeatureLevel;
 
 /**
- * One attempt to become the leader: creates a lease, reads the feature level and the last term, and sets the leader key
- * and the next term by a compare-and-swap on all that was read.
+ * One attempt to become the leader. Creates a lease, reads the feature level and the last term, and then writes the
+ * leader key and the next term in a transaction that is conditional on everything read.
  */
 final class Campaign {
     private static final long RETRY_DELAY_NANOS = Durations.millis(250);
 
     /**
-     * A campaign that won.
+     * The result of a successful campaign.
      *
-     * @param leaderRevision the modRevision of the leader key that it set
+     * @param leaderRevision the modRevision of the leader key that the campaign wrote
      */
     record Win(LeaderRecord record, long leaderRevision, LeaderLease lease, StoredFeatureLevel featureLevel) {}
 
@@ -35,57 +35,58 @@
     private final ClusterFeatureLevel clusterLevel;
     private final Candidate candidate;
     private final long expectedLeaderRevision;
-    private final Consumer<Optional<Win>> done;
+    private final Consumer<Optional<Win>> onComplete;
 
     /**
-     * The campaign succeeds only if the leader key is still at {@code expectedLeaderRevision}, 0 meaning absent.
-     * {@code done} receives the win, or nothing if the campaign was lost, refused, or its outcome stays unknown.
+     * Creates a campaign that succeeds only if the leader key is still at {@code expectedLeaderRevision} (0 if absent).
+     * {@code onComplete} receives the win, or empty if the campaign was lost or refused or its outcome remains unknown.
      */
     Campaign(
             ElectionContext context,
             ClusterFeatureLevel clusterLevel,
             Candidate candidate,
             long expectedLeaderRevision,
-            Consumer<Optional<Win>> done) {
+            Consumer<Optional<Win>> onComplete) {
         this.context = context;
         this.scope = context.scope();
         this.state = context.state();
         this.clusterLevel = clusterLevel;
         this.candidate = candidate;
         this.expectedLeaderRevision = expectedLeaderRevision;
-        this.done = done;
+        this.onComplete = onComplete;
     }
 
     void start() {
-        LeaderLease.create(context, created -> {
-            if (created.isPresent()) {
-                readFeatureLevel(created.get());
+        LeaderLease.create(context, lease -> {
+            if (lease.isPresent()) {
+                readFeatureLevel(lease.get());
             } else {
-                done.accept(Optional.empty());
+                onComplete.accept(Optional.empty());
             }
         });
     }
 
     private void readFeatureLevel(LeaderLease lease) {
-        clusterLevel.read(Priority.LEASE_RENEWAL, scope.guard(level -> {
-            if (level.isOk()) {
-                readTerm(lease, level.value());
+        clusterLevel.read(Priority.LEASE_RENEWAL, scope.guard(levelResult -> {
+            if (levelResult.isOk()) {
+                readTerm(lease, levelResult.value());
             } else {
-                abandon(lease); // this node could misread what the other nodes write
+                abandon(lease); // this node could misread records written by other nodes
             }
         }));
     }
 
     private void readTerm(LeaderLease lease, StoredFeatureLevel level) {
-        state.get(StateKeys.TERM, Priority.LEASE_RENEWAL, scope.guard(lastTerm -> {
-            if (lastTerm.outcome() == StateResult.Outcome.UNAVAILABLE) {
+        state.get(StateKeys.TERM, Priority.LEASE_RENEWAL, scope.guard(termResult -> {
+            if (termResult.outcome() == StateResult.Outcome.UNAVAILABLE) {
                 abandon(lease);
                 return;
             }
-            long termRevision = lastTerm.isOk() ? lastTerm.value().modRevision() : 0;
-            TermRecord term =
-                    lastTerm.isOk() ? TermRecord.read(lastTerm.value().value()).next() : new TermRecord(1);
-            LeaderRecord record = candidate.recordOf(term.term());
+            long termRevision = termResult.isOk() ? termResult.value().modRevision() : 0;
+            TermRecord term = termResult.isOk()
+                    ? TermRecord.read(termResult.value().value()).next()
+                    : new TermRecord(1);
+            LeaderRecord record = candidate.leaderRecord(term.term());
             Transaction transaction = Transaction.builder()
                     .compare(StateKeys.FEATURE_LEVEL, level.modRevision())
                     .putWithLease(StateKeys.LEADER, expectedLeaderRevision, record.write(), lease.id())
@@ -99,17 +100,17 @@
             Transaction transaction, LeaderRecord record, LeaderLease lease, StoredFeatureLevel level) {
         state.commit(transaction, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
-                done.accept(Optional.of(new Win(record, result.revision(), lease, level)));
+                onComplete.accept(Optional.of(new Win(record, result.revision(), lease, level)));
             } else if (result.outcome() == TransactionResult.Outcome.UNKNOWN && lease.isValid()) {
                 scope.after(RETRY_DELAY_NANOS, () -> compareAndSwap(transaction, record, lease, level));
             } else {
-                abandon(lease); // the leader key shows who leads, also if this transaction was carried out
+                abandon(lease); // the leader key shows who leads, even if this transaction was executed
             }
         }));
     }
 
     private void abandon(LeaderLease lease) {
         lease.revoke();
-        done.accept(Optional.empty());
+        onComplete.accept(Optional.empty());
     }
 }
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -17,18 +17,19 @@
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 
 /**
- * Elects the leader. It follows the leader key, campaigns when the key is absent, and steps down when the key names
- * another leader or the lease has expired. The term that a campaign writes is the fencing token of all commands.
+ * Elects the leader. Watches the leader key, campaigns when the key is absent, and steps down when the key names
+ * another leader or the lease has expired. The term that a campaign writes is the fencing token of all the leader's
+ * commands.
  */
 public final class Election {
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-    /** Is told when this node becomes the leader and when it ceases to be. */
+    /** Receives notifications when this node becomes the leader and when it stops being the leader. */
     public interface Listener {
-        /** This node is the leader from now on. */
+        /** Called when this node has become the leader. */
         void leadershipAcquired(LeaderTerm leaderTerm);
 
-        /** This node is no longer the leader. */
+        /** Called when this node is no longer the leader. */
         void leadershipLost();
     }
 
@@ -41,13 +42,13 @@
     private final Candidate candidate;
     private final boolean hasPeers;
     private final Listener listener;
-    private final LeaderKeyWatcher leaderKey;
+    private final LeaderKeyWatcher leaderKeyWatcher;
     private Optional<LeaderRecord> knownLeader = Optional.empty();
     private Optional<Leadership> leadership = Optional.empty();
     private boolean campaigning;
     private long campaignBackoffUntilNanos = Long.MIN_VALUE;
 
-    /** Nothing is read or written before {@link #start}. */
+    /** Creates an election that reads and writes nothing before {@link #start}. */
     public Election(ElectionDependencies dependencies, Settings settings, Policy policy, Listener listener) {
         this.loop = dependencies.loop();
         this.scope = new CancellationScope(loop);
@@ -57,36 +58,38 @@
                 settings.hostName(), Long.toHexString(dependencies.random().nextLong()));
         this.hasPeers = settings.nodeCount() > 1;
         this.listener = listener;
-        this.leaderKey =
+        this.leaderKeyWatcher =
                 new LeaderKeyWatcher(context, dependencies.random(), dependencies.warnings(), this::leaderKeyObserved);
     }
 
-    /** Reads the leader key and follows it from then on. */
+    /** Reads the leader key and starts watching it. */
     public void start() {
-        leaderKey.read();
+        leaderKeyWatcher.read();
     }
 
     /** Stops the election, and revokes the lease if this node is the leader. */
     public void stop() {
-        leaderKey.stop();
+        leaderKeyWatcher.stop();
         scope.close();
         leadership.ifPresent(held -> held.lease().revoke());
         leadership = Optional.empty();
     }
 
-    /** True while this node may act as leader: its lease certainly has not expired. */
+    /** True while this node may act as leader, that is, while its lease is guaranteed not to have expired. */
     public boolean isLeader() {
         return leadership.isPresent() && leadership.get().lease().isValid();
     }
 
-    /** The host name of the leader on record, as last read. */
+    /** The host name of the recorded leader, as last read; empty if there is none. */
     public Optional<String> leaderName() {
         return knownLeader.map(LeaderRecord::hostName);
     }
 
     /**
-     * Ends this node's term on its own account, for instance because the records are not as this node left them. It does
-     * not campaign again for the time to live of a lease, so that other nodes come first.
+     * Ends this node's term voluntarily, for example because the stored records differ from what it last wrote. This
+     * node does not campaign again for one lease TTL, so that other nodes can be elected first.
+     *
+     * @param reason the cause, for the log
      */
     public void resign(String reason) {
         if (leadership.isEmpty()) {
@@ -97,17 +100,18 @@
         held.lease().revoke();
         stepDown(held, "resigned");
         campaignBackoffUntilNanos = loop.nanos() + context.leaseTimes().ttlNanos();
-        scope.after(context.leaseTimes().ttlNanos(), leaderKey::read);
+        scope.after(context.leaseTimes().ttlNanos(), leaderKeyWatcher::read);
     }
 
-    private void leaderKeyObserved(LeaderKeyState key) {
-        if (leadership.isPresent() && key.revision() <= leadership.get().term().leaderRevision()) {
-            return; // from before this node's win
+    private void leaderKeyObserved(LeaderKeyState keyState) {
+        if (leadership.isPresent()
+                && keyState.revision() <= leadership.get().term().leaderRevision()) {
+            return; // observed before this node won
         }
-        Optional<LeaderRecord> record = key.record();
-        rememberLeader(record);
+        Optional<LeaderRecord> record = keyState.record();
+        updateKnownLeader(record);
         if (leadership.isPresent()) {
-            if (record.filter(this::isOfPresentTerm).isPresent()) {
+            if (record.filter(this::isOwnCurrentTerm).isPresent()) {
                 return;
             }
             stepDown(
@@ -117,15 +121,15 @@
         }
         if (record.isEmpty()) {
             campaign(0);
-        } else if (candidate.isAuthorOf(record.get())) {
-            // A campaign whose outcome was unknown was carried out after all. Its lease is revoked or about to expire.
-            campaign(key.modRevision());
-        } else if (candidate.isHostOf(record.get())) {
-            deleteKeyOfEarlierIncarnation(key.modRevision());
+        } else if (candidate.hasSameIncarnation(record.get())) {
+            // A campaign with an unknown outcome did succeed. Its lease has been revoked or is about to expire.
+            campaign(keyState.modRevision());
+        } else if (candidate.hasSameHost(record.get())) {
+            deleteKeyOfEarlierIncarnation(keyState.modRevision());
         }
     }
 
-    private void rememberLeader(Optional<LeaderRecord> record) {
+    private void updateKnownLeader(Optional<LeaderRecord> record) {
         if (!knownLeader.equals(record)) {
             LOG.info(
                     "leader key changed node={} term={}",
@@ -135,14 +139,15 @@
         knownLeader = record;
     }
 
-    private boolean isOfPresentTerm(LeaderRecord record) {
-        return candidate.isAuthorOf(record)
+    private boolean isOwnCurrentTerm(LeaderRecord record) {
+        return candidate.hasSameIncarnation(record)
                 && record.term() == leadership.get().term().term();
     }
 
     /**
-     * The key names this host in an earlier incarnation. A host runs one process at a time, so that one has ended and its
-     * lease need not be waited for. Nodes that did not restart campaign first: they can take over faster.
+     * Deletes a leader key that an earlier process on this host wrote. A host runs one process at a time, so that
+     * process has ended and there is no need to wait for its lease to expire. Nodes that did not restart campaign first
+     * because they can take over faster.
      */
     private void deleteKeyOfEarlierIncarnation(long modRevision) {
         long intervalNanos = context.leaseTimes().renewalIntervalNanos();
@@ -153,10 +158,10 @@
                 Transaction.builder().delete(StateKeys.LEADER, modRevision).build();
         context.state().commit(transaction, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.outcome() != TransactionResult.Outcome.COMMITTED) {
-                leaderKey.scheduleRetry();
+                leaderKeyWatcher.scheduleRetry();
             }
         }));
-        scope.after(intervalNanos, leaderKey::read);
+        scope.after(intervalNanos, leaderKeyWatcher::read);
     }
 
     private void campaign(long expectedLeaderRevision) {
@@ -172,7 +177,7 @@
         if (win.isPresent()) {
             acquireLeadership(win.get());
         } else {
-            leaderKey.scheduleRetry();
+            leaderKeyWatcher.scheduleRetry();
         }
     }
 
@@ -188,7 +193,7 @@
 
     private void leaseExpired(Leadership held) {
         stepDown(held, "lease-expired");
-        leaderKey.read();
+        leaderKeyWatcher.read();
     }
 
     private void stepDown(Leadership held, String reason) {
--- a/src/main/java/org/spruceridge/election/ElectionContext.java
+++ b/src/main/java/org/spruceridge/election/ElectionContext.java
@@ -5,8 +5,8 @@
 import org.spruceridge.state.StateClient;
 
 /**
- * What the parts of one node's election share.
+ * The dependencies shared by the classes of one node's election.
  *
- * @param scope all that the election has pending; closed when it stops
+ * @param scope cancels the election's pending timers and callbacks when the election stops
  */
 record ElectionContext(Loop loop, CancellationScope scope, StateClient state, LeaseTimes leaseTimes) {}
--- a/src/main/java/org/spruceridge/election/ElectionDependencies.java
+++ b/src/main/java/org/spruceridge/election/ElectionDependencies.java
@@ -9,9 +9,9 @@
 /**
  * The services that an election uses.
  *
- * @param state the state service, which holds the leader key and carries out the compare-and-swap
- * @param featureLevel read by each campaign, so that a node leads only if it supports the level in force
- * @param random makes this process's incarnation, and spreads retries
+ * @param state the state service, which holds the leader key and executes the compare-and-swap
+ * @param featureLevel read by each campaign, so that a node leads only if it supports the current level
+ * @param random generates this process's incarnation and the jitter of retries
  */
 public record ElectionDependencies(
         Loop loop,
--- a/src/main/java/org/spruceridge/election/LeaderKeyState.java
+++ b/src/main/java/org/spruceridge/election/LeaderKeyState.java
@@ -4,10 +4,10 @@
 import org.spruceridge.record.LeaderRecord;
 
 /**
- * What the leader key held at a revision of the state service.
+ * The state of the leader key at a revision of the state service.
  *
- * @param record the leader on record, empty if the key was absent
- * @param modRevision the revision that wrote the key, 0 if it was absent
- * @param revision the revision as of which this is known
+ * @param record the recorded leader, empty if the key was absent
+ * @param modRevision the revision that last wrote the key, 0 if it was absent
+ * @param revision the revision at which the key was observed
  */
 record LeaderKeyState(Optional<LeaderRecord> record, long modRevision, long revision) {}
--- a/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
+++ b/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
@@ -17,13 +17,13 @@
 import org.spruceridge.state.Listing;
 import org.spruceridge.state.StateClient;
 
-/** Reads the leader key and watches it from the revision of that read on; starts over after a failure. */
+/** Reads the leader key and watches it from the revision of that read; starts again with a read after a failure. */
 final class LeaderKeyWatcher {
     private static final double WATCH_TIMEOUT_S = 20;
-    /** A retry is delayed by this and by a random time of up to as much again. */
+    /** A retry is delayed by this time plus a random jitter of up to the same length. */
     private static final long RETRY_DELAY_NANOS = Durations.millis(250);
 
-    /** Stands for a record that cannot be read: no node has this name. */
+    /** Replaces a record that cannot be parsed; no node has this host name. */
     private static final LeaderRecord UNREADABLE = new LeaderRecord("", "", 0);
 
     private final CancellationScope scope;
@@ -46,7 +46,7 @@
         this.observer = observer;
     }
 
-    /** Reads the key now and watches it from then on. */
+    /** Reads the key and starts watching it from that revision. */
     void read() {
         watch.cancel();
         state.list(StateKeys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listing -> {
@@ -59,7 +59,7 @@
         }));
     }
 
-    /** Reads the key again after a short random delay. */
+    /** Reads the key again after a delay with random jitter. */
     void scheduleRetry() {
         scope.after(RETRY_DELAY_NANOS + random.nextLong(RETRY_DELAY_NANOS), this::read);
     }
@@ -86,7 +86,7 @@
 
     private LeaderKeyState stateOf(Listing listing) {
         Optional<Entry> entry = listing.entries().stream()
-                .filter(candidate -> candidate.key().equals(StateKeys.LEADER))
+                .filter(listedEntry -> listedEntry.key().equals(StateKeys.LEADER))
                 .findFirst();
         return new LeaderKeyState(
                 entry.map(Entry::value).map(this::parse),
--- a/src/main/java/org/spruceridge/election/LeaderLease.java
+++ b/src/main/java/org/spruceridge/election/LeaderLease.java
@@ -8,8 +8,8 @@
 import org.spruceridge.state.StateResult;
 
 /**
- * A lease of the state service to which a leader key is attached. It counts as valid until a moment before the service
- * can let it expire, whatever the difference between the two clocks.
+ * A state service lease to which the leader key is attached. It is treated as valid only until shortly before the
+ * service could expire it, even if the clocks of the node and the service drift apart.
  */
 final class LeaderLease {
     private final Loop loop;
@@ -29,15 +29,15 @@
         this.validUntilNanos = times.validUntilNanos(sentAtNanos);
     }
 
-    /** Creates a lease; the result is empty if the state service did not confirm it. */
-    static void create(ElectionContext context, Consumer<Optional<LeaderLease>> done) {
+    /** Creates a lease; {@code onCreated} receives empty if the state service did not confirm it. */
+    static void create(ElectionContext context, Consumer<Optional<LeaderLease>> onCreated) {
         long sentAtNanos = context.loop().nanos();
         context.state()
-                .createLease(context.leaseTimes().ttlMillis(), context.scope().guard(created -> {
-                    if (created.isOk()) {
-                        done.accept(Optional.of(new LeaderLease(context, created.value(), sentAtNanos)));
+                .createLease(context.leaseTimes().ttlMillis(), context.scope().guard(leaseResult -> {
+                    if (leaseResult.isOk()) {
+                        onCreated.accept(Optional.of(new LeaderLease(context, leaseResult.value(), sentAtNanos)));
                     } else {
-                        done.accept(Optional.empty());
+                        onCreated.accept(Optional.empty());
                     }
                 }));
     }
@@ -46,42 +46,42 @@
         return leaseId;
     }
 
-    /** True while the lease certainly has not expired. */
+    /** True while the lease is guaranteed not to have expired. */
     boolean isValid() {
         return loop.nanos() < validUntilNanos;
     }
 
-    /** Renews the lease until it is released or has expired; {@code expired} runs in the second case. */
-    void keepRenewed(Runnable expired) {
-        scope.after(times.renewalIntervalNanos(), () -> renew(expired));
+    /** Renews the lease periodically until it is released or expires; {@code onExpired} runs if it expires. */
+    void keepRenewed(Runnable onExpired) {
+        scope.after(times.renewalIntervalNanos(), () -> renew(onExpired));
     }
 
-    private void renew(Runnable expired) {
+    private void renew(Runnable onExpired) {
         if (released) {
             return;
         }
-        state.renewLease(leaseId, times.renewalIntervalNanos(), scope.guard(renewed -> {
+        state.renewLease(leaseId, times.renewalIntervalNanos(), scope.guard(renewalResult -> {
             if (released) {
                 return;
             }
-            if (renewed.outcome() == StateResult.Outcome.NOT_FOUND) {
-                expired.run();
+            if (renewalResult.outcome() == StateResult.Outcome.NOT_FOUND) {
+                onExpired.run();
                 return;
             }
-            if (renewed.isOk()) {
-                validUntilNanos = times.validUntilNanos(renewed.value());
+            if (renewalResult.isOk()) {
+                validUntilNanos = times.validUntilNanos(renewalResult.value());
             }
-            long delayNanos = renewed.isOk() ? times.renewalIntervalNanos() : times.renewalRetryNanos();
-            scope.after(delayNanos, () -> renew(expired));
+            long delayNanos = renewalResult.isOk() ? times.renewalIntervalNanos() : times.renewalRetryNanos();
+            scope.after(delayNanos, () -> renew(onExpired));
         }));
     }
 
-    /** Ends the renewals and leaves the lease to expire. */
+    /** Stops renewing the lease and lets it expire. */
     void release() {
         released = true;
     }
 
-    /** Ends the renewals and the lease, and with it the leader key that is attached to it. */
+    /** Stops renewing the lease and revokes it, which also deletes the leader key attached to it. */
     void revoke() {
         released = true;
         state.revokeLease(leaseId);
--- a/src/main/java/org/spruceridge/election/LeaseTimes.java
+++ b/src/main/java/org/spruceridge/election/LeaseTimes.java
@@ -5,14 +5,14 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Durations of the leader lease.
+ * Timing of the leader lease.
  *
- * @param ttlNanos the time to live that the state service gives the lease
+ * @param ttlNanos the time to live of the lease in the state service
  * @param renewalIntervalNanos the time between two renewals
  */
 record LeaseTimes(long ttlNanos, long renewalIntervalNanos) {
-    /** The share of the time to live that is left unused, for rounding and late timers. */
-    private static final double SAFETY_MARGIN = 0.03;
+    /** The fraction of the TTL left unused to allow for rounding and late timers. */
+    private static final double SAFETY_MARGIN_RATIO = 0.03;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -26,13 +26,13 @@
         return ttlNanos / NANOS_PER_MILLI;
     }
 
-    /** The time until a renewal that failed is sent again. */
+    /** The delay before a failed renewal is retried. */
     long renewalRetryNanos() {
         return renewalIntervalNanos / 4;
     }
 
-    /** Until when a lease is certainly valid whose creation or renewal was sent at this moment. */
+    /** The end of the guaranteed validity of a lease whose creation or renewal was sent at {@code sentAtNanos}. */
     long validUntilNanos(long sentAtNanos) {
-        return sentAtNanos + (long) (ttlNanos * (1 - Durations.MAX_CLOCK_DRIFT_RATIO - SAFETY_MARGIN));
+        return sentAtNanos + (long) (ttlNanos * (1 - Durations.MAX_CLOCK_DRIFT_RATIO - SAFETY_MARGIN_RATIO));
     }
 }
--- a/src/test/java/org/spruceridge/election/ElectionTest.java
+++ b/src/test/java/org/spruceridge/election/ElectionTest.java
@@ -29,7 +29,9 @@
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 
-/** An election writes the forms of production, and its lease is valid for exactly the time that it may be. */
+/**
+ * An election writes records in the production format, and the leader lease is valid for exactly its permitted time.
+ */
 final class ElectionTest {
     private static final Settings SETTINGS = Fixtures.settings(
             ImmutableMap.of("red", new Settings.Team("red", 0, 0, 0, 0)),
@@ -42,18 +44,18 @@
             Durations.nanos(22 * POLICY.leadership().ttlWorkerLeases());
     private static final long RENEWAL_INTERVAL_NANOS =
             (long) (TTL_NANOS / POLICY.leadership().renewalsPerTtl());
-    /** 3% for late timers and 0.05% for drift of the clocks are left unused. */
+    /** The TTL less 3% for late timers and 0.05% for clock drift. */
     private static final long VALIDITY_NANOS = (long) (TTL_NANOS * (1 - 0.0005 - 0.03));
 
     private static final long LATENCY_NANOS = Durations.millis(5);
 
     private final SimLoop loop = new SimLoop();
     private final SimState state = new SimState(loop, 100, 1000);
-    private final List<LeaderTerm> won = new ArrayList<>();
-    private final List<Long> lostAt = new ArrayList<>();
-    private long leaseCreationSentAt;
-    private final List<Long> renewalsSentAt = new ArrayList<>();
-    private boolean unreachable;
+    private final List<LeaderTerm> wonTerms = new ArrayList<>();
+    private final List<Long> lostAtNanos = new ArrayList<>();
+    private long leaseCreationSentAtNanos;
+    private final List<Long> renewalsSentAtNanos = new ArrayList<>();
+    private boolean stateServiceUnreachable;
     private final Election election = election();
 
     private Election election() {
@@ -70,27 +72,27 @@
         return new Election(dependencies, SETTINGS, POLICY, new Election.Listener() {
             @Override
             public void leadershipAcquired(LeaderTerm term) {
-                won.add(term);
+                wonTerms.add(term);
             }
 
             @Override
             public void leadershipLost() {
-                lostAt.add(loop.nanos());
+                lostAtNanos.add(loop.nanos());
             }
         });
     }
 
-    private Cancellable send(HttpCall call, Consumer<HttpAnswer> done) {
+    private Cancellable send(HttpCall call, Consumer<HttpAnswer> onResponse) {
         if (call.target().equals("/grants")) {
-            leaseCreationSentAt = loop.nanos();
+            leaseCreationSentAtNanos = loop.nanos();
         } else if (call.target().endsWith("/renew")) {
-            renewalsSentAt.add(loop.nanos());
+            renewalsSentAtNanos.add(loop.nanos());
         }
         return loop.after(LATENCY_NANOS, () -> {
-            if (unreachable) {
-                done.accept(HttpAnswer.notSent());
+            if (stateServiceUnreachable) {
+                onResponse.accept(HttpAnswer.notSent());
             } else {
-                state.accept(call, done);
+                state.accept(call, onResponse);
             }
         });
     }
@@ -98,21 +100,21 @@
     private void runUntilElected() {
         election.start();
         loop.run(1);
-        assertEquals(1, won.size());
+        assertEquals(1, wonTerms.size());
         assertTrue(election.isLeader());
     }
 
-    /** The node may act as leader until this moment and not at it, to the nanosecond. */
-    private void assertLeaseExpiresAt(long nanos) {
-        List<Boolean> leader = new ArrayList<>();
-        loop.after(nanos - 1 - loop.nanos(), () -> leader.add(election.isLeader()));
-        loop.after(nanos - loop.nanos(), () -> leader.add(election.isLeader()));
-        loop.run(Durations.seconds(nanos - loop.nanos()) + 0.001);
-        assertEquals(List.of(true, false), leader);
+    /** Asserts that the node may act as leader one nanosecond before the expiry and not at the expiry itself. */
+    private void assertLeaseExpiresAt(long expiryNanos) {
+        List<Boolean> leaderBeforeAndAtExpiry = new ArrayList<>();
+        loop.after(expiryNanos - 1 - loop.nanos(), () -> leaderBeforeAndAtExpiry.add(election.isLeader()));
+        loop.after(expiryNanos - loop.nanos(), () -> leaderBeforeAndAtExpiry.add(election.isLeader()));
+        loop.run(Durations.seconds(expiryNanos - loop.nanos()) + 0.001);
+        assertEquals(List.of(true, false), leaderBeforeAndAtExpiry);
     }
 
     @Test
-    void aWonElectionStoresTheLeaderAndTheTermInTheFormsOfProduction() {
+    void wonElectionWritesLeaderAndTermInProductionFormat() {
         state.put(StateKeys.TERM, Json.object().put("term", 6));
         runUntilElected();
         assertEquals("{\"term\":7}", state.value(StateKeys.TERM).toString());
@@ -120,49 +122,49 @@
         assertEquals(
                 "{\"host\":\"n0\",\"incarnation\":\"" + incarnation + "\",\"term\":7}",
                 state.value(StateKeys.LEADER).toString());
-        assertEquals(7, won.get(0).term());
+        assertEquals(7, wonTerms.get(0).term());
     }
 
     @Test
-    void aLeaseThatIsNeverRenewedIsValidFromTheSendingOfItsCreation() {
+    void validityOfUnrenewedLeaseCountsFromCreationRequest() {
         runUntilElected();
-        unreachable = true;
-        assertLeaseExpiresAt(leaseCreationSentAt + VALIDITY_NANOS);
+        stateServiceUnreachable = true;
+        assertLeaseExpiresAt(leaseCreationSentAtNanos + VALIDITY_NANOS);
     }
 
     @Test
-    void aLeaseIsRenewedAtEachIntervalAndValidFromTheSendingOfItsRenewal() {
+    void leaseIsRenewedEveryIntervalAndValidityCountsFromRenewalRequest() {
         runUntilElected();
-        long electedAt = won.get(0).electedAtNanos();
+        long electedAtNanos = wonTerms.get(0).electedAtNanos();
         loop.run(Durations.seconds(2 * RENEWAL_INTERVAL_NANOS));
-        long secondAt = electedAt + RENEWAL_INTERVAL_NANOS + LATENCY_NANOS + RENEWAL_INTERVAL_NANOS;
-        assertEquals(List.of(electedAt + RENEWAL_INTERVAL_NANOS, secondAt), renewalsSentAt);
+        long secondRenewalAtNanos = electedAtNanos + RENEWAL_INTERVAL_NANOS + LATENCY_NANOS + RENEWAL_INTERVAL_NANOS;
+        assertEquals(List.of(electedAtNanos + RENEWAL_INTERVAL_NANOS, secondRenewalAtNanos), renewalsSentAtNanos);
         loop.run(Durations.seconds(2 * LATENCY_NANOS));
-        unreachable = true;
-        assertLeaseExpiresAt(secondAt + VALIDITY_NANOS);
+        stateServiceUnreachable = true;
+        assertLeaseExpiresAt(secondRenewalAtNanos + VALIDITY_NANOS);
     }
 
     @Test
-    void aRenewalWithoutResponseIsRetriedAfterAQuarterOfTheInterval() {
+    void unansweredRenewalIsRetriedAfterQuarterOfInterval() {
         runUntilElected();
-        unreachable = true;
+        stateServiceUnreachable = true;
         loop.run(Durations.seconds(2 * RENEWAL_INTERVAL_NANOS));
-        long first = won.get(0).electedAtNanos() + RENEWAL_INTERVAL_NANOS;
-        assertEquals(first, renewalsSentAt.get(0));
-        assertEquals(first + LATENCY_NANOS + RENEWAL_INTERVAL_NANOS / 4, renewalsSentAt.get(1));
+        long firstRenewalAtNanos = wonTerms.get(0).electedAtNanos() + RENEWAL_INTERVAL_NANOS;
+        assertEquals(firstRenewalAtNanos, renewalsSentAtNanos.get(0));
+        assertEquals(firstRenewalAtNanos + LATENCY_NANOS + RENEWAL_INTERVAL_NANOS / 4, renewalsSentAtNanos.get(1));
     }
 
     @Test
-    void aLeaderThatResignsCampaignsAgainOnlyAfterATimeToLive() {
+    void resignedLeaderCampaignsAgainOnlyAfterLeaseTtl() {
         runUntilElected();
-        long resignedAt = loop.nanos();
+        long resignedAtNanos = loop.nanos();
         election.resign("test");
         assertFalse(election.isLeader());
-        assertEquals(List.of(resignedAt), lostAt);
+        assertEquals(List.of(resignedAtNanos), lostAtNanos);
         loop.run(Durations.seconds(TTL_NANOS) - 0.001);
-        assertEquals(1, won.size());
+        assertEquals(1, wonTerms.size());
         loop.run(1);
-        assertEquals(2, won.size());
-        assertEquals(2, won.get(1).term());
+        assertEquals(2, wonTerms.size());
+        assertEquals(2, wonTerms.get(1).term());
     }
 }
