--- a/src/main/java/org/spruceridge/failover/CancelledJobsReader.java
+++ b/src/main/java/org/spruceridge/failover/CancelledJobsReader.java
@@ -11,50 +11,53 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.StateResult;
 
-/** Reads the records of jobs one by one, a bounded number of them at a time. */
+/** Reads job records individually, with a bounded number of concurrent reads. */
 final class CancelledJobsReader {
-    /** Enough for a state service that answers slowly, and few enough to let lease renewals in between. */
+    /** High enough for a slow state service, and low enough to let lease renewals through between the reads. */
     private static final int MAX_CONCURRENT_READS = 16;
 
     private final CancellationScope scope;
     private final StateClient state;
-    private final BiConsumer<String, Entry> found;
-    private final Runnable done;
-    private final Deque<String> unread = new ArrayDeque<>();
+    private final BiConsumer<String, Entry> onJobRecord;
+    private final Runnable onComplete;
+    private final Deque<String> unreadJobIds = new ArrayDeque<>();
     private int pendingReads;
 
-    /** {@code found} receives the id and entry of each job that has a record; {@code done} runs once at the end. */
-    CancelledJobsReader(CancellationScope scope, StateClient state, BiConsumer<String, Entry> found, Runnable done) {
+    /**
+     * {@code onJobRecord} receives the id and entry of each job that has a record; {@code onComplete} runs once, last.
+     */
+    CancelledJobsReader(
+            CancellationScope scope, StateClient state, BiConsumer<String, Entry> onJobRecord, Runnable onComplete) {
         this.scope = scope;
         this.state = state;
-        this.found = found;
-        this.done = done;
+        this.onJobRecord = onJobRecord;
+        this.onComplete = onComplete;
     }
 
-    /** Reads the records of these jobs, in the order of the set. */
-    void read(Set<String> ids) {
-        unread.addAll(ids);
+    /** Reads the records of these jobs in the iteration order of the set. */
+    void read(Set<String> jobIds) {
+        unreadJobIds.addAll(jobIds);
         readNext();
     }
 
     private void readNext() {
-        while (!unread.isEmpty() && pendingReads < MAX_CONCURRENT_READS) {
+        while (!unreadJobIds.isEmpty() && pendingReads < MAX_CONCURRENT_READS) {
             pendingReads++;
-            read(unread.remove());
+            read(unreadJobIds.remove());
         }
         if (pendingReads == 0) {
-            done.run();
+            onComplete.run();
         }
     }
 
-    private void read(String id) {
-        state.get(StateKeys.job(id), Priority.LEASE_RENEWAL, scope.guard(result -> {
+    private void read(String jobId) {
+        state.get(StateKeys.job(jobId), Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (result.outcome() == StateResult.Outcome.UNAVAILABLE) {
-                scope.after(Failover.RETRY_DELAY_NANOS, () -> read(id));
+                scope.after(Failover.RETRY_DELAY_NANOS, () -> read(jobId));
                 return;
             }
             if (result.isOk()) {
-                found.accept(id, result.value());
+                onJobRecord.accept(jobId, result.value());
             }
             pendingReads--;
             readNext();
--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -22,7 +22,7 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
 
-/** Converts records to jobs, machines and bindings. A record that cannot be read is left out, with a warning. */
+/** Converts records to jobs, machines and bindings. Records that cannot be parsed are skipped with a warning. */
 final class ClusterStateBuilder {
     private final Loop loop;
     private final Cluster cluster;
@@ -31,7 +31,7 @@
     private final RateLimitedWarnings warnings;
     private final List<Job> cancelledJobs = new ArrayList<>();
 
-    /** The bindings of one machine, and the page that they were read from. */
+    /** The recorded bindings of one machine and the page that contains them. */
     record RecordedMachine(PageIndex.Page<Machine> page, BindingsRecord.MachineBindings record) {}
 
     ClusterStateBuilder(LeaderContext context, RecordPages records) {
@@ -53,8 +53,8 @@
         }
     }
 
-    void addFinishedTasks(Listing finished) {
-        for (Entry entry : finished.entries()) {
+    void addFinishedTasks(Listing finishedTasks) {
+        for (Entry entry : finishedTasks.entries()) {
             try {
                 addFinishedTasks(entry);
             } catch (BadMessageException e) {
@@ -67,7 +67,7 @@
         PageIndex.Page<RecordPages.TaskChunk> page = records.finished().restorePage(entry.key(), entry.modRevision());
         for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(entry.value(), records.baseChunkSize())) {
             Job job = cluster.job(chunk.job());
-            if (job != null) { // otherwise the job has ended, and the next write of the page omits it
+            if (job != null) { // otherwise the job has ended and the next write of the page omits it
                 records.restoreFinished(job, chunk.first(), chunk.tasks(), page);
             }
         }
@@ -86,24 +86,24 @@
         return machines;
     }
 
-    /** The ids of jobs that have bound tasks and no open entry, in order. */
+    /** The sorted ids of the jobs that have bound tasks but no open entry. */
     Set<String> jobsWithoutOpenEntry(List<RecordedMachine> machines) {
-        Set<String> ids = new TreeSet<>();
+        Set<String> jobIds = new TreeSet<>();
         for (RecordedMachine machine : machines) {
-            for (BindingsRecord.BoundTask bound : machine.record().bound()) {
-                if (cluster.job(bound.task().job()) == null) {
-                    ids.add(bound.task().job());
+            for (BindingsRecord.BoundTask boundTask : machine.record().bound()) {
+                if (cluster.job(boundTask.task().job()) == null) {
+                    jobIds.add(boundTask.task().job());
                 }
             }
         }
-        return ids;
+        return jobIds;
     }
 
     /**
-     * Adds a job that has bound tasks and no open entry: it was cancelled. The time of the cancellation comes from the
-     * record, so that a failover does not extend the time that is left to stop its tasks.
+     * Adds a job that has bound tasks but no open entry, which means that it was cancelled. The cancellation time is
+     * taken from the record so that a failover does not extend the time limit for stopping the job's tasks.
      */
-    void addCancelledJob(String id, Entry entry) {
+    void addCancelledJob(String jobId, Entry entry) {
         try {
             JobRecord record = JobRecord.read(entry.value());
             long ageMs = Math.max(0, loop.wallMillis() - record.endedMs());
@@ -112,11 +112,11 @@
             cancelledJobs.add(job);
             cluster.add(job);
         } catch (BadMessageException e) {
-            warnings.warn("unreadable job record", "job=" + id + " reason=" + e.getMessage());
+            warnings.warn("unreadable job record", "job=" + jobId + " reason=" + e.getMessage());
         }
     }
 
-    /** Seconds since the earliest cancellation of the jobs that were added as cancelled, 0 if there is none. */
+    /** Seconds since the earliest cancellation among the added cancelled jobs, 0 if there are none. */
     double oldestCancellationAgeS() {
         return cancelledJobs.stream()
                 .mapToDouble(job -> Durations.secondsSince(job.cancelledAt(), loop.nanos()))
@@ -124,34 +124,37 @@
                 .orElse(0);
     }
 
-    /** Adds a machine and its bindings. */
+    /** Adds the machine unless it is already known, and adds its bindings. */
     void addMachine(RecordedMachine recorded) {
         BindingsRecord.MachineBindings record = recorded.record();
         Machine machine = cluster.machine(record.name());
         if (machine == null) {
-            // An earlier leader may have answered this machine at any time until the election.
+            // A previous leader may have answered this machine's heartbeats at any time until the election.
             machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.electedAtNanos());
             machine.expectHeartbeats();
             cluster.add(machine);
         }
         records.bindings().assign(machine, recorded.page());
-        for (BindingsRecord.BoundTask bound : record.bound()) {
-            bind(machine, bound);
+        for (BindingsRecord.BoundTask boundTask : record.bound()) {
+            bind(machine, boundTask);
         }
     }
 
-    private void bind(Machine machine, BindingsRecord.BoundTask bound) {
-        int index = bound.task().index();
-        Job job = cluster.job(bound.task().job());
+    private void bind(Machine machine, BindingsRecord.BoundTask boundTask) {
+        int index = boundTask.task().index();
+        Job job = cluster.job(boundTask.task().job());
         if (job == null || index >= job.spec().tasks()) {
-            warnings.warn("binding of an unknown task", "task=" + bound.task() + " machine=" + machine.name());
+            warnings.warn("binding of an unknown task", "task=" + boundTask.task() + " machine=" + machine.name());
             return;
         }
-        cluster.bind(new Binding(job, index, bound.attempt(), machine, Binding.Stage.COMMITTED, loop.nanos()));
+        cluster.bind(new Binding(job, index, boundTask.attempt(), machine, Binding.Stage.COMMITTED, loop.nanos()));
     }
 
-    /** Heartbeats prove that the tasks of cancelled jobs have stopped only from now on, when all bindings are known. */
-    void markCancellationsKnown() {
+    /**
+     * Sets the time at which this leader learned of the cancellations to now. Only now that all bindings are known can
+     * a heartbeat prove that the tasks of a cancelled job have stopped.
+     */
+    void markCancellationsLearned() {
         for (Job job : cancelledJobs) {
             job.cancel(job.cancelledAt(), loop.nanos());
         }
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -15,11 +15,12 @@
 import org.spruceridge.term.LeaderContext;
 
 /**
- * Rebuilds the cluster state of a new term from the records. All reads are sent after the election, so an older leader
- * can no longer change what they return. Only users' submissions and cancellations can; the job watch brings those.
+ * Rebuilds the cluster state of a new term from the records in the state service. All reads are sent after the
+ * election, so a previous leader can no longer change the records. Only submissions and cancellations by users can
+ * still change them, and the job watch delivers those.
  */
 public final class Failover {
-    /** The time until a read that failed is sent again. */
+    /** The delay before a failed read is retried. */
     static final long RETRY_DELAY_NANOS = Durations.millis(200);
 
     private final Loop loop;
@@ -29,19 +30,22 @@
     private final ClusterStateBuilder clusterState;
     private Listener listener;
 
-    /** Is told of the progress of a failover. */
+    /** Receives the progress of a failover. */
     public interface Listener {
-        /** A part is complete. */
+        /** Called after each completed step. */
         default void stepCompleted(FailoverStep step) {}
 
-        /** All jobs that were open at this moment are in the cluster state. A task of any other job is to be stopped. */
+        /**
+         * Called when all jobs that were open at {@code asOfNanos} are in the cluster state. Tasks of any other job
+         * must be stopped.
+         */
         void openJobsLoaded(long asOfNanos);
 
-        /** The cluster state is complete. Changes of jobs are to be watched from this revision on. */
+        /** Called when the cluster state is complete; the caller must watch job changes from this revision. */
         void completed(long revision);
     }
 
-    /** Fills the cluster state of {@code context}, and {@code records}, with what {@code state} holds. */
+    /** Creates a failover that reads {@code state} into {@code records} and the cluster state of {@code context}. */
     public Failover(LeaderContext context, StateClient state, RecordPages records) {
         this.loop = context.loop();
         this.scope = context.scope();
@@ -50,7 +54,7 @@
         this.clusterState = new ClusterStateBuilder(context, records);
     }
 
-    /** Reads all records, the open jobs first. */
+    /** Reads all records, starting with the open jobs. */
     public void start(Listener progressListener) {
         listener = progressListener;
         long startedAtNanos = loop.nanos();
@@ -59,8 +63,8 @@
             listener.openJobsLoaded(startedAtNanos);
             list(
                     StateKeys.FINISHED_TASKS_PREFIX,
-                    finished -> list(StateKeys.BINDINGS_PREFIX, bindings -> {
-                        clusterState.addFinishedTasks(finished);
+                    finishedTasks -> list(StateKeys.BINDINGS_PREFIX, bindings -> {
+                        clusterState.addFinishedTasks(finishedTasks);
                         addMachines(bindings, openJobs.revision());
                     }));
         });
@@ -70,36 +74,36 @@
         List<ClusterStateBuilder.RecordedMachine> machines = clusterState.readMachines(bindings);
         readCancelledJobs(clusterState.jobsWithoutOpenEntry(machines), () -> {
             machines.forEach(clusterState::addMachine);
-            clusterState.markCancellationsKnown();
+            clusterState.markCancellationsLearned();
             listener.completed(openJobsRevision);
         });
     }
 
-    private void list(String prefix, Consumer<Listing> done) {
-        list(prefix, loop.nanos(), done);
+    private void list(String prefix, Consumer<Listing> onListing) {
+        list(prefix, loop.nanos(), onListing);
     }
 
-    private void list(String prefix, long startedAtNanos, Consumer<Listing> done) {
+    private void list(String prefix, long startedAtNanos, Consumer<Listing> onListing) {
         state.list(prefix, Priority.LEASE_RENEWAL, scope.guard(result -> {
             if (!result.isOk()) {
                 warnings.warn("failover listing failed, retrying", "path=" + prefix);
-                scope.after(RETRY_DELAY_NANOS, () -> list(prefix, startedAtNanos, done));
+                scope.after(RETRY_DELAY_NANOS, () -> list(prefix, startedAtNanos, onListing));
                 return;
             }
             Listing listing = result.value();
             listener.stepCompleted(new FailoverStep.ListingRead(
                     prefix, listing.entries().size(), listing.bytes(), loop.nanos() - startedAtNanos));
-            done.accept(listing);
+            onListing.accept(listing);
         }));
     }
 
-    private void readCancelledJobs(Set<String> ids, Runnable done) {
+    private void readCancelledJobs(Set<String> jobIds, Runnable onComplete) {
         long startedAtNanos = loop.nanos();
         new CancelledJobsReader(scope, state, clusterState::addCancelledJob, () -> {
                     listener.stepCompleted(new FailoverStep.CancelledJobsRead(
-                            ids.size(), clusterState.oldestCancellationAgeS(), loop.nanos() - startedAtNanos));
-                    done.run();
+                            jobIds.size(), clusterState.oldestCancellationAgeS(), loop.nanos() - startedAtNanos));
+                    onComplete.run();
                 })
-                .read(ids);
+                .read(jobIds);
     }
 }
--- a/src/main/java/org/spruceridge/failover/FailoverStep.java
+++ b/src/main/java/org/spruceridge/failover/FailoverStep.java
@@ -1,8 +1,8 @@
 package org.spruceridge.failover;
 
-/** A part of a failover that is complete, with figures for the log. */
+/** A completed step of a failover, with statistics for the log. */
 public sealed interface FailoverStep {
-    /** The time that it took. */
+    /** The duration of the step in nanoseconds. */
     long durationNanos();
 
     /** The keys under a prefix were listed. */
--- a/src/main/java/org/spruceridge/failover/package-info.java
+++ b/src/main/java/org/spruceridge/failover/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Failover: rebuilds the cluster state of a new term from the records in the state service. The leader starts one
- * {@link org.spruceridge.failover.Failover} at the beginning of its term, on the event loop, and schedules nothing before
+ * {@link org.spruceridge.failover.Failover} on the event loop at the beginning of its term and schedules no tasks until
  * it is complete.
  */
 package org.spruceridge.failover;
--- a/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
+++ b/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
@@ -2,9 +2,9 @@
 
 /** How a worker heartbeat was answered. Only the first three outcomes renew the worker's lease. */
 public enum HeartbeatOutcome {
-    /** Answered, with no stop among the commands. */
+    /** Answered without a stop command. */
     ANSWERED,
-    /** Answered with at least one stop. */
+    /** Answered with at least one stop command. */
     ANSWERED_WITH_STOPS,
     /** Answered before the failover was complete. */
     ANSWERED_DURING_FAILOVER,
--- a/src/main/java/org/spruceridge/term/LeaderContext.java
+++ b/src/main/java/org/spruceridge/term/LeaderContext.java
@@ -10,11 +10,11 @@
 import org.spruceridge.net.RateLimitedWarnings;
 
 /**
- * What all parts of a leader share for one term.
+ * The dependencies shared by all components of a leader during one term.
  *
- * @param scope all that the leader has pending; closed at the end of the term
+ * @param scope cancels the leader's pending timers and callbacks at the end of the term
  * @param cluster the cluster state of this term
- * @param isLeader whether the leader lease is still valid
+ * @param isLeader returns whether the leader lease is still valid
  */
 public record LeaderContext(
         Loop loop,
@@ -28,7 +28,7 @@
         Latencies latencies,
         LeaderMetrics metrics) {
 
-    /** The context of a term that begins, with an empty cluster state. */
+    /** Creates the context of a new term, with an empty cluster state. */
     public static LeaderContext begin(
             LeaderServices services, Settings settings, Policy policy, LeaderTerm term, BooleanSupplier isLeader) {
         return new LeaderContext(
@@ -44,7 +44,7 @@
                 services.metrics());
     }
 
-    /** This context with another cluster state. */
+    /** Returns a copy of this context with another cluster state. */
     public LeaderContext withCluster(Cluster other) {
         return new LeaderContext(loop, scope, settings, policy, other, term, isLeader, warnings, latencies, metrics);
     }
--- a/src/main/java/org/spruceridge/term/LeaderMetrics.java
+++ b/src/main/java/org/spruceridge/term/LeaderMetrics.java
@@ -4,26 +4,26 @@
 import com.google.common.base.CaseFormat;
 import org.spruceridge.net.Durations;
 
-/** Counts the outcomes of worker heartbeats and measures failovers, over all terms of this process. */
+/** Counts worker heartbeats by outcome and measures failover durations, over all terms of this process. */
 public final class LeaderMetrics {
     private final long[] heartbeatsByOutcome = new long[HeartbeatOutcome.values().length];
     private long failovers;
     private long lastFailoverNanos;
     private long longestFailoverNanos;
 
-    /** Counts a heartbeat. */
+    /** Counts a heartbeat with this outcome. */
     public void count(HeartbeatOutcome outcome) {
         heartbeatsByOutcome[outcome.ordinal()]++;
     }
 
-    /** Counts a failover that is complete this long after the election. */
+    /** Records a completed failover; the duration is the time since the election. */
     public void failoverCompleted(long durationNanos) {
         failovers++;
         lastFailoverNanos = durationNanos;
         longestFailoverNanos = Math.max(longestFailoverNanos, durationNanos);
     }
 
-    /** Adds {@code heartbeatOutcomes} and {@code failovers}. */
+    /** Writes the fields {@code heartbeatOutcomes} and {@code failovers}. */
     public void writeTo(ObjectNode out) {
         ObjectNode outcomes = out.putObject("heartbeatOutcomes");
         for (HeartbeatOutcome outcome : HeartbeatOutcome.values()) {
