--- a/src/main/java/org/spruceridge/leader/ClusterStatus.java
+++ b/src/main/java/org/spruceridge/leader/ClusterStatus.java
@@ -6,16 +6,18 @@
 import org.spruceridge.cluster.MachineType;
 
 /**
- * Figures of the cluster at one moment. Machines that have not sent a heartbeat yet are counted as booting and in no
- * other figure.
+ * A snapshot of cluster statistics. Machines that have not sent a heartbeat yet are counted only as booting.
  */
 record ClusterStatus(int jobs, int waitingTasks, MachineCounts machines, double usedCpus, double totalCpus) {
 
-    /** Numbers of machines. Idle and leaving ones are counted among the on-demand and spot machines too. */
+    /**
+     * Machine counts. Idle and leaving machines are also counted as on-demand or spot; leaving machines are those that
+     * are terminating or unschedulable.
+     */
     record MachineCounts(int onDemand, int spot, int booting, int idle, int leaving) {}
 
     static ClusterStatus of(Cluster cluster) {
-        Counter counter = new Counter(cluster);
+        MachineCounter counter = new MachineCounter(cluster);
         cluster.machines().forEach(counter::add);
         int waitingTasks = 0;
         for (Job job : cluster.jobs()) {
@@ -25,7 +27,7 @@
                 cluster.jobs().size(), waitingTasks, counter.machines(), counter.usedCpus, counter.totalCpus);
     }
 
-    private static final class Counter {
+    private static final class MachineCounter {
         private final Cluster cluster;
         private int onDemand;
         private int spot;
@@ -35,7 +37,7 @@
         private double usedCpus;
         private double totalCpus;
 
-        Counter(Cluster cluster) {
+        MachineCounter(Cluster cluster) {
             this.cluster = cluster;
         }
 
--- a/src/main/java/org/spruceridge/leader/HeartbeatResponder.java
+++ b/src/main/java/org/spruceridge/leader/HeartbeatResponder.java
@@ -12,32 +12,32 @@
 import org.spruceridge.worker.WorkerCommand;
 import org.spruceridge.worker.WorkerHeartbeat;
 
-/** Makes the response to each worker heartbeat, and counts and logs its outcome. */
+/** Builds the response to each worker heartbeat, and counts and logs its outcome. */
 final class HeartbeatResponder {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
     private final long term;
     private final LeaderMetrics metrics;
     private final HeartbeatHandler heartbeatHandler;
-    private final Response noCommands;
+    private final Response responseWithoutCommands;
     private boolean duringFailover = true;
 
     HeartbeatResponder(LeaderContext context, HeartbeatHandler heartbeatHandler) {
         this.term = context.term().term();
         this.metrics = context.metrics();
         this.heartbeatHandler = heartbeatHandler;
-        this.noCommands = WorkerCommand.answer(term, List.of());
+        this.responseWithoutCommands = WorkerCommand.answer(term, List.of());
     }
 
-    /** From now on heartbeats are reconciled with the cluster state, which is complete. */
+    /** Starts to reconcile heartbeats with the cluster state, which is now complete. */
     void failoverCompleted() {
         duringFailover = false;
         heartbeatHandler.failoverCompleted();
     }
 
     /**
-     * Handles a heartbeat. During the failover it only renews the worker's lease and stops tasks of jobs that are not
-     * open. The response is empty if the worker must not get one, so that its lease expires.
+     * Handles a heartbeat. During the failover, a heartbeat only renews the worker's lease and stops tasks of jobs that
+     * are not open. Returns empty if the worker must not be answered, so that its lease expires.
      */
     Optional<Response> respond(WorkerHeartbeat heartbeat) {
         if (duringFailover) {
@@ -52,8 +52,8 @@
     }
 
     private Response respond(WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
-        long stops = stopsAmong(commands);
-        HeartbeatOutcome outcome = outcomeOf(stops);
+        long stopCount = countStops(commands);
+        HeartbeatOutcome outcome = outcome(stopCount);
         metrics.count(outcome);
         if (LOG.isDebugEnabled()) {
             LOG.debug(
@@ -63,19 +63,19 @@
                     heartbeat.fencingToken(),
                     heartbeat.tasks().size(),
                     outcome,
-                    stops);
+                    stopCount);
         }
-        return commands.isEmpty() ? noCommands : WorkerCommand.answer(term, commands);
+        return commands.isEmpty() ? responseWithoutCommands : WorkerCommand.answer(term, commands);
     }
 
-    private HeartbeatOutcome outcomeOf(long stops) {
+    private HeartbeatOutcome outcome(long stopCount) {
         if (duringFailover) {
             return HeartbeatOutcome.ANSWERED_DURING_FAILOVER;
         }
-        return stops > 0 ? HeartbeatOutcome.ANSWERED_WITH_STOPS : HeartbeatOutcome.ANSWERED;
+        return stopCount > 0 ? HeartbeatOutcome.ANSWERED_WITH_STOPS : HeartbeatOutcome.ANSWERED;
     }
 
-    private static long stopsAmong(List<WorkerCommand> commands) {
+    private static long countStops(List<WorkerCommand> commands) {
         if (commands.isEmpty()) {
             return 0;
         }
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -38,16 +38,16 @@
 import org.spruceridge.worker.WorkerHeartbeat;
 
 /**
- * All duties of a node during one term as leader. It connects the parts, starts them once the failover is complete, and
- * stops them with the term.
+ * The leader during one term. Connects the components, starts them when the failover is complete, and stops them at the
+ * end of the term.
  */
 public final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /**
-     * The longest time between two scheduling cycles, in heartbeat intervals: the passage of time alone changes scores
-     * and makes machines suspect.
+     * The maximum time between two scheduling cycles, in heartbeat intervals. Cycles are needed even without new
+     * events, because the passage of time alone changes scores and makes machines suspect.
      */
     private static final double MAX_CYCLE_INTERVAL_HEARTBEATS = 1.0;
 
@@ -67,7 +67,7 @@
     private final Autoscaler autoscaler;
     private boolean failoverComplete;
 
-    /** Passes the outcomes of writes to the parts that depend on them. */
+    /** Forwards write outcomes to the components that depend on them. */
     private final class WriteListener implements RecordWriter.Listener {
         private final Consumer<String> resign;
 
@@ -95,7 +95,7 @@
     private final class FailoverListener implements Failover.Listener {
         @Override
         public void stepCompleted(FailoverStep step) {
-            log(step);
+            logStep(step);
         }
 
         @Override
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Connects the parts; nothing is sent before {@link #start}.
+     * Connects the components; nothing is sent before {@link #start}.
      *
-     * @param allMembersSupportNextLevel whether all members of the settings have announced this version's feature level
-     * @param resign ends the term, with a reason for the log
+     * @param allMembersSupportNextLevel whether all members in the settings have announced this version's level
+     * @param resign ends the term; receives a reason for the log
      */
     public Leader(
             LeaderContext context,
@@ -157,7 +157,7 @@
         return new Matching(context.settings(), context.policy(), maxBindingsPerMachine);
     }
 
-    /** Starts the failover, and all other duties when it is complete. */
+    /** Starts the failover, and all other components when it is complete. */
     public void start() {
         failover.start(new FailoverListener());
     }
@@ -180,7 +180,7 @@
         requestCyclePeriodically();
     }
 
-    private void log(FailoverStep step) {
+    private void logStep(FailoverStep step) {
         long durationMs = step.durationNanos() / NANOS_PER_MILLI;
         if (step instanceof FailoverStep.ListingRead listing) {
             LOG.info(
@@ -200,13 +200,13 @@
         }
     }
 
-    /** Stops all duties of the term. */
+    /** Stops all components. */
     public void stop() {
         jobWatcher.stop();
         scope.close();
     }
 
-    /** The number of the term, which is the fencing token of its commands. */
+    /** The term number, which is also the fencing token of the term's commands. */
     public long term() {
         return term.term();
     }
@@ -216,12 +216,12 @@
         return loop.nanos() - term.electedAtNanos();
     }
 
-    /** This term's cluster state, to be read only. */
+    /** The cluster state of this term; callers must not modify it. */
     public Cluster cluster() {
         return cluster;
     }
 
-    /** True while the view of cancelled jobs is recent enough to answer workers. */
+    /** True while this leader's view of cancelled jobs is recent enough for it to answer workers. */
     public boolean mayAnswerWorkers() {
         return jobWatcher.isUpToDate();
     }
@@ -231,27 +231,32 @@
         return heartbeatResponder.respond(heartbeat);
     }
 
-    /** Heartbeats arrive faster than this node can handle them, and some were dropped unread. */
+    /** Called when heartbeats arrive faster than this node can handle them and some were dropped unread. */
     public void heartbeatsDropped() {
         autoscaler.recordOverload();
     }
 
-    /** Another node has confirmed the cancellation of this job to a user; the job watch may deliver it later. */
-    public void jobCancelled(String id) {
-        Job job = cluster.job(id);
+    /**
+     * Called when another node has confirmed this job's cancellation to a user, which the job watch may deliver later.
+     */
+    public void jobCancelled(String jobId) {
+        Job job = cluster.job(jobId);
         if (failoverComplete && job != null) {
             jobWatcher.markCancelled(job, CancellationSource.HEARTBEAT);
         }
     }
 
-    /** Adopts machine types that this node has learned, unless the autoscaler has read them from the cloud already. */
+    /** Adopts machine types known to this node, unless the autoscaler has already read them from the cloud. */
     public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
         if (cluster.types().isEmpty()) {
             cluster.updateTypes(types);
         }
     }
 
-    /** Adds the term, the age of the view of cancellations, and the age of the oldest stop without proof. */
+    /**
+     * Writes the term, the age of the cancellation view, and the age of the oldest stop that is not yet proven; ages
+     * are in seconds.
+     */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
         jobWatcher.cancellationViewAgeS().ifPresent(ageS -> out.put("viewAgeS", ageS));
--- a/src/main/java/org/spruceridge/leader/StatusLogger.java
+++ b/src/main/java/org/spruceridge/leader/StatusLogger.java
@@ -8,7 +8,7 @@
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.term.LeaderContext;
 
-/** Logs the status of the cluster periodically, in one line, for the engineers on call. */
+/** Periodically logs the cluster status on one line for on-call engineers. */
 final class StatusLogger {
     private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
     private static final long INTERVAL_NANOS = Durations.nanos(15);
