--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -64,11 +64,12 @@
     }
 
     private void addFinishedTasks(Entry entry) throws BadMessageException {
-        PageIndex.Page<RecordPages.TaskChunk> page = records.finished().restorePage(entry.key(), entry.modRevision());
+        PageIndex.Page<RecordPages.TaskChunk> page =
+                records.finishedTasks().restorePage(entry.key(), entry.modRevision());
         for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(entry.value(), records.baseChunkSize())) {
             Job job = cluster.job(chunk.job());
             if (job != null) { // otherwise the job has ended and the next write of the page omits it
-                records.restoreFinished(job, chunk.first(), chunk.tasks(), page);
+                records.restoreFinishedTasks(job, chunk.first(), chunk.tasks(), page);
             }
         }
     }
--- a/src/main/java/org/spruceridge/persistence/BatchSender.java
+++ b/src/main/java/org/spruceridge/persistence/BatchSender.java
@@ -8,8 +8,8 @@
 import org.spruceridge.state.TransactionResult;
 
 /**
- * Retries a transaction unchanged until its outcome is known. A conflict after an unknown outcome may be with an earlier
- * attempt of the same transaction: a key that it writes shows whether one was committed.
+ * Retries a transaction unchanged until its outcome is known. A conflict after an unknown outcome may be caused by an
+ * earlier attempt of the same transaction; the value of one of its keys shows whether an attempt was committed.
  */
 final class BatchSender {
     static final long INITIAL_RETRY_DELAY_NANOS = Durations.millis(100);
@@ -25,7 +25,7 @@
 
         void onBatchConflict(WriteBatch batch, ImmutableList<String> conflictingKeys);
 
-        /** The service refuses the transaction for good. */
+        /** Called when the state service rejects the transaction permanently. */
         void onBatchRejected();
     }
 
@@ -44,14 +44,14 @@
         switch (result.outcome()) {
             case COMMITTED -> listener.onBatchCommitted(batch, result.revision());
             case CONFLICT -> {
-                if (batch.isUnknown()) {
+                if (batch.isOutcomeUnknown()) {
                     verifyOutcome(batch, result.conflictingKeys());
                 } else {
                     listener.onBatchConflict(batch, result.conflictingKeys());
                 }
             }
             case UNKNOWN -> {
-                batch.markUnknown();
+                batch.markOutcomeUnknown();
                 scheduleRetry(batch, retryDelayNanos);
             }
             case NOT_EXECUTED -> scheduleRetry(batch, retryDelayNanos);
--- a/src/main/java/org/spruceridge/persistence/CompletedJobs.java
+++ b/src/main/java/org/spruceridge/persistence/CompletedJobs.java
@@ -9,11 +9,11 @@
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Transaction;
 
-/** The jobs that one transaction records as done: their records are replaced, and their open entries deleted. */
+/** The jobs that one transaction records as done by replacing their records and deleting their open entries. */
 final class CompletedJobs {
-    /** The record of the job, and its open entry. */
+    /** One operation for the job record and one for the open entry. */
     static final int OPERATIONS_PER_JOB = 2;
-    /** Room in a transaction's body for the records of completed jobs, beside the pages. */
+    /** The space in a transaction's body for the records of completed jobs, in addition to the pages. */
     private static final int MAX_BYTES = 10 << 10;
 
     private final Map<Job, JsonNode> records = new LinkedHashMap<>();
--- a/src/main/java/org/spruceridge/persistence/PageIndex.java
+++ b/src/main/java/org/spruceridge/persistence/PageIndex.java
@@ -12,23 +12,23 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Maps items to pages: a page is one record that holds many items, and its mod revision stands for all of them.
+ * Maps items to pages. A page is a record that holds many items, which share its mod revision.
  */
 public final class PageIndex<T> {
     private final String prefix;
     private final int capacity;
-    private final ToIntFunction<Collection<T>> bytes;
+    private final ToIntFunction<Collection<T>> measureBytes;
     private final Map<T, Page<T>> pageByItem = new HashMap<>();
     private final List<Page<T>> pages = new ArrayList<>();
     private final Map<Page<T>, Integer> sizes = new HashMap<>();
     private final Set<Page<T>> oversized = new LinkedHashSet<>();
-    private int lastNumber;
+    private int lastPageNumber;
 
-    /** One record. */
+    /** A record that holds several items. */
     public static final class Page<T> {
         private final String key;
         private final Set<T> items = new LinkedHashSet<>();
-        /** Kept, so that a lookup on the hot path allocates nothing. */
+        /** Cached so that lookups on the hot path do not allocate. */
         private final Optional<Page<T>> asOptional = Optional.of(this);
 
         private long modRevision;
@@ -46,28 +46,28 @@
             return items;
         }
 
-        /** 0 while it has never been written. */
+        /** The revision of the last write, 0 if the page has never been written. */
         long modRevision() {
             return modRevision;
         }
 
-        void modRevision(long revision) {
+        void updateModRevision(long revision) {
             modRevision = revision;
         }
     }
 
-    /** {@code bytes} tells the most that the content of a page takes. */
-    PageIndex(String prefix, int capacity, ToIntFunction<Collection<T>> bytes) {
+    /** {@code measureBytes} returns the maximum encoded size of a page's items; {@code capacity} is in bytes. */
+    PageIndex(String prefix, int capacity, ToIntFunction<Collection<T>> measureBytes) {
         this.prefix = prefix;
         this.capacity = capacity;
-        this.bytes = bytes;
+        this.measureBytes = measureBytes;
     }
 
-    /** Takes over a page that is on record. */
+    /** Adds a page that is already stored in the state service. */
     public Page<T> restorePage(String key, long modRevision) {
         Page<T> page = new Page<>(key, modRevision);
         pages.add(page);
-        lastNumber = Math.max(lastNumber, Integer.parseInt(key.substring(prefix.length())));
+        lastPageNumber = Math.max(lastPageNumber, Integer.parseInt(key.substring(prefix.length())));
         return page;
     }
 
@@ -75,13 +75,13 @@
         return pages.size();
     }
 
-    /** The page on which the item is kept. */
+    /** The page that holds the item, if there is one. */
     Optional<Page<T>> pageOf(T item) {
         Page<T> page = pageByItem.get(item);
         return page == null ? Optional.empty() : page.asOptional;
     }
 
-    /** Puts an item on a page, and takes it off the one that it was on. */
+    /** Assigns an item to a page and removes it from its previous page. */
     public void assign(T item, Page<T> page) {
         if (pageByItem.get(item) == page) {
             return;
@@ -92,7 +92,7 @@
         sizes.remove(page);
     }
 
-    /** The item needs no record any more; it vanishes from its page with the page's next write. */
+    /** Removes an item that needs no record any more; the next write of its page omits it. */
     void remove(T item) {
         Page<T> page = pageByItem.remove(item);
         if (page != null) {
@@ -102,64 +102,68 @@
     }
 
     /**
-     * What items take has changed: pages are measured anew. Between two calls each is measured once, however many items
-     * look for room: measured for each of thousands of bindings, in a burst it took more than the machine gives.
+     * Discards the cached page sizes after the sizes of items have changed. Between two calls each page is measured
+     * once, however many items look for room. Measuring pages for each of thousands of bindings used more CPU time
+     * during bursts than the machine has.
      */
     void invalidateSizes() {
         sizes.clear();
     }
 
-    private int bytes(Page<T> page) {
-        return sizes.computeIfAbsent(page, p -> bytes.applyAsInt(p.items));
+    private int sizeBytes(Page<T> page) {
+        return sizes.computeIfAbsent(page, p -> measureBytes.applyAsInt(p.items));
     }
 
-    boolean isOverfull(Page<T> page) {
-        return bytes(page) > capacity;
+    boolean exceedsCapacity(Page<T> page) {
+        return sizeBytes(page) > capacity;
     }
 
-    /** Which item is on which page. */
+    /** A copy of the mapping from items to pages. */
     Map<T, Page<T>> pagesByItem() {
         return Map.copyOf(pageByItem);
     }
 
-    /** Finds the pages that hold more than may be written, and that can be split. */
-    void findOversized() {
+    /** Finds the pages that exceed the capacity and can be split. */
+    void findOversizedPages() {
         invalidateSizes();
-        pages.stream().filter(this::canAndMustBeSplit).forEach(oversized::add);
+        pages.stream().filter(this::needsSplit).forEach(oversized::add);
     }
 
-    private boolean canAndMustBeSplit(Page<T> page) {
-        return page.items.size() > 1 && isOverfull(page);
+    private boolean needsSplit(Page<T> page) {
+        return page.items.size() > 1 && exceedsCapacity(page);
     }
 
     boolean isOversized(Page<T> page) {
         return oversized.contains(page);
     }
 
-    /** A page that has to be split before anything else is written on it. */
+    /** The first page that must be split before anything else is written to it, if there is one. */
     Optional<Page<T>> firstOversized() {
-        oversized.removeIf(page -> !canAndMustBeSplit(page));
+        oversized.removeIf(page -> !needsSplit(page));
         return oversized.isEmpty() ? Optional.empty() : oversized.iterator().next().asOptional;
     }
 
-    /** The first of some pages that has room for the item. */
-    Optional<Page<T>> firstPageWithRoom(T item, Iterable<Page<T>> among) {
-        int most = capacity - bytes.applyAsInt(List.of(item));
-        for (Page<T> page : among) {
-            if (page != pageByItem.get(item) && bytes(page) <= most) {
+    /** The first of the candidate pages, other than the item's own, that has room for the item. */
+    Optional<Page<T>> firstPageWithRoom(T item, Iterable<Page<T>> candidates) {
+        int maxUsedBytes = capacity - measureBytes.applyAsInt(List.of(item));
+        for (Page<T> page : candidates) {
+            if (page != pageByItem.get(item) && sizeBytes(page) <= maxUsedBytes) {
                 return page.asOptional;
             }
         }
         return Optional.empty();
     }
 
-    /** A page, other than its own, that has room for the item: a preferred one, else the first that fits or a new one. */
+    /**
+     * A page, other than the item's own, that has room for the item: the first preferred page that fits, else the first
+     * of all pages that fits, else a new page.
+     */
     Page<T> pageWithRoomFor(T item, Collection<Page<T>> preferred) {
-        Optional<Page<T>> found = firstPageWithRoom(item, Iterables.concat(preferred, pages));
-        if (found.isPresent()) {
-            return found.get();
+        Optional<Page<T>> existingPage = firstPageWithRoom(item, Iterables.concat(preferred, pages));
+        if (existingPage.isPresent()) {
+            return existingPage.get();
         }
-        Page<T> page = new Page<>(prefix + (++lastNumber), 0);
+        Page<T> page = new Page<>(prefix + (++lastPageNumber), 0);
         pages.add(page);
         return page;
     }
--- a/src/main/java/org/spruceridge/persistence/PageSplitter.java
+++ b/src/main/java/org/spruceridge/persistence/PageSplitter.java
@@ -6,37 +6,37 @@
 import java.util.Set;
 import org.spruceridge.persistence.PageIndex.Page;
 
-/** Moves items off an oversized page, as many as one transaction can write. */
+/** Moves as many items off an oversized page as one transaction can write. */
 final class PageSplitter {
     private final int maxPages;
-    private final List<Runnable> rollback;
+    private final List<Runnable> rollbackActions;
 
-    /** Appends to {@code rollback} what takes each move back. */
-    PageSplitter(int maxPages, List<Runnable> rollback) {
+    /** For each move, an action that reverts it is appended to {@code rollbackActions}. */
+    PageSplitter(int maxPages, List<Runnable> rollbackActions) {
         this.maxPages = maxPages;
-        this.rollback = rollback;
+        this.rollbackActions = rollbackActions;
     }
 
-    /** Adds the pages that change to {@code written}. */
-    <T> void split(PageIndex<T> index, Page<T> from, Set<Page<T>> written) {
+    /** Splits a page and adds the changed pages to {@code writtenPages}. */
+    <T> void split(PageIndex<T> index, Page<T> from, Set<Page<T>> writtenPages) {
         Set<Page<T>> targets = new LinkedHashSet<>();
-        written.add(from);
+        writtenPages.add(from);
         for (T item : List.copyOf(from.items())) {
-            if (!index.isOverfull(from)) {
+            if (!index.exceedsCapacity(from)) {
                 return;
             }
-            Optional<Page<T>> found = index.firstPageWithRoom(item, targets);
-            if (found.isEmpty() && written.size() >= maxPages) {
+            Optional<Page<T>> existingTarget = index.firstPageWithRoom(item, targets);
+            if (existingTarget.isEmpty() && writtenPages.size() >= maxPages) {
                 return;
             }
-            Page<T> to = found.isPresent() ? found.get() : index.pageWithRoomFor(item, targets);
+            Page<T> to = existingTarget.isPresent() ? existingTarget.get() : index.pageWithRoomFor(item, targets);
             if (from.items().size() == 1) {
                 return;
             }
             targets.add(to);
-            written.add(to);
+            writtenPages.add(to);
             index.assign(item, to);
-            rollback.add(() -> index.assign(item, from));
+            rollbackActions.add(() -> index.assign(item, from));
         }
     }
 }
--- a/src/main/java/org/spruceridge/persistence/PendingWrites.java
+++ b/src/main/java/org/spruceridge/persistence/PendingWrites.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.spruceridge.cluster.Binding;
 
-/** The writes that wait for a transaction, oldest first, with one write for each binding. */
+/** The writes waiting for a transaction, oldest first, with at most one write per binding. */
 final class PendingWrites {
     private final Map<Binding, WriteKind> writes = new LinkedHashMap<>();
 
@@ -24,12 +24,12 @@
         writes.put(binding, WriteKind.BIND);
     }
 
-    /** Adds a release or a completion; a completion that waits already is not replaced. */
+    /** Adds a release or a completion. An already pending completion is not replaced. */
     void addRelease(Binding binding, WriteKind kind) {
         writes.merge(binding, kind, (waiting, added) -> waiting == WriteKind.COMPLETE ? waiting : added);
     }
 
-    /** Removes the binding if it waits to be added; false if it does not. */
+    /** Removes the pending bind of this binding; false if there is none. */
     boolean removeBind(Binding binding) {
         return writes.remove(binding, WriteKind.BIND);
     }
@@ -38,18 +38,18 @@
         writes.remove(binding);
     }
 
-    /** Puts writes before those that wait. A write of a binding that waits already replaces the earlier one. */
+    /** Inserts writes ahead of those pending. If a binding already has a pending write, that one takes precedence. */
     void addFirst(Map<Binding, WriteKind> earlier) {
-        Map<Binding, WriteKind> later = new LinkedHashMap<>(writes);
+        Map<Binding, WriteKind> waitingWrites = new LinkedHashMap<>(writes);
         writes.clear();
         writes.putAll(earlier);
-        writes.putAll(later);
+        writes.putAll(waitingWrites);
     }
 
     /**
-     * Moves what has room into the batch. Services come first: they are few, and each second counts. Then the oldest
-     * writes choose the pages: if releases came first, a stream of them would delay binds on other pages for as long as it
-     * lasts.
+     * Moves the writes that fit into the batch. Writes of services go first, because they are few and each second of
+     * delay matters. The remaining writes are added oldest first, so the oldest writes determine the pages. If releases
+     * went first, a steady stream of them would delay binds on other pages for as long as it lasts.
      */
     void moveInto(WriteBatch batch) {
         writes.entrySet()
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -16,27 +16,27 @@
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** The pages that this leader keeps: the bindings of machines, and the finished tasks of unfinished jobs. */
+/** The record pages maintained by this leader: bindings by machine, and finished tasks of unfinished jobs. */
 public final class RecordPages {
     private static final int MAX_BODY_BYTES = 48 << 10;
-    /** What a transaction of a few ends changes beside the pages. */
+    /** The estimated changes of a transaction besides its pages, for the records of a few completed jobs. */
     private static final int CHANGES_FOR_COMPLETED_JOBS = 4;
 
     private final int txnOps;
     private final int valueBytes;
     private final int pageBytes;
-    /** The size of chunks at the base level, which version 0.1 derives from the present limit alone. */
+    /** The chunk size at the base level; version 0.1 derives it from the current value limit only. */
     private final int baseChunkSize;
 
     private final int smallChunkSize;
     private final PageIndex<Machine> bindings;
-    private final PageIndex<TaskChunk> finished;
+    private final PageIndex<TaskChunk> finishedTasks;
     private FeatureLevel level;
 
-    /** A run of a job's tasks, beginning with {@code first}, whose completion is recorded together. */
-    public record TaskChunk(Job job, int first) {}
+    /** A contiguous range of a job's tasks, starting at {@code firstIndex}, whose completion is recorded together. */
+    public record TaskChunk(Job job, int firstIndex) {}
 
-    /** Pages in the forms of a cluster feature level, within the limits of the state service. */
+    /** Creates an empty set of pages in the format of a cluster feature level, within the state service's limits. */
     public RecordPages(Settings.State limits, FeatureLevel level) {
         this.txnOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
@@ -46,81 +46,86 @@
         this.level = level;
         int capacity = PackedValue.capacity(limits.recordKb());
         this.bindings = new PageIndex<>(StateKeys.BINDINGS_PREFIX, capacity, BindingsRecord::bytes);
-        this.finished = new PageIndex<>(StateKeys.FINISHED_TASKS_PREFIX, capacity, this::bytes);
+        this.finishedTasks = new PageIndex<>(StateKeys.FINISHED_TASKS_PREFIX, capacity, this::maxBytes);
     }
 
-    /** The pages of bindings, by machine. */
+    /** The pages of bindings, indexed by machine. */
     public PageIndex<Machine> bindings() {
         return bindings;
     }
 
-    /** The pages of finished tasks, by chunk. */
-    public PageIndex<TaskChunk> finished() {
-        return finished;
+    /** The pages of finished tasks, indexed by chunk. */
+    public PageIndex<TaskChunk> finishedTasks() {
+        return finishedTasks;
     }
 
-    /** The sizes of pages are computed anew, as bindings were added since the last batch. */
+    /** Discards the cached page sizes, because bindings were added since the last batch. */
     void invalidateSizes() {
         bindings.invalidateSizes();
-        finished.invalidateSizes();
+        finishedTasks.invalidateSizes();
     }
 
     private int chunkSize() {
         return level.includes(FeatureLevel.SERVICES) ? smallChunkSize : baseChunkSize;
     }
 
-    /** Chunks do not straddle those of the base level, so that the tasks of each were on one page when the level rose. */
-    TaskChunk chunkOf(Job job, int index) {
-        int base = index / baseChunkSize * baseChunkSize;
-        return new TaskChunk(job, base + (index - base) / chunkSize() * chunkSize());
+    /**
+     * Returns the chunk that contains a task. Chunks never span two base-level chunks, so all tasks of a chunk were on
+     * the same page when the feature level was raised.
+     */
+    TaskChunk chunkOf(Job job, int taskIndex) {
+        int baseChunkStart = taskIndex / baseChunkSize * baseChunkSize;
+        return new TaskChunk(job, baseChunkStart + (taskIndex - baseChunkStart) / chunkSize() * chunkSize());
     }
 
-    /** The first task after the chunk. */
-    private int endOf(TaskChunk chunk) {
-        int baseEnd = (chunk.first / baseChunkSize + 1) * baseChunkSize;
+    /** The index of the first task after the chunk. */
+    private int endIndex(TaskChunk chunk) {
+        int baseEnd = (chunk.firstIndex / baseChunkSize + 1) * baseChunkSize;
         return Math.min(
-                Math.min(chunk.first + chunkSize(), baseEnd), chunk.job.spec().tasks());
+                Math.min(chunk.firstIndex + chunkSize(), baseEnd),
+                chunk.job.spec().tasks());
     }
 
-    /** The size of chunks in records of the base level. */
+    /** The number of tasks per chunk in records of the base level. */
     public int baseChunkSize() {
         return baseChunkSize;
     }
 
-    /** Restores finished tasks that a page holds; {@code tasks} counts from {@code first}. */
-    public void restoreFinished(Job job, int first, BitSet tasks, Page<TaskChunk> page) {
+    /** Restores finished tasks from a page; bit 0 of {@code tasks} is the task at {@code firstIndex}. */
+    public void restoreFinishedTasks(Job job, int firstIndex, BitSet tasks, Page<TaskChunk> page) {
         for (int i = tasks.nextSetBit(0); i >= 0; i = tasks.nextSetBit(i + 1)) {
-            job.markDone(first + i);
-            finished.assign(chunkOf(job, first + i), page);
+            job.markDone(firstIndex + i);
+            finishedTasks.assign(chunkOf(job, firstIndex + i), page);
         }
     }
 
-    /** Records are written in the forms of this level from now on. No transaction may be in flight. */
+    /** Switches new writes to the record format of this level. No transaction may be in flight. */
     void raiseLevel(FeatureLevel raised) {
-        Map<TaskChunk, Page<TaskChunk>> old = finished.pagesByItem();
+        Map<TaskChunk, Page<TaskChunk>> previousPages = finishedTasks.pagesByItem();
         level = raised;
-        old.forEach((chunk, page) -> {
-            finished.remove(chunk);
-            int end = Math.min(chunk.first + baseChunkSize, chunk.job.spec().tasks());
-            for (int first = chunk.first; first < end; first = endOf(new TaskChunk(chunk.job, first))) {
-                finished.assign(new TaskChunk(chunk.job, first), page);
+        previousPages.forEach((chunk, page) -> {
+            finishedTasks.remove(chunk);
+            int chunkEnd =
+                    Math.min(chunk.firstIndex + baseChunkSize, chunk.job.spec().tasks());
+            for (int start = chunk.firstIndex; start < chunkEnd; start = endIndex(new TaskChunk(chunk.job, start))) {
+                finishedTasks.assign(new TaskChunk(chunk.job, start), page);
             }
         });
-        finished.findOversized();
+        finishedTasks.findOversizedPages();
     }
 
-    /** Finds the pages that an earlier version has left larger than may be written from now on. */
-    void findOversized() {
-        bindings.findOversized();
-        finished.findOversized();
+    /** Finds the pages written by an earlier version that are larger than the present limit for writes. */
+    void findOversizedPages() {
+        bindings.findOversizedPages();
+        finishedTasks.findOversizedPages();
     }
 
-    boolean hasOversized() {
+    boolean hasOversizedPages() {
         return bindings.firstOversized().isPresent()
-                || finished.firstOversized().isPresent();
+                || finishedTasks.firstOversized().isPresent();
     }
 
-    /** How large a value may be, in bytes. */
+    /** The maximum size of a value in bytes. */
     int valueBytes() {
         return valueBytes;
     }
@@ -129,25 +134,26 @@
         return txnOps;
     }
 
-    /** The most pages that a transaction's body holds. */
+    /** The maximum number of pages in the body of a transaction. */
     int maxPages() {
         return Math.max(2, MAX_BODY_BYTES / pageBytes);
     }
 
-    /** How many changes the next transaction may need. */
+    /** The estimated maximum number of changes in the next transaction. */
     int estimatedChanges() {
         return Math.min(
-                txnOps, Math.min(maxPages(), bindings.pageCount() + finished.pageCount()) + CHANGES_FOR_COMPLETED_JOBS);
+                txnOps,
+                Math.min(maxPages(), bindings.pageCount() + finishedTasks.pageCount()) + CHANGES_FOR_COMPLETED_JOBS);
     }
 
     /** Removes the finished tasks of a job that has ended. */
     void removeFinishedTasks(Job job) {
-        for (int first = 0; first < job.spec().tasks(); first = endOf(new TaskChunk(job, first))) {
-            finished.remove(new TaskChunk(job, first));
+        for (int start = 0; start < job.spec().tasks(); start = endIndex(new TaskChunk(job, start))) {
+            finishedTasks.remove(new TaskChunk(job, start));
         }
     }
 
-    /** Removes the machines that have no binding left; {@code released} are the bindings that were just released. */
+    /** Removes machines without remaining bindings; {@code released} contains the bindings that were just released. */
     void removeIdleMachines(Collection<Binding> released) {
         for (Binding binding : released) {
             if (binding.machine().bindings().isEmpty()) {
@@ -156,30 +162,30 @@
         }
     }
 
-    ObjectNode bindingsPage(String transactionId, Page<Machine> page, Predicate<Binding> recorded) {
-        return BindingsRecord.write(transactionId, page.items(), recorded);
+    ObjectNode bindingsPage(String transactionId, Page<Machine> page, Predicate<Binding> isRecorded) {
+        return BindingsRecord.write(transactionId, page.items(), isRecorded);
     }
 
-    /** A page of finished tasks, with those that end in this transaction. */
-    ObjectNode finishedPage(String transactionId, Page<TaskChunk> page, Map<TaskChunk, BitSet> ending) {
+    /** Serializes a page of finished tasks, including the tasks completed by this transaction. */
+    ObjectNode finishedPage(String transactionId, Page<TaskChunk> page, Map<TaskChunk, BitSet> completingTasks) {
         return FinishedTasksRecord.write(
                 transactionId,
                 level,
                 baseChunkSize,
                 page.items().stream()
                         .map(chunk -> {
-                            BitSet bits = chunk.job.done().get(chunk.first, endOf(chunk));
-                            bits.or(ending.getOrDefault(chunk, new BitSet()));
-                            return new FinishedTasksRecord.Chunk(chunk.job.id(), chunk.first, bits);
+                            BitSet chunkTasks = chunk.job.done().get(chunk.firstIndex, endIndex(chunk));
+                            chunkTasks.or(completingTasks.getOrDefault(chunk, new BitSet()));
+                            return new FinishedTasksRecord.Chunk(chunk.job.id(), chunk.firstIndex, chunkTasks);
                         })
                         .toList());
     }
 
-    private int bytes(Collection<TaskChunk> chunks) {
-        int sum = 5;
+    private int maxBytes(Collection<TaskChunk> chunks) {
+        int totalBytes = 5;
         for (TaskChunk chunk : chunks) {
-            sum += FinishedTasksRecord.bytes(chunk.job.id(), endOf(chunk) - chunk.first);
+            totalBytes += FinishedTasksRecord.bytes(chunk.job.id(), endIndex(chunk) - chunk.firstIndex);
         }
-        return sum;
+        return totalBytes;
     }
 }
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -23,21 +23,24 @@
 import org.spruceridge.upgrade.FeatureLevel;
 
 /**
- * Records bindings, releases and completions. Writes are batched into transactions, one in flight at a time: each is
- * composed when the rate limiter admits it, and carries everything pending by then. It compares the leader key and the mod
- * revision of every key that it changes. A transaction with an unknown outcome is retried unchanged until the outcome is
- * known; until then both outcomes are taken into account.
+ * Records bindings, releases and completions. Writes are batched into transactions, of which one is in flight at a
+ * time. A transaction is composed when the rate limiter admits it, from all writes pending at that time. It compares
+ * the leader key and the mod revision of every key that it changes. A transaction with an unknown outcome is retried
+ * unchanged until the outcome is known; until then the writer accounts for both possible outcomes.
  */
 public final class RecordWriter implements BindingReleaser {
-    /** Receives the outcome of writes, on the event loop. */
+    /** Receives the outcomes of writes on the event loop. */
     public interface Listener {
-        /** A transaction was committed; tasks are now bound to these machines. */
-        void onCommitted(ImmutableSet<Machine> bound);
+        /** Called after a commit, with the machines to which the transaction bound tasks. */
+        void onCommitted(ImmutableSet<Machine> boundMachines);
 
-        /** A conflict showed that the job was cancelled. */
+        /** Called when a conflict shows that the job was cancelled. */
         void onJobCancelled(Job job);
 
-        /** The records are not as this leader left them, or another node leads: this one has to step down. */
+        /**
+         * Called when this leader must step down: a record differs from what it last wrote, another node leads, or the
+         * state service rejected the transaction.
+         */
         void onWriteFailed(String reason);
     }
 
@@ -66,9 +69,9 @@
     private final Listener listener;
     private final Latencies latencies;
     private final RecordPages records;
-    private final BatchSender sender;
+    private final BatchSender batchSender;
     private final PendingWrites pending = new PendingWrites();
-    /** The transaction that was sent last and whose outcome is open; empty if there is none. */
+    /** The last transaction sent, while its outcome is unknown; otherwise empty. */
     private Optional<WriteBatch> inFlight = Optional.empty();
 
     private boolean awaitingAdmission;
@@ -76,7 +79,7 @@
     private boolean lastBatchWasSplit;
     private long batchCount;
 
-    /** Writes within the limits of the settings; the listener receives the outcomes. */
+    /** Creates a writer that keeps within the limits of the settings and passes write outcomes to the listener. */
     public RecordWriter(LeaderContext context, StateClient state, Listener listener) {
         this.loop = context.loop();
         this.scope = context.scope();
@@ -85,78 +88,80 @@
         this.term = context.term();
         this.listener = listener;
         this.latencies = context.latencies();
-        this.sender = new BatchSender(state, scope, new BatchListener());
+        this.batchSender = new BatchSender(state, scope, new BatchListener());
         this.records = new RecordPages(
                 context.settings().state(), context.term().featureLevel().level());
     }
 
-    /** The pages on which the records are kept. */
+    /** The pages that hold the records. */
     public RecordPages records() {
         return records;
     }
 
-    /** The failover is complete: pages that an earlier version left too large are split, one transaction at a time. */
+    /**
+     * Called when the failover is complete; starts to split oversized pages of an earlier version, one per transaction.
+     */
     public void failoverCompleted() {
-        records.findOversized();
+        records.findOversizedPages();
         submitNext();
     }
 
-    /** The cluster feature level is that of this version: records may have its forms from now on. */
+    /** Called when the cluster feature level is that of this version; records may use its formats from now on. */
     public void levelRaised() {
         levelRaised = true;
         submitNext();
     }
 
-    /** Puts a proposed binding, already part of the cluster state, on record. */
+    /** Records a proposed binding that is already part of the cluster state. */
     public void bind(Binding binding) {
         pending.addBind(binding);
         submitNext();
     }
 
     /**
-     * Takes a binding off the record, on proof that its task is gone; {@code done} also records its task as done, unless it
-     * is a replica of a service, which never is.
+     * Removes the record of a binding whose task is proven to be gone. If {@code completed}, the task is also recorded
+     * as done, except for a replica of a service, which is never done.
      */
     @Override
     public void release(Binding binding, boolean completed) {
-        boolean done = completed && !binding.job().spec().isService();
-        if (binding.stage() == Binding.Stage.RELEASING && !done) {
+        boolean recordsCompletion = completed && !binding.job().spec().isService();
+        if (binding.stage() == Binding.Stage.RELEASING && !recordsCompletion) {
             return;
         }
         if (pending.removeBind(binding)) {
-            cluster.unbind(binding, loop.nanos()); // never on record
+            cluster.unbind(binding, loop.nanos()); // was never recorded
             removeIfCancelled(binding.job());
             return;
         }
         binding.advanceTo(Binding.Stage.RELEASING);
         cluster.releaseCapacity(binding);
-        pending.addRelease(binding, done ? WriteKind.COMPLETE : WriteKind.RELEASE);
+        pending.addRelease(binding, recordsCompletion ? WriteKind.COMPLETE : WriteKind.RELEASE);
         submitNext();
     }
 
-    /** Withdraws the pending bindings of a cancelled job, unless they are in flight, and forgets its finished tasks. */
+    /** Removes a cancelled job's pending bindings, except those in flight, and its finished tasks. */
     public void withdrawCancelled(Job job) {
-        for (Binding b : ImmutableList.copyOf(job.bindings())) {
-            if (pending.removeBind(b)) {
-                cluster.unbind(b, loop.nanos());
+        for (Binding binding : ImmutableList.copyOf(job.bindings())) {
+            if (pending.removeBind(binding)) {
+                cluster.unbind(binding, loop.nanos());
             }
         }
         records.removeFinishedTasks(job);
         removeIfCancelled(job);
     }
 
-    /** True if the transaction in flight completes this job, so that its open entry is removed by this leader. */
+    /** True if the transaction in flight completes this job, which means that this leader deletes its open entry. */
     public boolean isCompleting(Job job) {
         return inFlight.isPresent() && inFlight.get().completes(job);
     }
 
-    /** How many writes are pending, and whether a transaction is in flight. */
+    /** The number of pending writes, plus one if a transaction is in flight. */
     public int backlog() {
         return pending.size() + (inFlight.isPresent() ? 1 : 0);
     }
 
     private void submitNext() {
-        if (inFlight.isPresent() || awaitingAdmission || (pending.isEmpty() && !records.hasOversized())) {
+        if (inFlight.isPresent() || awaitingAdmission || (pending.isEmpty() && !records.hasOversizedPages())) {
             return;
         }
         awaitingAdmission = true;
@@ -166,7 +171,7 @@
                 records.estimatedChanges(),
                 () -> {
                     awaitingAdmission = false;
-                    inFlight = scope.isClosed() ? Optional.empty() : compose();
+                    inFlight = scope.isClosed() ? Optional.empty() : composeBatch();
                     return inFlight.map(WriteBatch::transaction);
                 },
                 scope.guard(result -> {
@@ -176,19 +181,19 @@
                             submitNext();
                         });
                     } else {
-                        sender.onFirstResult(inFlight.get(), result);
+                        batchSender.onFirstResult(inFlight.get(), result);
                     }
                 }));
     }
 
-    private Optional<WriteBatch> compose() {
+    private Optional<WriteBatch> composeBatch() {
         if (levelRaised) {
             levelRaised = false;
             records.raiseLevel(FeatureLevel.SUPPORTED);
         }
         WriteBatch batch = new WriteBatch(records, term, "w" + term.term() + "." + (++batchCount));
-        // Alternates with pending writes, which cannot go to an oversized page once the limits have fallen.
-        lastBatchWasSplit = (!lastBatchWasSplit || pending.isEmpty()) && batch.splitOversized();
+        // Splits alternate with pending writes, which cannot go to an oversized page after the limits were lowered.
+        lastBatchWasSplit = (!lastBatchWasSplit || pending.isEmpty()) && batch.splitOversizedPage();
         if (lastBatchWasSplit) {
             return Optional.of(batch);
         }
@@ -198,21 +203,21 @@
 
     private void applyCommitted(WriteBatch batch, long revision) {
         inFlight = Optional.empty();
-        long now = loop.nanos();
+        long nowNanos = loop.nanos();
         batch.markCommitted(revision);
-        ImmutableSet.Builder<Machine> bound = ImmutableSet.builder();
-        for (Binding b : batch.bound()) {
-            if (b.stage() == Binding.Stage.PROPOSED) {
-                b.advanceTo(Binding.Stage.COMMITTED);
-                latencies.record(Latencies.Kind.COMMITS, now - b.boundAt());
-                bound.add(b.machine());
+        ImmutableSet.Builder<Machine> boundMachines = ImmutableSet.builder();
+        for (Binding boundBinding : batch.bound()) {
+            if (boundBinding.stage() == Binding.Stage.PROPOSED) {
+                boundBinding.advanceTo(Binding.Stage.COMMITTED);
+                latencies.record(Latencies.Kind.COMMITS, nowNanos - boundBinding.boundAt());
+                boundMachines.add(boundBinding.machine());
             }
         }
         batch.released().forEach((binding, kind) -> {
             if (kind == WriteKind.COMPLETE) {
                 binding.job().markDone(binding.task().index());
             }
-            cluster.unbind(binding, now);
+            cluster.unbind(binding, nowNanos);
             removeIfCancelled(binding.job());
         });
         for (Job job : batch.completedJobs()) {
@@ -221,10 +226,10 @@
         }
         records.removeIdleMachines(batch.released().keySet());
         submitNext();
-        listener.onCommitted(bound.build());
+        listener.onCommitted(boundMachines.build());
     }
 
-    /** A comparison failed: nothing was written. That is ordinary if jobs were cancelled, and else ends the term. */
+    /** Handles a failed comparison, after which nothing was written. Unless jobs were cancelled, this ends the term. */
     private void handleConflict(WriteBatch batch, ImmutableList<String> conflictingKeys) {
         if (conflictingKeys.contains(StateKeys.LEADER)) {
             listener.onWriteFailed("leader-key-changed");
@@ -246,7 +251,7 @@
         submitNext();
     }
 
-    /** The job whose record or open entry has this key, if it is one of the cluster state. */
+    /** The job whose record or open entry has this key, if it is in the cluster state. */
     private Optional<Job> jobOf(String key) {
         if (key.startsWith(StateKeys.OPEN_JOBS_PREFIX)) {
             return Optional.ofNullable(cluster.job(key.substring(StateKeys.OPEN_JOBS_PREFIX.length())));
@@ -260,12 +265,13 @@
     private void requeue(WriteBatch batch) {
         Map<Binding, WriteKind> retried = new LinkedHashMap<>(batch.released());
         for (Binding binding : batch.bound()) {
-            // When a job was cancelled meanwhile, its pending bindings were removed, but not this one, which was in
-            // flight. Put back, it would make this and every later transaction fail: nothing would ever be bound again.
+            // If the job was cancelled in the meantime, its pending bindings were removed, but not this one, which was
+            // in flight. Requeuing it would make the retry and every later transaction fail, so that nothing would ever
+            // be bound again.
             if (binding.stage() == Binding.Stage.PROPOSED && !binding.job().isCancelled()) {
                 retried.put(binding, WriteKind.BIND);
             } else {
-                pending.remove(binding); // released or cancelled meanwhile, and never on record
+                pending.remove(binding); // released or cancelled in the meantime, and never recorded
                 cluster.unbind(binding, loop.nanos());
                 removeIfCancelled(binding.job());
             }
@@ -273,7 +279,7 @@
         pending.addFirst(retried);
     }
 
-    /** A cancelled job leaves the cluster state with its last binding. */
+    /** Removes a cancelled job from the cluster state if it has no bindings left. */
     private void removeIfCancelled(Job job) {
         cluster.removeIfEnded(job, job.isCancelled());
     }
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -23,9 +23,9 @@
 import org.spruceridge.state.Transaction;
 import org.spruceridge.term.LeaderTerm;
 
-/** Composes one transaction within the limits of the state service, and can roll back what it changed in the index. */
+/** Composes one transaction within the state service's limits; its changes to the page index can be rolled back. */
 final class WriteBatch {
-    /** A transaction may compare this many times as many keys as it may change. */
+    /** The number of keys that a transaction may compare per key that it may change. */
     private static final int COMPARISONS_PER_OPERATION = 4;
 
     private final RecordPages records;
@@ -35,12 +35,12 @@
     private final Map<Binding, WriteKind> released = new LinkedHashMap<>();
     private final Set<Binding> bound = new LinkedHashSet<>();
     private final Set<Job> guardedJobs = new HashSet<>();
-    private final Map<TaskChunk, BitSet> ending = new HashMap<>();
-    private final Map<Job, Integer> newlyDone = new HashMap<>();
+    private final Map<TaskChunk, BitSet> completingTasks = new HashMap<>();
+    private final Map<Job, Integer> newlyDoneCounts = new HashMap<>();
     private final CompletedJobs completedJobs = new CompletedJobs();
-    private final List<Runnable> rollback = new ArrayList<>();
+    private final List<Runnable> rollbackActions = new ArrayList<>();
     private Transaction transaction;
-    private boolean unknown;
+    private boolean outcomeUnknown;
 
     WriteBatch(RecordPages records, LeaderTerm term, String transactionId) {
         this.records = records;
@@ -65,7 +65,7 @@
         return bound;
     }
 
-    /** The jobs whose last task this transaction records as done. */
+    /** The jobs that this transaction records as done because it completes their last task. */
     Set<Job> completedJobs() {
         return completedJobs.jobs();
     }
@@ -74,29 +74,29 @@
         return completedJobs.contains(job);
     }
 
-    boolean isUnknown() {
-        return unknown;
+    boolean isOutcomeUnknown() {
+        return outcomeUnknown;
     }
 
-    /** No response came: the transaction may have been executed, or may still be. */
-    void markUnknown() {
-        unknown = true;
+    /** Records that no response was received: the transaction may have been executed, or may still be executed. */
+    void markOutcomeUnknown() {
+        outcomeUnknown = true;
     }
 
-    /** Moves items off the first oversized page, as many as one transaction can; false if no page is oversized. */
-    boolean splitOversized() {
-        Optional<Page<Machine>> ofBindings = records.bindings().firstOversized();
-        Optional<Page<TaskChunk>> ofFinished = records.finished().firstOversized();
-        PageSplitter splitter = new PageSplitter(Math.min(records.txnOps(), records.maxPages()), rollback);
-        if (ofBindings.isPresent()) {
-            splitter.split(records.bindings(), ofBindings.get(), pages.bindings());
-        } else if (ofFinished.isPresent()) {
-            splitter.split(records.finished(), ofFinished.get(), pages.chunks());
+    /** Moves as many items off the first oversized page as one transaction can; false if no page is oversized. */
+    boolean splitOversizedPage() {
+        Optional<Page<Machine>> oversizedBindings = records.bindings().firstOversized();
+        Optional<Page<TaskChunk>> oversizedTasks = records.finishedTasks().firstOversized();
+        PageSplitter splitter = new PageSplitter(Math.min(records.txnOps(), records.maxPages()), rollbackActions);
+        if (oversizedBindings.isPresent()) {
+            splitter.split(records.bindings(), oversizedBindings.get(), pages.bindings());
+        } else if (oversizedTasks.isPresent()) {
+            splitter.split(records.finishedTasks(), oversizedTasks.get(), pages.finishedTasks());
         }
-        return ofBindings.isPresent() || ofFinished.isPresent();
+        return oversizedBindings.isPresent() || oversizedTasks.isPresent();
     }
 
-    /** Adds a release or a completion; false if there is no room for it, or its page has to be split first. */
+    /** Adds a release or a completion; false if there is no room for it or its page must be split first. */
     boolean release(Binding binding, WriteKind kind) {
         Optional<Page<Machine>> page = records.bindings().pageOf(binding.machine());
         if (page.isPresent() && records.bindings().isOversized(page.get())) {
@@ -106,18 +106,18 @@
         if (kind == WriteKind.RELEASE || job.isCancelled()) {
             return releaseOnly(binding, page, WriteKind.RELEASE);
         }
-        int newlyDoneOfJob =
-                newlyDone.getOrDefault(job, 0) + (job.isDone(binding.task().index()) ? 0 : 1);
-        boolean completesJob = job.doneCount() + newlyDoneOfJob == job.spec().tasks();
+        int newlyDoneCount = newlyDoneCounts.getOrDefault(job, 0)
+                + (job.isDone(binding.task().index()) ? 0 : 1);
+        boolean completesJob = job.doneCount() + newlyDoneCount == job.spec().tasks();
         boolean added = completesJob ? completeJob(binding, page) : completeTask(binding, page);
         if (added) {
-            newlyDone.put(job, newlyDoneOfJob);
+            newlyDoneCounts.put(job, newlyDoneCount);
         }
         return added;
     }
 
     private boolean releaseOnly(Binding binding, Optional<Page<Machine>> page, WriteKind kind) {
-        if (!hasRoom(newPage(page), 0, 0)) {
+        if (!hasRoom(newPageCount(page), 0, 0)) {
             return false;
         }
         addRelease(binding, page, kind);
@@ -128,15 +128,15 @@
         int index = binding.task().index();
         TaskChunk chunk = records.chunkOf(binding.job(), index);
         Page<TaskChunk> chunkPage = pageOf(chunk);
-        if (records.finished().isOversized(chunkPage)) {
+        if (records.finishedTasks().isOversized(chunkPage)) {
             return false;
         }
-        if (!hasRoom(newPage(page) + (pages.chunks().contains(chunkPage) ? 0 : 1), 0, 0)) {
+        if (!hasRoom(newPageCount(page) + (pages.finishedTasks().contains(chunkPage) ? 0 : 1), 0, 0)) {
             return false;
         }
         addRelease(binding, page, WriteKind.COMPLETE);
-        pages.chunks().add(chunkPage);
-        ending.computeIfAbsent(chunk, c -> new BitSet()).set(index - chunk.first());
+        pages.finishedTasks().add(chunkPage);
+        completingTasks.computeIfAbsent(chunk, c -> new BitSet()).set(index - chunk.firstIndex());
         return true;
     }
 
@@ -147,7 +147,7 @@
         }
         JsonNode record = CompletedJobs.recordOf(job, records.valueBytes());
         int recordBytes = Json.bytes(record).length;
-        boolean fits = hasRoom(newPage(page), 1, 0) && (isEmpty() || completedJobs.hasRoomFor(recordBytes));
+        boolean fits = hasRoom(newPageCount(page), 1, 0) && (isEmpty() || completedJobs.hasRoomFor(recordBytes));
         if (!fits) {
             return false;
         }
@@ -156,11 +156,11 @@
         return true;
     }
 
-    private void addRelease(Binding binding, Optional<Page<Machine>> recordedOn, WriteKind kind) {
+    private void addRelease(Binding binding, Optional<Page<Machine>> recordedPage, WriteKind kind) {
         Machine machine = binding.machine();
-        if (recordedOn.isPresent()) {
-            pages.bindings().add(recordedOn.get());
-        } else { // an orphan, which no record knows: some page must carry the id of this transaction
+        if (recordedPage.isPresent()) {
+            pages.bindings().add(recordedPage.get());
+        } else { // an orphan without a record; a page must still contain the id of this transaction
             Page<Machine> page = pageFor(machine);
             records.bindings().assign(machine, page);
             pages.bindings().add(page);
@@ -168,18 +168,18 @@
         released.put(binding, kind);
     }
 
-    /** Adds a new binding; false if there is no room for it, or its page has to be split first. */
+    /** Adds a new binding; false if there is no room for it or its page must be split first. */
     boolean bind(Binding binding) {
         Machine machine = binding.machine();
-        Optional<Page<Machine>> recordedOn = records.bindings().pageOf(machine);
-        if (recordedOn.isPresent() && records.bindings().isOversized(recordedOn.get())) {
+        Optional<Page<Machine>> recordedPage = records.bindings().pageOf(machine);
+        if (recordedPage.isPresent() && records.bindings().isOversized(recordedPage.get())) {
             return false;
         }
-        if (recordedOn.isPresent() && records.bindings().isOverfull(recordedOn.get())) {
-            return moveAndBind(binding, recordedOn.get());
+        if (recordedPage.isPresent() && records.bindings().exceedsCapacity(recordedPage.get())) {
+            return moveAndBind(binding, recordedPage.get());
         }
-        Page<Machine> page = recordedOn.isPresent() ? recordedOn.get() : pageFor(machine);
-        if (!hasRoom(newPage(page), 0, newGuardedJob(binding.job()))) {
+        Page<Machine> page = recordedPage.isPresent() ? recordedPage.get() : pageFor(machine);
+        if (!hasRoom(newPageCount(page), 0, newGuardedJobCount(binding.job()))) {
             return false;
         }
         records.bindings().assign(machine, page);
@@ -189,21 +189,21 @@
         return true;
     }
 
-    /** The machine's page has no room for more: the machine moves to another, both written together. */
-    private boolean moveAndBind(Binding binding, Page<Machine> from) {
+    /** Moves a machine whose page is full to another page and adds the binding; both pages are written together. */
+    private boolean moveAndBind(Binding binding, Page<Machine> fromPage) {
         Machine machine = binding.machine();
-        Page<Machine> to = records.bindings().pageWithRoomFor(machine, List.of());
-        boolean both = hasRoom(newPage(from), 0, newGuardedJob(binding.job()))
-                && pages.bindings().size() + newPage(from) < records.maxPages()
+        Page<Machine> toPage = records.bindings().pageWithRoomFor(machine, List.of());
+        boolean fits = hasRoom(newPageCount(fromPage), 0, newGuardedJobCount(binding.job()))
+                && pages.bindings().size() + newPageCount(fromPage) < records.maxPages()
                 && operationCount() + 2 <= records.txnOps();
-        if (!both) {
+        if (!fits) {
             return false;
         }
-        pages.bindings().add(from);
-        pages.bindings().add(to);
-        records.bindings().assign(machine, to);
-        // Were this write to fail, the machine is still recorded where it was.
-        rollback.add(() -> records.bindings().assign(machine, from));
+        pages.bindings().add(fromPage);
+        pages.bindings().add(toPage);
+        records.bindings().assign(machine, toPage);
+        // If this write fails, the machine is still recorded on its previous page.
+        rollbackActions.add(() -> records.bindings().assign(machine, fromPage));
         bound.add(binding);
         guardedJobs.add(binding.job());
         return true;
@@ -214,12 +214,12 @@
     }
 
     private Page<TaskChunk> pageOf(TaskChunk chunk) {
-        Optional<Page<TaskChunk>> recordedOn = records.finished().pageOf(chunk);
-        if (recordedOn.isPresent()) {
-            return recordedOn.get();
+        Optional<Page<TaskChunk>> recordedPage = records.finishedTasks().pageOf(chunk);
+        if (recordedPage.isPresent()) {
+            return recordedPage.get();
         }
-        Page<TaskChunk> page = records.finished().pageWithRoomFor(chunk, pages.chunks());
-        records.finished().assign(chunk, page);
+        Page<TaskChunk> page = records.finishedTasks().pageWithRoomFor(chunk, pages.finishedTasks());
+        records.finishedTasks().assign(chunk, page);
         return page;
     }
 
@@ -227,24 +227,24 @@
         return pages.count() + completedJobs.operationCount();
     }
 
-    /** An item without a page gets one that this transaction does not write yet, as far as is known here. */
-    private int newPage(Optional<Page<Machine>> page) {
-        return page.isPresent() ? newPage(page.get()) : 1;
+    /** Returns 1 if this transaction does not write the page yet, else 0. A missing page counts as not written yet. */
+    private int newPageCount(Optional<Page<Machine>> page) {
+        return page.isPresent() ? newPageCount(page.get()) : 1;
     }
 
-    private int newPage(Page<Machine> page) {
+    private int newPageCount(Page<Machine> page) {
         return pages.bindings().contains(page) ? 0 : 1;
     }
 
-    private int newGuardedJob(Job job) {
+    private int newGuardedJobCount(Job job) {
         return guardedJobs.contains(job) ? 0 : 1;
     }
 
-    /** True if so much more stays within the limits of a transaction; an empty batch takes any one write. */
+    /** True if the additions stay within the limits of a transaction. An empty batch accepts any single write. */
     private boolean hasRoom(int newPages, int newCompletedJobs, int newGuardedJobs) {
         int newOperations = newPages + CompletedJobs.OPERATIONS_PER_JOB * newCompletedJobs;
-        // A comparison is reserved for each page that may yet come: else the open entries of many jobs would leave room
-        // for one page only.
+        // One comparison is reserved for each page that may still be added. Otherwise the comparisons of many jobs'
+        // open entries would leave room for only one page.
         int comparisons = 1 + records.txnOps() + guardedJobs.size() + newGuardedJobs;
         boolean fits = operationCount() + newOperations <= records.txnOps()
                 && comparisons <= COMPARISONS_PER_OPERATION * records.txnOps()
@@ -264,20 +264,20 @@
         guardedJobs.forEach(job -> builder.compare(StateKeys.openJob(job.id()), job.modRevision()));
         pages.bindings()
                 .forEach(page -> builder.put(
-                        page.key(), page.modRevision(), records.bindingsPage(transactionId, page, this::recorded)));
-        pages.chunks()
-                .forEach(page ->
-                        builder.put(page.key(), page.modRevision(), records.finishedPage(transactionId, page, ending)));
+                        page.key(), page.modRevision(), records.bindingsPage(transactionId, page, this::isRecorded)));
+        pages.finishedTasks()
+                .forEach(page -> builder.put(
+                        page.key(), page.modRevision(), records.finishedPage(transactionId, page, completingTasks)));
         completedJobs.addTo(builder);
         return builder.build();
     }
 
-    private boolean recorded(Binding binding) {
-        boolean before = binding.stage() == Binding.Stage.COMMITTED || binding.stage() == Binding.Stage.RELEASING;
-        return bound.contains(binding) || (before && !released.containsKey(binding));
+    private boolean isRecorded(Binding binding) {
+        boolean wasRecorded = binding.stage() == Binding.Stage.COMMITTED || binding.stage() == Binding.Stage.RELEASING;
+        return bound.contains(binding) || (wasRecorded && !released.containsKey(binding));
     }
 
-    /** A key that shows whether this transaction was committed. */
+    /** The key whose value shows whether this transaction was committed. */
     String verificationKey() {
         return pages.verificationKey();
     }
@@ -287,13 +287,13 @@
         return PackedValue.transactionIdOf(value).equals(transactionId);
     }
 
-    /** The transaction was committed: its pages have this mod revision now. */
+    /** Sets the mod revision of the written pages after the commit. */
     void markCommitted(long revision) {
-        pages.modRevision(revision);
+        pages.updateModRevision(revision);
     }
 
-    /** The transaction was not and will not be executed: items return to the pages on which they are recorded. */
+    /** Returns items to the pages on which they are recorded; the transaction was not and will not be executed. */
     void rollBack() {
-        rollback.forEach(Runnable::run);
+        rollbackActions.forEach(Runnable::run);
     }
 }
--- a/src/main/java/org/spruceridge/persistence/WriteKind.java
+++ b/src/main/java/org/spruceridge/persistence/WriteKind.java
@@ -1,11 +1,11 @@
 package org.spruceridge.persistence;
 
-/** What a pending write does with the record of a binding. */
+/** The effect of a pending write on the record of a binding. */
 enum WriteKind {
     /** Adds a proposed binding. */
     BIND,
-    /** Removes the binding; its task runs again. */
+    /** Removes the binding so that its task is scheduled again. */
     RELEASE,
-    /** Removes the binding, and records its task as done. */
+    /** Removes the binding and records its task as done. */
     COMPLETE
 }
--- a/src/main/java/org/spruceridge/persistence/WrittenPages.java
+++ b/src/main/java/org/spruceridge/persistence/WrittenPages.java
@@ -6,35 +6,35 @@
 import org.spruceridge.persistence.PageIndex.Page;
 import org.spruceridge.persistence.RecordPages.TaskChunk;
 
-/** The pages that one transaction writes, in the order in which they were added. */
+/** The pages written by one transaction, in insertion order. */
 final class WrittenPages {
     private final Set<Page<Machine>> bindings = new LinkedHashSet<>();
-    private final Set<Page<TaskChunk>> chunks = new LinkedHashSet<>();
+    private final Set<Page<TaskChunk>> finishedTasks = new LinkedHashSet<>();
 
-    /** The pages of bindings; the caller adds to them. */
+    /** The pages of bindings, as a mutable set. */
     Set<Page<Machine>> bindings() {
         return bindings;
     }
 
-    /** The pages of finished tasks; the caller adds to them. */
-    Set<Page<TaskChunk>> chunks() {
-        return chunks;
+    /** The pages of finished tasks, as a mutable set. */
+    Set<Page<TaskChunk>> finishedTasks() {
+        return finishedTasks;
     }
 
     int count() {
-        return bindings.size() + chunks.size();
+        return bindings.size() + finishedTasks.size();
     }
 
     /** The key of one of the pages. */
     String verificationKey() {
         return bindings.isEmpty()
-                ? chunks.iterator().next().key()
+                ? finishedTasks.iterator().next().key()
                 : bindings.iterator().next().key();
     }
 
-    /** The transaction was committed at this revision. */
-    void modRevision(long revision) {
-        bindings.forEach(page -> page.modRevision(revision));
-        chunks.forEach(page -> page.modRevision(revision));
+    /** Sets the revision at which the transaction was committed on all pages. */
+    void updateModRevision(long revision) {
+        bindings.forEach(page -> page.updateModRevision(revision));
+        finishedTasks.forEach(page -> page.updateModRevision(revision));
     }
 }
--- a/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -20,16 +20,16 @@
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** The finished tasks of the largest job keep their page, and fit it, as the level rises and the limits fall. */
+/** Finished tasks of the largest job stay on their page and fit it when the level is raised and limits are lowered. */
 final class RecordPagesTest {
     private static final int TASKS = 100_000;
 
-    private static Settings.State limits(double nowKb, double nextKb) {
+    private static Settings.State limits(double currentKb, double nextKb) {
         return new Settings.State(
-                new Settings.StateLimits(200, 50, nowKb, 24), new Settings.StateLimits(200, 50, nextKb, 4));
+                new Settings.StateLimits(200, 50, currentKb, 24), new Settings.StateLimits(200, 50, nextKb, 4));
     }
 
-    private static BitSet finishedOn(ObjectNode page, int baseChunkSize) throws BadMessageException {
+    private static BitSet finishedTasksOn(ObjectNode page, int baseChunkSize) throws BadMessageException {
         BitSet tasks = new BitSet();
         for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(page, baseChunkSize)) {
             chunk.tasks().stream().forEach(i -> tasks.set(chunk.first() + i));
@@ -37,73 +37,78 @@
         return tasks;
     }
 
-    /** Written one after the other, each page still holds all that it held: a leader may end between two writes. */
+    /**
+     * Guards against losing finished tasks if the leader stops between two page writes after the level was raised: each
+     * page must hold the same tasks as before.
+     */
     @ParameterizedTest
     @CsvSource({"8, 2", "4, 2", "8, 3.3", "8, 8"})
-    void noFinishedTaskLeavesItsPageAsTheLevelRises(double nowKb, double nextKb) throws BadMessageException {
-        RecordPages records = new RecordPages(limits(nowKb, nextKb), FeatureLevel.BASE);
+    void finishedTasksStayOnTheirPageWhenLevelRises(double currentKb, double nextKb) throws BadMessageException {
+        RecordPages records = new RecordPages(limits(currentKb, nextKb), FeatureLevel.BASE);
         Job job = WriteBatchTest.job(1, TASKS);
         SplittableRandom random = new SplittableRandom(5);
         Map<String, PageIndex.Page<RecordPages.TaskChunk>> pages = new HashMap<>();
         for (int i = 0; i < TASKS; i++) {
             if (random.nextInt(3) > 0) {
                 RecordPages.TaskChunk chunk = records.chunkOf(job, i);
-                if (records.finished().pageOf(chunk).isEmpty()) {
+                if (records.finishedTasks().pageOf(chunk).isEmpty()) {
                     PageIndex.Page<RecordPages.TaskChunk> page =
-                            records.finished().pageWithRoomFor(chunk, Set.of());
-                    records.finished().assign(chunk, page);
+                            records.finishedTasks().pageWithRoomFor(chunk, Set.of());
+                    records.finishedTasks().assign(chunk, page);
                     pages.put(page.key(), page);
                 }
                 job.markDone(i);
             }
         }
-        Map<String, BitSet> before = new HashMap<>();
+        Map<String, BitSet> tasksBefore = new HashMap<>();
         for (var page : pages.values()) {
-            before.put(page.key(), finishedOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize()));
+            tasksBefore.put(
+                    page.key(), finishedTasksOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize()));
         }
         records.raiseLevel(FeatureLevel.SERVICES);
-        BitSet all = new BitSet();
+        BitSet allTasks = new BitSet();
         for (var page : pages.values()) {
-            BitSet now = finishedOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize());
-            assertTrue(before.get(page.key()).equals(now), page.key());
-            all.or(now);
+            BitSet tasksAfter = finishedTasksOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize());
+            assertTrue(tasksBefore.get(page.key()).equals(tasksAfter), page.key());
+            allTasks.or(tasksAfter);
         }
-        assertTrue(job.done().equals(all), "finished tasks on all pages");
+        assertTrue(job.done().equals(allTasks), "finished tasks on all pages");
     }
 
-    /** After the split every page is within the limit to come, and nothing is lost or doubled. */
+    /** After the split, every page is within the next limit and no task is lost or duplicated. */
     @ParameterizedTest
     @CsvSource({"8, 2", "4, 2", "8, 3.3"})
-    void pagesOfTheLargestJobAreSplitToFit(double nowKb, double nextKb) throws BadMessageException {
-        Settings.State limits = limits(nowKb, nextKb);
+    void oversizedPagesOfLargestJobAreSplitToFit(double currentKb, double nextKb) throws BadMessageException {
+        Settings.State limits = limits(currentKb, nextKb);
         RecordPages records = new RecordPages(limits, FeatureLevel.SUPPORTED);
         Job job = WriteBatchTest.job(1, TASKS);
-        int base = records.baseChunkSize();
-        PageIndex.Page<RecordPages.TaskChunk> large = records.finished().restorePage("parts/1", 1);
-        for (int first = 0; first < TASKS; first += base) {
+        int baseChunkSize = records.baseChunkSize();
+        PageIndex.Page<RecordPages.TaskChunk> oversizedPage =
+                records.finishedTasks().restorePage("parts/1", 1);
+        for (int first = 0; first < TASKS; first += baseChunkSize) {
             BitSet tasks = new BitSet();
-            tasks.set(0, Math.min(base, TASKS - first));
-            records.restoreFinished(job, first, tasks, large);
+            tasks.set(0, Math.min(baseChunkSize, TASKS - first));
+            records.restoreFinishedTasks(job, first, tasks, oversizedPage);
         }
-        records.findOversized();
+        records.findOversizedPages();
         Set<PageIndex.Page<RecordPages.TaskChunk>> pages = new HashSet<>();
-        for (int i = 0; i < 100 && records.hasOversized(); i++) {
+        for (int i = 0; i < 100 && records.hasOversizedPages(); i++) {
             WriteBatch batch = new WriteBatch(records, new LeaderTerm(9, 1, 0), "w" + i);
-            assertTrue(batch.splitOversized());
+            assertTrue(batch.splitOversizedPage());
             assertTrue(batch.transaction().changeCount() <= limits.txnOps());
             batch.markCommitted(i + 2);
         }
-        BitSet all = new BitSet();
+        BitSet allTasks = new BitSet();
         for (int i = 0; i < TASKS; i++) {
-            pages.add(records.finished().pageOf(records.chunkOf(job, i)).orElseThrow());
+            pages.add(records.finishedTasks().pageOf(records.chunkOf(job, i)).orElseThrow());
         }
         for (var page : pages) {
             ObjectNode value = records.finishedPage("w", page, Map.of());
             assertTrue(Json.bytes(value).length <= limits.valueBytes(), page.key());
-            BitSet tasks = finishedOn(value, base);
-            assertTrue(!all.intersects(tasks), "no task on two pages");
-            all.or(tasks);
+            BitSet tasks = finishedTasksOn(value, baseChunkSize);
+            assertTrue(!allTasks.intersects(tasks), "no task on two pages");
+            allTasks.or(tasks);
         }
-        assertEquals(TASKS, all.cardinality());
+        assertEquals(TASKS, allTasks.cardinality());
     }
 }
--- a/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -33,16 +33,16 @@
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
 
-/** How long writes wait for their record at the size of a fleet, when changes are short. */
+/** Checks how long writes wait to be committed at fleet size when the rate limit for changes is low. */
 final class RecordWriterTest {
-    private static final Address HERE = new Address("10.0.0.1", 1);
+    private static final Address STATE_SERVICE_ADDRESS = new Address("10.0.0.1", 1);
     private static final Settings SETTINGS = Fixtures.settings(
             ImmutableMap.of("red", new Settings.Team("red", 0, 0, 0, 0)),
             new Settings.Workers(4, 22, 42),
             new Settings.State(500, 80, 4, 12),
             new Settings.Cloud(8, 5),
             new Settings.Resources(1, 414, 3203));
-    /** What a leader has of 80 changes a second for itself. */
+    /** The leader's share of the 80 changes per second that the state service allows. */
     private static final double CHANGES_PER_S = 49;
 
     private final SimLoop loop = new SimLoop();
@@ -50,21 +50,21 @@
     private final RateLimiter limiter = new RateLimiter(loop, 90, CHANGES_PER_S, 1);
     private final RecordWriter recordWriter = recordWriter();
     private long revision = 1;
-    private long attempt = 9L << 24;
+    private long lastAttempt = 9L << 24;
 
     private RecordWriter recordWriter() {
         RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
         Latencies latencies = new Latencies(loop);
-        HttpClient http = (to, call, timeout, done) -> {
-            long ring = ++revision;
+        HttpClient http = (to, call, timeout, onResponse) -> {
+            long newRevision = ++revision;
             loop.after(
                     Durations.millis(12),
-                    () -> done.accept(
-                            new HttpAnswer(200, Json.bytes(Json.object().put("ring", ring)))));
+                    () -> onResponse.accept(
+                            new HttpAnswer(200, Json.bytes(Json.object().put("ring", newRevision)))));
             return () -> {};
         };
-        StateClient state = new StateClient(loop, http, HERE, limiter, warnings, latencies);
-        RecordWriter.Listener nothing = new RecordWriter.Listener() {
+        StateClient state = new StateClient(loop, http, STATE_SERVICE_ADDRESS, limiter, warnings, latencies);
+        RecordWriter.Listener listener = new RecordWriter.Listener() {
             @Override
             public void onCommitted(ImmutableSet<Machine> bound) {}
 
@@ -87,7 +87,7 @@
                 warnings,
                 latencies,
                 new LeaderMetrics());
-        return new RecordWriter(context, state, nothing);
+        return new RecordWriter(context, state, listener);
     }
 
     private Job job() {
@@ -96,51 +96,53 @@
         return job;
     }
 
-    private List<Machine> machines(int from, int count) {
-        List<Machine> out = new ArrayList<>();
-        for (int i = from; i < from + count; i++) {
-            Machine m = new Machine(String.format("i-%06d", i), "", new MachineKind("t8", "a", true), loop.nanos(), 0);
-            cluster.add(m);
-            out.add(m);
+    private List<Machine> machines(int firstNumber, int count) {
+        List<Machine> machines = new ArrayList<>();
+        for (int i = firstNumber; i < firstNumber + count; i++) {
+            Machine machine =
+                    new Machine(String.format("i-%06d", i), "", new MachineKind("t8", "a", true), loop.nanos(), 0);
+            cluster.add(machine);
+            machines.add(machine);
         }
-        return out;
+        return machines;
     }
 
-    private Binding bind(Job job, Machine m) {
-        Binding b = new Binding(job, job.nextWaiting(0), ++attempt, m, Binding.Stage.PROPOSED, loop.nanos());
-        cluster.bind(b);
-        recordWriter.bind(b);
-        return b;
+    private Binding bind(Job job, Machine machine) {
+        Binding binding =
+                new Binding(job, job.nextWaiting(0), ++lastAttempt, machine, Binding.Stage.PROPOSED, loop.nanos());
+        cluster.bind(binding);
+        recordWriter.bind(binding);
+        return binding;
     }
 
     @Test
-    void noProposalWaitsLongBehindAStreamOfEnds() {
+    void proposedBindingIsCommittedWithinSecondsDespiteSteadyCompletions() {
         Job job = job();
         List<Machine> machines = machines(0, 1460);
         List<Binding> running = new ArrayList<>();
-        // Machines fill up task by task, so that the pages on which they were put when they had one become too full.
+        // Machines get one task per round, so that the pages to which they were assigned with one task become too full.
         for (int k = 0; k < 3; k++) {
-            for (Machine m : machines) {
-                running.add(bind(job, m));
+            for (Machine machine : machines) {
+                running.add(bind(job, machine));
             }
             loop.run(30);
             assertEquals(0, recordWriter.backlog());
         }
         Deque<Binding> proposed = new ArrayDeque<>();
-        double longestS = 0;
+        double longestWaitS = 0;
         for (int i = 0; i < 60 * 20; i++) {
-            Binding ended = running.get(i * 1009 % running.size());
-            recordWriter.release(ended, true);
+            Binding completedBinding = running.get(i * 1009 % running.size());
+            recordWriter.release(completedBinding, true);
             proposed.add(bind(job, machines.get(i * 701 % machines.size())));
             loop.run(1.0 / 60);
             proposed.removeIf(b -> b.stage() != Binding.Stage.PROPOSED);
             if (!proposed.isEmpty()) {
-                longestS = Math.max(
-                        longestS,
+                longestWaitS = Math.max(
+                        longestWaitS,
                         Durations.seconds(loop.nanos() - proposed.peek().boundAt()));
             }
         }
-        assertTrue(longestS < 4, "a proposal waited " + longestS + " s for its record");
+        assertTrue(longestWaitS < 4, "a proposed binding waited " + longestWaitS + " s for its commit");
         loop.run(4);
         assertEquals(0, recordWriter.backlog());
     }
@@ -149,22 +151,22 @@
     void thousandsOfBindingsReleasedAtOnceAreWrittenWithinSeconds() {
         Job job = job();
         List<Binding> running = new ArrayList<>();
-        for (Machine m : machines(0, 1460)) {
+        for (Machine machine : machines(0, 1460)) {
             for (int k = 0; k < 4; k++) {
-                running.add(bind(job, m));
+                running.add(bind(job, machine));
             }
         }
         loop.run(30);
         assertEquals(0, recordWriter.backlog());
-        // A zone with two thirds of the machines has been cut off for a lease.
-        long before = revision;
+        // A zone with two thirds of the machines has been unreachable for the duration of a lease.
+        long revisionBefore = revision;
         running.subList(0, 4 * 970).forEach(b -> recordWriter.release(b, false));
         assertEquals(
                 4 * 1460 - 4 * 970,
                 job.bindings().stream().filter(b -> !b.isProvenGone()).count());
         loop.run(8);
         assertEquals(0, recordWriter.backlog());
-        assertTrue(revision - before <= 20, (revision - before) + " transactions");
+        assertTrue(revision - revisionBefore <= 20, (revision - revisionBefore) + " transactions");
         assertEquals(4 * 1460 - 4 * 970, job.bindings().size());
     }
 }
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -30,7 +30,7 @@
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** What goes into a transaction, and that it stays within the state service's limits at the size of a fleet. */
+/** Transactions have the expected content and stay within the state service's limits at fleet size. */
 final class WriteBatchTest {
     private static final Settings.State LIMITS = new Settings.State(200, 50, 8, 24);
     private static final long ATTEMPT = 9L << 24;
@@ -39,7 +39,7 @@
     private final Cluster cluster = new Cluster();
     private RecordPages records = new RecordPages(LIMITS, FeatureLevel.SUPPORTED);
     private final LeaderTerm term = new LeaderTerm(9, 1, 0);
-    private int writes;
+    private int batchCount;
 
     static Job job(int number, int tasks) {
         return new Job(
@@ -56,19 +56,20 @@
     }
 
     private Binding binding(Job job, int index, Machine machine) {
-        Binding b = new Binding(job, index, ATTEMPT + index, machine, Binding.Stage.PROPOSED, 0);
-        cluster.bind(b);
-        return b;
+        Binding binding = new Binding(job, index, ATTEMPT + index, machine, Binding.Stage.PROPOSED, 0);
+        cluster.bind(binding);
+        return binding;
     }
 
     private WriteBatch batch() {
-        return new WriteBatch(records, term, "w" + (++writes));
+        return new WriteBatch(records, term, "w" + (++batchCount));
     }
 
     private Machine machine(int number) {
-        Machine m = new Machine(String.format("i-%06d", number), "", new MachineKind("t4", "a", number % 2 == 0), 0, 0);
-        cluster.add(m);
-        return m;
+        Machine machine =
+                new Machine(String.format("i-%06d", number), "", new MachineKind("t4", "a", number % 2 == 0), 0, 0);
+        cluster.add(machine);
+        return machine;
     }
 
     private static void commit(WriteBatch batch, long revision) {
@@ -77,38 +78,37 @@
         batch.bound().forEach(b -> b.advanceTo(Binding.Stage.COMMITTED));
     }
 
-    /** A fleet of both deployments, at half as many machines again as they have now. */
+    /** The fleets of both deployments, with 1.5 times their present number of machines. */
     @ParameterizedTest
     @CsvSource({"1640, 8, 24", "1460, 4, 12", "4400, 8, 24", "4400, 2, 8", "4400, 2, 4"})
-    void theFleetsClusterStateGoesIntoAFewTransactionsWithinAllLimits(int machines, double valueKb, int txnOps)
+    void fleetClusterStateFitsFewTransactionsWithinAllLimits(int machines, double valueKb, int txnOps)
             throws BadMessageException {
         Settings.State limits = new Settings.State(200, 50, valueKb, txnOps);
         records = new RecordPages(limits, FeatureLevel.SUPPORTED);
-        Deque<Binding> waiting = fourBindingsOnEach(machines);
+        Deque<Binding> waiting = fourBindingsPerMachine(machines);
         int transactions = 0;
-        Set<String> keys = new HashSet<>();
+        Set<String> pageKeys = new HashSet<>();
         while (!waiting.isEmpty()) {
             WriteBatch batch = batch();
             waiting.removeIf(batch::bind);
             commit(batch, ++transactions);
             assertWithinLimits(batch, limits);
             batch.bound()
-                    .forEach(b -> keys.add(
+                    .forEach(b -> pageKeys.add(
                             records.bindings().pageOf(b.machine()).orElseThrow().key()));
         }
-        int pages = keys.size();
-        // A transaction compares the open entries of so many jobs, beside the leader key and its pages. Those of 60
-        // jobs
-        // do not go into one, so that each page is written twice at most, or more often where that takes more
-        // transactions.
+        int pageCount = pageKeys.size();
+        // The number of jobs whose open entries one transaction can compare besides the leader key and its pages. The
+        // entries of all 60 jobs may not fit in one, so each page is written at most twice, or more often if the jobs
+        // need more transactions.
         int guardedJobs = 4 * limits.txnOps() - 1 - limits.txnOps();
-        int timesWritten = Math.max(2, (JOBS + guardedJobs - 1) / guardedJobs);
-        int most = timesWritten * (1 + pages / Math.min(records.maxPages(), limits.txnOps()));
-        assertTrue(transactions <= most, transactions + " transactions for " + pages + " pages");
-        assertEquals(4 * machines, bindingsRecordedOn(keys, limits));
+        int maxWritesPerPage = Math.max(2, (JOBS + guardedJobs - 1) / guardedJobs);
+        int maxTransactions = maxWritesPerPage * (1 + pageCount / Math.min(records.maxPages(), limits.txnOps()));
+        assertTrue(transactions <= maxTransactions, transactions + " transactions for " + pageCount + " pages");
+        assertEquals(4 * machines, bindingsRecordedOn(pageKeys, limits));
     }
 
-    private Deque<Binding> fourBindingsOnEach(int machines) {
+    private Deque<Binding> fourBindingsPerMachine(int machines) {
         List<Job> jobs = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
             jobs.add(job(i, 110));
@@ -132,67 +132,69 @@
                 "body of " + batch.transaction().bodyBytes());
     }
 
-    private int bindingsRecordedOn(Set<String> keys, Settings.State limits) throws BadMessageException {
-        int recorded = 0;
+    private int bindingsRecordedOn(Set<String> pageKeys, Settings.State limits) throws BadMessageException {
+        int recordedCount = 0;
         for (Machine machine : cluster.machines()) {
             PageIndex.Page<Machine> page = records.bindings().pageOf(machine).orElseThrow();
-            if (keys.remove(page.key())) {
+            if (pageKeys.remove(page.key())) {
                 var value = records.bindingsPage("w", page, b -> true);
                 assertTrue(Json.bytes(value).length <= limits.valueKb() * 1024);
-                recorded += BindingsRecord.read(value).stream()
-                        .mapToInt(on -> on.bound().size())
+                recordedCount += BindingsRecord.read(value).stream()
+                        .mapToInt(machineBindings -> machineBindings.bound().size())
                         .sum();
             }
         }
-        return recorded;
+        return recordedCount;
     }
 
     @Test
-    void aPageIsMeasuredOnceForAllThatLookForRoom() {
-        int[] measured = new int[1];
+    void pageSizeIsComputedOnceForAllLookups() {
+        int[] measurements = new int[1];
         PageIndex<Integer> pages = new PageIndex<>("p/", 100, items -> {
-            measured[0] += items.size() > 1 ? 1 : 0;
+            measurements[0] += items.size() > 1 ? 1 : 0;
             return items.size();
         });
         for (int i = 0; i < 3000; i++) {
             pages.assign(i, pages.pageWithRoomFor(i, List.of()));
         }
         assertEquals(30, pages.pageCount());
-        measured[0] = 0;
+        measurements[0] = 0;
         pages.invalidateSizes();
         for (int i = 0; i < 3000; i++) {
-            pages.isOverfull(pages.pageOf(i).orElseThrow());
+            pages.exceedsCapacity(pages.pageOf(i).orElseThrow());
             pages.pageWithRoomFor(i, List.of());
         }
-        assertTrue(measured[0] <= 31, measured[0] + " times: bursts took more processor than there is");
+        assertTrue(
+                measurements[0] <= 31,
+                measurements[0] + " measurements of pages; bursts used more CPU time than the machine has");
     }
 
     @Test
-    void aPageSplitThatIsNotCarriedOutLeavesTheMachineWhereItWas() {
+    void rolledBackMoveLeavesMachineOnItsPage() {
         Job job = job(1, 100_000);
-        int index = 0;
+        int nextTask = 0;
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             machines.add(machine(i));
             WriteBatch batch = batch();
             for (int k = 0; k < 40; k++) {
-                assertTrue(batch.bind(binding(job, index++, machines.get(i))));
+                assertTrue(batch.bind(binding(job, nextTask++, machines.get(i))));
             }
             commit(batch, i + 1);
         }
-        Machine first = machines.get(0);
-        PageIndex.Page<Machine> page = records.bindings().pageOf(first).orElseThrow();
-        List<Binding> more = new ArrayList<>();
-        while (!records.bindings().isOverfull(page)) {
-            more.add(binding(job, index++, first));
+        Machine firstMachine = machines.get(0);
+        PageIndex.Page<Machine> page = records.bindings().pageOf(firstMachine).orElseThrow();
+        List<Binding> extraBindings = new ArrayList<>();
+        while (!records.bindings().exceedsCapacity(page)) {
+            extraBindings.add(binding(job, nextTask++, firstMachine));
             records.invalidateSizes();
         }
         WriteBatch batch = batch();
-        more.forEach(b -> assertTrue(batch.bind(b)));
-        assertNotSame(page, records.bindings().pageOf(first).orElseThrow());
+        extraBindings.forEach(b -> assertTrue(batch.bind(b)));
+        assertNotSame(page, records.bindings().pageOf(firstMachine).orElseThrow());
         assertEquals(2, batch.transaction().changeCount(), "both pages are written together");
-        // Were the machine taken to be on its new page now, the old page would name its tasks for ever.
+        // If the machine were still assigned to the new page, the old page would list its tasks forever.
         batch.rollBack();
-        assertSame(page, records.bindings().pageOf(first).orElseThrow());
+        assertSame(page, records.bindings().pageOf(firstMachine).orElseThrow());
     }
 }
