--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -202,7 +202,7 @@
                 held.term().term(),
                 Durations.secondsSince(held.term().electedAtNanos(), loop.nanos()),
                 reason);
-        held.lease().release();
+        held.lease().stopRenewing();
         leadership = Optional.empty();
         listener.leadershipLost();
     }
--- a/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
+++ b/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
@@ -49,13 +49,13 @@
     /** Reads the key and starts watching it from that revision. */
     void read() {
         watch.cancel();
-        state.list(StateKeys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listing -> {
-            if (!listing.isOk()) {
+        state.list(StateKeys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listingResult -> {
+            if (!listingResult.isOk()) {
                 scheduleRetry();
                 return;
             }
-            observer.accept(stateOf(listing.value()));
-            watchFrom(listing.value().revision());
+            observer.accept(stateOf(listingResult.value()));
+            watchFrom(listingResult.value().revision());
         }));
     }
 
@@ -70,17 +70,17 @@
 
     private void watchFrom(long revision) {
         watch.cancel();
-        watch = state.watch(StateKeys.LEADER, revision, WATCH_TIMEOUT_S, scope.guard(changes -> {
-            if (!changes.isOk()) {
+        watch = state.watch(StateKeys.LEADER, revision, WATCH_TIMEOUT_S, scope.guard(watchResult -> {
+            if (!watchResult.isOk()) {
                 scheduleRetry();
                 return;
             }
-            for (Change change : changes.value().changes()) {
+            for (Change change : watchResult.value().changes()) {
                 if (change.key().equals(StateKeys.LEADER)) {
                     observer.accept(stateAfter(change));
                 }
             }
-            watchFrom(changes.value().revision());
+            watchFrom(watchResult.value().revision());
         }));
     }
 
--- a/src/main/java/org/spruceridge/election/LeaderLease.java
+++ b/src/main/java/org/spruceridge/election/LeaderLease.java
@@ -18,7 +18,7 @@
     private final LeaseTimes times;
     private final long leaseId;
     private long validUntilNanos;
-    private boolean released;
+    private boolean renewalsStopped;
 
     private LeaderLease(ElectionContext context, long leaseId, long sentAtNanos) {
         this.loop = context.loop();
@@ -51,17 +51,17 @@
         return loop.nanos() < validUntilNanos;
     }
 
-    /** Renews the lease periodically until it is released or expires; {@code onExpired} runs if it expires. */
+    /** Renews the lease periodically until renewals are stopped or it expires; {@code onExpired} runs if it expires. */
     void keepRenewed(Runnable onExpired) {
         scope.after(times.renewalIntervalNanos(), () -> renew(onExpired));
     }
 
     private void renew(Runnable onExpired) {
-        if (released) {
+        if (renewalsStopped) {
             return;
         }
         state.renewLease(leaseId, times.renewalIntervalNanos(), scope.guard(renewalResult -> {
-            if (released) {
+            if (renewalsStopped) {
                 return;
             }
             if (renewalResult.outcome() == StateResult.Outcome.NOT_FOUND) {
@@ -77,13 +77,13 @@
     }
 
     /** Stops renewing the lease and lets it expire. */
-    void release() {
-        released = true;
+    void stopRenewing() {
+        renewalsStopped = true;
     }
 
     /** Stops renewing the lease and revokes it, which also deletes the leader key attached to it. */
     void revoke() {
-        released = true;
+        renewalsStopped = true;
         state.revokeLease(leaseId);
     }
 }
--- a/src/main/java/org/spruceridge/leader/ClusterStatus.java
+++ b/src/main/java/org/spruceridge/leader/ClusterStatus.java
@@ -24,7 +24,7 @@
             waitingTasks += job.waiting();
         }
         return new ClusterStatus(
-                cluster.jobs().size(), waitingTasks, counter.machines(), counter.usedCpus, counter.totalCpus);
+                cluster.jobs().size(), waitingTasks, counter.counts(), counter.usedCpus, counter.totalCpus);
     }
 
     private static final class MachineCounter {
@@ -64,7 +64,7 @@
                     .orElse(0.0);
         }
 
-        MachineCounts machines() {
+        MachineCounts counts() {
             return new MachineCounts(onDemand, spot, booting, idle, leaving);
         }
     }
--- a/src/main/java/org/spruceridge/persistence/CompletedJobs.java
+++ b/src/main/java/org/spruceridge/persistence/CompletedJobs.java
@@ -19,7 +19,7 @@
     private final Map<Job, JsonNode> records = new LinkedHashMap<>();
     private int bytes;
 
-    static JsonNode recordOf(Job job, int valueBytes) {
+    static JsonNode doneRecord(Job job, int valueBytes) {
         return new JobRecord(job.spec(), job.submittedMs(), JobRecord.Stage.DONE, 0).write(valueBytes);
     }
 
--- a/src/main/java/org/spruceridge/persistence/PageIndex.java
+++ b/src/main/java/org/spruceridge/persistence/PageIndex.java
@@ -21,7 +21,7 @@
     private final Map<T, Page<T>> pageByItem = new HashMap<>();
     private final List<Page<T>> pages = new ArrayList<>();
     private final Map<Page<T>, Integer> sizes = new HashMap<>();
-    private final Set<Page<T>> oversized = new LinkedHashSet<>();
+    private final Set<Page<T>> oversizedPages = new LinkedHashSet<>();
     private int lastPageNumber;
 
     /** A record that holds several items. */
@@ -126,7 +126,7 @@
     /** Finds the pages that exceed the capacity and can be split. */
     void findOversizedPages() {
         invalidateSizes();
-        pages.stream().filter(this::needsSplit).forEach(oversized::add);
+        pages.stream().filter(this::needsSplit).forEach(oversizedPages::add);
     }
 
     private boolean needsSplit(Page<T> page) {
@@ -134,13 +134,15 @@
     }
 
     boolean isOversized(Page<T> page) {
-        return oversized.contains(page);
+        return oversizedPages.contains(page);
     }
 
     /** The first page that must be split before anything else is written to it, if there is one. */
-    Optional<Page<T>> firstOversized() {
-        oversized.removeIf(page -> !needsSplit(page));
-        return oversized.isEmpty() ? Optional.empty() : oversized.iterator().next().asOptional;
+    Optional<Page<T>> firstOversizedPage() {
+        oversizedPages.removeIf(page -> !needsSplit(page));
+        return oversizedPages.isEmpty()
+                ? Optional.empty()
+                : oversizedPages.iterator().next().asOptional;
     }
 
     /** The first of the candidate pages, other than the item's own, that has room for the item. */
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -121,8 +121,8 @@
     }
 
     boolean hasOversizedPages() {
-        return bindings.firstOversized().isPresent()
-                || finishedTasks.firstOversized().isPresent();
+        return bindings.firstOversizedPage().isPresent()
+                || finishedTasks.firstOversizedPage().isPresent();
     }
 
     /** The maximum size of a value in bytes. */
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -263,20 +263,20 @@
     }
 
     private void requeue(WriteBatch batch) {
-        Map<Binding, WriteKind> retried = new LinkedHashMap<>(batch.released());
+        Map<Binding, WriteKind> retriedWrites = new LinkedHashMap<>(batch.released());
         for (Binding binding : batch.bound()) {
             // If the job was cancelled in the meantime, its pending bindings were removed, but not this one, which was
             // in flight. Requeuing it would make the retry and every later transaction fail, so that nothing would ever
             // be bound again.
             if (binding.stage() == Binding.Stage.PROPOSED && !binding.job().isCancelled()) {
-                retried.put(binding, WriteKind.BIND);
+                retriedWrites.put(binding, WriteKind.BIND);
             } else {
                 pending.remove(binding); // released or cancelled in the meantime, and never recorded
                 cluster.unbind(binding, loop.nanos());
                 removeIfCancelled(binding.job());
             }
         }
-        pending.addFirst(retried);
+        pending.addFirst(retriedWrites);
     }
 
     /** Removes a cancelled job from the cluster state if it has no bindings left. */
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -85,8 +85,8 @@
 
     /** Moves as many items off the first oversized page as one transaction can; false if no page is oversized. */
     boolean splitOversizedPage() {
-        Optional<Page<Machine>> oversizedBindings = records.bindings().firstOversized();
-        Optional<Page<TaskChunk>> oversizedTasks = records.finishedTasks().firstOversized();
+        Optional<Page<Machine>> oversizedBindings = records.bindings().firstOversizedPage();
+        Optional<Page<TaskChunk>> oversizedTasks = records.finishedTasks().firstOversizedPage();
         PageSplitter splitter = new PageSplitter(Math.min(records.txnOps(), records.maxPages()), rollbackActions);
         if (oversizedBindings.isPresent()) {
             splitter.split(records.bindings(), oversizedBindings.get(), pages.bindings());
@@ -145,7 +145,7 @@
         if (completedJobs.contains(job)) {
             return releaseOnly(binding, page, WriteKind.COMPLETE);
         }
-        JsonNode record = CompletedJobs.recordOf(job, records.valueBytes());
+        JsonNode record = CompletedJobs.doneRecord(job, records.valueBytes());
         int recordBytes = Json.bytes(record).length;
         boolean fits = hasRoom(newPageCount(page), 1, 0) && (isEmpty() || completedJobs.hasRoomFor(recordBytes));
         if (!fits) {
--- a/src/test/java/org/spruceridge/election/ElectionTest.java
+++ b/src/test/java/org/spruceridge/election/ElectionTest.java
@@ -62,7 +62,7 @@
         RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
         StateClient client = new StateClient(
                 loop,
-                (to, call, timeout, done) -> send(call, done),
+                (to, call, timeout, onResponse) -> send(call, onResponse),
                 new Address("10.0.0.1", 1),
                 new RateLimiter(loop, 1e6, 1e6, 1e6),
                 warnings,
