--- a/src/main/java/org/spruceridge/election/LeaderLease.java
+++ b/src/main/java/org/spruceridge/election/LeaderLease.java
@@ -51,7 +51,10 @@
         return loop.nanos() < validUntilNanos;
     }
 
-    /** Renews the lease periodically until renewals are stopped or it expires; {@code onExpired} runs if it expires. */
+    /**
+     * Renews the lease periodically until renewals are stopped or the state service reports that the lease has expired.
+     * {@code onExpired} runs in the latter case.
+     */
     void keepRenewed(Runnable onExpired) {
         scope.after(times.renewalIntervalNanos(), () -> renew(onExpired));
     }
