--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -1,20 +1,22 @@
 package org.spruceridge.cluster;
 
 /**
- * One task on one machine, from the proposal of the leader until there is proof that the task is not on the machine.
- * Whatever is counted over bindings therefore covers at least all tasks that run. All times are nanoseconds on the steady
- * clock.
+ * The assignment of one task to one machine. It exists from the time at which the leader proposes it until there is
+ * proof that the task is not on the machine, so a sum over all bindings covers at least all running tasks. All times
+ * are nanoseconds on the monotonic clock.
  */
 public final class Binding {
-    /** The state of the record of a binding. */
+    /** The state of a binding in the stored records. */
     public enum Stage {
-        /** Its transaction has not been committed: no start may be sent. */
+        /** The transaction has not been committed: no start command may be sent. */
         PROPOSED,
-        /** Its transaction was committed: starts may be sent. */
+        /** The transaction was committed: start commands may be sent. */
         COMMITTED,
-        /** There is proof that the task is gone; the record still contains the binding. */
+        /** The task is proven not to be on the machine, but the stored records still contain the binding. */
         RELEASING,
-        /** A heartbeat listed the task, but no record has it; it is being stopped, and counts until it is gone. */
+        /**
+         * A heartbeat listed a task that no record contains. It is being stopped and uses capacity until it is gone.
+         */
         ORPHANED
     }
 
@@ -23,11 +25,11 @@
         NONE,
         /** The task may save a checkpoint first. */
         CHECKPOINT,
-        /** The task is killed, because its result is not needed. */
+        /** The task is killed without a checkpoint, because its result is not needed. */
         IMMEDIATE
     }
 
-    /** The state of the task in the last accepted heartbeat. */
+    /** The state of the task as reported by the last accepted heartbeat. */
     public enum Phase {
         ABSENT,
         FETCHING,
@@ -50,7 +52,7 @@
     private long commandSentAt = EventTimes.NOT_HAPPENED;
     private long runningSince;
 
-    /** A binding that begins at {@code now}, on the steady clock in nanoseconds. */
+    /** Creates a binding at time {@code now}. */
     public Binding(Job job, int index, long attempt, Machine machine, Stage stage, long now) {
         this.task = new TaskId(job.id(), index);
         this.job = job;
@@ -60,17 +62,17 @@
         this.boundAt = now;
     }
 
-    /** The task that is bound. */
+    /** The bound task. */
     public TaskId task() {
         return task;
     }
 
-    /** The number of the attempt, which increases over all terms. */
+    /** The number of this attempt to run the task. Attempt numbers increase across terms. */
     public long attempt() {
         return attempt;
     }
 
-    /** The machine that the task is bound to. */
+    /** The machine to which the task is bound. */
     public Machine machine() {
         return machine;
     }
@@ -85,17 +87,17 @@
         return boundAt;
     }
 
-    /** The state of the record. */
+    /** The state of this binding in the stored records. */
     public Stage stage() {
         return stage;
     }
 
-    /** Advances the state of the record. */
+    /** Advances the state of this binding in the stored records. */
     public void advanceTo(Stage next) {
         stage = next;
     }
 
-    /** True if there is proof that the task is not on its machine, even if the record still contains the binding. */
+    /** True if the task is proven not to be on its machine, even if the stored records still contain the binding. */
     public boolean isProvenGone() {
         return provenGone;
     }
@@ -104,27 +106,27 @@
         provenGone = true;
     }
 
-    /** Whether and how the task is to be stopped; a task of a cancelled job always immediately. */
+    /** Whether and how the task is to be stopped. Tasks of a cancelled job are always stopped immediately. */
     public StopMode stopMode() {
         return job.isCancelled() ? StopMode.IMMEDIATE : stopMode;
     }
 
-    /** Decides that the task is to be stopped. */
+    /** Requests that the task be stopped in this way. */
     public void requestStop(StopMode mode) {
         stopMode = mode;
     }
 
-    /** True if the task can be expected to end: a replica of a service ends only when it is stopped. */
+    /** True if the task is expected to end. A replica of a service ends only when it is stopped. */
     public boolean isExpectedToEnd() {
         return !job.spec().isService() || stopMode() != StopMode.NONE;
     }
 
-    /** The state of the task in the last accepted heartbeat. */
+    /** The state of the task as reported by the last accepted heartbeat. */
     public Phase phase() {
         return phase;
     }
 
-    /** Records the state of the task in a heartbeat. A change shows that the worker carried out the pending command. */
+    /** Records the reported state of the task. A change shows that the worker has executed the pending command. */
     public void recordPhase(Phase reported, long now) {
         if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
             runningSince = now;
@@ -135,7 +137,7 @@
         phase = reported;
     }
 
-    /** For how many seconds the task has been reported running; 0 if it is not. */
+    /** How long the task has been reported running, in seconds; 0 if it is not running. */
     public double elapsedS(long now) {
         return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? (now - runningSince) / 1e9 : 0;
     }
@@ -145,32 +147,32 @@
         return commandSentAt;
     }
 
-    /** Records that a command for the task is sent; an earlier one that is still pending keeps its time. */
+    /** Records that a command for the task is sent. If an earlier command is still pending, its time is kept. */
     public void recordCommandSent(long now) {
         commandSentAt = Math.min(commandSentAt, now);
     }
 
-    /** True once a start was sent directly to the worker. */
+    /** True once a start command was sent directly to the worker. */
     public boolean isStartSent() {
         return startSent;
     }
 
-    /** Records that a start is sent directly to the worker; this is done once at most. */
+    /** Records that a start command is sent directly to the worker, which happens at most once per binding. */
     public void recordStartSent() {
         startSent = true;
     }
 
-    /** True if a stop was sent directly to the worker and need not be sent again. */
+    /** True if a stop command was sent directly to the worker and need not be sent again. */
     public boolean isStopSent() {
         return stopSent;
     }
 
-    /** Records that a stop is sent directly to the worker. */
+    /** Records that a stop command is sent directly to the worker. */
     public void recordStopSent() {
         stopSent = true;
     }
 
-    /** Records that the direct stop was not answered, so that it has to be sent again. */
+    /** Records that the worker did not respond to the direct stop command, so that it is sent again. */
     public void recordStopUnanswered() {
         stopSent = false;
     }
--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -9,9 +9,11 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The cluster state as one term's leader knows it: jobs, machines, and the bindings between them. */
+/** The cluster state in the memory of one term's leader: jobs, machines, and the bindings between them. */
 public final class Cluster {
-    /** How many names of removed machines are kept, as late heartbeats and lists may contain them: twice a large fleet. */
+    /**
+     * Names of removed machines to keep, because late heartbeats and listings may contain them: twice a large fleet.
+     */
     private static final int MAX_REMOVED_NAMES = 10_000;
 
     private final Set<String> removedMachines = new LinkedHashSet<>();
@@ -20,7 +22,7 @@
     private final Map<String, Resources> teamUsage = new HashMap<>();
     private ImmutableMap<String, MachineType> types = ImmutableMap.of();
 
-    /** All jobs that are open, or of which tasks are still bound. */
+    /** All jobs that are open or still have bound tasks. */
     public Collection<Job> jobs() {
         return jobs.values();
     }
@@ -35,14 +37,14 @@
         jobs.put(job.id(), job);
     }
 
-    /** Removes a job that has ended, unless tasks of it are still bound. */
+    /** Removes a job if {@code ended} is true and no task of it is still bound. */
     public void removeIfEnded(Job job, boolean ended) {
         if (ended && job.bindings().isEmpty()) {
             jobs.remove(job.id(), job);
         }
     }
 
-    /** All machines that exist, as far as is known. */
+    /** All machines known to exist. */
     public Collection<Machine> machines() {
         return machines.values();
     }
@@ -66,39 +68,39 @@
         }
     }
 
-    /** True if the machine was removed: late heartbeats and lagging lists may still contain it. */
+    /** True if the machine was removed. Late heartbeats and stale listings may still contain it. */
     public boolean wasRemoved(String name) {
         return removedMachines.contains(name);
     }
 
-    /** The machine types by name; empty until they are known. */
+    /** The machine types by name; empty until they have been loaded. */
     public ImmutableMap<String, MachineType> types() {
         return types;
     }
 
-    /** Replaces the machine types by those of the cloud. */
+    /** Replaces the machine types with those of the given catalogue. */
     public void updateTypes(ImmutableMap<String, MachineType> catalogue) {
         types = catalogue;
     }
 
-    /** The type of a machine, if it is known. */
+    /** The type of a machine; empty if the type is unknown. */
     public Optional<MachineType> typeOf(Machine machine) {
         return Optional.ofNullable(types.get(machine.type()));
     }
 
-    /** The capacity that a machine has left; none while its type is unknown. */
+    /** The unused capacity of a machine; {@link Resources#NONE} while its type is unknown. */
     public Resources freeCapacity(Machine machine) {
         return typeOf(machine)
                 .map(type -> type.capacity().minus(machine.used()))
                 .orElse(Resources.NONE);
     }
 
-    /** The capacity that all bindings of a team take together. */
+    /** The capacity used by all bindings of a team. */
     public Resources usedBy(String team) {
         return teamUsage.getOrDefault(team, Resources.NONE);
     }
 
-    /** Adds a binding to its job, its machine and the usage of its team. */
+    /** Adds a binding to its job, its machine and its team's usage. */
     public void bind(Binding binding) {
         binding.job().bind(binding);
         binding.machine().bind(binding);
@@ -106,8 +108,8 @@
     }
 
     /**
-     * Frees the capacity of a task that is proven not to be on its machine. Its job and its team count the binding until
-     * the release is on record.
+     * Frees the machine capacity of a task that is proven not to be on its machine. Its job and team count the binding
+     * until the release has been written to the records.
      */
     public void releaseCapacity(Binding binding) {
         if (binding.machine().binding(binding.task()) == binding) {
@@ -115,7 +117,7 @@
         }
     }
 
-    /** Removes a binding; does nothing if it was removed before. */
+    /** Removes a binding. Does nothing if it was already removed. */
     public void unbind(Binding binding, long now) {
         if (binding.machine().binding(binding.task()) != binding) {
             return;
--- a/src/main/java/org/spruceridge/cluster/DirectCommands.java
+++ b/src/main/java/org/spruceridge/cluster/DirectCommands.java
@@ -3,39 +3,39 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The start commands that were sent directly to one worker in its present incarnation and may still arrive. */
+/** Start commands that were sent directly to a worker's current incarnation and may still arrive. */
 public final class DirectCommands {
     private final Set<Long> unresolvedStarts = new HashSet<>();
     private boolean startUncertain;
 
     DirectCommands() {}
 
-    /** True if a direct start of this attempt has no result yet. */
+    /** True if a start command for this attempt was sent and has no result yet. */
     public boolean isStartUnresolved(long attempt) {
         return unresolvedStarts.contains(attempt);
     }
 
-    /** Records that a start of this attempt is sent. */
+    /** Records that a start command for this attempt is sent. */
     public void startSent(long attempt) {
         unresolvedStarts.add(attempt);
     }
 
-    /** Records that the result of a start of this attempt is known. */
+    /** Records that the result of the start command for this attempt is known. */
     public void startResolved(long attempt) {
         unresolvedStarts.remove(attempt);
     }
 
-    /** True if a direct start of this incarnation was never answered, so that it may arrive late. */
+    /** True if the worker never responded to a start command of this incarnation, which may therefore arrive late. */
     public boolean hasUncertainStart() {
         return startUncertain;
     }
 
-    /** Records that a direct start was not answered. */
+    /** Records that the worker did not respond to a start command. */
     public void markStartUncertain() {
         startUncertain = true;
     }
 
-    /** Forgets all starts: a worker rejects commands that were sent to another incarnation of it. */
+    /** Discards all start commands: a worker rejects commands that were sent to an earlier incarnation. */
     void clear() {
         unresolvedStarts.clear();
         startUncertain = false;
--- a/src/main/java/org/spruceridge/cluster/EventTimes.java
+++ b/src/main/java/org/spruceridge/cluster/EventTimes.java
@@ -1,11 +1,11 @@
 package org.spruceridge.cluster;
 
 /**
- * How the fields of this package store the time of an event that may not have happened. They are primitive numbers,
- * because heartbeats update them; other packages see predicates instead of the value.
+ * The representation of the time of an event that may not have happened. Such fields are primitives because heartbeats
+ * update them. Other packages use predicates instead of the sentinel value.
  */
 final class EventTimes {
-    /** Stored for an event that has not happened; later than every time on the steady clock. */
+    /** The time of an event that has not happened; later than every time on the monotonic clock. */
     static final long NOT_HAPPENED = Long.MAX_VALUE;
 
     private EventTimes() {}
--- a/src/main/java/org/spruceridge/cluster/HeartbeatVersion.java
+++ b/src/main/java/org/spruceridge/cluster/HeartbeatVersion.java
@@ -1,8 +1,8 @@
 package org.spruceridge.cluster;
 
 /**
- * The newest heartbeat that was accepted from one worker, ordered by (incarnation, sequence). The worker increases the
- * incarnation with each of its leases, and the sequence with each heartbeat.
+ * The version of the newest accepted heartbeat of a worker, ordered by (incarnation, sequence). The worker increments
+ * the incarnation with each new lease and the sequence with each heartbeat.
  */
 public final class HeartbeatVersion {
     private long incarnation;
@@ -16,7 +16,7 @@
         return incarnation;
     }
 
-    /** True if the given heartbeat is newer than all accepted ones and its incarnation is not known to have ended. */
+    /** True if the heartbeat is newer than all accepted ones and its incarnation is not known to have ended. */
     public boolean isSupersededBy(long heartbeatIncarnation, long heartbeatSequence) {
         if (heartbeatIncarnation < lowestIncarnation) {
             return false;
@@ -30,7 +30,7 @@
         return heartbeatIncarnation > incarnation;
     }
 
-    /** True once a heartbeat that names an incarnation was accepted. */
+    /** True once a heartbeat with an incarnation has been accepted. */
     boolean hasIncarnation() {
         return incarnation > 0;
     }
@@ -40,7 +40,7 @@
         sequence = heartbeatSequence;
     }
 
-    /** Rejects all heartbeats of the present incarnation from now on. */
+    /** Rejects all further heartbeats of the current incarnation. */
     void endIncarnation() {
         lowestIncarnation = incarnation + 1;
     }
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import org.agrona.collections.Int2ObjectHashMap;
 
-/** A job that is open, or that has ended while tasks of it may still be on machines. */
+/** A job that is open, or that has ended while some of its tasks may still be on machines. */
 public final class Job {
-    /** How many machines a job must fail on until the job is considered the cause. */
+    /** The number of machines on which a job fails before the job itself is considered the cause. */
     private static final int FAILED_MACHINES_BEFORE_BACKOFF = 3;
 
     private final JobSpec spec;
@@ -25,7 +25,7 @@
     private int earlyExits;
     private long lastEarlyExit = Long.MIN_VALUE / 2;
 
-    /** {@code modRevision} is that of the job's record and of its open entry, which are written together. */
+    /** Creates a job without bindings; {@code modRevision} is the revision of its record and of its open entry. */
     public Job(JobSpec spec, long modRevision, long submittedMs) {
         this.spec = spec;
         this.modRevision = modRevision;
@@ -37,64 +37,67 @@
         return spec.id();
     }
 
-    /** What the user submitted. */
+    /** The job as the user submitted it. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** The revision at which the record and the open entry of the job were written. */
+    /** The revision at which the job's record and its open entry were written, in one transaction. */
     public long modRevision() {
         return modRevision;
     }
 
-    /** When it was accepted, in milliseconds of the epoch. */
+    /** When the job was accepted, in milliseconds since the epoch. */
     public long submittedMs() {
         return submittedMs;
     }
 
-    /** True once a user has cancelled it. */
+    /** True once a user has cancelled the job. */
     public boolean isCancelled() {
         return EventTimes.hasHappened(cancelledAt);
     }
 
-    /** Records that it was cancelled at {@code earliest} or later, and that this leader learned of it at {@code now}. */
+    /**
+     * Records that the job was cancelled at {@code earliest} or later and that this leader learned of it at
+     * {@code now}.
+     */
     public void cancel(long earliest, long now) {
         cancelledAt = Math.min(earliest, now);
         cancellationLearnedAt = now;
     }
 
-    /** The earliest time at which a user can have been told that it is cancelled. */
+    /** The earliest time at which the cancellation can have been confirmed to a user. */
     public long cancelledAt() {
         return cancelledAt;
     }
 
-    /** When this leader learned of the cancellation: stops can have been sent since then. */
+    /** When this leader learned of the cancellation; it can have sent stop commands since then. */
     public long cancellationLearnedAt() {
         return cancellationLearnedAt;
     }
 
-    /** Tasks whose end is on record. */
+    /** The indexes of the tasks whose completion has been recorded. */
     public BitSet done() {
         return done;
     }
 
-    /** How many tasks have ended on record. */
+    /** The number of tasks whose completion has been recorded. */
     public int doneCount() {
         return done.cardinality();
     }
 
-    /** Records that the end of a task is on record. */
+    /** Marks a task as completed, once its completion has been recorded. */
     public void markDone(int index) {
         done.set(index);
         doneOrBound.set(index);
     }
 
-    /** True if the end of this task is on record. */
+    /** True if the completion of this task has been recorded. */
     public boolean isDone(int index) {
         return done.get(index);
     }
 
-    /** All bindings of its tasks. */
+    /** All bindings of this job's tasks. */
     public Collection<Binding> bindings() {
         return bindings.values();
     }
@@ -122,56 +125,58 @@
         }
     }
 
-    /** Tasks that are neither done nor bound. */
+    /** The number of tasks that are neither done nor bound; 0 if the job is cancelled. */
     public int waiting() {
         return isCancelled() ? 0 : spec.tasks() - doneOrBound.cardinality();
     }
 
-    /** The first task from {@code from} on that is neither done nor bound, or -1. */
+    /** The index of the first task, starting at {@code from}, that is neither done nor bound; -1 if there is none. */
     public int nextWaiting(int from) {
         int next = doneOrBound.nextClearBit(from);
         return next < spec.tasks() ? next : -1;
     }
 
-    /** True if a task of it is bound or has completed. */
+    /** True if any task is bound or has completed. */
     public boolean hasStarted() {
         return !bindings.isEmpty() || !done.isEmpty();
     }
 
-    /** True if all tasks were placed in this term, and one or more of them have been missing since. */
+    /** True if all tasks had been placed in this term and at least one has lost its placement since. */
     public boolean isIncompleteAgain() {
         return EventTimes.hasHappened(incompleteSince);
     }
 
     /**
-     * Since when a task of it has been missing after all had been placed, on the steady clock in nanoseconds; meaningful
+     * When the job last became incomplete after all its tasks had been placed, in monotonic nanoseconds; meaningful
      * only if {@link #isIncompleteAgain()}.
      */
     public long incompleteSince() {
         return incompleteSince;
     }
 
-    /** How many replicas in a row ended by themselves soon after their start. */
+    /** The number of replicas in a row that exited soon after their start without being stopped. */
     public int earlyExits() {
         return earlyExits;
     }
 
     /**
-     * Counts a replica that ended by itself soon after its start. The count restarts if the last such end is longer ago
-     * than {@code memoryNanos}.
+     * Counts a replica that exited soon after its start without being stopped. The count restarts at 1 if the previous
+     * early exit is older than {@code memoryNanos}.
      */
     public void countEarlyExit(long now, long memoryNanos) {
         earlyExits = now - lastEarlyExit > memoryNanos ? 1 : earlyExits + 1;
         lastEarlyExit = now;
     }
 
-    /** Records that a replica has run for a long time: earlier failures no longer count against the job. */
+    /**
+     * Records that a replica has run for a long time, which resets the count of early exits and the failed machines.
+     */
     public void recordStableRun() {
         earlyExits = 0;
         failedMachines.clear();
     }
 
-    /** How many tasks the last heartbeats showed running. */
+    /** The number of tasks that the latest heartbeats reported as running. */
     public int running() {
         int count = 0;
         for (Binding binding : bindings.values()) {
@@ -182,20 +187,20 @@
         return count;
     }
 
-    /** The names of the machines on which a task of this job failed since one last completed. */
+    /** The names of machines on which tasks of this job failed since one last completed; callers modify the set. */
     public Set<String> failedMachines() {
         return failedMachines;
     }
 
     /**
-     * True if its tasks fail on one machine after another, so that the job is the likely cause. A service with running
-     * replicas is not: then the machines are the likely cause.
+     * True if tasks of this job failed on several machines, so that the job is the likely cause. For a service with
+     * running replicas the machines are the likely cause instead.
      */
     public boolean failsOnManyMachines() {
         return failedMachines.size() >= FAILED_MACHINES_BEFORE_BACKOFF && !(spec.isService() && running() > 0);
     }
 
-    /** Before this time no task of the job is placed, after failures. */
+    /** The time before which no task of the job is placed, after failures; in monotonic nanoseconds. */
     public long retryAfter() {
         return retryAfter;
     }
@@ -205,7 +210,7 @@
         retryAfter = retryAfterNanos;
     }
 
-    /** The deadline in milliseconds of the epoch; infinite if there is none. */
+    /** The deadline in milliseconds since the epoch; infinite if there is none, as for every service. */
     public double deadlineMs() {
         return spec.deadlineS().isPresent() && !spec.isService()
                 ? submittedMs + spec.deadlineS().getAsDouble() * 1000
--- a/src/main/java/org/spruceridge/cluster/JobKind.java
+++ b/src/main/java/org/spruceridge/cluster/JobKind.java
@@ -1,6 +1,6 @@
 package org.spruceridge.cluster;
 
-/** Whether the tasks of a job complete by themselves. */
+/** Whether the tasks of a job run to completion or until they are stopped. */
 public enum JobKind {
     /** A job array: independent tasks, each of which runs to completion. */
     ARRAY,
--- a/src/main/java/org/spruceridge/cluster/JobPriority.java
+++ b/src/main/java/org/spruceridge/cluster/JobPriority.java
@@ -1,13 +1,13 @@
 package org.spruceridge.cluster;
 
-/** The priority of a job, the highest first. */
+/** The priority of a job, from highest to lowest. */
 public enum JobPriority {
     PRODUCTION,
     HIGH,
     NORMAL,
     LOW;
 
-    /** True if jobs of this priority may preempt jobs of the other. */
+    /** True if this priority is higher, so that its jobs may preempt jobs of the other. */
     public boolean outranks(JobPriority other) {
         return ordinal() < other.ordinal();
     }
--- a/src/main/java/org/spruceridge/cluster/JobSpec.java
+++ b/src/main/java/org/spruceridge/cluster/JobSpec.java
@@ -5,19 +5,19 @@
 import java.util.OptionalDouble;
 
 /**
- * A job as its user submitted it.
+ * A job as submitted by its user.
  *
  * @param jobClass the name that service-level objectives refer to
- * @param task what each task requests
- * @param types the machine types that are allowed; all if empty
- * @param zone the only zone that is allowed; all if empty
- * @param oneZone whether all tasks have to be in the same zone
+ * @param task the resources that each task requests
+ * @param types the allowed machine types; all are allowed if empty
+ * @param zone the only allowed zone; all are allowed if empty
+ * @param oneZone whether all tasks must be in the same zone
  * @param spread whether at most half of the tasks, rounded up, may be in one zone
  * @param spot whether spot machines are allowed
  * @param imageGb the size of the image in gigabytes
  * @param estimateS the estimated run time of a task in seconds
- * @param checkpointIntervalS how often a task saves a checkpoint, in seconds; 0 if it cannot
- * @param checkpointDurationS how long that takes, in seconds
+ * @param checkpointIntervalS the time between checkpoints of a task in seconds; 0 if it cannot save checkpoints
+ * @param checkpointDurationS how long it takes to save a checkpoint, in seconds
  * @param deadlineS when the job should be complete, in seconds after its submission
  */
 public record JobSpec(
@@ -55,12 +55,12 @@
         return spread ? (tasks + 1) / 2 : tasks;
     }
 
-    /** The same job with other allowed types. */
+    /** A copy with other allowed machine types. */
     public JobSpec withTypes(Optional<ImmutableSet<String>> allowed) {
         return copy(jobClass, image, allowed);
     }
 
-    /** The same job with other names for its class and image, which are not needed once it has ended. */
+    /** A copy with other names for its class and image. These names are not needed once the job has ended. */
     public JobSpec withNames(String otherClass, String otherImage) {
         return copy(otherClass, otherImage, types);
     }
@@ -87,7 +87,7 @@
                 deadlineS);
     }
 
-    /** True if the job allows machines of this type, zone and kind, regardless of where its other tasks are. */
+    /** True if the job allows such machines, regardless of where its other tasks are. */
     public boolean allows(String type, String machineZone, boolean spotMachine) {
         return (types.isEmpty() || types.get().contains(type))
                 && (zone.isEmpty() || zone.get().equals(machineZone))
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 
 /**
- * A machine as the leader of this term knows it. Its parts hold one concern each: the order of its heartbeats, its lease,
- * what speaks against it, direct commands, the reclaim notice, and the capacity in use. All times are nanoseconds on the
- * steady clock.
+ * The state of a machine in the memory of this term's leader. Separate objects hold its heartbeat version, its worker
+ * lease, signs of failure, direct commands, the reclaim notice, and the capacity in use. All times are nanoseconds on
+ * the monotonic clock.
  */
 public final class Machine {
     private final String name;
@@ -23,7 +23,7 @@
     private boolean terminating;
     private long lastPreemption = EventTimes.NOT_HAPPENED;
 
-    /** {@code leaseRenewedAt} is the latest time at which any leader can have answered a heartbeat of it. */
+    /** {@code leaseRenewedAt} is the latest time at which any leader can have answered a heartbeat of its worker. */
     public Machine(String name, String address, MachineKind kind, long now, long leaseRenewedAt) {
         this.name = name;
         this.address = address;
@@ -34,12 +34,12 @@
         this.allocation = new MachineAllocation(now);
     }
 
-    /** The name that the cloud gave it. */
+    /** The name that the cloud assigned. */
     public String name() {
         return name;
     }
 
-    /** Where its worker takes direct commands; empty if not known. */
+    /** The address at which its worker accepts direct commands; empty if unknown. */
     public String address() {
         return address;
     }
@@ -54,17 +54,17 @@
         return kind.type();
     }
 
-    /** The zone that it is in. */
+    /** The name of its zone. */
     public String zone() {
         return kind.zone();
     }
 
-    /** True if the cloud may reclaim it. */
+    /** True if it is a spot machine, which the cloud may reclaim. */
     public boolean isSpot() {
         return kind.spot();
     }
 
-    /** The newest heartbeat that was accepted. */
+    /** The version of the newest accepted heartbeat. */
     public HeartbeatVersion heartbeatVersion() {
         return heartbeatVersion;
     }
@@ -74,22 +74,22 @@
         return lease;
     }
 
-    /** What speaks against it. */
+    /** Signs that the machine is faulty. */
     public FailureSuspicion suspicion() {
         return suspicion;
     }
 
-    /** The start commands that were sent directly to its worker. */
+    /** Start commands that were sent directly to its worker and may still arrive. */
     public DirectCommands directCommands() {
         return directCommands;
     }
 
-    /** The notice that the cloud reclaims it. */
+    /** The notice that the cloud is about to reclaim the machine, if there is one. */
     public SpotReclaim reclaim() {
         return reclaim;
     }
 
-    /** All that is bound to it. */
+    /** All bindings to this machine. */
     public Collection<Binding> bindings() {
         return allocation.bindings();
     }
@@ -99,17 +99,17 @@
         return allocation.binding(task);
     }
 
-    /** How many of its bindings are of replicas of services. */
+    /** The number of bindings that are service replicas. */
     public int replicas() {
         return allocation.replicas();
     }
 
-    /** What all tasks take together that may be on the machine. */
+    /** The capacity used by all tasks that may be on the machine. */
     public Resources used() {
         return allocation.used();
     }
 
-    /** Since when it has had no binding. */
+    /** When the machine last became idle; meaningful only while it has no bindings. */
     public long idleSince() {
         return allocation.idleSince();
     }
@@ -122,35 +122,35 @@
         allocation.unbind(binding, now);
     }
 
-    /** Frees the capacity of a task that is gone, while its record is still to be written. */
+    /** Frees the capacity of a task that is gone, before its release has been recorded. */
     void releaseCapacity(Binding binding) {
         allocation.releaseCapacity(binding);
     }
 
-    /** The incarnation of the newest heartbeat. */
+    /** The incarnation of the newest accepted heartbeat. */
     public long incarnation() {
         return heartbeatVersion.incarnation();
     }
 
-    /** True once its worker has sent a heartbeat, in this term or earlier, as its bindings show. */
+    /** True once its worker has sent a heartbeat, in this term or, as its bindings show, in an earlier one. */
     public boolean hasReported() {
         return reported;
     }
 
-    /** Records that its worker ran before this term, as its bindings show, so that its heartbeats are expected. */
+    /** Records that its worker ran before this term, as its bindings show, so that heartbeats are expected from it. */
     public void expectHeartbeats() {
         reported = true;
     }
 
-    /** Records a heartbeat that the worker sent by itself. */
+    /** Records a heartbeat that the worker sent periodically, not in response to a command. */
     public void recordHeartbeat(long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, long now) {
         recordStatus(heartbeatIncarnation, heartbeatSequence, heartbeatAddress, now);
         lease.recordHeartbeat(now);
     }
 
     /**
-     * Records the heartbeat that came with the result of a direct command. It does not show whether the worker reaches a
-     * controller, on which its lease depends.
+     * Records the heartbeat in the result of a direct command. It does not show that the worker can reach a controller,
+     * which its lease requires.
      */
     public void recordStatus(long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, long now) {
         if (!reported) {
@@ -168,26 +168,26 @@
         directCommands.clear();
         lease.beginIncarnation(now);
         if (heartbeatVersion.hasIncarnation()) {
-            // Its previous lease expired: answers may not reach it, until it acknowledges a command.
+            // The worker's previous lease expired, so responses may not reach it until it acknowledges a command.
             suspicion.suspect(now);
         }
     }
 
-    /** The lease of the present incarnation expired: heartbeats that it may still have sent are ignored. */
+    /** Records that the lease of the current incarnation expired: its late heartbeats are ignored. */
     public void endIncarnation() {
         heartbeatVersion.endIncarnation();
         lease.endIncarnation();
         directCommands.clear();
     }
 
-    /** True if a command has not been carried out, or the machine is suspect. */
+    /** True if a command has not been executed, or the machine is suspect. */
     public boolean awaitsAcknowledgement() {
         return EventTimes.hasHappened(unacknowledgedSince());
     }
 
     /**
-     * Since when a command has not been carried out, or the machine has been suspect; meaningful only if {@link
-     * #awaitsAcknowledgement()}.
+     * When the oldest pending command was sent or the machine became suspect, whichever is earlier; meaningful only if
+     * {@link #awaitsAcknowledgement()}.
      */
     public long unacknowledgedSince() {
         long since = suspicion.suspectSince();
@@ -197,7 +197,9 @@
         return since;
     }
 
-    /** True if it gets no more tasks: it is cordoned, about to be reclaimed or suspect, or a late start may arrive. */
+    /**
+     * True if no tasks are placed on it: it is cordoned, suspect or about to be reclaimed, or a late start may arrive.
+     */
     public boolean isUnschedulable() {
         return suspicion.isCordoned()
                 || reclaim.isAnnounced()
@@ -205,27 +207,27 @@
                 || suspicion.isSuspect();
     }
 
-    /** Since when this leader has known it. */
+    /** When this leader learned of the machine. */
     public long knownSince() {
         return knownSince;
     }
 
-    /** When it was launched, as far as is known. */
+    /** When the machine was launched; until that is known, when this leader learned of it. */
     public long launchedAt() {
         return launchedAt;
     }
 
-    /** Corrects when it was launched. */
+    /** Corrects the launch time. */
     public void launchedAt(long launchedAtNanos) {
         launchedAt = launchedAtNanos;
     }
 
-    /** True if its deletion was requested: it gets no more tasks. */
+    /** True if deletion of the machine was requested: no more tasks are placed on it. */
     public boolean isTerminating() {
         return terminating;
     }
 
-    /** Records that its deletion is requested. */
+    /** Records that deletion of the machine is requested. */
     public void markTerminating() {
         terminating = true;
     }
--- a/src/main/java/org/spruceridge/cluster/MachineAllocation.java
+++ b/src/main/java/org/spruceridge/cluster/MachineAllocation.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The bindings of one machine and the capacity that they take. */
+/** The bindings of one machine and the capacity that they use. */
 final class MachineAllocation {
     private final Map<TaskId, Binding> bindings = new LinkedHashMap<>();
     private Resources used = Resources.NONE;
@@ -52,7 +52,7 @@
         }
         if (bindings.isEmpty()) {
             idleSince = now;
-            used = Resources.NONE; // discards rounding errors of the sums
+            used = Resources.NONE; // discards accumulated rounding errors
         }
     }
 
--- a/src/main/java/org/spruceridge/cluster/MachineKind.java
+++ b/src/main/java/org/spruceridge/cluster/MachineKind.java
@@ -1,8 +1,8 @@
 package org.spruceridge.cluster;
 
-/** The properties by which machines are launched and tasks placed: type, zone, and whether it is a spot machine. */
+/** The properties that matter when machines are launched and tasks placed: type, zone, and spot or on-demand. */
 public record MachineKind(String type, String zone, boolean spot) {
-    // Written out for the same reason as in TaskId.
+    // equals and hashCode are explicit for the same reason as in TaskId.
     @Override
     public boolean equals(Object other) {
         return other instanceof MachineKind that
--- a/src/main/java/org/spruceridge/cluster/MachineType.java
+++ b/src/main/java/org/spruceridge/cluster/MachineType.java
@@ -2,7 +2,7 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** A type of machine that the cloud offers. Prices are per hour, {@code bootS} is the boot time in seconds. */
+/** A machine type that the cloud offers. Prices are per hour; {@code bootS} is the boot time in seconds. */
 public record MachineType(
         String name,
         Resources capacity,
@@ -12,7 +12,7 @@
         double bootS,
         ImmutableList<String> zones) {
 
-    /** The price per hour of a spot machine or of an on-demand machine. */
+    /** The hourly price of a spot machine if {@code spot} is true, otherwise of an on-demand machine. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/org/spruceridge/cluster/Resources.java
+++ b/src/main/java/org/spruceridge/cluster/Resources.java
@@ -6,47 +6,47 @@
 public record Resources(double cpus, double gpus, double memGb) {
     /** No capacity at all. */
     public static final Resources NONE = new Resources(0, 0, 0);
-    /** Tolerates the rounding errors of sums. */
+    /** Absorbs accumulated rounding errors. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
-    /** The sum, by each resource. */
+    /** The sum for each resource. */
     public Resources plus(Resources other) {
         return new Resources(cpus + other.cpus, gpus + other.gpus, memGb + other.memGb);
     }
 
-    /** The difference, by each resource. */
+    /** The difference for each resource; may be negative. */
     public Resources minus(Resources other) {
         return new Resources(cpus - other.cpus, gpus - other.gpus, memGb - other.memGb);
     }
 
-    /** True if a task of this size fits into that capacity. */
+    /** True if a task of this size fits into the given capacity. */
     public boolean fitsIn(Resources capacity) {
         return fitsIn(capacity.cpus, capacity.gpus, capacity.memGb);
     }
 
-    /** The same for a capacity given by its parts, so that a caller need not allocate an object. */
+    /** Like {@link #fitsIn(Resources)}, without the need to allocate an object for the capacity. */
     public boolean fitsIn(double freeCpus, double freeGpus, double freeMemGb) {
         return cpus <= freeCpus + ROUNDING_TOLERANCE
                 && gpus <= freeGpus + ROUNDING_TOLERANCE
                 && memGb <= freeMemGb + ROUNDING_TOLERANCE;
     }
 
-    /** The total of so many tasks of this size. */
+    /** The total size of {@code count} tasks of this size. */
     public Resources times(int count) {
         return new Resources(cpus * count, gpus * count, memGb * count);
     }
 
-    /** The minimum of two amounts, by each resource. */
+    /** The minimum for each resource. */
     public Resources min(Resources other) {
         return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memGb, other.memGb));
     }
 
-    /** The minimum of several amounts, by each resource; {@link #NONE} if there are none. */
+    /** The minimum of several amounts for each resource; {@link #NONE} if the stream is empty. */
     public static Resources minOf(Stream<Resources> amounts) {
         return amounts.reduce(Resources::min).orElse(NONE);
     }
 
-    /** How many tasks of the given size fit into this capacity. */
+    /** The number of tasks of the given size that fit into this capacity. */
     public int holds(Resources task) {
         double count = Integer.MAX_VALUE;
         count = task.cpus > 0 ? Math.min(count, (cpus + ROUNDING_TOLERANCE) / task.cpus) : count;
--- a/src/main/java/org/spruceridge/cluster/SpotReclaim.java
+++ b/src/main/java/org/spruceridge/cluster/SpotReclaim.java
@@ -1,17 +1,17 @@
 package org.spruceridge.cluster;
 
-/** The notice that the cloud is about to reclaim a spot machine, as the last heartbeat had it. */
+/** The notice that the cloud is about to reclaim a spot machine, as reported by the last heartbeat. */
 public final class SpotReclaim {
     private long reclaimAt = EventTimes.NOT_HAPPENED;
 
     SpotReclaim() {}
 
-    /** True if the cloud has announced that it reclaims the machine. */
+    /** True if the cloud has announced that it will reclaim the machine. */
     public boolean isAnnounced() {
         return EventTimes.hasHappened(reclaimAt);
     }
 
-    /** When the cloud will reclaim the machine, on the steady clock in nanoseconds; meaningful only if announced. */
+    /** When the cloud will reclaim the machine, in monotonic nanoseconds; meaningful only if announced. */
     public long reclaimAt() {
         return reclaimAt;
     }
@@ -21,7 +21,7 @@
         reclaimAt = reclaimAtNanos;
     }
 
-    /** Records that there is no notice, or no longer. */
+    /** Clears the notice: the last heartbeat contained none. */
     public void withdraw() {
         reclaimAt = EventTimes.NOT_HAPPENED;
     }
--- a/src/main/java/org/spruceridge/cluster/TaskId.java
+++ b/src/main/java/org/spruceridge/cluster/TaskId.java
@@ -1,9 +1,9 @@
 package org.spruceridge.cluster;
 
-/** A task, named by the id of its job and its index in the job. */
+/** Identifies a task by the id of its job and its index in the job. */
 public record TaskId(String job, int index) {
-    // Written out, because every heartbeat looks up keys of this type: the generated methods of a record cost some
-    // milliseconds at their first use and go through method handles on each call.
+    // equals and hashCode are explicit because every heartbeat looks up keys of this type. A record's generated methods
+    // take some milliseconds on first use and go through method handles on each call.
     @Override
     public boolean equals(Object other) {
         return other instanceof TaskId that && index == that.index && job.equals(that.job);
