--- a/src/main/java/org/spruceridge/state/Change.java
+++ b/src/main/java/org/spruceridge/state/Change.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** A change to one key, as a watch reports it. */
+/** A change to one key, reported by a watch. */
 public sealed interface Change {
     /** The key that changed. */
     String key();
@@ -13,6 +13,6 @@
     /** The key was created, or its value replaced. */
     record Put(String key, JsonNode value, long modRevision) implements Change {}
 
-    /** The key was removed, by a transaction or with its lease. */
+    /** The key was deleted, by a transaction or because its lease expired or was revoked. */
     record Delete(String key, long modRevision) implements Change {}
 }
--- a/src/main/java/org/spruceridge/state/InProcessStateService.java
+++ b/src/main/java/org/spruceridge/state/InProcessStateService.java
@@ -14,8 +14,8 @@
 import org.spruceridge.net.Loop;
 
 /**
- * An in-process stand-in for the state service, used by the warm-up: it answers listings with given entries, reports every
- * transaction as committed and stores nothing. It opens no connection.
+ * An in-process stub of the state service for the warm-up. It answers listings with given entries, reports every
+ * transaction as committed, and stores nothing. It opens no connections.
  */
 public final class InProcessStateService implements HttpClient {
     private final Loop loop;
@@ -29,19 +29,20 @@
     }
 
     @Override
-    public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done) {
+    public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> onResponse) {
         boolean isListing = call.target().startsWith(StateRequests.LIST_TARGET);
         ObjectNode body = isListing ? listing(call.target()) : Json.object().put("ring", ++revision);
         byte[] bytes = Json.bytes(body);
-        return loop.after(0, () -> done.accept(new HttpAnswer(200, bytes)));
+        return loop.after(0, () -> onResponse.accept(new HttpAnswer(200, bytes)));
     }
 
     private ObjectNode listing(String target) {
         String prefix = target.substring(StateRequests.LIST_TARGET.length(), target.indexOf('&'));
         ObjectNode body = Json.object();
-        ArrayNode list = body.putArray("entries");
+        ArrayNode entryArray = body.putArray("entries");
         for (Entry entry : entries.apply(prefix)) {
-            list.addObject()
+            entryArray
+                    .addObject()
                     .put("k", entry.key())
                     .put("stamp", entry.modRevision())
                     .set("v", entry.value());
--- a/src/main/java/org/spruceridge/state/ListRequest.java
+++ b/src/main/java/org/spruceridge/state/ListRequest.java
@@ -7,28 +7,28 @@
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.HttpCall;
 
-/** Reads all keys under a prefix, one page after the other. */
+/** Reads all keys with a prefix, page by page. */
 final class ListRequest {
     /** Sends the request for one page. */
     interface Sender {
-        void send(HttpCall call, Consumer<HttpAnswer> onAnswer);
+        void send(HttpCall call, Consumer<HttpAnswer> onResponse);
     }
 
     private final String prefix;
     private final Sender sender;
     private final StateResponses responses;
-    private final Consumer<StateResult<Listing>> done;
+    private final Consumer<StateResult<Listing>> onResult;
     private final List<Entry> entries = new ArrayList<>();
-    /** The oldest revision of all pages: later changes may be missing from those read first. */
+    /** The lowest revision of all pages: the first pages may lack changes that were made after it. */
     private long revision = Long.MAX_VALUE;
 
     private long bytes;
 
-    ListRequest(String prefix, Sender sender, StateResponses responses, Consumer<StateResult<Listing>> done) {
+    ListRequest(String prefix, Sender sender, StateResponses responses, Consumer<StateResult<Listing>> onResult) {
         this.prefix = prefix;
         this.sender = sender;
         this.responses = responses;
-        this.done = done;
+        this.onResult = onResult;
     }
 
     void start() {
@@ -39,21 +39,21 @@
         sender.send(StateRequests.list(prefix, key), answer -> {
             StateResult<StateResponses.ListingPage> page = responses.listingPage(answer);
             if (page.isOk()) {
-                add(page.value());
+                addPage(page.value());
             } else {
-                done.accept(StateResult.failed(page.outcome()));
+                onResult.accept(StateResult.failed(page.outcome()));
             }
         });
     }
 
-    private void add(StateResponses.ListingPage page) {
+    private void addPage(StateResponses.ListingPage page) {
         entries.addAll(page.entries());
         revision = Math.min(revision, page.revision());
         bytes += page.bytes();
         if (page.truncated() && !entries.isEmpty()) {
             requestPageAfter(entries.get(entries.size() - 1).key());
         } else {
-            done.accept(StateResult.ok(new Listing(ImmutableList.copyOf(entries), revision, bytes)));
+            onResult.accept(StateResult.ok(new Listing(ImmutableList.copyOf(entries), revision, bytes)));
         }
     }
 }
--- a/src/main/java/org/spruceridge/state/Listing.java
+++ b/src/main/java/org/spruceridge/state/Listing.java
@@ -3,9 +3,9 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * All entries under a prefix.
+ * All entries whose keys have a prefix.
  *
- * @param revision changes after it may be missing from the entries
- * @param bytes the size of the responses
+ * @param revision the entries may lack changes that were made after this revision
+ * @param bytes the total size of the response bodies
  */
 public record Listing(ImmutableList<Entry> entries, long revision, long bytes) {}
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -19,14 +19,14 @@
 
 /**
  * Client of the state service, the consensus-backed key-value store. Every request waits until this node's rate limiter
- * admits it. Requests are not retried here: callers decide what an unknown outcome means to them. All callbacks run on
- * the event loop.
+ * admits it. The client does not retry: callers decide how to handle an unknown outcome. All callbacks run on the event
+ * loop.
  */
 public final class StateClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
     /** Responses usually take under 10 ms and occasionally a few hundred. */
     private static final long REQUEST_TIMEOUT_NANOS = Durations.millis(1000);
-    /** A watch may be answered this much later than the time it was asked to wait. */
+    /** The time that a response to a watch may take beyond the requested blocking time. */
     private static final long WATCH_TIMEOUT_SLACK_NANOS = Durations.nanos(5);
 
     private static final HttpAnswer NOT_ADMITTED = new HttpAnswer(StateResponses.TOO_MANY_REQUESTS, new byte[0]);
@@ -38,9 +38,9 @@
     private final Latencies latencies;
     private final StateResponses responses;
     private final StateServiceAvailability availability;
-    private Runnable rateExceeded = () -> {};
+    private Runnable rateExceededListener = () -> {};
 
-    /** Requests go to {@code address}, within the limits of {@code limiter}. */
+    /** Creates a client that sends its requests to {@code address}, within the limits of {@code limiter}. */
     public StateClient(
             Loop loop,
             HttpClient http,
@@ -57,148 +57,152 @@
         this.availability = new StateServiceAvailability(loop);
     }
 
-    /** {@code listener} runs whenever the service answers 429, that its limits were exceeded. */
+    /**
+     * Sets the listener that runs whenever the service answers with status 429, which means its rate limit was
+     * exceeded.
+     */
     public void onRateExceeded(Runnable listener) {
-        rateExceeded = listener;
+        rateExceededListener = listener;
     }
 
-    /** Nanoseconds since the service last executed or judged a request of this node. */
+    /** Nanoseconds since the service last processed a request of this node, whether it executed or rejected it. */
     public long nanosSinceLastServed() {
         return availability.nanosSinceLastServed();
     }
 
-    /** True once the service has executed or judged a request of this node. */
+    /** True once the service has processed a request of this node, whether it executed or rejected it. */
     public boolean hasEverBeenServed() {
         return availability.hasEverServed();
     }
 
     /** Reads one key. */
-    public void get(String key, Priority priority, Consumer<StateResult<Entry>> done) {
-        send(priority, 0, StateRequests.get(key), answer -> done.accept(responses.entry(key, answer)));
+    public void get(String key, Priority priority, Consumer<StateResult<Entry>> onResult) {
+        send(priority, 0, StateRequests.get(key), answer -> onResult.accept(responses.entry(key, answer)));
     }
 
-    /** Reads all keys under a prefix, page by page. */
-    public void list(String prefix, Priority priority, Consumer<StateResult<Listing>> done) {
-        new ListRequest(prefix, (call, onAnswer) -> send(priority, 0, call, onAnswer), responses, done).start();
+    /** Reads all keys with a prefix, page by page. */
+    public void list(String prefix, Priority priority, Consumer<StateResult<Listing>> onResult) {
+        new ListRequest(prefix, (call, onResponse) -> send(priority, 0, call, onResponse), responses, onResult).start();
     }
 
     /** Commits a transaction. */
-    public void commit(Transaction transaction, Priority priority, Consumer<TransactionResult> done) {
-        send(priority, transaction.changeCount(), StateRequests.commit(transaction), transactionCallback(done));
+    public void commit(Transaction transaction, Priority priority, Consumer<TransactionResult> onResult) {
+        send(priority, transaction.changeCount(), StateRequests.commit(transaction), transactionCallback(onResult));
     }
 
     /**
-     * Commits a transaction that is composed only once the rate limiter admits it, so that it carries everything gathered
-     * by then; it has at most {@code maxChanges} changes. If {@code composer} returns none, nothing is sent and
-     * {@code done} is not called.
+     * Commits a transaction that is composed only when the rate limiter admits it, so that it contains all changes
+     * collected by then, at most {@code maxChanges}. If {@code composer} returns no transaction, nothing is sent and
+     * {@code onResult} is not called.
      */
     public void commitWhenAdmitted(
             Priority priority,
             int maxChanges,
             Supplier<Optional<Transaction>> composer,
-            Consumer<TransactionResult> done) {
+            Consumer<TransactionResult> onResult) {
         boolean queued = limiter.submit(priority, maxChanges, () -> {
             Optional<Transaction> transaction = composer.get();
             if (transaction.isEmpty()) {
                 return 0;
             }
-            sendNow(StateRequests.commit(transaction.get()), transactionCallback(done));
+            sendNow(StateRequests.commit(transaction.get()), transactionCallback(onResult));
             return transaction.get().changeCount();
         });
         if (!queued) {
-            done.accept(TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED));
+            onResult.accept(TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED));
         }
     }
 
-    /** Creates a lease with this time to live; the result is its id. */
-    public void createLease(long ttlMillis, Consumer<StateResult<Long>> done) {
+    /** Creates a lease with a time to live in milliseconds; the result is the lease id. */
+    public void createLease(long ttlMillis, Consumer<StateResult<Long>> onResult) {
         send(
                 Priority.LEASE_RENEWAL,
                 0,
                 StateRequests.createLease(ttlMillis),
-                answer -> done.accept(responses.createdLease(answer)));
+                answer -> onResult.accept(responses.createdLease(answer)));
     }
 
     /**
      * Renews a lease; NOT_FOUND means that it has expired. The result is the time at which the request was sent, in
-     * nanoseconds: the lease is valid from then at least.
+     * nanoseconds: the renewed time to live starts at that time or later.
      */
-    public void renewLease(long leaseId, long timeoutNanos, Consumer<StateResult<Long>> done) {
+    public void renewLease(long leaseId, long timeoutNanos, Consumer<StateResult<Long>> onResult) {
         boolean queued = limiter.submit(Priority.LEASE_RENEWAL, 0, () -> {
             long sentAt = loop.nanos();
             http.call(
                     address,
                     StateRequests.renewLease(leaseId),
                     timeoutNanos,
-                    observed(answer -> done.accept(StateResponses.renewedLease(answer, sentAt))));
+                    recordingAvailability(answer -> onResult.accept(StateResponses.renewedLease(answer, sentAt))));
         });
         if (!queued) {
-            done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
+            onResult.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
         }
     }
 
-    /** Revokes a lease, which removes the keys attached to it; nothing depends on whether it works. */
+    /** Revokes a lease, which deletes the keys attached to it. This is best effort: the result is ignored. */
     public void revokeLease(long leaseId) {
         send(Priority.LEASE_RENEWAL, 0, StateRequests.revokeLease(leaseId), answer -> {});
     }
 
-    /** Waits up to {@code blockS} seconds for changes of keys with the prefix after a revision. */
-    public Cancellable watch(String prefix, long fromRevision, double blockS, Consumer<StateResult<Changes>> done) {
+    /** Waits up to {@code blockS} seconds for changes after {@code fromRevision} to keys with the prefix. */
+    public Cancellable watch(String prefix, long fromRevision, double blockS, Consumer<StateResult<Changes>> onResult) {
         long blockMs = (long) (blockS * 1000);
-        WatchRequest watch = new WatchRequest();
+        WatchRequest request = new WatchRequest();
         boolean queued = limiter.submit(Priority.LEASE_RENEWAL, 0, () -> {
-            if (!watch.isCancelled()) {
-                watch.sent(http.call(
+            if (!request.isCancelled()) {
+                request.attach(http.call(
                         address,
                         StateRequests.watch(prefix, fromRevision, blockMs),
                         Durations.millis((double) blockMs) + WATCH_TIMEOUT_SLACK_NANOS,
-                        observed(answer -> done.accept(responses.changes(answer)))));
+                        recordingAvailability(answer -> onResult.accept(responses.changes(answer)))));
             }
         });
         if (!queued) {
-            loop.after(REQUEST_TIMEOUT_NANOS, () -> done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE)));
+            loop.after(
+                    REQUEST_TIMEOUT_NANOS, () -> onResult.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE)));
         }
-        return watch;
+        return request;
     }
 
-    private Consumer<HttpAnswer> transactionCallback(Consumer<TransactionResult> done) {
+    private Consumer<HttpAnswer> transactionCallback(Consumer<TransactionResult> onResult) {
         return answer -> {
             TransactionResult result = responses.transaction(answer);
             if (result.outcome() == TransactionResult.Outcome.MALFORMED) {
                 LOG.error("transaction rejected as malformed reason={}", StateResponses.text(answer));
             }
-            done.accept(result);
+            onResult.accept(result);
         };
     }
 
-    private void send(Priority priority, int changes, HttpCall call, Consumer<HttpAnswer> done) {
-        boolean queued = limiter.submit(priority, changes, () -> sendNow(call, done));
+    private void send(Priority priority, int changes, HttpCall call, Consumer<HttpAnswer> onResponse) {
+        boolean queued = limiter.submit(priority, changes, () -> sendNow(call, onResponse));
         if (!queued) {
-            done.accept(NOT_ADMITTED); // equals a refusal by the service: it was never sent
+            onResponse.accept(NOT_ADMITTED); // reported like a rejection by the service, because it was never sent
         }
     }
 
-    private void sendNow(HttpCall call, Consumer<HttpAnswer> done) {
-        http.call(address, call, REQUEST_TIMEOUT_NANOS, timed(observed(done)));
+    private void sendNow(HttpCall call, Consumer<HttpAnswer> onResponse) {
+        http.call(address, call, REQUEST_TIMEOUT_NANOS, recordingLatency(recordingAvailability(onResponse)));
     }
 
-    /** Records the latency, without the wait for the rate limiter. Watches and renewals are not recorded. */
-    private Consumer<HttpAnswer> timed(Consumer<HttpAnswer> done) {
+    /** Records the latency, excluding the wait for the rate limiter. Watches and lease renewals are not recorded. */
+    private Consumer<HttpAnswer> recordingLatency(Consumer<HttpAnswer> onResponse) {
         long sentAt = loop.nanos();
         return answer -> {
             latencies.record(Latencies.Kind.STATE, loop.nanos() - sentAt);
-            done.accept(answer);
+            onResponse.accept(answer);
         };
     }
 
-    /** Records whether the service is available, and whether its limits were exceeded. */
-    private Consumer<HttpAnswer> observed(Consumer<HttpAnswer> done) {
+    /** Records whether the service is available, and reports when its rate limit was exceeded. */
+    private Consumer<HttpAnswer> recordingAvailability(Consumer<HttpAnswer> onResponse) {
         return answer -> {
             availability.record(answer);
             if (answer.status() == StateResponses.TOO_MANY_REQUESTS) {
-                rateExceeded.run();
+                rateExceededListener.run();
             }
-            done.accept(answer);
+            onResponse.accept(answer);
         };
     }
 }
--- a/src/main/java/org/spruceridge/state/StateRequests.java
+++ b/src/main/java/org/spruceridge/state/StateRequests.java
@@ -3,9 +3,9 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.Json;
 
-/** The HTTP requests of the state service's protocol. The names on the wire are those of the protocol. */
+/** Creates the HTTP requests of the state service's protocol. The names on the wire are defined by the protocol. */
 final class StateRequests {
-    /** The start of the target of every listing. */
+    /** The prefix of the target of every list request. */
     static final String LIST_TARGET = "/store?starts=";
 
     private static final int LIST_PAGE_ENTRIES = 500;
@@ -17,7 +17,9 @@
         return HttpCall.get("/store/" + key);
     }
 
-    /** One page of a listing; {@code afterKey} is the last key of the page before, empty for the first page. */
+    /**
+     * Requests one page of a listing; {@code afterKey} is the last key of the previous page, empty for the first page.
+     */
     static HttpCall list(String prefix, String afterKey) {
         String from = afterKey.isEmpty() ? "" : "&from=" + afterKey;
         return HttpCall.get(LIST_TARGET + prefix + from + "&limit=" + LIST_PAGE_ENTRIES);
@@ -39,7 +41,7 @@
         return new HttpCall("DELETE", "/grants/" + leaseId, EMPTY_BODY);
     }
 
-    /** The service answers once there is a change after the revision, or after {@code blockMs} milliseconds. */
+    /** The service responds when there is a change after the revision, or after {@code blockMs} milliseconds. */
     static HttpCall watch(String prefix, long fromRevision, long blockMs) {
         return HttpCall.get("/follow?starts=" + prefix + "&from=" + fromRevision + "&blockMs=" + blockMs);
     }
--- a/src/main/java/org/spruceridge/state/StateResponses.java
+++ b/src/main/java/org/spruceridge/state/StateResponses.java
@@ -8,7 +8,7 @@
 import org.spruceridge.net.Json;
 import org.spruceridge.net.RateLimitedWarnings;
 
-/** Reads the state service's responses. One that cannot be read counts as no response, and leaves a warning. */
+/** Parses responses of the state service. An unreadable one causes a warning and counts as missing. */
 final class StateResponses {
     static final int TOO_MANY_REQUESTS = 429;
     static final int SERVICE_UNAVAILABLE = 503;
@@ -56,7 +56,7 @@
         return read(answer, body -> Json.nonNegativeLong(body, "permit"));
     }
 
-    /** The value of a successful renewal is the time at which the request was sent. */
+    /** The value of a successful renewal is {@code sentAtNanos}, the time at which the request was sent. */
     static StateResult<Long> renewedLease(HttpAnswer answer, long sentAtNanos) {
         return switch (answer.status()) {
             case OK -> StateResult.ok(sentAtNanos);
@@ -110,7 +110,7 @@
         return keys.build();
     }
 
-    /** The body as text, for messages of errors. */
+    /** The body as text, for error messages. */
     static String text(HttpAnswer answer) {
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
--- a/src/main/java/org/spruceridge/state/StateResult.java
+++ b/src/main/java/org/spruceridge/state/StateResult.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * The outcome of a read, a watch or a call on a lease.
+ * The outcome of a read, a watch or a lease operation.
  *
  * @param content present if and only if the outcome is {@link Outcome#OK}
  */
@@ -13,20 +13,20 @@
         OK,
         /** The key or lease does not exist. */
         NOT_FOUND,
-        /** The service no longer keeps the changes after the revision asked for. */
+        /** The service no longer has the changes after the requested revision. */
         REVISION_COMPACTED,
-        /** Refused, or no response: the state is not known. */
+        /** The request was rejected or got no usable response: the stored state is unknown. */
         UNAVAILABLE,
-        /** There is a value that this version does not understand. */
+        /** The key has a value that this version cannot read. */
         UNSUPPORTED_VALUE
     }
 
-    /** The request was executed. */
+    /** A request that was executed, with its result. */
     public static <T> StateResult<T> ok(T value) {
         return new StateResult<>(Outcome.OK, Optional.of(value));
     }
 
-    /** The request was not executed, for this reason. */
+    /** A request that did not succeed, with this outcome. */
     public static <T> StateResult<T> failed(Outcome outcome) {
         return new StateResult<>(outcome, Optional.empty());
     }
@@ -36,7 +36,7 @@
         return outcome == Outcome.OK;
     }
 
-    /** The value read; only to be asked for if {@link #isOk}. */
+    /** The result; throws {@link java.util.NoSuchElementException} unless {@link #isOk}. */
     public T value() {
         return content.orElseThrow();
     }
--- a/src/main/java/org/spruceridge/state/StateServiceAvailability.java
+++ b/src/main/java/org/spruceridge/state/StateServiceAvailability.java
@@ -3,7 +3,10 @@
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.Loop;
 
-/** When the state service last executed or judged a request of this node. An answer 503 tells of an outage instead. */
+/**
+ * Tracks when the state service last processed a request of this node, whether it executed or rejected it. A response
+ * with status 503 does not count, because it indicates an outage.
+ */
 final class StateServiceAvailability {
     private final Loop loop;
     private long lastServedNanos;
@@ -21,7 +24,7 @@
         }
     }
 
-    /** Counted from the start of this node while no request has been served. */
+    /** Measured from the start of this node until a request has been served. */
     long nanosSinceLastServed() {
         return loop.nanos() - lastServedNanos;
     }
--- a/src/main/java/org/spruceridge/state/Transaction.java
+++ b/src/main/java/org/spruceridge/state/Transaction.java
@@ -10,8 +10,8 @@
 import org.spruceridge.net.Json;
 
 /**
- * A compare-and-swap transaction: its changes are made together if all its comparisons hold, else none is. The JSON body is
- * built once, so that a retry sends the same bytes.
+ * A compare-and-swap transaction: its changes are applied atomically if all its comparisons hold, otherwise none is.
+ * The JSON body is built once, so that a retry sends the same bytes.
  */
 public final class Transaction {
     private final ImmutableMap<String, Long> comparisons;
@@ -20,7 +20,7 @@
 
     /** One change of the transaction. */
     private sealed interface Operation {
-        /** Appends the change in the form of the protocol. */
+        /** Appends the change as the protocol encodes it. */
         void writeTo(ArrayNode then);
     }
 
@@ -50,7 +50,7 @@
         this.body = Json.bytes(toJson());
     }
 
-    /** A transaction without comparisons and changes yet. */
+    /** A builder without comparisons and changes. */
     public static Builder builder() {
         return new Builder();
     }
@@ -59,12 +59,12 @@
         return body;
     }
 
-    /** How many changes it makes. */
+    /** The number of changes. */
     public int changeCount() {
         return operations.size();
     }
 
-    /** How many keys it compares, those it changes included. */
+    /** The number of compared keys, including all changed keys. */
     public int comparisonCount() {
         return comparisons.size();
     }
@@ -84,12 +84,12 @@
         return out;
     }
 
-    /** Collects comparisons and changes. Every change also compares the mod revision of its key, 0 for a new key. */
+    /** Collects comparisons and changes. Every change also compares the mod revision of its key; 0 for a new key. */
     public static final class Builder {
         private final Map<String, Long> comparisons = new LinkedHashMap<>();
         private final ImmutableList.Builder<Operation> operations = ImmutableList.builder();
 
-        /** Requires that the key has this mod revision, or does not exist if it is 0. */
+        /** Requires that the key has this mod revision or, if the revision is 0, that it does not exist. */
         public Builder compare(String key, long expectedRevision) {
             comparisons.put(key, expectedRevision);
             return this;
@@ -100,21 +100,21 @@
             return putWithLease(key, expectedRevision, value, Put.NO_LEASE);
         }
 
-        /** Writes a key that is removed when the lease expires or is revoked. */
+        /** Writes a key that is deleted when the lease expires or is revoked. */
         public Builder putWithLease(String key, long expectedRevision, JsonNode value, long leaseId) {
             compare(key, expectedRevision);
             operations.add(new Put(key, value, leaseId));
             return this;
         }
 
-        /** Removes a key. */
+        /** Deletes a key. */
         public Builder delete(String key, long expectedRevision) {
             compare(key, expectedRevision);
             operations.add(new Delete(key));
             return this;
         }
 
-        /** The transaction, in the order of the calls. */
+        /** The transaction, with comparisons and changes in the order of the calls. */
         public Transaction build() {
             return new Transaction(ImmutableMap.copyOf(comparisons), operations.build());
         }
--- a/src/main/java/org/spruceridge/state/WatchRequest.java
+++ b/src/main/java/org/spruceridge/state/WatchRequest.java
@@ -2,7 +2,7 @@
 
 import org.spruceridge.net.Cancellable;
 
-/** A watch that may be cancelled before its request has been sent, and then never is. */
+/** A watch that can be cancelled before its request is sent; a cancelled watch is never sent. */
 final class WatchRequest implements Cancellable {
     private static final Cancellable NOT_SENT = () -> {};
 
@@ -13,7 +13,7 @@
         return cancelled;
     }
 
-    void sent(Cancellable sentRequest) {
+    void attach(Cancellable sentRequest) {
         request = sentRequest;
     }
 
--- a/src/main/java/org/spruceridge/state/package-info.java
+++ b/src/main/java/org/spruceridge/state/package-info.java
@@ -2,8 +2,8 @@
  * Client of the state service, the consensus-backed key-value store that holds every durable record: typed requests and
  * responses, leases, watches and compare-and-swap transactions.
  *
- * <p>The election, the leader and the user API call it, all on the one event loop; callbacks run there too. The names on
- * the wire are mapped in {@link org.spruceridge.state.StateRequests}, {@link org.spruceridge.state.StateResponses} and
- * {@link org.spruceridge.state.Transaction}.
+ * <p>The election, the leader and the user API use it, all on the single event loop, where callbacks run as well. The
+ * names on the wire are mapped in {@link org.spruceridge.state.StateRequests}, {@link
+ * org.spruceridge.state.StateResponses} and {@link org.spruceridge.state.Transaction}.
  */
 package org.spruceridge.state;
