--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -19,68 +19,73 @@
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.net.BadMessageException;
 
-/** One page of bindings: the tasks bound to each of many machines, grouped by machine kind. */
+/** A stored page of bindings: the tasks bound to each of many machines, grouped by machine kind. */
 public final class BindingsRecord {
-    /** Array headers and numbers of a machine beside its name, and of one of its bindings beside the job's id. */
-    private static final int MACHINE_BYTES = 5;
+    /** The encoded size of a machine without its name and bindings: array headers and numbers. */
+    private static final int MACHINE_OVERHEAD_BYTES = 5;
 
-    /** A number of a task and an attempt, at most. */
-    private static final int BOUND_BYTES = 5 + 9;
+    /** The maximum encoded size of a binding without its job id: 5 bytes for the task index, 9 for the attempt. */
+    private static final int BINDING_OVERHEAD_BYTES = 5 + 9;
 
-    private static final int KIND_BYTES = 12;
-    /** Ample for the names of a machine, its type and its zone. */
-    private static final int NAMES_BYTES = 385;
+    /** The encoded size of a machine kind without its names. */
+    private static final int KIND_OVERHEAD_BYTES = 12;
 
-    /** The longest id of a job, with its header. */
-    private static final int JOB_BYTES = 22;
+    /** An upper bound of the size of the names of a machine, its type and its zone together. */
+    private static final int MAX_NAMES_BYTES = 385;
+
+    /** The maximum encoded size of a job id, including its header. */
+    private static final int MAX_JOB_ID_BYTES = 22;
 
     private BindingsRecord() {}
 
-    /** One task and attempt. */
+    /** A bound task and the number of the attempt. */
     public record BoundTask(TaskId task, long attempt) {}
 
     /** A machine and the tasks bound to it. */
     public record MachineBindings(String name, MachineKind kind, ImmutableList<BoundTask> bound) {}
 
-    /** The most bindings of one machine that a page holds. */
+    /** The maximum number of bindings of one machine that fit into a page for values of {@code valueKb} kilobytes. */
     public static int maxBindingsPerMachine(double valueKb) {
-        int own = NAMES_BYTES + MACHINE_BYTES + 2 * KIND_BYTES;
-        return Math.max(1, (PackedValue.capacity(valueKb) - own) / (BOUND_BYTES + JOB_BYTES));
+        int machineBytes = MAX_NAMES_BYTES + MACHINE_OVERHEAD_BYTES + 2 * KIND_OVERHEAD_BYTES;
+        return Math.max(
+                1, (PackedValue.capacity(valueKb) - machineBytes) / (BINDING_OVERHEAD_BYTES + MAX_JOB_ID_BYTES));
     }
 
-    /** The most bytes that a page of these machines takes with all that is bound to them now. */
+    /** The maximum size in bytes of a page with these machines and all their current bindings. */
     public static int bytes(Collection<Machine> machines) {
         Set<MachineKind> kinds = new HashSet<>();
-        int sum = 5;
+        int totalBytes = 5;
         for (Machine machine : machines) {
             if (kinds.add(machine.kind())) {
-                sum += KIND_BYTES + machine.type().length() + machine.zone().length();
+                totalBytes += KIND_OVERHEAD_BYTES
+                        + machine.type().length()
+                        + machine.zone().length();
             }
-            sum += MACHINE_BYTES + 1 + machine.name().length();
+            totalBytes += MACHINE_OVERHEAD_BYTES + 1 + machine.name().length();
             String job = "";
             for (Binding binding : machine.bindings()) {
-                // Bindings of one job that follow each other share its id; leaving some out never takes more.
-                sum += 1 + size(binding.task().index()) + size(binding.attempt());
-                sum += binding.task().job().equals(job)
+                // Consecutive bindings of one job share its id. Omitting bindings never makes the page larger.
+                totalBytes += 1 + maxNumberBytes(binding.task().index()) + maxNumberBytes(binding.attempt());
+                totalBytes += binding.task().job().equals(job)
                         ? 0
                         : binding.task().job().length();
                 job = binding.task().job();
             }
         }
-        return sum;
+        return totalBytes;
     }
 
-    /** A page with those bindings of the machines that belong on record. */
+    /** A page with those bindings of the machines for which {@code recorded} is true. */
     public static ObjectNode write(String transactionId, Collection<Machine> machines, Predicate<Binding> recorded) {
         ImmutableListMultimap.Builder<MachineKind, MachineBindings> byKind = ImmutableListMultimap.builder();
         for (Machine machine : machines) {
-            ImmutableList.Builder<BoundTask> list = ImmutableList.builder();
+            ImmutableList.Builder<BoundTask> recordedTasks = ImmutableList.builder();
             for (Binding binding : machine.bindings()) {
                 if (recorded.test(binding)) {
-                    list.add(new BoundTask(binding.task(), binding.attempt()));
+                    recordedTasks.add(new BoundTask(binding.task(), binding.attempt()));
                 }
             }
-            ImmutableList<BoundTask> bound = list.build();
+            ImmutableList<BoundTask> bound = recordedTasks.build();
             if (!bound.isEmpty()) {
                 byKind.put(machine.kind(), new MachineBindings(machine.name(), machine.kind(), bound));
             }
@@ -101,8 +106,8 @@
         });
     }
 
-    /** What a number takes in MessagePack, at most. */
-    private static int size(long number) {
+    /** The maximum size in bytes of a number in MessagePack. */
+    private static int maxNumberBytes(long number) {
         return number < 1 << 7 ? 1 : number < 1 << 16 ? 3 : number < 1L << 32 ? 5 : 9;
     }
 
@@ -112,7 +117,7 @@
         String job = "";
         for (BoundTask task : machine.bound) {
             if (task.task.job().equals(job)) {
-                out.packNil(); // the same as before
+                out.packNil(); // the same job as in the previous binding
             } else {
                 out.packString(task.task.job());
                 job = task.task.job();
@@ -122,7 +127,7 @@
         }
     }
 
-    /** Reads a page. */
+    /** Reads a page; a {@link BadMessageException} means that it is malformed. */
     public static List<MachineBindings> read(JsonNode value) throws BadMessageException {
         return PackedValue.read(value, in -> {
             List<MachineBindings> machines = new ArrayList<>();
--- a/src/main/java/org/spruceridge/record/CatalogueRecord.java
+++ b/src/main/java/org/spruceridge/record/CatalogueRecord.java
@@ -11,25 +11,25 @@
 import org.spruceridge.net.Json;
 
 /**
- * The machine types as last read from the cloud, kept so that a node which starts during an outage of the cloud can still
- * validate and place jobs. Its prices are those of the time at which it was written.
+ * The machine types as last read from the cloud. They are stored so that a node which starts during an outage of the
+ * cloud can still validate and place jobs. The prices are those at the time of writing.
  */
 public record CatalogueRecord(ImmutableMap<String, MachineType> types) {
 
-    /** Reads the record. */
+    /** Reads the record; a {@link BadMessageException} means that it is malformed. */
     public static CatalogueRecord read(JsonNode value) throws BadMessageException {
         ImmutableMap.Builder<String, MachineType> out = ImmutableMap.builder();
         for (JsonNode item : Json.list(value, "types")) {
             ImmutableList.Builder<String> zones = ImmutableList.builder();
-            Json.list(item, "zones").forEach(z -> zones.add(z.asText()));
+            Json.list(item, "zones").forEach(zone -> zones.add(zone.asText()));
             String name = Json.text(item, "name");
-            Resources room =
+            Resources capacity =
                     new Resources(Json.number(item, "cpus"), Json.number(item, "gpus"), Json.number(item, "memGb"));
             out.put(
                     name,
                     new MachineType(
                             name,
-                            room,
+                            capacity,
                             Json.number(item, "fetch"),
                             Json.number(item, "price"),
                             Json.number(item, "spotPrice"),
@@ -42,31 +42,31 @@
     /** The record as JSON. */
     public ObjectNode write() {
         ObjectNode out = Json.object();
-        ArrayNode list = out.putArray("types");
-        for (MachineType t : types.values()) {
-            ObjectNode item = list.addObject()
-                    .put("name", t.name())
-                    .put("cpus", t.capacity().cpus())
-                    .put("gpus", t.capacity().gpus())
-                    .put("memGb", t.capacity().memGb())
-                    .put("fetch", t.fetchGbPerS())
-                    .put("price", t.price())
-                    .put("spotPrice", t.spotPrice())
-                    .put("bootS", t.bootS());
+        ArrayNode items = out.putArray("types");
+        for (MachineType type : types.values()) {
+            ObjectNode item = items.addObject()
+                    .put("name", type.name())
+                    .put("cpus", type.capacity().cpus())
+                    .put("gpus", type.capacity().gpus())
+                    .put("memGb", type.capacity().memGb())
+                    .put("fetch", type.fetchGbPerS())
+                    .put("price", type.price())
+                    .put("spotPrice", type.spotPrice())
+                    .put("bootS", type.bootS());
             ArrayNode zones = item.putArray("zones");
-            t.zones().forEach(zones::add);
+            type.zones().forEach(zones::add);
         }
         return out;
     }
 
-    /** True if both hold the same types; prices change all the time and are not compared. */
+    /** True if both contain the same types. Prices are not compared, because they change all the time. */
     public boolean sameTypes(CatalogueRecord other) {
         return types.keySet().equals(other.types.keySet())
-                && types.values().stream().allMatch(t -> {
-                    MachineType o = other.types.get(t.name());
-                    return t.capacity().equals(o.capacity())
-                            && t.bootS() == o.bootS()
-                            && t.zones().equals(o.zones());
+                && types.values().stream().allMatch(type -> {
+                    MachineType otherType = other.types.get(type.name());
+                    return type.capacity().equals(otherType.capacity())
+                            && type.bootS() == otherType.bootS()
+                            && type.zones().equals(otherType.zones());
                 });
     }
 }
--- a/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
@@ -10,37 +10,38 @@
 import org.spruceridge.upgrade.FeatureLevel;
 
 /**
- * One page of finished tasks: a bit set for each chunk of the tasks of an unfinished job.
+ * A stored page of finished tasks: a bit set for each chunk of consecutive tasks of an unfinished job.
  *
- * <p>It has two forms. At the base level, the only form that version 0.1 reads, a chunk has a number, and its first task
- * is that number times the size of chunks, which follows from the largest value that the state service takes. At level
- * {@link FeatureLevel#SERVICES} a chunk names its first task, so that the size may change, and the page names its form.
+ * <p>There are two forms. In the form of the base level, the only one that version 0.1 reads, a chunk has a number. The
+ * index of its first task is that number times the chunk size, which is derived from the maximum value size of the
+ * state service. In the form of level {@link FeatureLevel#SERVICES} a chunk contains the index of its first task, so
+ * that the chunk size may change, and the page contains the number of its form.
  */
 public final class FinishedTasksRecord {
-    /** Headers and the chunk's first task. */
-    private static final int ENTRY_BYTES = 14;
+    /** The encoded size of a chunk without its job id and bit set: headers and the index of its first task. */
+    private static final int CHUNK_OVERHEAD_BYTES = 14;
 
     private static final String FORM = "f";
     private static final int FORM_WITH_FIRST_TASK = 2;
 
     private FinishedTasksRecord() {}
 
-    /** The finished tasks of one chunk of a job, counted from the chunk's first task. */
+    /** The finished tasks of one chunk of a job; bit 0 is the task with index {@code first}. */
     public record Chunk(String job, int first, BitSet tasks) {}
 
-    /** How many tasks go into a chunk, so that a full one takes about a third of a page. */
+    /** The number of tasks in a chunk: a full chunk takes about a third of a page. */
     public static int chunkSize(double valueKb) {
         return Math.max(64, PackedValue.capacity(valueKb) / 3 * 8);
     }
 
-    /** The most bytes that a chunk of so many tasks takes. */
+    /** The maximum size in bytes of a chunk with {@code tasks} tasks. */
     public static int bytes(String job, int tasks) {
-        return ENTRY_BYTES + job.length() + (tasks + 7) / 8;
+        return CHUNK_OVERHEAD_BYTES + job.length() + (tasks + 7) / 8;
     }
 
     /**
-     * A page with these chunks in the form of a feature level, written by a transaction. At the base level all chunks have
-     * the size {@code baseChunkSize}.
+     * A page with these chunks in the form of a feature level, to be written by a transaction. At the base level all
+     * chunks have {@code baseChunkSize} tasks.
      */
     public static ObjectNode write(
             String transactionId, FeatureLevel level, int baseChunkSize, Collection<Chunk> chunks) {
@@ -58,7 +59,7 @@
         return withFirstTask ? page.put(FORM, FORM_WITH_FIRST_TASK) : page;
     }
 
-    /** Reads a page of either form. */
+    /** Reads a page of either form; a {@link BadMessageException} means that it is malformed or of an unknown form. */
     public static List<Chunk> read(JsonNode value, int baseChunkSize) throws BadMessageException {
         boolean withFirstTask = value.has(FORM);
         if (withFirstTask && value.path(FORM).asInt() != FORM_WITH_FIRST_TASK) {
@@ -69,8 +70,8 @@
             int count = in.unpackArrayHeader();
             for (int i = 0; i < count; i++) {
                 String job = in.unpackString();
-                int number = in.unpackInt();
-                int first = withFirstTask ? number : number * baseChunkSize;
+                int firstOrChunkNumber = in.unpackInt();
+                int first = withFirstTask ? firstOrChunkNumber : firstOrChunkNumber * baseChunkSize;
                 chunks.add(new Chunk(job, first, BitSet.valueOf(in.readPayload(in.unpackBinaryHeader()))));
             }
             return chunks;
--- a/src/main/java/org/spruceridge/record/JobRecord.java
+++ b/src/main/java/org/spruceridge/record/JobRecord.java
@@ -8,17 +8,17 @@
 import org.spruceridge.net.Json;
 
 /**
- * The record of a job: what was submitted, when, and how and when it has ended ({@code endedMs}, 0 if not known). The
- * open entry of an unfinished job has the same form.
+ * The stored record of a job: what was submitted and when, and how and when the job ended. {@code endedMs} is 0 if that
+ * time is unknown. The open entry of an unfinished job has the same form.
  */
 public record JobRecord(JobSpec spec, long submittedMs, Stage stage, long endedMs) {
-    /** Bytes that the state service may count beside the value itself. */
-    private static final int FRAME_BYTES = 32;
+    /** The overhead in bytes that the state service may add to the size of a value. */
+    private static final int VALUE_OVERHEAD_BYTES = 32;
 
-    /** The length to which names are truncated, in code points. */
-    private static final int TRUNCATED_NAME_LENGTH = 16;
+    /** The length in code points to which names are truncated. */
+    private static final int TRUNCATED_NAME_CODE_POINTS = 16;
 
-    /** A job's state on record. */
+    /** The stored state of a job. */
     public enum Stage {
         OPEN("open"),
         DONE("done"),
@@ -31,43 +31,44 @@
         }
     }
 
-    /** The record of a job that was accepted just now. */
+    /** The record of a job that is accepted at {@code nowMs}. */
     public static JobRecord open(JobSpec spec, long nowMs) {
         return new JobRecord(spec, nowMs, Stage.OPEN, 0);
     }
 
-    /** The record once the job has ended. */
+    /** The record of the same job after it has ended at {@code nowMs}. */
     public JobRecord ended(Stage end, long nowMs) {
         return new JobRecord(spec, submittedMs, end, nowMs);
     }
 
     /**
-     * True if the record, and the one that it becomes at the end of the job, are within the limit. The latter is a little
-     * longer.
+     * True if the record is within the value size limit of the state service, both now and at the end of the job, when
+     * it is slightly longer.
      */
-    public boolean fits(int valueBytes) {
-        return Json.bytes(ended(Stage.CANCELLED, submittedMs).write()).length + FRAME_BYTES <= valueBytes;
+    public boolean fits(int maxValueBytes) {
+        return Json.bytes(ended(Stage.CANCELLED, submittedMs).write()).length + VALUE_OVERHEAD_BYTES <= maxValueBytes;
     }
 
     /**
-     * The record as JSON, within the limit: of one that was accepted when values could be larger, names that matter to
-     * nobody any more are cut short.
+     * The record as JSON, within the value size limit. If the record was accepted under a larger limit, the class and
+     * image names are truncated and the allowed types are omitted, which is safe because an ended job no longer needs
+     * them.
      */
-    public ObjectNode write(int valueBytes) {
-        if (fits(valueBytes)) {
+    public ObjectNode write(int maxValueBytes) {
+        if (fits(maxValueBytes)) {
             return write();
         }
-        JobSpec shorter = spec.withNames(truncate(spec.jobClass()), truncate(spec.image()))
+        JobSpec truncatedSpec = spec.withNames(truncate(spec.jobClass()), truncate(spec.image()))
                 .withTypes(Optional.empty());
-        return new JobRecord(shorter, submittedMs, stage, endedMs).write();
+        return new JobRecord(truncatedSpec, submittedMs, stage, endedMs).write();
     }
 
     private static String truncate(String name) {
-        int most = Math.min(name.codePointCount(0, name.length()), TRUNCATED_NAME_LENGTH);
-        return name.substring(0, name.offsetByCodePoints(0, most));
+        int codePoints = Math.min(name.codePointCount(0, name.length()), TRUNCATED_NAME_CODE_POINTS);
+        return name.substring(0, name.offsetByCodePoints(0, codePoints));
     }
 
-    /** Reads the record. */
+    /** Reads the record; a {@link BadMessageException} means that it is malformed. */
     public static JobRecord read(JsonNode value) throws BadMessageException {
         Stage stage =
                 switch (Json.text(value, "stage")) {
--- a/src/main/java/org/spruceridge/record/JobSpecMessage.java
+++ b/src/main/java/org/spruceridge/record/JobSpecMessage.java
@@ -13,28 +13,28 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** A job in JSON, as users send it and as its record keeps it. */
+/** The JSON form of a job, in which users submit it and its record stores it. */
 public final class JobSpecMessage {
     private static final Pattern ID = Pattern.compile("j-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
-    private static final int MAX_NAME = 200;
+    private static final int MAX_NAME_LENGTH = 200;
     private static final String ARRAY = "sweep";
     private static final String SERVICE = "standing";
 
     private JobSpecMessage() {}
 
-    /** True if the text has the form of a job's id. */
+    /** True if the text has the form of a job id. */
     public static boolean isId(String text) {
         return ID.matcher(text).matches();
     }
 
-    /** The id in a body that may be wrong elsewhere. */
+    /** The job id in a body whose other fields may be invalid; empty if the id itself is missing or invalid. */
     public static Optional<String> idOf(JsonNode body) {
         JsonNode id = body.path("nameId");
         return id.isTextual() && isId(id.textValue()) ? Optional.of(id.textValue()) : Optional.empty();
     }
 
-    /** Reads and checks a submission. */
+    /** Reads and validates a submission; a {@link BadMessageException} names the invalid field. */
     public static JobSpec read(JsonNode body) throws BadMessageException {
         String id = Json.text(body, "nameId");
         if (!isId(id)) {
@@ -46,30 +46,33 @@
             throw new BadMessageException("parts is out of range");
         }
         OptionalDouble deadline =
-                body.hasNonNull("dueS") ? OptionalDouble.of(positive(body, "dueS")) : OptionalDouble.empty();
-        String zone = body.hasNonNull("grove") ? name(body, "grove") : null;
+                body.hasNonNull("dueS") ? OptionalDouble.of(requirePositive(body, "dueS")) : OptionalDouble.empty();
+        String zone = body.hasNonNull("grove") ? requireName(body, "grove") : null;
         return new JobSpec(
                 id,
-                name(body, "lot"),
-                name(body, "crew"),
+                requireName(body, "lot"),
+                requireName(body, "crew"),
                 kind,
                 priority(Json.text(body, "rank")),
                 (int) tasks,
-                new Resources(positive(body, "cpus"), notNegative(body, "accelerators"), positive(body, "memGb")),
+                new Resources(
+                        requirePositive(body, "cpus"),
+                        requireNonNegative(body, "accelerators"),
+                        requirePositive(body, "memGb")),
                 types(body),
                 Optional.ofNullable(zone),
                 Json.bool(body, "samePlace"),
                 Json.bool(body, "scatter"),
                 Json.bool(body, "windfall"),
-                name(body, "bundle"),
-                notNegative(body, "pullGb"),
-                kind == JobKind.SERVICE ? zero(body, "expectS") : positive(body, "expectS"),
-                notNegative(body, "markEveryS"),
-                notNegative(body, "markS"),
+                requireName(body, "bundle"),
+                requireNonNegative(body, "pullGb"),
+                kind == JobKind.SERVICE ? requireZero(body, "expectS") : requirePositive(body, "expectS"),
+                requireNonNegative(body, "markEveryS"),
+                requireNonNegative(body, "markS"),
                 deadline);
     }
 
-    /** The job as it was submitted. */
+    /** The job as JSON, in the form of its submission. */
     public static ObjectNode write(JobSpec spec) {
         ObjectNode out = Json.object()
                 .put("nameId", spec.id())
@@ -109,9 +112,9 @@
         return Optional.of(out.build());
     }
 
-    private static String name(JsonNode body, String field) throws BadMessageException {
+    private static String requireName(JsonNode body, String field) throws BadMessageException {
         String text = Json.text(body, field);
-        if (text.isEmpty() || text.length() > MAX_NAME) {
+        if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
             throw new BadMessageException(field + " is empty or too long");
         }
         return text;
@@ -121,18 +124,18 @@
         return switch (shape) {
             case ARRAY -> JobKind.ARRAY;
             case SERVICE -> JobKind.SERVICE;
-            default -> throw new BadMessageException("shape is not known: " + shape);
+            default -> throw new BadMessageException("shape must be sweep or standing, but is " + shape);
         };
     }
 
-    private static double zero(JsonNode body, String field) throws BadMessageException {
+    private static double requireZero(JsonNode body, String field) throws BadMessageException {
         if (Json.number(body, field) != 0) {
             throw new BadMessageException(field + " must be 0 for a job that does not end");
         }
         return 0;
     }
 
-    private static double positive(JsonNode body, String field) throws BadMessageException {
+    private static double requirePositive(JsonNode body, String field) throws BadMessageException {
         double value = Json.number(body, field);
         if (value <= 0) {
             throw new BadMessageException(field + " must be above 0");
@@ -140,7 +143,7 @@
         return value;
     }
 
-    private static double notNegative(JsonNode body, String field) throws BadMessageException {
+    private static double requireNonNegative(JsonNode body, String field) throws BadMessageException {
         double value = Json.number(body, field);
         if (value < 0) {
             throw new BadMessageException(field + " must not be below 0");
@@ -154,7 +157,8 @@
             case "high" -> JobPriority.HIGH;
             case "normal" -> JobPriority.NORMAL;
             case "best_effort" -> JobPriority.LOW;
-            default -> throw new BadMessageException("rank is not known");
+            default -> throw new BadMessageException(
+                    "rank must be production, high, normal or best_effort, but is " + text);
         };
     }
 
--- a/src/main/java/org/spruceridge/record/LeaderRecord.java
+++ b/src/main/java/org/spruceridge/record/LeaderRecord.java
@@ -5,9 +5,9 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** The record of the leader: its host, the incarnation of its process, and its term. */
+/** The stored record of the leader: its host, the incarnation of its process, and its term. */
 public record LeaderRecord(String hostName, String incarnation, long term) {
-    /** Reads the record. */
+    /** Reads the record; a {@link BadMessageException} means that it is malformed. */
     public static LeaderRecord read(JsonNode value) throws BadMessageException {
         return new LeaderRecord(
                 Json.text(value, "host"), Json.text(value, "incarnation"), Json.nonNegativeLong(value, "term"));
--- a/src/main/java/org/spruceridge/record/PackedValue.java
+++ b/src/main/java/org/spruceridge/record/PackedValue.java
@@ -12,47 +12,47 @@
 import org.spruceridge.net.Json;
 
 /**
- * MessagePack inside a JSON value of the state service, beside the id of the transaction that wrote it: a value
- * holds several times as much as it would in plain JSON.
+ * MessagePack data inside a JSON value of the state service, together with the id of the transaction that wrote it. A
+ * value holds several times as much data as in plain JSON.
  */
 public final class PackedValue {
     private static final String BYTES = "b";
     private static final String TRANSACTION_ID = "w";
-    /** About how many bytes a value takes beside the packed ones. */
-    private static final int FRAME_BYTES = 128;
+    /** The approximate overhead in bytes of a value, in addition to the packed data. */
+    private static final int OVERHEAD_BYTES = 128;
 
     private PackedValue() {}
 
-    /** Writes a part of a page. */
+    /** Writes the packed data. */
     public interface Writer {
-        /** Adds the content. */
+        /** Writes all data to {@code out}. */
         void write(MessageBufferPacker out) throws IOException;
     }
 
-    /** Reads what was written. */
+    /** Reads the packed data. */
     public interface Reader<T> {
-        /** Takes the content. */
+        /** Reads all data from {@code in}. */
         T read(MessageUnpacker in) throws IOException;
     }
 
-    /** How many packed bytes go into a value of this size. */
+    /** The number of packed bytes that fit into a value of {@code valueKb} kilobytes. */
     public static int capacity(double valueKb) {
-        return Math.max(256, (int) ((valueKb * 1024 - FRAME_BYTES) * 3 / 4));
+        return Math.max(256, (int) ((valueKb * 1024 - OVERHEAD_BYTES) * 3 / 4));
     }
 
-    /** A value that carries the id of the transaction which writes it. */
+    /** A value with the packed data and the id of the transaction that writes it. */
     public static ObjectNode write(String transactionId, Writer writer) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             writer.write(out);
             return Json.object()
-                    .put(BYTES, out.toByteArray()) // Jackson writes it as Base64, without a string in between
+                    .put(BYTES, out.toByteArray()) // Jackson encodes it as Base64 without an intermediate string
                     .put(TRANSACTION_ID, transactionId);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Reads what a {@link Writer} wrote. */
+    /** Reads data written by a {@link Writer}; a {@link BadMessageException} means that it is malformed. */
     public static <T> T read(JsonNode value, Reader<T> reader) throws BadMessageException {
         byte[] bytes = Json.bytes(value, BYTES);
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
--- a/src/main/java/org/spruceridge/record/StateKeys.java
+++ b/src/main/java/org/spruceridge/record/StateKeys.java
@@ -4,25 +4,25 @@
 public final class StateKeys {
     public static final String LEADER = "leader";
     public static final String TERM = "term";
-    /** The cluster feature level, see {@link org.spruceridge.upgrade.FeatureLevel}. */
+    /** The key of the cluster feature level, see {@link org.spruceridge.upgrade.FeatureLevel}. */
     public static final String FEATURE_LEVEL = "feature-level";
 
     public static final String CATALOGUE = "catalogue";
     public static final String JOBS_PREFIX = "job/";
     public static final String OPEN_JOBS_PREFIX = "open/";
-    /** Pages of finished tasks of unfinished jobs. */
+    /** The key prefix of pages of finished tasks of unfinished jobs. */
     public static final String FINISHED_TASKS_PREFIX = "parts/";
-    /** Pages of bindings. */
+    /** The key prefix of pages of bindings. */
     public static final String BINDINGS_PREFIX = "bound/";
 
     private StateKeys() {}
 
-    /** The record of a job, which is never deleted. */
+    /** The key of a job's record, which is never deleted. */
     public static String job(String id) {
         return JOBS_PREFIX + id;
     }
 
-    /** The open entry of an unfinished job, which is written with its record and deleted when the job ends. */
+    /** The key of a job's open entry, which is written together with its record and deleted when the job ends. */
     public static String openJob(String id) {
         return OPEN_JOBS_PREFIX + id;
     }
--- a/src/test/java/org/spruceridge/record/JobSpecMessageTest.java
+++ b/src/test/java/org/spruceridge/record/JobSpecMessageTest.java
@@ -27,20 +27,20 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** A job in JSON: each field and each value is read and written under the name that users send. */
+/** The JSON form of a job: each field and each enum value is read and written under its wire name. */
 final class JobSpecMessageTest {
-    /** Every field, each with a value of its own, in the order in which it is written. */
+    /** All fields, each with a distinct value, in the order in which they are written. */
     private static final String COMPLETE =
             "{\"nameId\":\"j-000412\",\"lot\":\"nightly\",\"crew\":\"red\",\"shape\":\"sweep\",\"rank\":\"high\","
                     + "\"parts\":7,\"cpus\":2.0,\"accelerators\":3.0,\"memGb\":4.5,\"bundle\":\"img-1\","
                     + "\"pullGb\":1.5,\"samePlace\":false,\"scatter\":false,\"windfall\":false,\"expectS\":60.0,"
                     + "\"markEveryS\":20.0,\"markS\":5.0,\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0}";
 
-    private static JobSpec complete() {
+    private static JobSpec completeSpec() {
         return spec(JobKind.ARRAY, JobPriority.HIGH, "", 60);
     }
 
-    /** {@code flag} is the one of the three flags that is set, by its name in the message; empty for none. */
+    /** {@code flag} is the wire name of the one boolean field that is true; empty for none. */
     private static JobSpec spec(JobKind kind, JobPriority priority, String flag, double estimateS) {
         return new JobSpec(
                 "j-000412",
@@ -63,46 +63,46 @@
                 OptionalDouble.of(90));
     }
 
-    private static void assertReadAndWritten(JobSpec spec, String text) throws BadMessageException {
+    private static void assertRoundTrip(JobSpec spec, String text) throws BadMessageException {
         JsonNode body = Json.object(text.getBytes(StandardCharsets.UTF_8));
         assertEquals(spec, JobSpecMessage.read(body));
         assertEquals(text, new String(Json.bytes(JobSpecMessage.write(spec)), StandardCharsets.UTF_8));
     }
 
     @Test
-    void completeJobIsReadAndWrittenUnderTheNamesOfUsers() throws BadMessageException {
-        assertReadAndWritten(complete(), COMPLETE);
+    void completeJobRoundTripsUnderWireNames() throws BadMessageException {
+        assertRoundTrip(completeSpec(), COMPLETE);
     }
 
     @Test
-    void jobWithoutOptionalFieldsIsReadAndWrittenWithoutThem() throws BadMessageException {
-        JobSpec full = complete();
+    void jobWithoutOptionalFieldsRoundTripsWithoutThem() throws BadMessageException {
+        JobSpec complete = completeSpec();
         JobSpec spec = new JobSpec(
-                full.id(),
-                full.jobClass(),
-                full.team(),
-                full.kind(),
-                full.priority(),
-                full.tasks(),
-                full.task(),
+                complete.id(),
+                complete.jobClass(),
+                complete.team(),
+                complete.kind(),
+                complete.priority(),
+                complete.tasks(),
+                complete.task(),
                 Optional.empty(),
                 Optional.empty(),
-                full.oneZone(),
-                full.spread(),
-                full.spot(),
-                full.image(),
-                full.imageGb(),
-                full.estimateS(),
-                full.checkpointIntervalS(),
-                full.checkpointDurationS(),
+                complete.oneZone(),
+                complete.spread(),
+                complete.spot(),
+                complete.image(),
+                complete.imageGb(),
+                complete.estimateS(),
+                complete.checkpointIntervalS(),
+                complete.checkpointDurationS(),
                 OptionalDouble.empty());
-        assertReadAndWritten(spec, COMPLETE.replace(",\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0", ""));
+        assertRoundTrip(spec, COMPLETE.replace(",\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0", ""));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"samePlace", "scatter", "windfall"})
-    void flagIsReadAndWrittenUnderItsName(String flag) throws BadMessageException {
-        assertReadAndWritten(
+    void flagRoundTripsUnderWireName(String flag) throws BadMessageException {
+        assertRoundTrip(
                 spec(JobKind.ARRAY, JobPriority.HIGH, flag, 60),
                 COMPLETE.replace("\"" + flag + "\":false", "\"" + flag + "\":true"));
     }
@@ -117,8 +117,8 @@
 
     @ParameterizedTest
     @MethodSource("ranks")
-    void rankIsReadAndWrittenUnderItsName(String rank, JobPriority priority) throws BadMessageException {
-        assertReadAndWritten(spec(JobKind.ARRAY, priority, "", 60), COMPLETE.replace("\"high\"", "\"" + rank + "\""));
+    void rankRoundTripsUnderWireName(String rank, JobPriority priority) throws BadMessageException {
+        assertRoundTrip(spec(JobKind.ARRAY, priority, "", 60), COMPLETE.replace("\"high\"", "\"" + rank + "\""));
     }
 
     static Stream<Arguments> shapes() {
@@ -127,14 +127,14 @@
 
     @ParameterizedTest
     @MethodSource("shapes")
-    void shapeIsReadAndWrittenUnderItsName(String shape, JobKind kind, double estimateS) throws BadMessageException {
+    void shapeRoundTripsUnderWireName(String shape, JobKind kind, double estimateS) throws BadMessageException {
         String text = COMPLETE.replace("\"sweep\"", "\"" + shape + "\"")
                 .replace("\"expectS\":60.0", "\"expectS\":" + estimateS);
-        assertReadAndWritten(spec(kind, JobPriority.HIGH, "", estimateS), text);
+        assertRoundTrip(spec(kind, JobPriority.HIGH, "", estimateS), text);
     }
 
     @Test
-    void everyRankAndEveryShapeHasItsName() {
+    void everyRankAndShapeHasWireName() {
         assertEquals(EnumSet.allOf(JobPriority.class), secondArguments(ranks()));
         assertEquals(EnumSet.allOf(JobKind.class), secondArguments(shapes()));
     }
@@ -144,8 +144,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"rank, low, rank is not known", "shape, array, shape is not known: array"})
-    void unknownValueIsRejectedWithTheNameOfItsField(String field, String value, String message)
+    @CsvSource({
+        "rank, low, 'rank must be production, high, normal or best_effort, but is low'",
+        "shape, array, 'shape must be sweep or standing, but is array'"
+    })
+    void unknownValueIsRejectedWithFieldAndAllowedValues(String field, String value, String message)
             throws BadMessageException {
         String text = COMPLETE.replaceFirst("\"" + field + "\":\"[a-z]*\"", "\"" + field + "\":\"" + value + "\"");
         JsonNode body = Json.object(text.getBytes(StandardCharsets.UTF_8));
@@ -157,14 +160,14 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"j-0", "j-000412", "j-123456789012345678"})
-    void idOfThisFormIsAccepted(String id) {
+    void validJobIdIsAccepted(String id) {
         assertTrue(JobSpecMessage.isId(id));
         assertEquals(Optional.of(id), JobSpecMessage.idOf(Json.object().put("nameId", id)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "j-", "j-1234567890123456789", "j-12a", "k-1", "J-1", "j1", "j-1/0"})
-    void idOfAnotherFormIsRefused(String id) {
+    void invalidJobIdIsRejected(String id) {
         assertFalse(JobSpecMessage.isId(id));
         assertEquals(Optional.empty(), JobSpecMessage.idOf(Json.object().put("nameId", id)));
     }
--- a/src/test/java/org/spruceridge/record/StoredKeysTest.java
+++ b/src/test/java/org/spruceridge/record/StoredKeysTest.java
@@ -13,13 +13,13 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** The keys under which a cluster keeps its records, and the records that have no message class of their own. */
+/** The keys of all records of a cluster, and the stored forms of records without a message class. */
 final class StoredKeysTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-    /** Five tasks of which four run at a time: once the first have ended, every kind of record is stored. */
+    /** Runs five tasks, four at a time: once the first tasks have ended, every kind of record is stored. */
     @BeforeEach
-    void runAJobHalfway() {
+    void runJobHalfway() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimJobs.array(1, 5));
         cluster.await(
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void everyRecordHasItsKey() {
+    void everyRecordHasExpectedKey() {
         assertEquals(
                 Set.of(
                         "bound/1",
@@ -48,17 +48,17 @@
     }
 
     @Test
-    void theTermIsStoredAsANumber() {
+    void termIsStoredAsNumber() {
         assertEquals("{\"term\":1}", text("term"));
     }
 
     @Test
-    void theFeatureLevelIsStoredAsANumber() {
+    void featureLevelIsStoredAsNumber() {
         assertEquals("{\"level\":2}", text("feature-level"));
     }
 
     @Test
-    void theLeaderRecordNamesItsHostIncarnationAndTerm() {
+    void leaderRecordContainsHostIncarnationAndTerm() {
         JsonNode leader = cluster.state.value("leader");
         String expected = String.format(
                 "{\"host\":\"%s\",\"incarnation\":\"%s\",\"term\":1}",
@@ -67,15 +67,15 @@
     }
 
     @Test
-    void pagesNameTheTransactionThatWroteThem() {
+    void pagesContainIdOfWritingTransaction() {
         for (String key : Set.of("bound/1", "parts/1")) {
-            String write = cluster.state.value(key).path("w").asText();
-            assertTrue(write.matches("w1\\.[1-9][0-9]*"), key + " was written by " + write);
+            String transactionId = cluster.state.value(key).path("w").asText();
+            assertTrue(transactionId.matches("w1\\.[1-9][0-9]*"), key + " was written by " + transactionId);
         }
     }
 
     @Test
-    void theOpenEntryIsTheRecordOfTheJob() {
+    void openEntryEqualsJobRecord() {
         assertEquals(text("job/j-000001"), text("open/j-000001"));
         assertTrue(text("open/j-000001").startsWith("{\"stage\":\"open\",\"at\":"), text("open/j-000001"));
     }
--- a/src/test/java/org/spruceridge/wire/UserMessagesTest.java
+++ b/src/test/java/org/spruceridge/wire/UserMessagesTest.java
@@ -94,10 +94,10 @@
                 "400 {\"error\":\"nameId is not of the form j-000412\"}",
                 post("/api/jobs", SimJobs.array(1, 1).put("nameId", "j-x")));
         assertEquals(
-                "400 {\"error\":\"rank is not known\"}",
+                "400 {\"error\":\"rank must be production, high, normal or best_effort, but is low\"}",
                 post("/api/jobs", SimJobs.array(1, 1).put("rank", "low")));
         assertEquals(
-                "400 {\"error\":\"shape is not known: array\"}",
+                "400 {\"error\":\"shape must be sweep or standing, but is array\"}",
                 post("/api/jobs", SimJobs.array(1, 1).put("shape", "array")));
         assertEquals(
                 "422 {\"error\":\"unknown team\"}",
