--- a/src/main/java/org/spruceridge/upgrade/ClusterFeatureLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/ClusterFeatureLevel.java
@@ -10,7 +10,7 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.StateResult;
 
-/** Reads the cluster feature level from the state service and remembers the highest that was found. */
+/** Reads the cluster feature level from the state service and caches the highest level read. */
 public final class ClusterFeatureLevel {
     private static final Logger LOG = LoggerFactory.getLogger(ClusterFeatureLevel.class);
 
@@ -18,29 +18,30 @@
     private FeatureLevel highestKnown = FeatureLevel.BASE;
     private String lastLoggedError = "";
 
-    /** The level is read from {@code state}. */
+    /** Reads the level from {@code state}. */
     public ClusterFeatureLevel(StateClient state) {
         this.state = state;
     }
 
-    /** The highest level found so far. It is in force, for a level is never lowered. */
+    /** The highest level read or written so far. It is still in effect, because the level is never lowered. */
     public FeatureLevel highestKnown() {
         return highestKnown;
     }
 
     /**
-     * Reads the level; without a record it is the base level. The result is UNSUPPORTED_VALUE if the record cannot be
-     * read, because a newer version wrote it or it is damaged: this node must not lead then. It is UNAVAILABLE if the
-     * state service does not answer.
+     * Reads the level, which is the base level if there is no record. The result is UNSUPPORTED_VALUE if the record
+     * cannot be read because a newer version wrote it or it is damaged; this node must not lead in that case. It is
+     * UNAVAILABLE if the state service does not answer.
      */
-    public void read(Priority priority, Consumer<StateResult<StoredFeatureLevel>> done) {
-        state.get(StateKeys.FEATURE_LEVEL, priority, found -> {
-            if (found.outcome() == StateResult.Outcome.UNAVAILABLE) {
-                done.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
-            } else if (found.isOk()) {
-                done.accept(parse(found.value().value(), found.value().modRevision()));
+    public void read(Priority priority, Consumer<StateResult<StoredFeatureLevel>> onResult) {
+        state.get(StateKeys.FEATURE_LEVEL, priority, entryResult -> {
+            if (entryResult.outcome() == StateResult.Outcome.UNAVAILABLE) {
+                onResult.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
+            } else if (entryResult.isOk()) {
+                onResult.accept(
+                        parse(entryResult.value().value(), entryResult.value().modRevision()));
             } else {
-                done.accept(StateResult.ok(new StoredFeatureLevel(FeatureLevel.BASE, 0)));
+                onResult.accept(StateResult.ok(new StoredFeatureLevel(FeatureLevel.BASE, 0)));
             }
         });
     }
@@ -48,7 +49,7 @@
     private StateResult<StoredFeatureLevel> parse(JsonNode value, long modRevision) {
         try {
             FeatureLevel level = FeatureLevel.read(value);
-            noteStored(level);
+            updateHighestKnown(level);
             return StateResult.ok(new StoredFeatureLevel(level, modRevision));
         } catch (BadMessageException e) {
             logOnce(e.getMessage());
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Elections read the record repeatedly; an error is logged once until another one replaces it. */
+    /** Logs an error unless it equals the last logged one, because elections read the record repeatedly. */
     private void logOnce(String error) {
         if (!error.equals(lastLoggedError)) {
             lastLoggedError = error;
@@ -67,8 +68,8 @@
         }
     }
 
-    /** Takes note of a level that was found in, or written to, the state service. */
-    void noteStored(FeatureLevel level) {
+    /** Updates the highest known level after a level was read from, or written to, the state service. */
+    void updateHighestKnown(FeatureLevel level) {
         if (!highestKnown.includes(level)) {
             LOG.info("cluster feature level raised version={}", level.number());
             highestKnown = level;
--- a/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
@@ -6,13 +6,13 @@
 import org.spruceridge.net.Json;
 
 /**
- * The cluster feature level: which forms of records every node of the cluster can read, and so which may be written. It
- * is stored in the state service, is raised once all nodes support the next level, and is never lowered.
+ * The cluster feature level determines which forms of records may be written: those that every node of the cluster can
+ * read. It is stored in the state service, raised once all nodes support the next level, and never lowered.
  */
 public enum FeatureLevel {
-    /** Version 0.1, which stores no level. */
+    /** The level of version 0.1, which does not store a level. */
     BASE(1),
-    /** Job records of services; pages of finished tasks whose chunks name their first task. */
+    /** Adds job records of services, and pages of finished tasks whose chunks contain the index of their first task. */
     SERVICES(2);
 
     /** The highest level that this version supports. */
@@ -41,7 +41,9 @@
         return Json.object().put(FIELD, number);
     }
 
-    /** Reads the record. A {@link BadMessageException} names a level that this version does not know. */
+    /**
+     * Reads the record; throws {@link BadMessageException} if it is malformed or its level is unknown to this version.
+     */
     public static FeatureLevel read(JsonNode value) throws BadMessageException {
         long number = Json.nonNegativeLong(value, FIELD);
         for (FeatureLevel level : values()) {
--- a/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
@@ -11,9 +11,10 @@
 import org.spruceridge.state.TransactionResult;
 
 /**
- * Completes a rolling upgrade: while this node leads, it raises the cluster feature level once every member of the
- * settings has announced that it supports the next. The transaction is conditional on the leader key, so that only the
- * present leader raises the level, and on the modRevision of the level, so that a delayed copy has no effect.
+ * Completes a rolling upgrade: while this node leads, it raises the cluster feature level once every member listed in
+ * the settings has announced support for the next level. The transaction is conditional on the leader key, so that only
+ * the current leader can raise the level, and on the modRevision of the level, so that a delayed duplicate has no
+ * effect.
  */
 public final class FeatureLevelUpgrader {
     private static final long RETRY_INTERVAL_NANOS = Durations.millis(500);
@@ -23,16 +24,17 @@
     private final ClusterFeatureLevel clusterLevel;
     private final long leaderRevision;
     private final BooleanSupplier allMembersSupportNext;
-    private final Runnable raised;
+    private final Runnable onRaised;
     private StoredFeatureLevel stored;
 
     /**
-     * Begins from the level that the election found.
+     * Creates an upgrader for one term.
      *
-     * @param scope all that this term has pending
+     * @param scope cancels the pending work of this term when the term ends
+     * @param stored the level that was read during the election
      * @param leaderRevision the modRevision of the leader key of this term
-     * @param allMembersSupportNext whether all members have lately announced {@link FeatureLevel#SUPPORTED}
-     * @param raised runs once the level is raised
+     * @param allMembersSupportNext whether all members recently announced support for {@link FeatureLevel#SUPPORTED}
+     * @param onRaised runs once the level has been raised
      */
     public FeatureLevelUpgrader(
             CancellationScope scope,
@@ -41,17 +43,17 @@
             StoredFeatureLevel stored,
             long leaderRevision,
             BooleanSupplier allMembersSupportNext,
-            Runnable raised) {
+            Runnable onRaised) {
         this.scope = scope;
         this.state = state;
         this.clusterLevel = clusterLevel;
         this.stored = stored;
         this.leaderRevision = leaderRevision;
         this.allMembersSupportNext = allMembersSupportNext;
-        this.raised = raised;
+        this.onRaised = onRaised;
     }
 
-    /** Raises the level as soon as all members support the next; does nothing if it is at the highest already. */
+    /** Raises the level as soon as all members support the next. Does nothing if the level is already the highest. */
     public void start() {
         if (stored.level().includes(FeatureLevel.SUPPORTED)) {
             return;
@@ -71,24 +73,24 @@
         state.commit(transaction, Priority.SCHEDULING, scope.guard(result -> {
             if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
                 stored = new StoredFeatureLevel(FeatureLevel.SUPPORTED, result.revision());
-                clusterLevel.noteStored(FeatureLevel.SUPPORTED);
-                raised.run();
+                clusterLevel.updateHighestKnown(FeatureLevel.SUPPORTED);
+                onRaised.run();
             } else {
-                scope.after(RETRY_INTERVAL_NANOS, this::readAgain);
+                scope.after(RETRY_INTERVAL_NANOS, this::rereadLevel);
             }
         }));
     }
 
-    /** The transaction was refused, or its outcome is unknown: the record shows the level. */
-    private void readAgain() {
-        clusterLevel.read(Priority.SCHEDULING, scope.guard(found -> {
-            if (found.isOk()) {
-                stored = found.value();
+    /** Reads the level again after the transaction was rejected or its outcome is unknown. */
+    private void rereadLevel() {
+        clusterLevel.read(Priority.SCHEDULING, scope.guard(levelResult -> {
+            if (levelResult.isOk()) {
+                stored = levelResult.value();
                 if (stored.level().includes(FeatureLevel.SUPPORTED)) {
-                    raised.run();
+                    onRaised.run();
                 }
             }
-            if (found.outcome() != StateResult.Outcome.UNSUPPORTED_VALUE) {
+            if (levelResult.outcome() != StateResult.Outcome.UNSUPPORTED_VALUE) {
                 start();
             }
         }));
--- a/src/main/java/org/spruceridge/upgrade/StoredFeatureLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/StoredFeatureLevel.java
@@ -1,8 +1,8 @@
 package org.spruceridge.upgrade;
 
 /**
- * The cluster feature level as found in the state service.
+ * The cluster feature level as read from the state service.
  *
- * @param modRevision the revision that wrote the key, 0 if there is none yet
+ * @param modRevision the revision at which the key was written; 0 if it does not exist yet
  */
 public record StoredFeatureLevel(FeatureLevel level, long modRevision) {}
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -42,13 +42,13 @@
 import org.spruceridge.sim.ProductionVersion;
 
 /**
- * The forms in which this version writes its records and messages, byte by byte. One that changes without a feature level
- * of its own fails here: then nodes of the version before cannot be trusted to read it. What is written at the base level
- * is also given to the reader of the version in production, and what that writes to ours.
+ * The exact bytes of the records and messages that this version writes. The tests fail if a form changes without a new
+ * feature level, because nodes of the previous version may then be unable to read it. Records written at the base level
+ * are also read by the code of the version in production, and records written by that version by the current code.
  */
 final class WrittenFormsTest {
-    private static final int CHUNK = 1000;
-    private static final Resources TASK = new Resources(2, 0, 3.5);
+    private static final int CHUNK_SIZE = 1000;
+    private static final Resources TASK_RESOURCES = new Resources(2, 0, 3.5);
 
     private static JobSpec spec(JobKind kind) {
         return new JobSpec(
@@ -58,7 +58,7 @@
                 kind,
                 JobPriority.HIGH,
                 3,
-                TASK,
+                TASK_RESOURCES,
                 Optional.of(ImmutableSet.of("t4")),
                 Optional.of("a"),
                 false,
@@ -83,7 +83,7 @@
                     + "\"samePlace\":false,\"scatter\":true,\"windfall\":false,\"expectS\":60.0,\"markEveryS\":20.0,"
                     + "\"markS\":3.0,\"builds\":[\"t4\"],\"grove\":\"a\",\"dueS\":90.0}";
 
-    private static ObjectNode bindings() {
+    private static ObjectNode bindingsPage() {
         Cluster cluster = new Cluster();
         Machine machine = new Machine("i-000001", "", new MachineKind("t4", "a", true), 0, 0);
         Job job = new Job(spec(JobKind.ARRAY), 1, 0);
@@ -93,21 +93,21 @@
         return BindingsRecord.write("w9.1", List.of(machine), b -> true);
     }
 
-    private static ObjectNode finished(FeatureLevel level) {
+    private static ObjectNode finishedTasksPage(FeatureLevel level) {
         BitSet tasks = new BitSet();
         tasks.set(0);
         tasks.set(9);
         return FinishedTasksRecord.write(
-                "w9.1", level, CHUNK, List.of(new FinishedTasksRecord.Chunk("j-000007", 2 * CHUNK, tasks)));
+                "w9.1", level, CHUNK_SIZE, List.of(new FinishedTasksRecord.Chunk("j-000007", 2 * CHUNK_SIZE, tasks)));
     }
 
-    private static ObjectNode catalogue() {
+    private static ObjectNode catalogueRecord() {
         MachineType type = new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"));
         return new CatalogueRecord(ImmutableMap.of("t4", type)).write();
     }
 
     @Test
-    void recordsAreWrittenAsBefore() {
+    void recordsAtBaseLevelKeepTheirStoredForm() {
         assertEquals(
                 "{\"stage\":\"open\",\"at\":5,\"spec\":" + JOB_ARRAY_SPEC + "}",
                 text(JobRecord.open(spec(JobKind.ARRAY), 5).write()));
@@ -120,19 +120,20 @@
                 "{\"host\":\"n0\",\"incarnation\":\"ab\",\"term\":9}", text(new LeaderRecord("n0", "ab", 9).write()));
         assertEquals(
                 "{\"b\":\"kZSidDShYcORqGktMDAwMDAxkqhqLTAwMDAwNwDOCQAAAMABzgkAAAE=\",\"w\":\"w9.1\"}",
-                text(bindings()));
-        assertEquals("{\"b\":\"kahqLTAwMDAwNwLEAgEC\",\"w\":\"w9.1\"}", text(finished(FeatureLevel.BASE)));
+                text(bindingsPage()));
+        assertEquals("{\"b\":\"kahqLTAwMDAwNwLEAgEC\",\"w\":\"w9.1\"}", text(finishedTasksPage(FeatureLevel.BASE)));
         assertEquals(
                 "{\"types\":[{\"name\":\"t4\",\"cpus\":4.0,\"gpus\":0.0,\"memGb\":16.0,\"fetch\":1.0,\"price\":0.2,"
                         + "\"spotPrice\":0.06,\"bootS\":20.0,\"zones\":[\"a\",\"b\"]}]}",
-                text(catalogue()));
+                text(catalogueRecord()));
     }
 
     @Test
-    void formsOfTheLevelOfServices() {
+    void recordsAtServicesLevelHaveExpectedForm() {
         assertEquals("{\"level\":2}", text(FeatureLevel.SERVICES.write()));
         assertEquals(
-                "{\"b\":\"kahqLTAwMDAwN80H0MQCAQI=\",\"w\":\"w9.1\",\"f\":2}", text(finished(FeatureLevel.SERVICES)));
+                "{\"b\":\"kahqLTAwMDAwN80H0MQCAQI=\",\"w\":\"w9.1\",\"f\":2}",
+                text(finishedTasksPage(FeatureLevel.SERVICES)));
         assertEquals(
                 "{\"stage\":\"open\",\"at\":5,\"spec\":"
                         + JOB_ARRAY_SPEC
@@ -143,31 +144,32 @@
     }
 
     @Test
-    void aHeartbeatIsLongerThanBeforeAtItsEndOnly() {
+    void peerHeartbeatAddsFieldsOnlyAtEnd() {
         assertEquals(
                 "98A26E30C3C20781A86A2D30303030303192030491A86A2D30303030303202A5302E322E30",
                 BaseEncoding.base16().encode(PeerHeartbeatCodec.encode(Fixtures.heartbeat())));
     }
 
-    /** Production's reader takes what we write at the base level, and writes it again as it was. */
+    /** The production version reads records that this version writes at the base level, and writes the same records. */
     @Test
-    void productionReadsWhatIsWrittenAtTheBaseLevel() {
+    void productionVersionReadsRecordsWrittenAtBaseLevel() {
         JsonNode open = JobRecord.open(spec(JobKind.ARRAY), 5).write();
         JsonNode ended = JobRecord.open(spec(JobKind.ARRAY), 5)
                 .ended(JobRecord.Stage.DONE, 8)
                 .write();
         JsonNode leader = new LeaderRecord("n0", "ab", 9).write();
-        assertEquals(open, rewritten("record.JobRecord", open));
-        assertEquals(ended, rewritten("record.JobRecord", ended));
-        assertEquals(leader, rewritten("record.LeaderRecord", leader));
-        assertEquals(catalogue(), rewritten("record.CatalogueRecord", catalogue()));
+        assertEquals(open, rewrittenByProduction("record.JobRecord", open));
+        assertEquals(ended, rewrittenByProduction("record.JobRecord", ended));
+        assertEquals(leader, rewrittenByProduction("record.LeaderRecord", leader));
+        assertEquals(catalogueRecord(), rewrittenByProduction("record.CatalogueRecord", catalogueRecord()));
         assertEquals(
                 "[OnMachine[name=i-000001, kind=MachineKind[type=t4, zone=a, spot=true], bound=["
                         + "Bound[task=j-000007/0, attempt=150994944], Bound[task=j-000007/1, attempt=150994945]]]]",
-                read("record.BindingsRecord", bindings()).toString());
+                readByProduction("record.BindingsRecord", bindingsPage()).toString());
         assertEquals(
                 "[Chunk[job=j-000007, number=2, tasks={0, 9}]]",
-                read("record.FinishedRecord", finished(FeatureLevel.BASE)).toString());
+                readByProduction("record.FinishedRecord", finishedTasksPage(FeatureLevel.BASE))
+                        .toString());
         assertEquals(
                 "Heartbeat[hostName=n0, stateServes=true, workersReach=false, term=7,"
                         + " progress={j-000001=Progress[done=3, running=4]}, cancelled=[j-000002]]",
@@ -179,43 +181,45 @@
                         .toString());
     }
 
-    private static Object read(String type, JsonNode value) {
+    private static Object readByProduction(String type, JsonNode value) {
         return ProductionVersion.call(ProductionVersion.load(type), "read", null, value);
     }
 
-    private static Object rewritten(String type, JsonNode value) {
-        return ProductionVersion.call(ProductionVersion.load(type), "write", read(type, value));
+    private static Object rewrittenByProduction(String type, JsonNode value) {
+        return ProductionVersion.call(ProductionVersion.load(type), "write", readByProduction(type, value));
     }
 
-    /** A page of finished tasks as production writes it, with a chunk that is not the first. */
+    /** Pages of finished tasks, at the base level as production writes them, with a chunk that is not the first. */
     @Test
-    void ourReaderTakesProductionsPages() throws BadMessageException {
-        FinishedTasksRecord.Chunk chunk =
-                FinishedTasksRecord.read(finished(FeatureLevel.BASE), CHUNK).get(0);
-        assertEquals(2 * CHUNK, chunk.first());
+    void finishedTasksPageIsReadInBothForms() throws BadMessageException {
+        FinishedTasksRecord.Chunk chunk = FinishedTasksRecord.read(finishedTasksPage(FeatureLevel.BASE), CHUNK_SIZE)
+                .get(0);
+        assertEquals(2 * CHUNK_SIZE, chunk.first());
         assertEquals("{0, 9}", chunk.tasks().toString());
         assertEquals(
                 chunk,
-                FinishedTasksRecord.read(finished(FeatureLevel.SERVICES), 77).get(0));
+                FinishedTasksRecord.read(finishedTasksPage(FeatureLevel.SERVICES), 77)
+                        .get(0));
     }
 
-    /** Production says nothing of its version: six fields, no more. */
+    /** Heartbeats of the production version have only six fields and do not contain its version. */
     @Test
-    void aHeartbeatOfProductionAnnouncesNoLevel() throws BadMessageException {
-        byte[] ours = PeerHeartbeatCodec.encode(Fixtures.heartbeat());
-        byte[] theirs = java.util.Arrays.copyOf(ours, ours.length - "0.2.0".length() - 2);
-        theirs[0] = (byte) 0x96;
+    void heartbeatOfProductionVersionIsReadAsBaseLevel() throws BadMessageException {
+        byte[] currentForm = PeerHeartbeatCodec.encode(Fixtures.heartbeat());
+        byte[] productionForm = java.util.Arrays.copyOf(currentForm, currentForm.length - "0.2.0".length() - 2);
+        productionForm[0] = (byte) 0x96;
         assertEquals(
                 FeatureLevel.BASE.number(),
-                PeerHeartbeatCodec.decode(theirs).version().supportedLevel());
+                PeerHeartbeatCodec.decode(productionForm).version().supportedLevel());
         assertEquals(
-                new MemberVersion(1, "0.1"), PeerHeartbeatCodec.decode(theirs).version());
+                new MemberVersion(1, "0.1"),
+                PeerHeartbeatCodec.decode(productionForm).version());
     }
 
     @Test
-    void whatALaterVersionWritesIsRefusedAndNamed() {
-        ObjectNode page = finished(FeatureLevel.SERVICES).put("f", 3);
-        assertTrue(assertThrows(BadMessageException.class, () -> FinishedTasksRecord.read(page, CHUNK))
+    void valueOfLaterVersionIsRejectedWithItsName() {
+        ObjectNode page = finishedTasksPage(FeatureLevel.SERVICES).put("f", 3);
+        assertTrue(assertThrows(BadMessageException.class, () -> FinishedTasksRecord.read(page, CHUNK_SIZE))
                 .getMessage()
                 .contains("3"));
         assertTrue(assertThrows(
@@ -235,14 +239,14 @@
 
     @ParameterizedTest
     @EnumSource(JobKind.class)
-    void aJobRecordIsReadAsItWasWritten(JobKind kind) throws BadMessageException {
+    void writtenJobRecordIsReadUnchanged(JobKind kind) throws BadMessageException {
         JobRecord record = JobRecord.open(spec(kind), 5);
         assertEquals(record, JobRecord.read(record.write()));
     }
 
-    /** A record that was accepted when values could be larger can still be ended, and read as what it was. */
+    /** A job record that was accepted under a larger value limit can still be marked as ended, and read back. */
     @Test
-    void theEndOfALargeRecordFitsASmallerLimit() throws BadMessageException {
+    void endedLargeJobRecordFitsLoweredValueLimit() throws BadMessageException {
         JobSpec large = spec(JobKind.ARRAY).withNames("\u00e9".repeat(200), "\ud83d\ude00".repeat(100));
         JobRecord ended = JobRecord.open(large, 5).ended(JobRecord.Stage.CANCELLED, 8);
         int limit = 900;
@@ -252,7 +256,7 @@
         JobRecord read = JobRecord.read(written);
         assertEquals(JobRecord.Stage.CANCELLED, read.stage());
         assertEquals(8, read.endedMs());
-        assertEquals(TASK, read.spec().task());
+        assertEquals(TASK_RESOURCES, read.spec().task());
         assertEquals("red", read.spec().team());
     }
 }
