--- a/src/main/java/org/spruceridge/node/CurrentLeader.java
+++ b/src/main/java/org/spruceridge/node/CurrentLeader.java
@@ -3,7 +3,9 @@
 import java.util.Optional;
 import org.spruceridge.leader.Leader;
 
-/** The leader object of the term that this node holds; empty while it follows. Changed by {@link Node} only. */
+/**
+ * Holds this node's leader object during its term; empty while the node is a follower. Only {@link Node} changes it.
+ */
 final class CurrentLeader {
     private Optional<Leader> leader = Optional.empty();
 
@@ -19,7 +21,7 @@
         leader = Optional.of(started);
     }
 
-    /** Stops the leader of the term that ended, if there is one. */
+    /** Stops and clears the leader object, if there is one. */
     void end() {
         leader.ifPresent(Leader::stop);
         leader = Optional.empty();
--- a/src/main/java/org/spruceridge/node/HealthCheck.java
+++ b/src/main/java/org/spruceridge/node/HealthCheck.java
@@ -2,7 +2,7 @@
 
 import org.spruceridge.peer.PeerMonitor;
 
-/** Decides the answer to GET /healthz, by which the platform sends users to this node or to another. */
+/** Determines the result of GET /healthz, by which the platform routes users to healthy nodes. */
 final class HealthCheck {
     private final int nodeCount;
     private final PeerMonitor peers;
@@ -15,8 +15,8 @@
     }
 
     /**
-     * False if the state service is unreachable for this node while it serves another node, or while this node is
-     * partitioned from all others. In an outage that all nodes share, every node stays healthy.
+     * False if this node cannot reach the state service and, in addition, another node can reach it or this node is
+     * partitioned from all other nodes. During an outage that affects all nodes, every node remains healthy.
      */
     boolean isHealthy() {
         boolean partitioned = nodeCount > 1 && !peers.anyPeerAlive();
--- a/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
+++ b/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
@@ -14,8 +14,8 @@
 import org.spruceridge.worker.WorkerHeartbeat;
 
 /**
- * Answers the heartbeats of workers: the leader answers with commands, any other node redirects to the leader or refuses.
- * Only an answer with commands renews the worker's lease.
+ * Answers worker heartbeats: the leader responds with a list of commands, which may be empty; any other node redirects
+ * the worker to the leader or rejects the heartbeat. Only a response of the first kind renews the worker's lease.
  */
 final class HeartbeatEndpoint {
     private final Election election;
@@ -24,7 +24,7 @@
     private final WorkerReachability reachability;
     private final LeaderMetrics metrics;
     private final RateLimitedWarnings warnings;
-    /** The encoded redirect to each node, kept because followers have little processor time to spare. */
+    /** The encoded redirect to each node, cached because followers have little CPU time to spare. */
     private final Map<String, Response> redirects = new HashMap<>();
 
     private final Response noLeaderResponse = Response.error(503, "no leader known");
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Answers one heartbeat. A node that does not lead does not parse it: after a leader failed, all its workers try the
-     * other nodes again and again, and these need their processor time for the failover.
+     * Answers one heartbeat. A node that is not the leader does not parse it: after a leader failure all workers keep
+     * retrying on the other nodes, which need their CPU time for the failover.
      */
     Response handle(byte[] body) {
         reachability.heartbeatReceived();
@@ -66,7 +66,9 @@
         }
     }
 
-    /** A heartbeat was dropped under load. No worker may be declared dead for a heartbeat that was not read. */
+    /**
+     * Records that a heartbeat was dropped under load. No worker may be declared dead because of an unread heartbeat.
+     */
     void dropped() {
         reachability.heartbeatReceived();
         currentLeader.get().ifPresent(Leader::heartbeatsDropped);
@@ -80,7 +82,9 @@
         return leader.heartbeat(heartbeat).orElseGet(() -> Response.error(503, "given up"));
     }
 
-    /** Redirects the worker if another node is known to lead; else refuses, and counts the reason. */
+    /**
+     * Redirects the worker if another node is known to be the leader; otherwise rejects the heartbeat for this reason.
+     */
     private Response redirectOrRefuse(HeartbeatOutcome reason) {
         Optional<Response> redirect =
                 locator.otherLeader().map(name -> redirects.computeIfAbsent(name, WorkerCommand::redirectToLeader));
--- a/src/main/java/org/spruceridge/node/LeaderLocator.java
+++ b/src/main/java/org/spruceridge/node/LeaderLocator.java
@@ -4,7 +4,7 @@
 import org.spruceridge.election.Election;
 import org.spruceridge.peer.PeerMonitor;
 
-/** Tells which node leads. */
+/** Determines which node is the leader. */
 final class LeaderLocator {
     private final Election election;
     private final PeerMonitor peers;
@@ -19,14 +19,14 @@
     }
 
     /**
-     * The host name of the leader, this node or another, from a recent source only: a node that is partitioned from the
-     * others must neither keep workers nor redirect them to a former leader.
+     * The host name of the leader, which may be this node. Only recent sources are used, because a node that is
+     * partitioned from the others must neither keep workers nor redirect them to a former leader.
      */
     Optional<String> leader() {
         return stateHealth.isReachable() ? election.leaderName() : peers.leader();
     }
 
-    /** The host name of the leader if another node leads. */
+    /** The host name of the leader if it is another node. */
     Optional<String> otherLeader() {
         return leader().filter(name -> !name.equals(ownName));
     }
--- a/src/main/java/org/spruceridge/node/LeadershipYield.java
+++ b/src/main/java/org/spruceridge/node/LeadershipYield.java
@@ -9,13 +9,13 @@
 import org.spruceridge.peer.PeerMonitor;
 
 /**
- * Resigns leadership when workers reach other nodes but not this one. Otherwise all worker leases would expire, because the
- * other nodes keep redirecting the workers to this one.
+ * Resigns leadership when workers can reach other nodes but not this one. Otherwise all worker leases would expire,
+ * because the other nodes keep redirecting the workers to this one.
  */
 final class LeadershipYield {
     /**
-     * After a resignation, this many leases pass before the next. A single worker that receives no answers moves from node
-     * to node, and would make each leader in turn resign, without end.
+     * The minimum time between two resignations of this node, in lease durations. A single worker that receives no
+     * responses moves from node to node and would otherwise make one leader after the other resign endlessly.
      */
     private static final double REELECTION_COOLDOWN_LEASES = 10;
 
@@ -43,7 +43,7 @@
                 Durations.nanos(REELECTION_COOLDOWN_LEASES * settings.workers().leaseS());
     }
 
-    /** Called once a second. */
+    /** Resigns if this node is an unreachable leader and the cooldown has passed. Called once a second. */
     void resignIfUnreachable() {
         long now = loop.nanos();
         if (isUnreachableLeader() && now >= cooldownUntil) {
--- a/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
+++ b/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
@@ -21,8 +21,8 @@
 import org.spruceridge.state.Transaction;
 
 /**
- * The machine types that the cloud offers. They are fetched from the cloud at intervals and stored in the state service, so
- * that a node which starts while the cloud is unavailable can admit and place jobs.
+ * The machine types that the cloud offers. They are fetched periodically from the cloud and stored in the state
+ * service, so that a node which starts while the cloud is unavailable can admit and place jobs.
  */
 final class MachineTypeCatalogue {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalogue.class);
@@ -50,7 +50,7 @@
     }
 
     void start() {
-        loadFromStore();
+        loadFromStateService();
         fetchFromCloud();
     }
 
@@ -58,31 +58,31 @@
         scope.close();
     }
 
-    /** The machine types by name; empty until the cloud or the state service answered. */
+    /** The machine types by name; empty until they have been read from the cloud or the state service. */
     Optional<ImmutableMap<String, MachineType>> types() {
         return types;
     }
 
     private void fetchFromCloud() {
-        cloud.catalogue(scope.guard(answer -> {
-            if (answer.isPresent()) {
-                update(answer.get());
-                persist(new CatalogueRecord(answer.get()));
+        cloud.catalogue(scope.guard(fetchedTypes -> {
+            if (fetchedTypes.isPresent()) {
+                update(fetchedTypes.get());
+                persist(new CatalogueRecord(fetchedTypes.get()));
             }
-            scope.after(answer.isPresent() ? REFRESH_INTERVAL_NANOS : RETRY_INTERVAL_NANOS, this::fetchFromCloud);
+            scope.after(fetchedTypes.isPresent() ? REFRESH_INTERVAL_NANOS : RETRY_INTERVAL_NANOS, this::fetchFromCloud);
         }));
     }
 
-    private void loadFromStore() {
-        state.get(StateKeys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
+    private void loadFromStateService() {
+        state.get(StateKeys.CATALOGUE, Priority.SCHEDULING, scope.guard(entryResult -> {
             if (types.isPresent()) {
                 return;
             }
-            Optional<CatalogueRecord> stored = read(found);
+            Optional<CatalogueRecord> stored = read(entryResult);
             if (stored.isPresent()) {
                 update(stored.get().types());
             } else {
-                scope.after(RETRY_INTERVAL_NANOS, this::loadFromStore);
+                scope.after(RETRY_INTERVAL_NANOS, this::loadFromStateService);
             }
         }));
     }
@@ -95,16 +95,16 @@
         onUpdate.accept(latest);
     }
 
-    /** Stores the types unless the stored ones are the same. After a failure, the next refresh tries again. */
+    /** Stores the types unless the same types are already stored. A failed write is retried by the next refresh. */
     private void persist(CatalogueRecord latest) {
-        state.get(StateKeys.CATALOGUE, Priority.SCHEDULING, scope.guard(found -> {
-            if (found.outcome() == StateResult.Outcome.UNAVAILABLE) {
+        state.get(StateKeys.CATALOGUE, Priority.SCHEDULING, scope.guard(entryResult -> {
+            if (entryResult.outcome() == StateResult.Outcome.UNAVAILABLE) {
                 return;
             }
-            if (read(found).filter(stored -> stored.sameTypes(latest)).isPresent()) {
+            if (read(entryResult).filter(stored -> stored.sameTypes(latest)).isPresent()) {
                 return;
             }
-            long modRevision = found.isOk() ? found.value().modRevision() : 0;
+            long modRevision = entryResult.isOk() ? entryResult.value().modRevision() : 0;
             Transaction transaction = Transaction.builder()
                     .put(StateKeys.CATALOGUE, modRevision, latest.write())
                     .build();
@@ -112,13 +112,13 @@
         }));
     }
 
-    /** The stored record; empty if there is none, or none that can be read. */
-    private Optional<CatalogueRecord> read(StateResult<Entry> found) {
-        if (!found.isOk()) {
+    /** The stored record; empty if it does not exist or cannot be read. */
+    private Optional<CatalogueRecord> read(StateResult<Entry> entryResult) {
+        if (!entryResult.isOk()) {
             return Optional.empty();
         }
         try {
-            return Optional.of(CatalogueRecord.read(found.value().value()));
+            return Optional.of(CatalogueRecord.read(entryResult.value().value()));
         } catch (BadMessageException e) {
             warnings.warn("unreadable machine type catalogue", "reason=" + e.getMessage());
             return Optional.empty();
--- a/src/main/java/org/spruceridge/node/MetricsEndpoint.java
+++ b/src/main/java/org/spruceridge/node/MetricsEndpoint.java
@@ -7,11 +7,11 @@
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 
-/** Renders the figures of GET /metrics. */
+/** Renders the response to GET /metrics. */
 final class MetricsEndpoint {
     private final String hostName;
     private final Latencies latencies;
-    private final ClusterFeatureLevel level;
+    private final ClusterFeatureLevel clusterFeatureLevel;
     private final PeerMonitor peers;
     private final LeaderMetrics leaderMetrics;
     private final CurrentLeader currentLeader;
@@ -21,14 +21,14 @@
             String hostName,
             MemberVersion ownVersion,
             Latencies latencies,
-            ClusterFeatureLevel level,
+            ClusterFeatureLevel clusterFeatureLevel,
             PeerMonitor peers,
             LeaderMetrics leaderMetrics,
             CurrentLeader currentLeader) {
         this.hostName = hostName;
         this.ownVersion = ownVersion;
         this.latencies = latencies;
-        this.level = level;
+        this.clusterFeatureLevel = clusterFeatureLevel;
         this.peers = peers;
         this.leaderMetrics = leaderMetrics;
         this.currentLeader = currentLeader;
@@ -37,7 +37,7 @@
     ObjectNode render() {
         ObjectNode out = latencies.toJson();
         ObjectNode cluster = out.putObject("cluster")
-                .put("featureLevel", level.highestKnown().number());
+                .put("featureLevel", clusterFeatureLevel.highestKnown().number());
         ObjectNode versions = cluster.putObject("versions").put(hostName, ownVersion.name());
         peers.versions().forEach((host, version) -> versions.put(host, version.name()));
         leaderMetrics.writeTo(out);
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -37,8 +37,8 @@
 import org.spruceridge.worker.WorkerClient;
 
 /**
- * One controller node: wires its parts together and runs their lifecycle. Time, randomness and network are injected. All
- * methods are called on the event loop, except the constructor and {@link #handler()}.
+ * One controller node: connects its components and manages their lifecycle. Time, randomness and network are injected.
+ * All methods except the constructor and {@link #handler()} must be called on the event loop.
  */
 public final class Node implements Election.Listener {
     private static final long STATE_PROBE_INTERVAL_NANOS = Durations.nanos(1);
@@ -57,7 +57,7 @@
     private final StateClient state;
     private final CloudClient cloud;
     private final WorkerClient workers;
-    private final ClusterFeatureLevel level;
+    private final ClusterFeatureLevel clusterFeatureLevel;
     private final Election election;
     private final PeerMonitor peers;
     private final LeaderLocator locator;
@@ -66,7 +66,7 @@
     private final LeaderWarmUp warmUp;
     private final Router router;
 
-    /** Nothing begins before {@link #start}. */
+    /** Creates a node that does nothing before {@link #start}. */
     public Node(
             Loop loop,
             HttpClient http,
@@ -87,10 +87,10 @@
         this.cloud = new CloudClient(http, settings.cloudAddress(), rateBudget.cloudLimiter(), warnings);
         this.catalogue = new MachineTypeCatalogue(loop, cloud, state, warnings, this::machineTypesUpdated);
         this.workers = new WorkerClient(http, warnings);
-        this.level = new ClusterFeatureLevel(state);
+        this.clusterFeatureLevel = new ClusterFeatureLevel(state);
         state.onRateExceeded(() -> rateBudget.stateRateExceeded(role()));
-        this.election =
-                new Election(new ElectionDependencies(loop, state, level, random, warnings), settings, policy, this);
+        this.election = new Election(
+                new ElectionDependencies(loop, state, clusterFeatureLevel, random, warnings), settings, policy, this);
         StateServiceHealth stateHealth = new StateServiceHealth(state);
         RecentCancellations cancellations = new RecentCancellations(
                 loop, Durations.nanos(CancellationTimes.of(settings.workers()).maxStalenessS()));
@@ -108,44 +108,44 @@
         HeartbeatEndpoint heartbeats =
                 new HeartbeatEndpoint(election, currentLeader, locator, reachability, leaderMetrics, warnings);
         MetricsEndpoint metrics = new MetricsEndpoint(
-                settings.hostName(), ownVersion, latencies, level, peers, leaderMetrics, currentLeader);
+                settings.hostName(), ownVersion, latencies, clusterFeatureLevel, peers, leaderMetrics, currentLeader);
         HealthCheck health = new HealthCheck(settings.nodeCount(), peers, stateHealth);
         JobProgress progress = new JobProgress(currentLeader, peers);
         JobsEndpoint jobs = new JobsEndpoint(new JobsEndpoint.Dependencies(
-                loop, state, level, settings, catalogue::types, progress::of, warnings, cancellations));
+                loop, state, clusterFeatureLevel, settings, catalogue::types, progress::of, warnings, cancellations));
         return new Router(
                 jobs, heartbeats::handle, heartbeats::dropped, health::isHealthy, metrics::render, loop, latencies);
     }
 
-    /** Takes the requests of users, workers and health checks. */
+    /** The handler of requests of users, workers and health checks. */
     public RequestHandler handler() {
         return router;
     }
 
     /**
-     * Begins all duties. {@code ready} runs once, when this node can answer workers or redirect them: it knows the leader,
-     * or it leads and has read which jobs are open.
+     * Starts all components. {@code onReady} runs once, when this node can answer or redirect workers: it knows the
+     * leader, or it leads and has loaded the list of open jobs.
      */
-    public void start(Runnable ready) {
-        awaitReady(ready);
+    public void start(Runnable onReady) {
+        awaitReady(onReady);
         election.start();
         latencies.start();
         peers.start();
         catalogue.start();
-        everySecond();
+        runPeriodicChecks();
     }
 
-    private void awaitReady(Runnable ready) {
+    private void awaitReady(Runnable onReady) {
         boolean isReady = currentLeader.get().map(Leader::mayAnswerWorkers).orElseGet(() -> locator.otherLeader()
                 .isPresent());
         if (isReady) {
-            ready.run();
+            onReady.run();
         } else {
-            scope.after(READINESS_CHECK_INTERVAL_NANOS, () -> awaitReady(ready));
+            scope.after(READINESS_CHECK_INTERVAL_NANOS, () -> awaitReady(onReady));
         }
     }
 
-    /** Ends all duties. */
+    /** Stops all components. */
     public void stop() {
         scope.close();
         warmUp.stop();
@@ -156,7 +156,7 @@
         currentLeader.end();
     }
 
-    /** True while this node may act as leader. */
+    /** True while this node may act as the leader. */
     public boolean leads() {
         return election.isLeader();
     }
@@ -171,8 +171,8 @@
                 policy,
                 term,
                 election::isLeader);
-        Leader leader =
-                new Leader(context, state, cloud, workers, level, this::allMembersSupportLevel, election::resign);
+        Leader leader = new Leader(
+                context, state, cloud, workers, clusterFeatureLevel, this::allMembersSupportLevel, election::resign);
         currentLeader.begin(leader);
         catalogue.types().ifPresent(leader::adoptMachineTypes);
         leader.start();
@@ -192,7 +192,7 @@
         currentLeader.get().ifPresent(leader -> leader.adoptMachineTypes(types));
     }
 
-    /** Another node confirmed the cancellation of this job to a user. */
+    /** Called when another node has confirmed the cancellation of this job to a user. */
     private void jobCancelledOnPeer(String job) {
         currentLeader.get().ifPresent(leader -> leader.jobCancelled(job));
     }
@@ -204,7 +204,7 @@
     }
 
     /** Runs the periodic checks, then probes the state service with a small read. */
-    private void everySecond() {
+    private void runPeriodicChecks() {
         leadershipYield.resignIfUnreachable();
         if (!currentLeader.isPresent() && locator.leader().isPresent()) {
             warmUp.start();
@@ -212,6 +212,6 @@
         state.get(
                 StateKeys.LEADER,
                 Priority.LEASE_RENEWAL,
-                scope.guard(found -> scope.after(STATE_PROBE_INTERVAL_NANOS, this::everySecond)));
+                scope.guard(probeResult -> scope.after(STATE_PROBE_INTERVAL_NANOS, this::runPeriodicChecks)));
     }
 }
--- a/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -9,7 +9,7 @@
 import org.spruceridge.peer.MemberVersion;
 import org.spruceridge.peer.PeerHeartbeat;
 
-/** Composes the heartbeat that this node sends to its peers each second. */
+/** Creates the heartbeat that this node sends to its peers every second. */
 final class PeerHeartbeatSource {
     private final String hostName;
     private final Election election;
@@ -36,7 +36,7 @@
         this.cancellations = cancellations;
     }
 
-    /** The heartbeat of this moment; its term is 0 while this node does not lead. */
+    /** The heartbeat with the current state; its term is 0 while this node is not the leader. */
     PeerHeartbeat next() {
         Optional<Leader> leader = currentLeader.get().filter(any -> election.isLeader());
         return new PeerHeartbeat(
--- a/src/main/java/org/spruceridge/node/RateBudget.java
+++ b/src/main/java/org/spruceridge/node/RateBudget.java
@@ -7,30 +7,30 @@
 import org.spruceridge.net.RateLimiter;
 
 /**
- * This node's share of the request limits of the state service and of the cloud. The limits hold for all controller nodes
- * together. The leader does nearly all writes, so it gets the larger part of them.
+ * This node's share of the rate limits of the state service and of the cloud. The limits apply to all controller nodes
+ * together. The leader gets the larger share because it does nearly all writes.
  */
 final class RateBudget {
     private static final Logger LOG = LoggerFactory.getLogger(RateBudget.class);
 
-    /** The share of the state service's write limit that is reserved for requests of users, over all nodes. */
+    /** The share of the state service's write limit that is reserved for user requests on all nodes together. */
     private static final double USER_WRITES_SHARE = 0.35;
 
     /**
-     * Users often send many requests at once, and to one node. A node that was idle may take as many of their writes at
-     * once as the state service takes in this time. The service itself allows a burst of one second.
+     * The size of a burst of user writes on an idle node, as the time in which the state service accepts that many
+     * writes. Users often send many requests at once to one node. The service itself allows a burst of one second.
      */
     private static final double USER_WRITES_BURST_S = 0.5;
 
-    /** The share of a limit that is used at most: the clocks of the services and of this node differ. */
+    /** The maximum share of a limit that is used, because the clocks of the services and of this node differ. */
     private static final double USABLE_SHARE = 0.95;
 
-    /** The leader's share of the cloud's limit; the followers divide the rest. */
+    /** The leader's share of the cloud's rate limit; the followers divide the rest. */
     private static final double LEADER_CLOUD_SHARE = 0.8;
 
     private static final double FOLLOWERS_CLOUD_SHARE = 0.2;
 
-    /** What this node is to the cluster. */
+    /** The role of this node in the cluster. */
     enum Role {
         LEADER,
         FOLLOWER
@@ -41,7 +41,7 @@
     private final RateLimiter cloudLimiter;
     private boolean stateRatesReduced;
 
-    /** Begins with the share of a follower. */
+    /** Creates a budget with the share of a follower. */
     RateBudget(Loop loop, Settings settings) {
         this.settings = settings;
         this.stateLimiter = new RateLimiter(loop, 1, 1, 1);
@@ -64,8 +64,8 @@
     }
 
     /**
-     * The state service rejected a request that was within its current limits. It must have changed to the upcoming
-     * limits of the settings, if these are lower.
+     * Called when the state service rejected a request that was within the current limits. If the upcoming limits in
+     * the settings are lower, they must have taken effect, so this node switches to them.
      */
     void stateRateExceeded(Role role) {
         if (stateRatesReduced || !settings.state().ratesWillFall()) {
@@ -83,7 +83,7 @@
         double reads = limits.rps() * USABLE_SHARE / nodes;
         double writes = limits.writeRps() * USABLE_SHARE;
         double userWritesShare = USER_WRITES_SHARE / nodes;
-        // A follower writes little of its own: it campaigns in an election, or stores the machine types.
+        // Apart from user requests, a follower writes little: its candidacy in an election, or the machine types.
         double ownShare = role == Role.LEADER ? 1 - USER_WRITES_SHARE : userWritesShare;
         stateLimiter.setRates(reads, writes * ownShare, writes * userWritesShare, writes * USER_WRITES_BURST_S);
     }
--- a/src/main/java/org/spruceridge/node/StateServiceHealth.java
+++ b/src/main/java/org/spruceridge/node/StateServiceHealth.java
@@ -3,9 +3,9 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.state.StateClient;
 
-/** Whether the state service serves this node. {@link Node} sends a probe each second, so that the answer is recent. */
+/** Whether this node can reach the state service. {@link Node} sends a probe every second to keep the result recent. */
 final class StateServiceHealth {
-    /** After this time without a successful request, the service counts as unreachable. */
+    /** The service counts as unreachable after this time without a processed request. */
     private static final long MAX_SILENCE_NANOS = Durations.nanos(3);
 
     private final StateClient state;
@@ -18,7 +18,7 @@
         return state.nanosSinceLastServed() < MAX_SILENCE_NANOS;
     }
 
-    /** True if the service also answered this process at least once. */
+    /** True if the service is reachable and has processed at least one request of this process. */
     boolean hasServedAndIsReachable() {
         return state.hasEverBeenServed() && isReachable();
     }
--- a/src/main/java/org/spruceridge/node/WorkerReachability.java
+++ b/src/main/java/org/spruceridge/node/WorkerReachability.java
@@ -4,9 +4,9 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Whether workers reach this node: true until it received no heartbeat of any worker for some heartbeat intervals. */
+/** Whether workers can reach this node: false once no worker heartbeat has arrived for some heartbeat intervals. */
 final class WorkerReachability {
-    /** After this many heartbeat intervals without a heartbeat, a node counts as unreachable for workers. */
+    /** A node counts as unreachable for workers after this many heartbeat intervals without a heartbeat. */
     private static final double MAX_SILENCE_HEARTBEATS = 2.5;
 
     private final Loop loop;
@@ -28,7 +28,7 @@
         return loop.nanos() - lastHeartbeatAt < maxSilenceNanos;
     }
 
-    /** How long the silence may last, in nanoseconds. */
+    /** The time without a heartbeat after which workers cannot reach this node, in nanoseconds. */
     long maxSilenceNanos() {
         return maxSilenceNanos;
     }
