--- a/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
@@ -7,19 +7,18 @@
 import org.spruceridge.net.Loop;
 
 /**
- * Runs a leader's code while this node follows, so that the virtual machine has compiled it before the node is elected.
- * Interpreted code takes ten to twenty times as long, at the moment when every worker sends its heartbeat to the new
- * leader.
+ * Runs the leader's code while this node is a follower, so that the JVM has compiled it before the node is elected.
+ * Interpreted code takes ten to twenty times as long, just when all workers send their heartbeats to the new leader.
  *
- * <p>The work is done on a {@link SyntheticLeader} and touches nothing else of the node. It sends nothing, has a bounded
- * number of steps, uses a small share of the processor, and pauses while requests wait.
+ * <p>The code runs on a {@link SyntheticLeader}, which shares no state with the rest of the node. The warm-up sends
+ * nothing, has a bounded number of steps, uses a small share of the CPU, and pauses while requests wait.
  */
 public final class LeaderWarmUp {
-    /** Enough for every path to pass the compiler's threshold of 200 calls. */
+    /** Enough steps for every code path to exceed the JIT compiler's threshold of 200 calls. */
     static final int TOTAL_STEPS = 240;
 
-    /** The pause after a step is this many times as long as the step took. */
-    private static final long PAUSE_PER_STEP_DURATION = 4;
+    /** The ratio of the pause after a step to the duration of the step. */
+    private static final long PAUSE_TO_STEP_RATIO = 4;
 
     private static final long MIN_PAUSE_NANOS = Durations.millis(50);
 
@@ -31,7 +30,7 @@
     private boolean startedOrStopped;
     private int stepsTaken;
 
-    /** Steps run on {@code loop}; settings and policy determine the limits of the synthetic leader. */
+    /** Creates a warm-up that runs on {@code loop}; settings and policy configure the synthetic leader. */
     public LeaderWarmUp(Loop loop, Settings settings, Policy policy) {
         this.loop = loop;
         this.scope = new CancellationScope(loop);
@@ -39,7 +38,7 @@
         this.policy = policy;
     }
 
-    /** Starts the warm-up at the first call; later calls do nothing. */
+    /** Starts the warm-up on the first call. Does nothing on later calls, or if the settings have no teams. */
     public void start() {
         if (!startedOrStopped && !settings.teams().isEmpty()) {
             startedOrStopped = true;
@@ -47,14 +46,14 @@
         }
     }
 
-    /** Ends the warm-up for good, for instance because this node is elected. */
+    /** Stops the warm-up permanently, for instance because this node is elected. */
     public void stop() {
         startedOrStopped = true;
         leader = null;
         scope.close();
     }
 
-    /** The number of steps so far. */
+    /** The number of steps run so far. */
     int stepsTaken() {
         return stepsTaken;
     }
@@ -71,7 +70,7 @@
         leader.step();
         if (++stepsTaken < TOTAL_STEPS) {
             long stepNanos = loop.nanos() - startedAtNanos;
-            scope.after(Math.max(MIN_PAUSE_NANOS, PAUSE_PER_STEP_DURATION * stepNanos), this::runStep);
+            scope.after(Math.max(MIN_PAUSE_NANOS, PAUSE_TO_STEP_RATIO * stepNanos), this::runStep);
         } else {
             leader = null;
         }
--- a/src/main/java/org/spruceridge/warmup/SyntheticCluster.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticCluster.java
@@ -29,20 +29,20 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskState;
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
-/** Machines and jobs that exist only for the warm-up: their heartbeats, and the records that a failover would read. */
+/** Machines and jobs for the warm-up, with their heartbeats and the records that a failover reads. */
 final class SyntheticCluster {
     static final int MACHINES = 32;
 
     private static final int OPEN_JOBS = 8;
     private static final int TASKS_PER_JOB = 24;
-    /** A task is announced as running in the second heartbeat of its attempt, and as exited in later ones. */
+    /** A task is reported as running in the second heartbeat of its attempt and as exited in later heartbeats. */
     private static final int HEARTBEATS_BEFORE_RUNNING = 1;
 
     private static final int HEARTBEATS_BEFORE_EXIT = 2;
 
-    private static final String NAME = "warm-up";
+    private static final String SYNTHETIC_NAME = "warm-up";
     private static final String MACHINE_ADDRESS = "10.0.0.1:9000";
-    private static final String WRITE_ID = "w1";
+    private static final String TRANSACTION_ID = "w1";
     private static final double CPUS = 4;
     private static final double MEMORY_GB = 16;
     private static final double FETCH_GB_PER_S = 1;
@@ -60,7 +60,7 @@
     private long createdJobs;
     private long sequence;
 
-    /** The machines and jobs are added to {@code cluster}; heartbeats carry {@code fencingToken}. */
+    /** Adds machines and jobs to {@code cluster}; heartbeats contain {@code fencingToken}. */
     SyntheticCluster(Settings settings, Cluster cluster, Loop loop, long fencingToken) {
         this.settings = settings;
         this.cluster = cluster;
@@ -68,11 +68,11 @@
         this.fencingToken = fencingToken;
     }
 
-    /** Adds the machines, of one type, in all zones, half of them spot. */
+    /** Adds machines of one type, distributed over all zones; half of them are spot machines. */
     void addMachines() {
         ImmutableList<String> zones = settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
         MachineType type = new MachineType(
-                NAME, new Resources(CPUS, 0, MEMORY_GB), FETCH_GB_PER_S, PRICE, SPOT_PRICE, BOOT_S, zones);
+                SYNTHETIC_NAME, new Resources(CPUS, 0, MEMORY_GB), FETCH_GB_PER_S, PRICE, SPOT_PRICE, BOOT_S, zones);
         cluster.updateTypes(ImmutableMap.of(type.name(), type));
         for (int i = 0; i < MACHINES; i++) {
             MachineKind kind = new MachineKind(type.name(), zones.get(i % zones.size()), i % 2 == 0);
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Submits jobs until as many are open as there should be. */
+    /** Submits jobs until {@link #OPEN_JOBS} jobs are open. */
     void submitMissingJobs() {
         while (cluster.jobs().size() < OPEN_JOBS) {
             cluster.add(newJob());
@@ -92,11 +92,11 @@
     private Job newJob() {
         long number = ++createdJobs;
         ImmutableList<String> teams = settings.teams().keySet().asList();
-        // Every other job asks for whole machines, so that reservations are made.
+        // Every second job requests whole machines, so that the scheduler makes reservations.
         double cpus = number % 2 == 0 ? CPUS : 1;
         JobSpec spec = new JobSpec(
                 "j-" + number,
-                NAME,
+                SYNTHETIC_NAME,
                 teams.get((int) (number % teams.size())),
                 JobKind.ARRAY,
                 JobPriority.NORMAL,
@@ -107,7 +107,7 @@
                 false,
                 false,
                 true,
-                NAME,
+                SYNTHETIC_NAME,
                 1,
                 ESTIMATE_S,
                 0,
@@ -116,7 +116,7 @@
         return new Job(spec, 1, loop.wallMillis());
     }
 
-    /** The next heartbeat; the machines send theirs in turn. */
+    /** The next heartbeat, of each machine in turn. */
     WorkerHeartbeat nextHeartbeat() {
         Machine machine = machines.get((int) (sequence % MACHINES));
         ImmutableList.Builder<TaskStatus> tasks = ImmutableList.builder();
@@ -155,7 +155,7 @@
                 .count();
     }
 
-    /** The entries that the state service would hold of this cluster under a prefix. */
+    /** The entries with a key prefix that the state service would contain for this cluster. */
     List<Entry> entries(String prefix) {
         List<Entry> entries = new ArrayList<>();
         if (prefix.equals(StateKeys.OPEN_JOBS_PREFIX)) {
@@ -165,7 +165,7 @@
             }
         } else if (prefix.equals(StateKeys.BINDINGS_PREFIX)) {
             entries.add(new Entry(
-                    StateKeys.BINDINGS_PREFIX + 1, BindingsRecord.write(WRITE_ID, machines, binding -> true), 1));
+                    StateKeys.BINDINGS_PREFIX + 1, BindingsRecord.write(TRANSACTION_ID, machines, binding -> true), 1));
         }
         return entries;
     }
--- a/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
@@ -31,8 +31,8 @@
 import org.spruceridge.worker.WorkerHeartbeat;
 
 /**
- * A leader of a {@link SyntheticCluster}, on virtual time and with a state service inside the process. Each step handles
- * some worker heartbeats with all that follows: decoding, scheduling, writing records, encoding the response. It shares
+ * A leader of a {@link SyntheticCluster} that uses virtual time and an in-process stub of the state service. Each step
+ * handles some worker heartbeats completely: decoding, scheduling, writing records and encoding the response. It shares
  * no state with the node.
  */
 final class SyntheticLeader {
@@ -95,7 +95,7 @@
         schedulingLoop.request();
     }
 
-    /** Does a small part of the work; each step costs about the same. */
+    /** Runs a small part of the work. All steps take about the same time. */
     void step() {
         cluster.submitMissingJobs();
         for (int i = 0; i < HEARTBEATS_PER_STEP; i++) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The number of tasks that have exited so far. */
+    /** The number of tasks that have exited. */
     int completedTasks() {
         return cluster.completedTasks();
     }
--- a/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
@@ -10,7 +10,7 @@
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
 
-/** The warm-up is bounded, makes way for requests, ends when told to, and does a leader's work on its own data. */
+/** The warm-up is bounded, pauses for requests, can be stopped, and runs the leader's code on synthetic data. */
 final class LeaderWarmUpTest {
     private static final Settings SETTINGS = Fixtures.settings(
             ImmutableMap.of("red", new Settings.Team("red", 0, 0, 0, 0)),
@@ -23,7 +23,7 @@
     private final LeaderWarmUp warmUp = new LeaderWarmUp(loop, SETTINGS, Policy.defaults());
 
     @Test
-    void itEndsAfterItsStepsAndLeavesNothingPending() {
+    void warmUpEndsAfterAllStepsWithNothingPending() {
         warmUp.start();
         warmUp.start();
         loop.run(120);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void itMakesWayWhileRequestsWait() {
+    void warmUpPausesWhileRequestsWait() {
         loop.busy(true);
         warmUp.start();
         loop.run(60);
@@ -43,21 +43,24 @@
     }
 
     @Test
-    void itEndsForGoodWhenToldTo() {
+    void stoppedWarmUpDoesNotStartAgain() {
         warmUp.start();
         loop.run(1);
         warmUp.stop();
         int steps = warmUp.stepsTaken();
-        assertTrue(steps > 0, "it had begun");
+        assertTrue(steps > 0, "the warm-up ran no step before it was stopped");
         warmUp.start();
         loop.run(60);
         assertEquals(steps, warmUp.stepsTaken());
         assertEquals(0, loop.pending());
     }
 
-    /** Otherwise it warms up nothing: heartbeats are handled, tasks bound, recorded, started and ended, and jobs finish. */
+    /**
+     * Guards against a warm-up that skips leader code: completed tasks show that heartbeats were handled and that tasks
+     * were bound, recorded, started and ended, so that jobs finished.
+     */
     @Test
-    void itDoesAllThatALeaderDoes() {
+    void syntheticLeaderCompletesTasksOfJobs() {
         SyntheticLeader leader = new SyntheticLeader(SETTINGS, Policy.defaults());
         for (int i = 0; i < LeaderWarmUp.TOTAL_STEPS; i++) {
             leader.step();
