--- a/src/test/java/org/spruceridge/wire/MetricsNamesTest.java
+++ b/src/test/java/org/spruceridge/wire/MetricsNamesTest.java
@@ -12,7 +12,7 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** The names of the figures in {@code GET /metrics}, letter for letter: operators' tools read them. */
+/** The exact metric names in {@code GET /metrics}, which operators' tools read. */
 final class MetricsNamesTest {
     private static final List<String> ON_EVERY_NODE = List.of(
             "cluster.featureLevel",
@@ -69,7 +69,7 @@
         return names;
     }
 
-    /** Adds the dotted path of each value that is not an object. */
+    /** Adds the dotted path of each value that is not a JSON object. */
     private static void collect(String path, JsonNode node, Set<String> names) {
         for (Map.Entry<String, JsonNode> field : node.properties()) {
             String name = path + field.getKey();
@@ -93,9 +93,9 @@
         assertEquals(expected, names(cluster.leader()));
     }
 
-    /** Five of the figures, by their values: a name that two of them exchanged would not change the set of names. */
+    /** Checks the values of five metrics, because swapping two names would not change the set of names. */
     @Test
-    void heartbeatsAndJobAreCountedUnderTheirNames() {
+    void metricsHaveExpectedValuesUnderTheirNames() {
         JsonNode leader = cluster.metrics(cluster.leader());
         assertEquals(2, leader.path("cluster").path("featureLevel").asInt());
         assertEquals(1, leader.path("leader").path("term").asInt());
--- a/src/test/java/org/spruceridge/wire/UserMessagesTest.java
+++ b/src/test/java/org/spruceridge/wire/UserMessagesTest.java
@@ -12,7 +12,7 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** The answers to users, to workers and to the platform, as complete texts, for each path and method. */
+/** The complete responses to users, workers and the platform for each path and method. */
 final class UserMessagesTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -34,10 +34,10 @@
     }
 
     @Test
-    void jobThatRunsToItsEndIsDescribedInEachStage() {
+    void completedJobIsDescribedInEachStage() {
         ObjectNode job = SimJobs.array(1, 1);
         assertEquals("201 {\"nameId\":\"j-000001\",\"stage\":\"pending\"}", post("/api/jobs", job));
-        // Repeated, so that the checker of rules knows the job too.
+        // Submitted again through the simulation, so that its invariant checker knows the job as well.
         cluster.submit(job);
         assertEquals(
                 "200 {\"nameId\":\"j-000001\",\"stage\":\"pending\",\"done\":0,\"running\":0}",
@@ -84,12 +84,12 @@
                 "GET; /healthz; 200 {\"status\":\"ok\"}",
                 "POST; /hello; 400 {\"error\":\"not an object\"}",
             })
-    void requestWithoutBodyGetsThisText(String method, String path, String expected) {
+    void requestWithoutBodyGetsExpectedResponse(String method, String path, String expected) {
         assertEquals(expected, text(cluster.request(cluster.leader(), method, path)));
     }
 
     @Test
-    void refusedJobGetsTheReason() {
+    void rejectedJobGetsReasonInResponse() {
         assertEquals(
                 "400 {\"error\":\"nameId is not of the form j-000412\"}",
                 post("/api/jobs", SimJobs.array(1, 1).put("nameId", "j-x")));
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -50,8 +50,8 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * The requests to the state service, the cloud and the workers, byte by byte, and what their answers are read as. The
- * names on the wire are those of the protocol, whatever the code calls them.
+ * The exact requests to the state service, the cloud and the workers, and the values that are read from their
+ * responses. The names on the wire are defined by the protocols and are independent of the names in the code.
  */
 final class WireFormsTest {
     private static final Address SERVICE = new Address("10.0.0.9", 2379);
@@ -60,36 +60,38 @@
     private final ManualLoop loop = new ManualLoop();
     private final RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
     private final RateLimiter limiter = new RateLimiter(loop, UNLIMITED, UNLIMITED, UNLIMITED);
-    private final FixedAnswer http = new FixedAnswer();
+    private final StubHttpClient http = new StubHttpClient();
     private final StateClient state = new StateClient(loop, http, SERVICE, limiter, warnings, new Latencies(loop));
     private final CloudClient cloud = new CloudClient(http, SERVICE, limiter, warnings);
 
-    /** Notes each request as a line of text, and gives the same answer to all unless more are set. */
-    private static final class FixedAnswer implements HttpClient {
+    /**
+     * Records each request as a line of text. Sends the same response to all requests unless more bodies are queued.
+     */
+    private static final class StubHttpClient implements HttpClient {
         private final List<String> requests = new ArrayList<>();
-        private final Deque<String> laterBodies = new ArrayDeque<>();
+        private final Deque<String> queuedBodies = new ArrayDeque<>();
         private int status = 200;
         private String body = "{}";
         private boolean sent = true;
 
         @Override
-        public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done) {
+        public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> onResponse) {
             String text = call.method() + " " + call.target() + " " + new String(call.body(), StandardCharsets.UTF_8);
             requests.add(text.strip());
             HttpAnswer answer = new HttpAnswer(status, body.getBytes(StandardCharsets.UTF_8), sent);
-            body = laterBodies.isEmpty() ? body : laterBodies.remove();
-            done.accept(answer);
+            body = queuedBodies.isEmpty() ? body : queuedBodies.remove();
+            onResponse.accept(answer);
             return () -> {};
         }
 
-        void answer(int newStatus, String newBody) {
+        void setResponse(int newStatus, String newBody) {
             status = newStatus;
             body = newBody;
         }
 
-        /** Sets the body of the answer after those that are set already. */
-        void thenAnswer(String laterBody) {
-            laterBodies.add(laterBody);
+        /** Queues the body of the response after those already set. */
+        void enqueueBody(String queuedBody) {
+            queuedBodies.add(queuedBody);
         }
     }
 
@@ -116,8 +118,8 @@
     }
 
     @Test
-    void aKeyIsRead() {
-        http.answer(200, "{\"v\":{\"a\":1},\"stamp\":5,\"ring\":9}");
+    void keyIsReadWithItsRevision() {
+        http.setResponse(200, "{\"v\":{\"a\":1},\"stamp\":5,\"ring\":9}");
         state.get(
                 "leader",
                 Priority.LEASE_RENEWAL,
@@ -126,8 +128,9 @@
     }
 
     @Test
-    void keysAreListed() {
-        http.answer(200, "{\"entries\":[{\"k\":\"open/j-1\",\"v\":{},\"stamp\":5}],\"truncated\":false,\"ring\":9}");
+    void keysWithPrefixAreListed() {
+        http.setResponse(
+                200, "{\"entries\":[{\"k\":\"open/j-1\",\"v\":{},\"stamp\":5}],\"truncated\":false,\"ring\":9}");
         Entry entry = new Entry("open/j-1", Json.object(), 5);
         state.list(
                 "open/",
@@ -137,11 +140,11 @@
     }
 
     @Test
-    void listingInPagesContinuesAfterTheLastKey() {
+    void pagedListingContinuesAfterLastKey() {
         String page = "{\"entries\":[{\"k\":\"%s\",\"v\":{},\"stamp\":%d}],\"truncated\":%b,\"ring\":%d}";
         String second = String.format(page, "open/j-2", 6, false, 10);
-        http.answer(200, String.format(page, "open/j-1", 5, true, 9));
-        http.thenAnswer(second);
+        http.setResponse(200, String.format(page, "open/j-1", 5, true, 9));
+        http.enqueueBody(second);
         long bytes = (long) http.body.length() + second.length();
         List<StateResult<Listing>> results = new ArrayList<>();
         state.list("open/", Priority.LEASE_RENEWAL, results::add);
@@ -155,8 +158,8 @@
     }
 
     @Test
-    void aTransactionIsCommitted() {
-        http.answer(200, "{\"ring\":12}");
+    void transactionIsSentAndCommitted() {
+        http.setResponse(200, "{\"ring\":12}");
         state.commit(
                 transaction(),
                 Priority.LEASE_RENEWAL,
@@ -168,29 +171,29 @@
     }
 
     @Test
-    void aTransactionIsRefusedOrFails() {
-        http.answer(409, "{\"failed\":[\"leader\",\"term\"]}");
+    void transactionErrorsMapToOutcomes() {
+        http.setResponse(409, "{\"failed\":[\"leader\",\"term\"]}");
         state.commit(
                 transaction(),
                 Priority.LEASE_RENEWAL,
                 expect(new TransactionResult(
                         TransactionResult.Outcome.CONFLICT, 0, ImmutableList.of("leader", "term"))));
-        http.answer(400, "{\"error\":\"no such lease\"}");
+        http.setResponse(400, "{\"error\":\"no such lease\"}");
         state.commit(
                 transaction(),
                 Priority.LEASE_RENEWAL,
                 expect(TransactionResult.of(TransactionResult.Outcome.LEASE_NOT_FOUND)));
-        http.answer(400, "{\"error\":\"too large\"}");
+        http.setResponse(400, "{\"error\":\"too large\"}");
         state.commit(
                 transaction(),
                 Priority.LEASE_RENEWAL,
                 expect(TransactionResult.of(TransactionResult.Outcome.MALFORMED)));
-        http.answer(429, "{}");
+        http.setResponse(429, "{}");
         state.commit(
                 transaction(),
                 Priority.LEASE_RENEWAL,
                 expect(TransactionResult.of(TransactionResult.Outcome.NOT_EXECUTED)));
-        http.answer(500, "{}");
+        http.setResponse(500, "{}");
         state.commit(
                 transaction(), Priority.LEASE_RENEWAL, expect(TransactionResult.of(TransactionResult.Outcome.UNKNOWN)));
         loop.advance(1);
@@ -198,22 +201,22 @@
     }
 
     @Test
-    void aLeaseIsTakenRenewedAndEnded() {
-        http.answer(200, "{\"permit\":77}");
+    void leaseIsCreatedRenewedAndRevoked() {
+        http.setResponse(200, "{\"permit\":77}");
         state.createLease(11_000, expect(StateResult.ok(77L)));
         assertRequest("POST /grants {\"ttlMs\":11000}");
         state.renewLease(77, 1000, expect(StateResult.ok(loop.nanos())));
         state.revokeLease(77);
         loop.advance(1);
         assertEquals(List.of("POST /grants/77/renew", "DELETE /grants/77"), http.requests.subList(1, 3));
-        http.answer(404, "{}");
+        http.setResponse(404, "{}");
         state.renewLease(77, 1000, expect(StateResult.failed(StateResult.Outcome.NOT_FOUND)));
         loop.advance(1);
     }
 
     @Test
-    void changesAreFollowed() {
-        http.answer(
+    void watchedChangesAreRead() {
+        http.setResponse(
                 200,
                 "{\"log\":[{\"set\":\"open/j-1\",\"v\":{\"a\":1},\"stamp\":6},{\"drop\":\"open/j-2\",\"stamp\":7}],"
                         + "\"ring\":8}");
@@ -221,14 +224,14 @@
                 new Change.Put("open/j-1", Json.object().put("a", 1), 6), new Change.Delete("open/j-2", 7));
         state.watch("open/", 5, 2.5, expect(StateResult.ok(new Changes(changes, 8))));
         assertRequest("GET /follow?starts=open/&from=5&blockMs=2500");
-        http.answer(410, "{}");
+        http.setResponse(410, "{}");
         state.watch("open/", 5, 2.5, expect(StateResult.failed(StateResult.Outcome.REVISION_COMPACTED)));
         loop.advance(1);
     }
 
     @Test
     void machineTypesAreRead() {
-        http.answer(
+        http.setResponse(
                 200,
                 "{\"builds\":[{\"name\":\"t4\",\"cpus\":4,\"accelerators\":1,\"memGb\":16,\"fetchGbPerS\":0.5,"
                         + "\"rate\":0.2,\"lowPrice\":0.06,\"startupS\":20,\"groves\":[\"a\",\"b\"]}]}");
@@ -240,8 +243,8 @@
     }
 
     @Test
-    void machinesAreRentedAndDeleted() {
-        http.answer(200, "{\"hosts\":[\"i-1\",\"i-2\"]}");
+    void machinesAreLaunchedAndDeleted() {
+        http.setResponse(200, "{\"hosts\":[\"i-1\",\"i-2\"]}");
         cloud.launch(
                 "3-1",
                 "t4",
@@ -251,13 +254,13 @@
                 expect(new LaunchResult(LaunchResult.Kind.LAUNCHED, ImmutableList.of("i-1", "i-2"))));
         assertRequest(
                 "POST /hosts {\"claim\":\"3-1\",\"build\":\"t4\",\"grove\":\"a\",\"windfall\":true,\"howMany\":2}");
-        http.answer(503, "{\"error\":\"no capacity\"}");
+        http.setResponse(503, "{\"error\":\"no capacity\"}");
         cloud.launch(
                 "3-2", "t4", "a", true, 2, expect(new LaunchResult(LaunchResult.Kind.NO_CAPACITY, ImmutableList.of())));
-        http.answer(503, "{\"error\":\"busy\"}");
+        http.setResponse(503, "{\"error\":\"busy\"}");
         cloud.launch(
                 "3-3", "t4", "a", true, 2, expect(new LaunchResult(LaunchResult.Kind.REFUSED, ImmutableList.of())));
-        http.answer(200, "{}");
+        http.setResponse(200, "{}");
         cloud.delete(List.of("i-1", "i-2"), expect(true));
         loop.advance(1);
         assertEquals("POST /hosts/delete {\"hosts\":[\"i-1\",\"i-2\"]}", http.requests.get(3));
@@ -265,7 +268,7 @@
 
     @Test
     void machinesAreListed() {
-        http.answer(
+        http.setResponse(
                 200,
                 "{\"hosts\":[{\"nameId\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
                         + "\"windfall\":true,\"stage\":\"booting\",\"heldS\":3.5}],\"truncated\":false}");
@@ -275,11 +278,11 @@
     }
 
     @Test
-    void machinesListedInPagesAreReadInEachStage() {
+    void pagedMachineListingReadsEveryStage() {
         String host = "{\"nameId\":\"%s\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
                 + "\"windfall\":false,\"stage\":\"%s\",\"heldS\":3.5}";
-        http.answer(200, "{\"hosts\":[" + String.format(host, "i-1", "booting") + "],\"truncated\":true}");
-        http.thenAnswer("{\"hosts\":[" + String.format(host, "i-2", "running") + ","
+        http.setResponse(200, "{\"hosts\":[" + String.format(host, "i-1", "booting") + "],\"truncated\":true}");
+        http.enqueueBody("{\"hosts\":[" + String.format(host, "i-2", "running") + ","
                 + String.format(host, "i-3", "failed") + "],\"truncated\":false}");
         List<Optional<ImmutableList<CloudMachine>>> results = new ArrayList<>();
         cloud.machines(results::add);
@@ -293,8 +296,8 @@
         assertEquals(List.of("GET /hosts?limit=500", "GET /hosts?from=i-1&limit=500"), http.requests);
     }
 
-    private CommandResult reply(int status, String body, boolean sent) {
-        http.answer(status, body);
+    private CommandResult sendCommand(int status, String body, boolean sent) {
+        http.setResponse(status, body);
         http.sent = sent;
         List<CommandResult> results = new ArrayList<>();
         List<WorkerCommand> commands = List.of(WorkerCommand.start(new TaskId("j-1", 3), 8));
@@ -304,7 +307,7 @@
     }
 
     @Test
-    void commandReplyIsReadWithEachReason() {
+    void commandResponseIsReadWithEachExitCause() {
         String body = "{\"host\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
                 + "\"windfall\":true,\"watch\":2,\"tally\":5,\"warrant\":9,\"warningS\":null,\"parts\":["
                 + Stream.of("done", "stopped", "error", "no_room", "in_use", "unknown")
@@ -329,21 +332,21 @@
                                 ExitCause.UNKNOWN)
                         .map(cause -> new TaskStatus(new TaskId("j-1", 3), 8, TaskState.EXITED, cause))
                         .collect(ImmutableList.toImmutableList()));
-        assertEquals(new CommandResult(CommandResult.Kind.EXECUTED, Optional.of(status)), reply(200, body, true));
-        assertEquals(new CommandResult(CommandResult.Kind.REFUSED, Optional.of(status)), reply(409, body, true));
+        assertEquals(new CommandResult(CommandResult.Kind.EXECUTED, Optional.of(status)), sendCommand(200, body, true));
+        assertEquals(new CommandResult(CommandResult.Kind.REFUSED, Optional.of(status)), sendCommand(409, body, true));
     }
 
     @Test
-    void commandReplyWithoutStatusIsReadByItsCode() {
-        assertEquals(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty()), reply(400, "{}", true));
-        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), reply(200, "{}", true));
-        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), reply(503, "{}", true));
-        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), reply(0, "", true));
-        assertEquals(new CommandResult(CommandResult.Kind.UNSENT, Optional.empty()), reply(0, "", false));
+    void commandResponseWithoutHeartbeatMapsFromHttpStatus() {
+        assertEquals(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty()), sendCommand(400, "{}", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), sendCommand(200, "{}", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), sendCommand(503, "{}", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), sendCommand(0, "", true));
+        assertEquals(new CommandResult(CommandResult.Kind.UNSENT, Optional.empty()), sendCommand(0, "", false));
     }
 
     @Test
-    void commandsAnswerAReport() {
+    void commandsAreEncodedInResponsesAndRequests() {
         TaskId task = new TaskId("j-1", 3);
         List<WorkerCommand> commands =
                 List.of(WorkerCommand.start(task, 8), WorkerCommand.stop(task, 7, 1.5), WorkerCommand.forget(task, 6));
@@ -352,19 +355,19 @@
                 + "{\"verb\":\"forget\",\"part\":\"j-1/3\",\"try\":6}]";
         assertEquals("200 " + expected + "}", text(WorkerCommand.answer(9, commands)));
         WorkerClient workers = new WorkerClient(http, warnings);
-        http.answer(400, "{}");
+        http.setResponse(400, "{}");
         workers.send(
                 SERVICE, 9, 2, commands, 1000, expect(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty())));
         assertRequest("POST /do " + expected + ",\"watch\":2}");
     }
 
     @Test
-    void aWorkerIsSentToTheLeader() {
+    void workerIsRedirectedToLeader() {
         assertEquals("421 {\"steward\":\"ranger-1\"}", text(WorkerCommand.redirectToLeader("ranger-1")));
     }
 
     @Test
-    void aReportHasTheNamesOfTheProtocol() {
+    void workerHeartbeatUsesWireNames() {
         MachineKind kind = new MachineKind("t4", "a", true);
         TaskStatus running = new TaskStatus(new TaskId("j-1", 3), 8, TaskState.RUNNING, ExitCause.NONE);
         TaskStatus exited = new TaskStatus(new TaskId("j-1", 4), 7, TaskState.EXITED, ExitCause.NO_ROOM);
@@ -379,7 +382,7 @@
     }
 
     @Test
-    void aRefusalSaysWhyAndWhenToComeBack() {
+    void unavailableResponseHasErrorAndRetryTime() {
         Response response = Response.unavailable(2, "too busy");
         assertEquals("503 {\"error\":\"too busy\"}", text(response));
         assertEquals(2, response.retryAfterS());
