--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -78,9 +78,9 @@
         return types;
     }
 
-    /** Replaces the machine types with those of the given catalogue. */
-    public void updateTypes(ImmutableMap<String, MachineType> catalogue) {
-        types = catalogue;
+    /** Replaces the machine types. */
+    public void updateTypes(ImmutableMap<String, MachineType> typesByName) {
+        types = typesByName;
     }
 
     /** The type of a machine; empty if the type is unknown. */
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -58,11 +58,11 @@
     }
 
     /**
-     * Records that the job was cancelled at {@code earliest} or later and that this leader learned of it at
+     * Records that the job was cancelled at {@code earliestCancelledAt} or later and that this leader learned of it at
      * {@code now}.
      */
-    public void cancel(long earliest, long now) {
-        cancelledAt = Math.min(earliest, now);
+    public void cancel(long earliestCancelledAt, long now) {
+        cancelledAt = Math.min(earliestCancelledAt, now);
         cancellationLearnedAt = now;
     }
 
@@ -130,9 +130,11 @@
         return isCancelled() ? 0 : spec.tasks() - doneOrBound.cardinality();
     }
 
-    /** The index of the first task, starting at {@code from}, that is neither done nor bound; -1 if there is none. */
-    public int nextWaiting(int from) {
-        int next = doneOrBound.nextClearBit(from);
+    /**
+     * The index of the first task, starting at {@code fromIndex}, that is neither done nor bound; -1 if there is none.
+     */
+    public int nextWaiting(int fromIndex) {
+        int next = doneOrBound.nextClearBit(fromIndex);
         return next < spec.tasks() ? next : -1;
     }
 
--- a/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
+++ b/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
@@ -83,7 +83,8 @@
     }
 
     /**
-     * Redirects the worker if another node is known to be the leader; otherwise rejects the heartbeat for this reason.
+     * Redirects the worker if another node is known to be the leader; otherwise rejects the heartbeat. Counts the
+     * outcome: REDIRECTED, or {@code reason}.
      */
     private Response redirectOrRefuse(HeartbeatOutcome reason) {
         Optional<Response> redirect =
--- a/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -38,7 +38,7 @@
 
     /** The heartbeat with the current state; its term is 0 while this node is not the leader. */
     PeerHeartbeat next() {
-        Optional<Leader> leader = currentLeader.get().filter(any -> election.isLeader());
+        Optional<Leader> leader = currentLeader.get().filter(current -> election.isLeader());
         return new PeerHeartbeat(
                 hostName,
                 stateHealth.hasServedAndIsReachable(),
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -90,7 +90,7 @@
         for (int i = 0; i < 2; i++) {
             cluster.bind(new Binding(job, i, (9L << 24) + i, machine, Binding.Stage.COMMITTED, 0));
         }
-        return BindingsRecord.write("w9.1", List.of(machine), b -> true);
+        return BindingsRecord.write("w9.1", List.of(machine), binding -> true);
     }
 
     private static ObjectNode finishedTasksPage(FeatureLevel level) {
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -296,9 +296,9 @@
         assertEquals(List.of("GET /hosts?limit=500", "GET /hosts?from=i-1&limit=500"), http.requests);
     }
 
-    private CommandResult sendCommand(int status, String body, boolean sent) {
+    private CommandResult sendCommand(int status, String body, boolean isSent) {
         http.setResponse(status, body);
-        http.sent = sent;
+        http.sent = isSent;
         List<CommandResult> results = new ArrayList<>();
         List<WorkerCommand> commands = List.of(WorkerCommand.start(new TaskId("j-1", 3), 8));
         new WorkerClient(http, warnings).send(SERVICE, 9, 2, commands, 1000, results::add);
