--- a/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
+++ b/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
@@ -9,24 +9,27 @@
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.schedule.Plan;
 
-/** Carries out a plan: binds what is placed, and stops what is preempted or evicted. */
+/** Executes a plan: binds the placed tasks, and stops the tasks to preempt or evict. */
 final class PlanExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(PlanExecutor.class);
 
     private final Cluster cluster;
     private final RecordWriter recordWriter;
     private final AttemptNumbers attemptNumbers;
-    private final Consumer<Machine> commandsDue;
+    private final Consumer<Machine> onCommandsDue;
 
     PlanExecutor(
-            Cluster cluster, RecordWriter recordWriter, AttemptNumbers attemptNumbers, Consumer<Machine> commandsDue) {
+            Cluster cluster,
+            RecordWriter recordWriter,
+            AttemptNumbers attemptNumbers,
+            Consumer<Machine> onCommandsDue) {
         this.cluster = cluster;
         this.recordWriter = recordWriter;
         this.attemptNumbers = attemptNumbers;
-        this.commandsDue = commandsDue;
+        this.onCommandsDue = onCommandsDue;
     }
 
-    /** Carries out a plan that was made at {@code now}, on the steady clock in nanoseconds. */
+    /** Executes a plan that was made at {@code now}, on the monotonic clock in nanoseconds. */
     void execute(Plan plan, long now) {
         for (Plan.Placement placement : plan.placements()) {
             bind(placement, now);
@@ -42,7 +45,7 @@
     private void bind(Plan.Placement placement, long now) {
         Binding binding = new Binding(
                 placement.job(),
-                placement.index(),
+                placement.taskIndex(),
                 attemptNumbers.next(),
                 placement.machine(),
                 Binding.Stage.PROPOSED,
@@ -55,14 +58,16 @@
         binding.requestStop(Binding.StopMode.CHECKPOINT);
         binding.machine().recordPreemption(now);
         logStop(binding, "preempted");
-        commandsDue.accept(binding.machine());
+        onCommandsDue.accept(binding.machine());
     }
 
-    /** Gracefully evicts a replica from a machine that is about to be reclaimed, as another has room for it. */
+    /**
+     * Gracefully evicts a replica from a machine that is about to be reclaimed; the plan reserved room on another one.
+     */
     private void evict(Binding binding) {
         binding.requestStop(Binding.StopMode.CHECKPOINT);
         logStop(binding, "reclaim-notice");
-        commandsDue.accept(binding.machine());
+        onCommandsDue.accept(binding.machine());
     }
 
     private static void logStop(Binding binding, String reason) {
--- a/src/main/java/org/spruceridge/schedule/BinPacking.java
+++ b/src/main/java/org/spruceridge/schedule/BinPacking.java
@@ -1,9 +1,8 @@
 package org.spruceridge.schedule;
 
 /**
- * Not of the paper: how full a machine is. Ties alone do not keep small tasks together once scores differ between
- * machines, and
- * tasks that take a whole machine then find none.
+ * The bin packing term, an addition to the paper: fuller machines score higher. Once scores differ between machines,
+ * tie-breaking alone does not keep small tasks together, and tasks that need a whole machine then find none.
  */
 public final class BinPacking implements Heuristic {
     @Override
--- a/src/main/java/org/spruceridge/schedule/Candidate.java
+++ b/src/main/java/org/spruceridge/schedule/Candidate.java
@@ -6,16 +6,20 @@
 /**
  * One row of the matrix: a running task, or all waiting tasks of one job, which have the same scores.
  *
- * @param elapsedS what the task has run on its machine, 0 while waiting
- * @param ageS since the job was submitted; of a service that had all its replicas, since one of them has been missing
- * @param slackS until the job's deadline, infinite without one
+ * @param elapsedS the run time of the task on its machine, in seconds; 0 while it waits
+ * @param ageS seconds since the job was submitted; for a service that was complete before, seconds since it has lacked
+ *     a replica
+ * @param slackS seconds until the job's deadline; infinite if it has none
  */
 public record Candidate(Job job, double elapsedS, double ageS, double slackS) {
-    /** The waiting tasks of a job, at a moment of the monotonic clock and a time of day in milliseconds. */
+    /**
+     * The waiting tasks of a job; {@code now} is on the monotonic clock in nanoseconds, {@code wallMs} the time of day.
+     */
     static Candidate waiting(Job job, long now, long wallMs) {
-        boolean missing = job.spec().isService() && job.isIncompleteAgain();
-        double ageS =
-                missing ? Durations.secondsSince(job.incompleteSince(), now) : (wallMs - job.submittedMs()) / 1000.0;
+        boolean isReplicaMissing = job.spec().isService() && job.isIncompleteAgain();
+        double ageS = isReplicaMissing
+                ? Durations.secondsSince(job.incompleteSince(), now)
+                : (wallMs - job.submittedMs()) / 1000.0;
         return new Candidate(job, 0, ageS, (job.deadlineMs() - wallMs) / 1000.0);
     }
 }
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -16,8 +16,9 @@
 import org.spruceridge.net.Durations;
 
 /**
- * The working copy of one scheduling cycle: free capacity of the machines, used quotas, and zones and machines that jobs
- * occupy, all counted over bindings, together with what the cycle has placed so far. The cluster itself is only read.
+ * The working copy of one scheduling cycle: the free capacity of machines, the quota usage of teams, and the zones and
+ * machines that each job occupies. All of it counts existing bindings and the placements that the cycle has made so
+ * far. The cluster itself is only read.
  */
 final class CycleState {
     /** A machine whose last heartbeat is older than this many heartbeat intervals gets no work. */
@@ -30,10 +31,13 @@
     private final List<MachineKind> kinds = new ArrayList<>();
     private final List<MachineCapacity> machines = new ArrayList<>();
     private final TeamQuotas quotas;
-    private final ZoneConstraints zones = new ZoneConstraints();
+    private final ZoneConstraints zoneConstraints = new ZoneConstraints();
     private final Map<Job, Map<Machine, Integer>> replicas = new HashMap<>();
 
-    /** {@code maxBindingsPerMachine} is what the record of one machine can hold. */
+    /**
+     * {@code maxBindingsPerMachine} is the number of bindings that the record of one machine can hold; {@code now} is
+     * on the monotonic clock, in nanoseconds.
+     */
     CycleState(Cluster cluster, Settings settings, int maxBindingsPerMachine, long now) {
         this.cluster = cluster;
         this.settings = settings;
@@ -64,7 +68,7 @@
                         < MAX_HEARTBEAT_AGE_INTERVALS * settings.workers().heartbeatIntervalS();
     }
 
-    /** All machines that may get work, in the cluster's order. */
+    /** All schedulable machines, in the cluster's order. */
     List<MachineCapacity> machines() {
         return machines;
     }
@@ -73,12 +77,12 @@
         return quotas;
     }
 
-    /** The moment of the cycle on the monotonic clock, in nanoseconds. */
+    /** The start of the cycle on the monotonic clock, in nanoseconds. */
     long now() {
         return now;
     }
 
-    /** The waiting jobs that may be placed now, in the cluster's order. */
+    /** The jobs with waiting tasks whose retry backoff has passed, in the cluster's order. */
     Map<Job, WaitingJob> waitingJobs(long wallMs) {
         Map<Job, WaitingJob> waiting = new LinkedHashMap<>();
         for (Job job : cluster.jobs()) {
@@ -99,7 +103,7 @@
         return allowed;
     }
 
-    /** The schedulable machines, grouped by what their scores depend on. */
+    /** The schedulable machines, grouped by the properties that their scores depend on. */
     Map<MachineGroup, GroupCapacity> groups() {
         double[] prices = new double[kinds.size()];
         double highestPrice = 0;
@@ -112,23 +116,22 @@
         Map<MachineGroup, GroupCapacity> groups = new LinkedHashMap<>();
         for (MachineCapacity capacity : machines) {
             int kindIndex = capacity.kindIndex();
-            double priceShare = highestPrice > 0 ? prices[kindIndex] / highestPrice : 1;
-            MachineGroup group = new MachineGroup(kinds.get(kindIndex), priceShare, capacity.fullness());
+            double relativePrice = highestPrice > 0 ? prices[kindIndex] / highestPrice : 1;
+            MachineGroup group = new MachineGroup(kinds.get(kindIndex), relativePrice, capacity.fullness());
             groups.computeIfAbsent(group, g -> new GroupCapacity(kindIndex)).add(capacity);
         }
         return groups;
     }
 
     /**
-     * The Minimal requirements heuristic: true if nothing but a lack of free capacity keeps the job's tasks off the
-     * machine.
+     * The Minimal requirements heuristic: true if the job's tasks may run on the machine whenever it has enough room.
      */
     boolean isEligible(WaitingJob waiting, MachineCapacity capacity) {
         return canRunOn(waiting, capacity)
-                && zones.allows(waiting.job(), capacity.machine().zone());
+                && zoneConstraints.allows(waiting.job(), capacity.machine().zone());
     }
 
-    /** How many replicas of a service are on a machine. */
+    /** The number of replicas of a service on a machine. */
     int replicasOn(Machine machine, Job service) {
         return replicas(service).getOrDefault(machine, 0);
     }
@@ -143,7 +146,7 @@
         return counts;
     }
 
-    /** Replicas of services on machines that the cloud is about to reclaim. */
+    /** Running service replicas on machines that the cloud is about to reclaim. */
     List<Binding> replicasToEvict() {
         List<Binding> evicted = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
@@ -163,8 +166,8 @@
     }
 
     /**
-     * Reserves capacity on another machine for a replica that is to be evicted; false if there is none. The quota of its
-     * team and its zone count it already.
+     * Reserves capacity on another machine for a replica that is to be evicted. Returns false if no machine has room.
+     * The replica already counts towards its team's quota and its zone.
      */
     boolean reserveReplacement(Binding evicted) {
         Job job = evicted.job();
@@ -172,9 +175,9 @@
         String zone = evicted.machine().zone();
         for (MachineCapacity capacity : machines) {
             boolean isZonePermitted = capacity.machine().zone().equals(zone)
-                    || zones.allows(job, capacity.machine().zone());
+                    || zoneConstraints.allows(job, capacity.machine().zone());
             if (isZonePermitted && capacity.fits(job.spec().task()) && canRunOn(replica, capacity)) {
-                capacity.takeReplica(job.spec().task());
+                capacity.allocateReplica(job.spec().task());
                 return true;
             }
         }
@@ -191,14 +194,14 @@
     void place(Job job, MachineCapacity capacity) {
         JobSpec spec = job.spec();
         if (spec.isService()) {
-            capacity.takeReplica(spec.task());
+            capacity.allocateReplica(spec.task());
         } else {
-            capacity.take(spec.task());
+            capacity.allocate(spec.task());
         }
         quotas.add(spec);
         if (spec.isService()) {
             replicas(job).merge(capacity.machine(), 1, Integer::sum);
         }
-        zones.add(job, capacity.machine().zone());
+        zoneConstraints.add(job, capacity.machine().zone());
     }
 }
--- a/src/main/java/org/spruceridge/schedule/Deadline.java
+++ b/src/main/java/org/spruceridge/schedule/Deadline.java
@@ -2,7 +2,10 @@
 
 /** The Deadline term, equations 4 to 7. */
 public final class Deadline implements Heuristic {
-    /** Equations 4 and 5: 0 with more than one spare run time left, 1 once the deadline cannot be met. */
+    /**
+     * Equations 4 and 5, with both times in seconds: 0 while the slack is at least twice the remaining run time, and 1
+     * once the slack is no longer than the remaining run time. With less slack the deadline cannot be met.
+     */
     public static double urgency(double slackS, double remainingS) {
         double latestStartS = slackS - remainingS;
         if (remainingS <= latestStartS) {
--- a/src/main/java/org/spruceridge/schedule/Estimates.java
+++ b/src/main/java/org/spruceridge/schedule/Estimates.java
@@ -1,14 +1,20 @@
 package org.spruceridge.schedule;
 
-/** Remaining times: the owner's estimate less the time run, with a floor. */
-public record Estimates(double floorS) {
-    /** The remaining time of a candidate, in seconds; the same on every machine, as nobody rates their speed. */
+/**
+ * Estimates remaining run times: the job owner's estimate minus the elapsed run time, with a lower bound.
+ *
+ * @param minRemainingTimeS the lower bound, in seconds
+ */
+public record Estimates(double minRemainingTimeS) {
+    /**
+     * The remaining time of a candidate, in seconds. It is the same on every machine, as machines have no speed rating.
+     */
     public double remainingS(Candidate candidate) {
         return remainingS(candidate.job().spec().estimateS(), candidate.elapsedS());
     }
 
-    /** The remaining time of a task, from its owner's estimate and the time that it has run, all in seconds. */
+    /** The remaining time of a task, given its owner's estimate and its elapsed run time, all in seconds. */
     public double remainingS(double estimateS, double elapsedS) {
-        return Math.max(floorS, estimateS - elapsedS);
+        return Math.max(minRemainingTimeS, estimateS - elapsedS);
     }
 }
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -7,9 +7,9 @@
 /** The machines of one group that still have room for some waiting task in this cycle. */
 final class GroupCapacity {
     private final int kindIndex;
-    private final List<MachineCapacity> open = new ArrayList<>();
+    private final List<MachineCapacity> machinesWithRoom = new ArrayList<>();
 
-    /** {@code kindIndex} numbers the machines' kind within the cycle. */
+    /** {@code kindIndex} is the index of the machines' kind within the cycle. */
     GroupCapacity(int kindIndex) {
         this.kindIndex = kindIndex;
     }
@@ -19,16 +19,16 @@
     }
 
     void add(MachineCapacity capacity) {
-        open.add(capacity);
+        machinesWithRoom.add(capacity);
     }
 
-    /** Leaves out the machines that not even a task of this size fits on; within a cycle they stay full. */
+    /** Drops machines without room for even the smallest task; free capacity only shrinks within a cycle. */
     void dropFull(Resources smallestTask) {
-        open.removeIf(capacity -> !capacity.fits(smallestTask));
+        machinesWithRoom.removeIf(capacity -> !capacity.fits(smallestTask));
     }
 
     boolean hasRoomFor(Resources task) {
-        for (MachineCapacity capacity : open) {
+        for (MachineCapacity capacity : machinesWithRoom) {
             if (capacity.fits(task)) {
                 return true;
             }
@@ -37,29 +37,29 @@
     }
 
     /**
-     * The machine that carries most replicas of any service among those that can take one more of this service and have
-     * fewer than {@code max} of it, or null: Optional would allocate on the hot path.
+     * The machine with the most replicas of any service, among those that have room for another replica of this service
+     * and run fewer than {@code maxReplicas} of it. Null if there is none: Optional would allocate on the hot path.
      */
-    MachineCapacity mostReplicasFor(WaitingJob service, CycleState state, int max) {
+    MachineCapacity mostReplicatedMachineFor(WaitingJob service, CycleState state, int maxReplicas) {
         Resources task = service.job().spec().task();
         MachineCapacity best = null;
-        for (MachineCapacity capacity : open) {
+        for (MachineCapacity capacity : machinesWithRoom) {
             boolean isBetter = best == null || capacity.replicas() > best.replicas();
             if (isBetter
                     && capacity.fits(task)
                     && state.isEligible(service, capacity)
-                    && state.replicasOn(capacity.machine(), service.job()) < max) {
+                    && state.replicasOn(capacity.machine(), service.job()) < maxReplicas) {
                 best = capacity;
             }
         }
         return best;
     }
 
-    /** The fullest machine that can take a task of the job now, or null: Optional would allocate on the hot path. */
-    MachineCapacity fullestFor(WaitingJob waiting, CycleState state) {
+    /** The fullest machine with room for a task of the job, or null: Optional would allocate on the hot path. */
+    MachineCapacity fullestMachineFor(WaitingJob waiting, CycleState state) {
         Resources task = waiting.job().spec().task();
         MachineCapacity best = null;
-        for (MachineCapacity capacity : open) {
+        for (MachineCapacity capacity : machinesWithRoom) {
             boolean isFuller =
                     best == null || capacity.free().cpus() < best.free().cpus();
             if (isFuller && capacity.fits(task) && state.isEligible(waiting, capacity)) {
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -11,7 +11,7 @@
 
 /** The free capacity of one machine in the working copy of a scheduling cycle. */
 final class MachineCapacity {
-    /** Sums of decimal amounts may be off in the last places. */
+    /** Sums of decimal fractions have floating-point errors in their last digits. */
     private static final double ROUNDING_STEP = 1e-6;
 
     private final Machine machine;
@@ -20,13 +20,13 @@
     private Resources free;
     private int bindingCount;
     private int replicas;
-    private boolean reserved;
+    private boolean isReserved;
     private List<ExpectedRelease> releases;
 
-    /** A running task: when it is expected to end, and what it will free. */
-    private record ExpectedRelease(double inS, Resources resources) {}
+    /** The resources that a running task is expected to free after a delay in seconds. */
+    private record ExpectedRelease(double delayS, Resources resources) {}
 
-    /** {@code kindIndex} numbers the machine's kind within the cycle. */
+    /** {@code kindIndex} is the index of the machine's kind within the cycle. */
     MachineCapacity(Machine machine, MachineType type, int kindIndex) {
         this.machine = machine;
         this.type = type;
@@ -52,12 +52,14 @@
         return bindingCount;
     }
 
-    /** The share of the machine's CPUs that is taken, without rounding errors. */
+    /** The share of the machine's CPUs that is in use, rounded so that equally full machines compare as equal. */
     double fullness() {
         return Math.rint((1 - free.cpus() / type.capacity().cpus()) / ROUNDING_STEP) * ROUNDING_STEP;
     }
 
-    /** True unless tasks of this job failed on the machine and the machine is to blame. */
+    /**
+     * False if a task of the job failed on this machine, unless the job fails on many machines and is itself at fault.
+     */
     boolean accepts(Job job) {
         return job.failedMachines().isEmpty()
                 || job.failsOnManyMachines()
@@ -68,32 +70,34 @@
         return task.fitsIn(free);
     }
 
-    /** How many replicas of services are on the machine. */
+    /** The number of service replicas on the machine. */
     int replicas() {
         return replicas;
     }
 
-    void takeReplica(Resources task) {
-        take(task);
+    void allocateReplica(Resources task) {
+        allocate(task);
         replicas++;
     }
 
-    void take(Resources task) {
+    void allocate(Resources task) {
         free = free.minus(task);
         bindingCount++;
     }
 
-    boolean reserved() {
-        return reserved;
+    boolean isReserved() {
+        return isReserved;
     }
 
-    /** Withholds what is free, up to the size of one task, from the candidates that follow in this cycle. */
+    /** Reserves the free capacity, up to the size of one task, so that later candidates of this cycle cannot use it. */
     void reserve(Resources task) {
-        reserved = true;
+        isReserved = true;
         free = free.minus(free.min(task));
     }
 
-    /** Seconds until the tasks on the machine will have left enough for this task; infinite if they never will. */
+    /**
+     * The expected time until exiting tasks free enough capacity for this task, in seconds; infinite if they never do.
+     */
     double secondsUntilFit(Resources task, Estimates estimates, long now) {
         if (releases == null) {
             releases = releases(estimates, now);
@@ -101,12 +105,12 @@
         double cpus = free.cpus();
         double gpus = free.gpus();
         double memGb = free.memGb();
-        for (ExpectedRelease next : releases) {
-            cpus += next.resources.cpus();
-            gpus += next.resources.gpus();
-            memGb += next.resources.memGb();
+        for (ExpectedRelease release : releases) {
+            cpus += release.resources.cpus();
+            gpus += release.resources.gpus();
+            memGb += release.resources.memGb();
             if (task.fitsIn(cpus, gpus, memGb)) {
-                return next.inS;
+                return release.delayS;
             }
         }
         return Double.POSITIVE_INFINITY;
@@ -122,7 +126,7 @@
                         new ExpectedRelease(remainingS, binding.job().spec().task()));
             }
         }
-        expectedReleases.sort(Comparator.comparingDouble(ExpectedRelease::inS));
+        expectedReleases.sort(Comparator.comparingDouble(ExpectedRelease::delayS));
         return expectedReleases;
     }
 }
--- a/src/main/java/org/spruceridge/schedule/MachinePrice.java
+++ b/src/main/java/org/spruceridge/schedule/MachinePrice.java
@@ -1,10 +1,13 @@
 package org.spruceridge.schedule;
 
-/** Not of the paper: the price of a machine, so that expensive machines become idle first and can be scaled in. */
+/**
+ * The machine price term, an addition to the paper: cheap machines score higher, so that expensive machines become idle
+ * first and can be scaled in.
+ */
 public final class MachinePrice implements Heuristic {
     @Override
     public double value(Row row, MachineGroup group, double remainingS) {
-        return 1 - group.price();
+        return 1 - group.relativePrice();
     }
 
     @Override
--- a/src/main/java/org/spruceridge/schedule/Matching.java
+++ b/src/main/java/org/spruceridge/schedule/Matching.java
@@ -5,9 +5,9 @@
 import org.spruceridge.config.Settings;
 
 /**
- * The Matching phase of the paper: walks the matrix from the highest score down and binds what still fits, ties going to
- * the fuller machine. Capacity, team limits, zones and machine kinds are counted over bindings. It reads the cluster and
- * changes nothing.
+ * The Matching phase of the paper: processes the matrix in descending order of score and places the tasks that still
+ * fit; equal scores go to the fuller machine. Placements respect machine capacity, team quotas, zone constraints and
+ * machine kinds, given the existing bindings. The cluster is only read.
  */
 public final class Matching {
     private final Settings settings;
@@ -16,7 +16,7 @@
     private final PriorityMatrix matrix;
     private final int maxBindingsPerMachine;
 
-    /** {@code maxBindingsPerMachine} is what the record of one machine can hold. */
+    /** {@code maxBindingsPerMachine} is the number of bindings that the record of one machine can hold. */
     public Matching(Settings settings, Policy policy, int maxBindingsPerMachine) {
         this.settings = settings;
         this.policy = policy;
@@ -26,7 +26,10 @@
                 policy.weights(), estimates, policy.scheduling().targetStartDelayS());
     }
 
-    /** Plans one scheduling cycle, {@code now} is on the monotonic clock in nanoseconds, {@code wallMs} the time of day. */
+    /**
+     * Plans one scheduling cycle. {@code now} is on the monotonic clock, in nanoseconds; {@code wallMs} is the time of
+     * day, in milliseconds.
+     */
     public Plan plan(Cluster cluster, long now, long wallMs) {
         CycleState state = new CycleState(cluster, settings, maxBindingsPerMachine, now);
         return new SchedulingCycle(state, matrix, estimates, policy, wallMs).run();
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -9,10 +9,11 @@
 /**
  * The decisions of one scheduling cycle.
  *
- * @param preemptions tasks to preempt for waiting ones of a higher priority
- * @param evictions replicas to evict from machines about to be reclaimed, with room reserved for them elsewhere
- * @param unplaced number of tasks of each job for which only capacity was lacking, the most urgent job first
- * @param machineGroups the number of machine groups, the columns of the matrix, which decides what a cycle costs
+ * @param preemptions tasks to preempt for waiting tasks of a higher priority
+ * @param evictions replicas to evict from machines about to be reclaimed; room for them is reserved on other machines
+ * @param unplaced the number of tasks per job that could not be placed only for lack of capacity, in the cluster's
+ *     order
+ * @param machineGroups the number of machine groups, the columns of the matrix, which determines the cost of a cycle
  */
 public record Plan(
         ImmutableList<Placement> placements,
@@ -21,6 +22,6 @@
         ImmutableMap<Job, Integer> unplaced,
         int machineGroups) {
 
-    /** A waiting task, by its index in the job, to bind to a machine. */
-    public record Placement(Job job, int index, Machine machine) {}
+    /** A waiting task, identified by its index in the job, and the machine to bind it to. */
+    public record Placement(Job job, int taskIndex, Machine machine) {}
 }
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -12,7 +12,10 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.schedule.PreemptionTarget.Victim;
 
-/** Chooses running tasks to preempt for waiting ones of a higher priority that would otherwise miss their deadline. */
+/**
+ * Selects running tasks to preempt for waiting tasks of a higher priority that would otherwise miss their deadline, and
+ * for missing replicas of services.
+ */
 final class Preemption {
     private final CycleState state;
     private final double minIntervalPerMachineS;
@@ -21,13 +24,13 @@
     private Resources smallestTask = Resources.NONE;
     private JobPriority highestPriority = JobPriority.LOW;
 
-    /** {@code minIntervalPerMachineS} is the least time between two preemptions on one machine. */
+    /** {@code minIntervalPerMachineS} is the minimum time between two preemptions on one machine, in seconds. */
     Preemption(CycleState state, double minIntervalPerMachineS) {
         this.state = state;
         this.minIntervalPerMachineS = minIntervalPerMachineS;
     }
 
-    /** The tasks to preempt for these jobs, which are sorted by urgency, the most urgent first. */
+    /** Returns the tasks to preempt for these jobs, which are given in descending order of score. */
     List<Binding> planFor(Collection<WaitingJob> urgentJobs) {
         if (!urgentJobs.isEmpty()) {
             findTargets(urgentJobs);
@@ -36,7 +39,9 @@
         return preempted;
     }
 
-    /** Keeps only machines that can be of use to one of the jobs, so that each job is tried on few. */
+    /**
+     * Collects only machines that could host a task of one of the jobs, to limit the number of targets tried per job.
+     */
     private void findTargets(Collection<WaitingJob> urgentJobs) {
         smallestTask = Resources.minOf(
                 urgentJobs.stream().map(waiting -> waiting.job().spec().task()));
@@ -59,7 +64,7 @@
 
     private void preemptFor(WaitingJob waiting) {
         JobSpec spec = waiting.job().spec();
-        int wanted = Math.min(waiting.remaining(), state.quotas().admits(spec));
+        int wanted = Math.min(waiting.remainingTasks(), state.quotas().admissibleTasks(spec));
         List<Victim> victims = new ArrayList<>();
         for (PreemptionTarget target : targets) {
             if (wanted <= 0) {
@@ -78,7 +83,7 @@
         preemptCheapest(victims, wanted, spec);
     }
 
-    /** For a replica, machines that carry other replicas come first: they have to be kept anyway. */
+    /** For a service, machines that already run replicas come first, because they have to be kept in any case. */
     private void preemptCheapest(List<Victim> victims, int wanted, JobSpec spec) {
         Comparator<Victim> order = Comparator.comparingDouble(Victim::lostWorkS);
         if (spec.isService()) {
@@ -87,13 +92,13 @@
                     .thenComparing(order);
         }
         victims.sort(order);
-        int left = wanted;
+        int remaining = wanted;
         for (Victim victim : victims) {
-            if (left <= 0) {
+            if (remaining <= 0) {
                 break;
             }
             preempted.add(victim.binding());
-            left -= victim.target().preempt(victim, spec.task(), left);
+            remaining -= victim.target().preempt(victim, spec.task(), remaining);
         }
         targets.removeIf(target -> !target.canHost(smallestTask, highestPriority));
     }
--- a/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -8,15 +8,15 @@
 import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.Resources;
 
-/** One machine on which tasks may be preempted: its expected free capacity and its possible victims. */
+/** A machine on which tasks may be preempted: its expected free capacity and its possible victims. */
 final class PreemptionTarget {
     private final MachineCapacity capacity;
-    /** The tasks that may be preempted, the one that loses least work first. */
+    /** The tasks that may be preempted, in ascending order of lost work. */
     private final List<Victim> victims;
 
     private Resources expectedFree;
 
-    /** A running task that may be preempted, and the work that this would lose, in seconds. */
+    /** A running task that may be preempted, and the work that its preemption loses, in seconds. */
     record Victim(PreemptionTarget target, Binding binding, double lostWorkS) {}
 
     /** {@code canPreempt} is false while the last preemption on the machine is too recent. */
@@ -26,7 +26,7 @@
         this.victims = canPreempt ? victims(now) : new ArrayList<>();
     }
 
-    /** What is free on the machine, and what tasks that are being stopped or have ended will free. */
+    /** The free capacity of the machine plus the resources of tasks that are being stopped or have ended. */
     private static Resources expectedFree(MachineCapacity capacity) {
         Resources expected = capacity.free();
         for (Binding binding : capacity.machine().bindings()) {
@@ -50,7 +50,9 @@
         return preemptible;
     }
 
-    /** The work lost by a preemption: the time of a checkpoint, or all that the task has run. Services come last. */
+    /**
+     * The work lost by a preemption: the checkpoint duration, or the whole run time so far. Services are last choice.
+     */
     private static double lostWorkS(Binding binding, long now) {
         JobSpec spec = binding.job().spec();
         if (spec.isService()) {
@@ -63,12 +65,12 @@
         return capacity;
     }
 
-    /** True if a task of this size and priority may fit here, with or without a preemption. */
+    /** True if a task of this size and priority might fit on this machine, with or without a preemption. */
     boolean canHost(Resources smallestTask, JobPriority highestPriority) {
         if (smallestTask.fitsIn(expectedFree)) {
             return true;
         }
-        // By index, here and below: an iterator for each machine and job is most of what a cycle would allocate.
+        // Index loops here and below: iterators per machine and job would account for most of a cycle's allocations.
         for (int i = 0; i < victims.size(); i++) {
             if (highestPriority.outranks(victims.get(i).binding.job().spec().priority())) {
                 return true;
@@ -77,7 +79,7 @@
         return false;
     }
 
-    /** Claims expected free capacity for at most {@code wanted} tasks; returns for how many it is enough. */
+    /** Claims expected free capacity for up to {@code wanted} tasks; returns the number of tasks that fit. */
     int claim(Resources task, int wanted) {
         if (!task.fitsIn(expectedFree)) {
             return 0;
@@ -89,7 +91,10 @@
         return count;
     }
 
-    /** The victim that loses least work among those whose preemption makes room for such a task, or null: the hot path. */
+    /**
+     * The victim with the least lost work whose preemption makes room for a task of this job, or null: Optional would
+     * allocate on the hot path.
+     */
     Victim cheapestVictim(JobSpec spec) {
         for (int i = 0; i < victims.size(); i++) {
             JobSpec victimSpec = victims.get(i).binding.job().spec();
@@ -108,8 +113,8 @@
     }
 
     /**
-     * Preempts the victim for at most {@code wanted} tasks of this size; returns for how many it makes room. Nothing else is
-     * preempted here in this cycle.
+     * Preempts the victim for up to {@code wanted} tasks of this size; returns the number of tasks that fit afterwards.
+     * No other task on this machine is preempted in this cycle.
      */
     int preempt(Victim victim, Resources task, int wanted) {
         expectedFree = expectedFree.plus(victim.binding.job().spec().task());
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -8,7 +8,8 @@
 
 /**
  * The Job-Machine matrix: the weighted sum of all terms for each candidate on each machine that can run it. Machines
- * that score alike for every candidate share a group, so that its size follows what differs and not what is there.
+ * that have the same score for every candidate share a group, so the size of the matrix grows with the number of
+ * distinct groups and not with the number of machines.
  */
 public final class PriorityMatrix {
     private final Estimates estimates;
@@ -17,10 +18,10 @@
 
     private record Term(Heuristic heuristic, double weight) {}
 
-    /** One entry of the matrix. */
+    /** One entry of the matrix: the score of a candidate on the machines of a group, and the candidate's urgency. */
     public record Entry(Candidate candidate, MachineGroup group, double score, double urgency) {}
 
-    /** {@code targetStartDelayS} is the time, in seconds, within which each job should have begun. */
+    /** {@code targetStartDelayS} is the time within which each job should start, in seconds after its submission. */
     public PriorityMatrix(Weights weights, Estimates estimates, double targetStartDelayS) {
         this.estimates = estimates;
         ImmutableList<Term> terms = ImmutableList.of(
@@ -29,7 +30,7 @@
                 new Term(new WaitMinimization(), weights.waiting()),
                 new Term(new AntiAging(), weights.aging()),
                 new Term(new StarvationPrevention(targetStartDelayS), weights.starvation()),
-                new Term(new ServiceAvailability(estimates.floorS()), weights.availability()),
+                new Term(new ServiceAvailability(estimates.minRemainingTimeS()), weights.availability()),
                 new Term(new MachinePrice(), weights.spotPreference()),
                 new Term(new BinPacking(), weights.packing()));
         this.jobTerms = select(terms, false);
@@ -43,8 +44,9 @@
     }
 
     /**
-     * The entries of groups that have room for the candidate now and, whether or not there is room, the best entry of
-     * each candidate. {@code eligible} is the Minimal requirements heuristic, a filter before any score.
+     * Returns the entries of all groups that currently have room for the candidate, and the best entry of each
+     * candidate even if its group has no room. {@code eligible} is the Minimal requirements heuristic, which filters
+     * groups before scoring.
      */
     public List<Entry> entries(
             ImmutableList<Candidate> candidates,
@@ -54,10 +56,10 @@
         List<List<MachineGroup>> eligibleGroups = new ArrayList<>(candidates.size());
         double longestRemainingS = 0;
         for (Candidate candidate : candidates) {
-            List<MachineGroup> row =
+            List<MachineGroup> rowGroups =
                     groups.stream().filter(g -> eligible.test(candidate, g)).toList();
-            eligibleGroups.add(row);
-            longestRemainingS = Math.max(longestRemainingS, row.isEmpty() ? 0 : estimates.remainingS(candidate));
+            eligibleGroups.add(rowGroups);
+            longestRemainingS = Math.max(longestRemainingS, rowGroups.isEmpty() ? 0 : estimates.remainingS(candidate));
         }
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < candidates.size(); i++) {
@@ -73,14 +75,15 @@
             double longestRemainingS,
             BiPredicate<Candidate, MachineGroup> hasRoom) {
         double remainingS = estimates.remainingS(candidate);
-        // Equation 7 takes the mean over the machines of the row, on which the remaining time is the same.
+        // Equation 7 is a mean over the machines of the row; the remaining time, and so the urgency, is the same on
+        // all.
         Heuristic.Row row =
                 new Heuristic.Row(candidate, Deadline.urgency(candidate.slackS(), remainingS), longestRemainingS);
         Entry best = null;
         boolean bestHasRoom = false;
-        double jobScore = groups.isEmpty() ? 0 : sum(jobTerms, row, groups.get(0), remainingS);
+        double jobScore = groups.isEmpty() ? 0 : weightedSum(jobTerms, row, groups.get(0), remainingS);
         for (MachineGroup group : groups) {
-            double score = jobScore + sum(machineTerms, row, group, remainingS);
+            double score = jobScore + weightedSum(machineTerms, row, group, remainingS);
             boolean hasRoomNow = hasRoom.test(candidate, group);
             boolean isBest = best == null || score > best.score;
             if (!hasRoomNow && !isBest) {
@@ -100,7 +103,8 @@
         }
     }
 
-    private static double sum(ImmutableList<Term> terms, Heuristic.Row row, MachineGroup group, double remainingS) {
+    private static double weightedSum(
+            ImmutableList<Term> terms, Heuristic.Row row, MachineGroup group, double remainingS) {
         double sum = 0;
         for (Term term : terms) {
             sum += term.weight * term.heuristic.value(row, group, remainingS);
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -6,36 +6,39 @@
 import org.spruceridge.cluster.Resources;
 
 /**
- * Reservations for well-scored tasks that fit nowhere now, on the machines that will have room for them soonest. Without
- * them each piece of capacity that becomes free would go to a smaller task, and large tasks would starve.
+ * Reserves capacity for high-scoring tasks that currently fit on no machine, on the machines that are expected to have
+ * room soonest. Without reservations, smaller tasks would take all capacity as it is freed, and large tasks would
+ * starve.
  */
 final class Reservations {
     private final CycleState state;
     private final Estimates estimates;
-    private final int max;
+    private final int maxReservations;
     private int reservationsMade;
 
-    /** A machine that will have room after some time. */
-    private record FutureFit(MachineCapacity capacity, double inS) {}
+    /** A machine that is expected to have room after a delay in seconds. */
+    private record FutureFit(MachineCapacity capacity, double delayS) {}
 
-    /** {@code share} is the part of all machines on which capacity may be reserved. */
-    Reservations(CycleState state, Estimates estimates, double share) {
+    /** {@code maxMachineShare} is the largest share of all machines on which capacity may be reserved. */
+    Reservations(CycleState state, Estimates estimates, double maxMachineShare) {
         this.state = state;
         this.estimates = estimates;
-        this.max = (int) Math.ceil(state.machines().size() * share);
+        this.maxReservations = (int) Math.ceil(state.machines().size() * maxMachineShare);
     }
 
-    /** Reserves for those tasks of a job that the walk will not place, before it places the others. */
+    /**
+     * Reserves capacity for the tasks of a job that this cycle cannot place; called before the job's tasks are placed.
+     */
     void reserveFor(WaitingJob waiting) {
-        int admitted = state.quotas().admits(waiting.job().spec());
+        int admitted = state.quotas().admissibleTasks(waiting.job().spec());
         if (admitted == 0) {
             reserveTeamQuota(waiting);
             return;
         }
-        if (reservationsMade >= max) {
+        if (reservationsMade >= maxReservations) {
             return;
         }
-        int wanted = Math.min(waiting.remaining(), admitted);
+        int wanted = Math.min(waiting.remainingTasks(), admitted);
         List<FutureFit> futureFits = new ArrayList<>();
         Resources task = waiting.job().spec().task();
         for (MachineCapacity capacity : state.machines()) {
@@ -47,10 +50,10 @@
                 if (wanted <= 0) {
                     return;
                 }
-            } else if (!capacity.reserved()) {
-                double inS = capacity.secondsUntilFit(task, estimates, state.now());
-                if (inS < Double.POSITIVE_INFINITY) {
-                    futureFits.add(new FutureFit(capacity, inS));
+            } else if (!capacity.isReserved()) {
+                double delayS = capacity.secondsUntilFit(task, estimates, state.now());
+                if (delayS < Double.POSITIVE_INFINITY) {
+                    futureFits.add(new FutureFit(capacity, delayS));
                 }
             }
         }
@@ -58,8 +61,8 @@
     }
 
     private void reserveSoonest(List<FutureFit> futureFits, Resources task, int wanted) {
-        futureFits.sort(Comparator.comparingDouble(FutureFit::inS));
-        int count = Math.min(futureFits.size(), Math.min(wanted, max - reservationsMade));
+        futureFits.sort(Comparator.comparingDouble(FutureFit::delayS));
+        int count = Math.min(futureFits.size(), Math.min(wanted, maxReservations - reservationsMade));
         for (FutureFit fit : futureFits.subList(0, count)) {
             fit.capacity.reserve(task);
         }
@@ -67,12 +70,12 @@
     }
 
     /**
-     * Where the team's quota alone holds a job back, what is left of the quota is reserved like capacity on a machine:
-     * otherwise each piece that becomes free goes to a smaller task of the team, and a large one never starts.
+     * Reserves the rest of a team's quota if only the quota keeps the job from starting. Otherwise smaller tasks of the
+     * team would take all quota as it is freed, and a large task would never start.
      */
     private void reserveTeamQuota(WaitingJob waiting) {
         String team = waiting.job().spec().team();
-        if (max == 0 || state.quotas().isReserved(team)) {
+        if (maxReservations == 0 || state.quotas().isReserved(team)) {
             return;
         }
         Resources task = waiting.job().spec().task();
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -15,12 +15,12 @@
 import org.spruceridge.schedule.PriorityMatrix.Entry;
 
 /**
- * One walk over the matrix, from the highest score down. Its cost follows the waiting jobs and the machines that have
- * room: entries at which nothing can be bound are left out, but for the best entry of each job, at which reservations
- * are made.
+ * One greedy pass over the matrix in descending order of score. Its cost grows with the number of waiting jobs and of
+ * machines with room, because entries without room are omitted. The exception is the best entry of each job, which is
+ * always present, since reservations for the job are made there.
  */
 final class SchedulingCycle {
-    private static final Comparator<Entry> WALK_ORDER = Comparator.comparingDouble((Entry e) -> -e.score())
+    private static final Comparator<Entry> DESCENDING_SCORE = Comparator.comparingDouble((Entry e) -> -e.score())
             .thenComparingLong(e -> e.candidate().job().submittedMs())
             .thenComparing(e -> e.candidate().job().id());
 
@@ -52,7 +52,7 @@
         List<Entry> entries = entries();
         for (Entry entry : entries) {
             WaitingJob waiting = waitingJobs.get(entry.candidate().job());
-            if (waiting.firstVisit()) {
+            if (waiting.markVisited()) {
                 reservations.reserveFor(waiting);
                 if (waiting.job().spec().isService()) {
                     placeReplicas(waiting, entries, smallestTask);
@@ -68,7 +68,7 @@
                 groups.size());
     }
 
-    /** At most what any waiting task takes, by each resource: where this does not fit, none does. */
+    /** The minimum of each resource over all waiting tasks: a machine without room for this has room for no task. */
     private Resources smallestTask() {
         return Resources.minOf(
                 waitingJobs.keySet().stream().map(job -> job.spec().task()));
@@ -83,13 +83,13 @@
                         .allows(groups.get(group).kindIndex()),
                 (candidate, group) ->
                         groups.get(group).hasRoomFor(candidate.job().spec().task()));
-        entries.sort(WALK_ORDER);
+        entries.sort(DESCENDING_SCORE);
         return entries;
     }
 
     /**
-     * Replicas to evict because the cloud is about to reclaim their machine: those for which there is room elsewhere. The
-     * room is reserved in each cycle until the replica is gone, which is then placed like any that is missing.
+     * Selects replicas to evict from machines that the cloud is about to reclaim, if another machine has room for them.
+     * Each cycle reserves that room until the replica is gone; the replica is then placed like any other missing one.
      */
     private ImmutableList<Binding> evictions() {
         ImmutableList.Builder<Binding> evictions = ImmutableList.builder();
@@ -102,33 +102,34 @@
     }
 
     /**
-     * Binds the replicas of a service, on machines that carry replicas of others already, so that few machines have to be
-     * kept for services; but spread over machines, so that the failure of one takes few: a machine gets a second replica
-     * only when no other can take it. Equal machines are taken by the order of the service's entries. All of these come
-     * before those of jobs that it outscores, so that the walk would bind the same number.
+     * Places the replicas of a service. Machines that already run replicas of other services come first, so that few
+     * machines have to be kept for services. The replicas are spread, so that a machine failure affects few of them: a
+     * machine gets a second replica only when no other machine can take it. Ties are broken by the order of the
+     * service's entries. All replicas are placed before the tasks of jobs with a lower score, so their number is the
+     * same as if each entry were processed in turn.
      */
     private void placeReplicas(WaitingJob service, List<Entry> entries, Resources smallestTask) {
-        List<GroupCapacity> ranked = entries.stream()
+        List<GroupCapacity> rankedGroups = entries.stream()
                 .filter(entry -> entry.candidate().job() == service.job())
                 .map(entry -> groups.get(entry.group()))
                 .toList();
         int tasks = service.job().spec().tasks();
-        for (int max = 1; canPlace(service) && max < 2 * tasks; max *= 2) {
-            MachineCapacity next = nextFor(service, ranked, max);
+        for (int maxReplicas = 1; canPlace(service) && maxReplicas < 2 * tasks; maxReplicas *= 2) {
+            MachineCapacity next = nextMachineFor(service, rankedGroups, maxReplicas);
             while (next != null) {
                 place(service, next);
-                next = canPlace(service) ? nextFor(service, ranked, max) : null;
+                next = canPlace(service) ? nextMachineFor(service, rankedGroups, maxReplicas) : null;
             }
         }
-        ranked.forEach(group -> group.dropFull(smallestTask));
+        rankedGroups.forEach(group -> group.dropFull(smallestTask));
     }
 
-    private MachineCapacity nextFor(WaitingJob service, List<GroupCapacity> ranked, int max) {
+    private MachineCapacity nextMachineFor(WaitingJob service, List<GroupCapacity> rankedGroups, int maxReplicas) {
         MachineCapacity best = null;
-        for (GroupCapacity group : ranked) {
-            MachineCapacity candidate = group.mostReplicasFor(service, state, max);
-            if (candidate != null && (best == null || candidate.replicas() > best.replicas())) {
-                best = candidate;
+        for (GroupCapacity group : rankedGroups) {
+            MachineCapacity capacity = group.mostReplicatedMachineFor(service, state, maxReplicas);
+            if (capacity != null && (best == null || capacity.replicas() > best.replicas())) {
+                best = capacity;
             }
         }
         return best;
@@ -136,18 +137,18 @@
 
     private void place(WaitingJob waiting, MachineCapacity capacity) {
         state.place(waiting.job(), capacity);
-        placements.add(new Placement(waiting.job(), waiting.takeNext(), capacity.machine()));
+        placements.add(new Placement(waiting.job(), waiting.takeNextTaskIndex(), capacity.machine()));
     }
 
-    /** Binds what the machines of one group take, always on the fullest that still has room. */
+    /** Places as many tasks as fit on the machines of one group, always on the fullest machine that still has room. */
     private void placeIn(GroupCapacity group, WaitingJob waiting, Resources smallestTask) {
         Job job = waiting.job();
         while (canPlace(waiting)) {
-            MachineCapacity fullest = group.fullestFor(waiting, state);
+            MachineCapacity fullest = group.fullestMachineFor(waiting, state);
             if (fullest == null) {
                 return;
             }
-            // It stays the fullest until no more of these tasks fit.
+            // Each placement keeps this machine the fullest, so it is used until no more of these tasks fit.
             while (canPlace(waiting) && fullest.fits(job.spec().task()) && state.isEligible(waiting, fullest)) {
                 place(waiting, fullest);
             }
@@ -156,16 +157,19 @@
     }
 
     private boolean canPlace(WaitingJob waiting) {
-        return waiting.remaining() > 0 && state.quotas().admits(waiting.job().spec()) > 0;
+        return waiting.remainingTasks() > 0
+                && state.quotas().admissibleTasks(waiting.job().spec()) > 0;
     }
 
-    /** Services that miss replicas, and jobs that can still meet their deadline if they begin now, the best score first. */
+    /**
+     * Services that lack replicas, and jobs that can still meet their deadline if they start now, by descending score.
+     */
     private List<WaitingJob> urgentJobs(List<Entry> entries) {
         Map<Job, WaitingJob> urgentJobs = new LinkedHashMap<>();
         for (Entry entry : entries) {
             WaitingJob waiting = waitingJobs.get(entry.candidate().job());
             boolean urgent = waiting.job().spec().isService() || (entry.urgency() > 0 && entry.urgency() < 1);
-            if (urgent && waiting.remaining() > 0) {
+            if (urgent && waiting.remainingTasks() > 0) {
                 urgentJobs.putIfAbsent(waiting.job(), waiting);
             }
         }
@@ -178,7 +182,7 @@
             Job job = waiting.job();
             int wanted = job.failsOnManyMachines()
                     ? 0
-                    : Math.min(waiting.remaining(), state.quotas().admits(job.spec()));
+                    : Math.min(waiting.remainingTasks(), state.quotas().admissibleTasks(job.spec()));
             if (wanted > 0) {
                 unplaced.put(job, wanted);
             }
--- a/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
+++ b/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
@@ -1,12 +1,12 @@
 package org.spruceridge.schedule;
 
 /**
- * Not of the paper: the urgency of a service of which replicas are missing. The paper's jobs end, and their urgency
- * follows from a
- * deadline; a service has none, and each second without a replica is lost. The term is 0 for all other jobs, at least a
- * half for a service, and grows with the time that the replica has been missing, in the shape of equation 13.
+ * The service availability term, an addition to the paper: the urgency of a service that lacks replicas. The paper
+ * covers jobs that end, and derives their urgency from a deadline. A service has no deadline, and every second without
+ * a replica is lost service time. The term is 0 for all other jobs. For a service it is at least 0.5 and grows with the
+ * time that the replica has been missing, along the curve of equation 13.
  *
- * @param halfGrowthS the time after which half of the growth is reached
+ * @param halfGrowthS the missing time after which half of the growth is reached, in seconds
  */
 public record ServiceAvailability(double halfGrowthS) implements Heuristic {
     private static final double MIN_SERVICE_VALUE = 0.5;
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -1,18 +1,18 @@
 package org.spruceridge.schedule;
 
 /**
- * Not of the paper. The Anti-aging term (equation 13) is bounded and loses to a lasting stream of short or urgent work: with
- * this term a job none of whose tasks has started comes first in the end, and so does, later, one that has started. It is 0
- * for all younger jobs.
+ * The starvation prevention term, an addition to the paper. The Anti-aging term (equation 13) is bounded, so a job can
+ * lose to a steady stream of short or urgent jobs indefinitely. This term eventually puts a job first if none of its
+ * tasks has started, and, at a greater age, a job that has started. It is 0 for all younger jobs.
  *
- * @param targetStartDelayS the time within which every job should have begun
+ * @param targetStartDelayS the time within which every job should start, in seconds after its submission
  */
 public record StarvationPrevention(double targetStartDelayS) implements Heuristic {
-    /** When it begins to count for a job that has not begun, and until when it grows, as shares of that time. */
+    /** The ages, relative to the target start delay, between which the term grows for a job that has not started. */
     private static final double GROWTH_START_RATIO = 0.5;
 
     private static final double GROWTH_END_RATIO = 0.75;
-    /** The same for a job that has begun. */
+    /** The same for a job that has started. */
     private static final double STARTED_GROWTH_START_RATIO = 1.5;
 
     private static final double STARTED_GROWTH_END_RATIO = 3;
--- a/src/main/java/org/spruceridge/schedule/TeamQuotas.java
+++ b/src/main/java/org/spruceridge/schedule/TeamQuotas.java
@@ -10,11 +10,11 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.config.Settings.Team;
 
-/** What each team uses of its quota during a scheduling cycle, counted over bindings and the cycle's placements. */
+/** The quota usage of each team during a scheduling cycle; counts existing bindings and the cycle's placements. */
 final class TeamQuotas {
     private final Map<String, Team> teams;
     private final Map<String, Resources> usage = new HashMap<>();
-    private final Set<String> reserved = new HashSet<>();
+    private final Set<String> reservedTeams = new HashSet<>();
 
     TeamQuotas(Cluster cluster, Settings settings) {
         this.teams = settings.teams();
@@ -23,30 +23,32 @@
         }
     }
 
-    /** How many more tasks of this job's size its team's quota admits; 0 for an unknown team or a reserved quota. */
-    int admits(JobSpec spec) {
+    /**
+     * The number of further tasks of this job that its team's quota allows; 0 for an unknown team or a reserved quota.
+     */
+    int admissibleTasks(JobSpec spec) {
         Team team = teams.get(spec.team());
-        if (team == null || reserved.contains(spec.team())) {
+        if (team == null || reservedTeams.contains(spec.team())) {
             return 0;
         }
         if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
             return Integer.MAX_VALUE;
         }
         Resources used = usage.get(spec.team());
-        Resources left = new Resources(
+        Resources remaining = new Resources(
                 team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.MAX_VALUE,
                 team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.MAX_VALUE,
                 Double.MAX_VALUE);
-        return left.holds(spec.task());
+        return remaining.holds(spec.task());
     }
 
-    /** Withholds what is left of a team's quota from the candidates that follow in this cycle. */
+    /** Reserves the rest of a team's quota, so that later candidates of this cycle cannot use it. */
     void reserve(String team) {
-        reserved.add(team);
+        reservedTeams.add(team);
     }
 
     boolean isReserved(String team) {
-        return reserved.contains(team);
+        return reservedTeams.contains(team);
     }
 
     /** Counts one more task of the job. */
--- a/src/main/java/org/spruceridge/schedule/WaitingJob.java
+++ b/src/main/java/org/spruceridge/schedule/WaitingJob.java
@@ -6,15 +6,15 @@
 final class WaitingJob {
     private final Candidate candidate;
     private final boolean[] allowedKinds;
-    private int remaining;
+    private int remainingTasks;
     private int nextIndex;
     private boolean visited;
 
-    /** {@code allowedKinds} tells, by the cycle's kind index, which kinds of machines the job may use. */
+    /** {@code allowedKinds} holds, for each kind index of the cycle, whether the job may use machines of that kind. */
     WaitingJob(Candidate candidate, boolean[] allowedKinds) {
         this.candidate = candidate;
         this.allowedKinds = allowedKinds;
-        this.remaining = candidate.job().waiting();
+        this.remainingTasks = candidate.job().waiting();
     }
 
     Candidate candidate() {
@@ -29,21 +29,21 @@
         return allowedKinds[kindIndex];
     }
 
-    /** Tasks that are still to be placed. */
-    int remaining() {
-        return remaining;
+    /** The number of tasks that are not placed yet. */
+    int remainingTasks() {
+        return remainingTasks;
     }
 
-    /** The index of the next task to place, which counts as placed from here on. */
-    int takeNext() {
+    /** Returns the index of the next task to place, and counts that task as placed. */
+    int takeNextTaskIndex() {
         int index = job().nextWaiting(nextIndex);
         nextIndex = index + 1;
-        remaining--;
+        remainingTasks--;
         return index;
     }
 
-    /** True the first time only: when the walk comes to the job's best entry. */
-    boolean firstVisit() {
+    /** Marks the job as visited; true if it was not visited before, which is the case at its best entry. */
+    boolean markVisited() {
         boolean first = !visited;
         visited = true;
         return first;
--- a/src/main/java/org/spruceridge/schedule/ZoneConstraints.java
+++ b/src/main/java/org/spruceridge/schedule/ZoneConstraints.java
@@ -6,13 +6,13 @@
 import org.spruceridge.cluster.JobSpec;
 
 /**
- * The zones that jobs with a zone constraint (all tasks in one zone, or spread over zones) occupy during a scheduling cycle,
- * counted over bindings and the cycle's placements.
+ * The number of tasks in each zone, for jobs with a zone constraint (all tasks in one zone, or spread over zones).
+ * Counts existing bindings and the placements of the current scheduling cycle.
  */
 final class ZoneConstraints {
     private final Map<Job, Map<String, Integer>> tasksByZone = new HashMap<>();
 
-    /** True if the job's constraint, if it has any, permits one more task in the zone. */
+    /** True if one more task in the zone satisfies the job's zone constraint, or if the job has none. */
     boolean allows(Job job, String zone) {
         JobSpec spec = job.spec();
         if (!isConstrained(spec)) {
--- a/src/test/java/org/spruceridge/schedule/MatchingFixture.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingFixture.java
@@ -21,12 +21,12 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.sim.Fixtures;
 
-/** A small cluster, jobs and machines for tests of the matching. */
+/** Base class for matching tests: a small cluster with helpers that add machines, jobs and running tasks. */
 abstract class MatchingFixture {
     static final long NOW = 1_000_000_000_000L;
-    static final long WALL = 1_000_000;
+    static final long WALL_MS = 1_000_000;
 
-    /** Two teams, of which one has a limit. */
+    /** Team red has no quota; team blue has a quota of 12 CPUs. */
     static final Settings SETTINGS = Fixtures.settings(
             ImmutableMap.of(
                     "red", new Settings.Team("red", 0, 0, 0, 0),
@@ -38,15 +38,15 @@
 
     final Cluster cluster = new Cluster();
     final Matching matching = new Matching(SETTINGS, Policy.defaults(), 50);
-    private int jobs;
+    private int jobCount;
 
     @BeforeEach
-    void catalogue() {
+    void addMachineTypes() {
         cluster.updateTypes(ImmutableMap.of(
                 "t8", new MachineType("t8", new Resources(8, 0, 32), 1, 1, 0.3, 20, ImmutableList.of("a", "b"))));
     }
 
-    Machine machine(String name, String zone, boolean spot) {
+    Machine addMachine(String name, String zone, boolean spot) {
         Machine machine = new Machine(name, "", new MachineKind("t8", zone, spot), NOW, NOW);
         machine.recordHeartbeat(1, 1, "", NOW);
         machine.lease().fence();
@@ -72,7 +72,7 @@
         Job add() {
             Job job = new Job(
                     new JobSpec(
-                            "j-" + (++jobs),
+                            "j-" + (++jobCount),
                             "c",
                             team,
                             kind,
@@ -91,7 +91,7 @@
                             1,
                             deadlineS),
                     1,
-                    WALL);
+                    WALL_MS);
             cluster.add(job);
             return job;
         }
@@ -102,14 +102,14 @@
     }
 
     Plan plan() {
-        return matching.plan(cluster, NOW, WALL);
+        return matching.plan(cluster, NOW, WALL_MS);
     }
 
-    static List<String> machines(Plan plan) {
+    static List<String> machineNames(Plan plan) {
         return plan.placements().stream().map(p -> p.machine().name()).toList();
     }
 
-    Binding running(Job job, int index, Machine machine) {
+    Binding bindRunning(Job job, int index, Machine machine) {
         Binding binding = new Binding(job, index, 1, machine, Binding.Stage.COMMITTED, NOW);
         binding.recordPhase(Binding.Phase.RUNNING, NOW);
         cluster.bind(binding);
--- a/src/test/java/org/spruceridge/schedule/PlainWalkTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
@@ -26,12 +26,12 @@
 import org.spruceridge.config.Policy;
 
 /**
- * The matching by groups of equal machines against the paper's walk over every pair of a task and a machine, on small random
- * cluster states without reservations.
+ * Compares the matching, which groups equal machines, with the paper's matching over all pairs of a task and a machine,
+ * on small random cluster states without reservations.
  */
-final class PlainWalkTest {
+final class MatchingReferenceTest {
     private static final long NOW = 1_000_000_000_000L;
-    private static final long WALL = 1_000_000;
+    private static final long WALL_MS = 1_000_000;
     private static final ImmutableMap<String, MachineType> TYPES = ImmutableMap.of(
             "t4", new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b")),
             "t8", new MachineType("t8", new Resources(8, 0, 32), 1, 0.5, 0.11, 20, ImmutableList.of("a", "b")));
@@ -46,7 +46,7 @@
     private final List<Job> jobs = new ArrayList<>();
     private final List<Machine> machines = new ArrayList<>();
 
-    private Job job(SplittableRandom random, int tasks, long submittedMs) {
+    private Job addJob(SplittableRandom random, int tasks, long submittedMs) {
         double cpus = 1 << random.nextInt(3);
         Job job = new Job(
                 new JobSpec(
@@ -75,9 +75,9 @@
         return job;
     }
 
-    private void clusterState(SplittableRandom random, int machineCount, int jobCount) {
+    private void buildClusterState(SplittableRandom random, int machineCount, int jobCount) {
         cluster.updateTypes(TYPES);
-        Job running = job(random, 10_000, WALL - 5000);
+        Job running = addJob(random, 10_000, WALL_MS - 5000);
         for (int i = 0; i < machineCount; i++) {
             String type = random.nextBoolean() ? "t4" : "t8";
             String zone = random.nextBoolean() ? "a" : "b";
@@ -86,46 +86,48 @@
             machine.lease().fence();
             cluster.add(machine);
             machines.add(machine);
-            int there = random.nextInt(4);
-            for (int k = 0; k < there && running.spec().task().fitsIn(cluster.freeCapacity(machine)); k++) {
+            int runningTasks = random.nextInt(4);
+            for (int task = 0;
+                    task < runningTasks && running.spec().task().fitsIn(cluster.freeCapacity(machine));
+                    task++) {
                 int index = running.nextWaiting(0);
                 cluster.bind(new Binding(running, index, 1, machine, Binding.Stage.COMMITTED, NOW));
             }
         }
-        running.cancel(NOW, NOW); // what it has bound stays, and nothing more of it is placed
+        running.cancel(NOW, NOW); // its bound tasks stay, and no more of its tasks are placed
         for (int i = 0; i < jobCount; i++) {
-            job(random, 1 + random.nextInt(8), WALL - random.nextInt(100_000));
+            addJob(random, 1 + random.nextInt(8), WALL_MS - random.nextInt(100_000));
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-    void groupsPlaceWhatTheReferenceWalkPlaces(long seed) {
+    void groupedMatchingEqualsPairwiseMatching(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        clusterState(random, 3 + random.nextInt(10), 2 + random.nextInt(8));
+        buildClusterState(random, 3 + random.nextInt(10), 2 + random.nextInt(8));
         List<String> plan = new Matching(MatchingFixture.SETTINGS, NO_RESERVATIONS, 50)
-                .plan(cluster, NOW, WALL).placements().stream()
+                .plan(cluster, NOW, WALL_MS).placements().stream()
                         .map(p -> p.job().id() + " on " + p.machine().name())
                         .toList();
-        assertEquals(new ReferenceWalk(cluster, TYPES, jobs, machines, WALL).placements(), plan);
+        assertEquals(new ReferenceMatching(cluster, TYPES, jobs, machines, WALL_MS).placements(), plan);
     }
 
     @Test
-    void matrixGrowsWithDistinctMachinesAndNotWithTheirNumber() {
-        clusterState(new SplittableRandom(1), 1500, 60);
-        List<MachineGroup> seen = new ArrayList<>();
+    void matrixGrowsWithMachineGroupsNotMachines() {
+        buildClusterState(new SplittableRandom(1), 1500, 60);
+        List<MachineGroup> groups = new ArrayList<>();
         for (Machine machine : machines) {
-            double full = 1
+            double fullness = 1
                     - cluster.freeCapacity(machine).cpus()
                             / TYPES.get(machine.type()).capacity().cpus();
-            MachineGroup column = new MachineGroup(machine.kind(), 1, full);
-            if (!seen.contains(column)) {
-                seen.add(column);
+            MachineGroup group = new MachineGroup(machine.kind(), 1, fullness);
+            if (!groups.contains(group)) {
+                groups.add(group);
             }
         }
-        // Two types, two zones, spot or not, and four tasks' worth of fullness at most.
-        assertTrue(seen.size() <= 2 * 2 * 2 * 4, "columns: " + seen.size());
-        Plan plan = new Matching(MatchingFixture.SETTINGS, Policy.defaults(), 50).plan(cluster, NOW, WALL);
-        assertEquals(seen.size(), plan.machineGroups());
+        // At most two types, two zones, spot or on-demand, and four levels of fullness.
+        assertTrue(groups.size() <= 2 * 2 * 2 * 4, "machine groups: " + groups.size());
+        Plan plan = new Matching(MatchingFixture.SETTINGS, Policy.defaults(), 50).plan(cluster, NOW, WALL_MS);
+        assertEquals(groups.size(), plan.machineGroups());
     }
 }
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -13,20 +13,20 @@
 import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.Resources;
 
-/** What a scheduling cycle places, within capacity, quota, zones and machine kinds. */
+/** Tests the placements of a scheduling cycle under limits of capacity, quota, zones and machine kinds. */
 final class MatchingTest extends MatchingFixture {
     @Test
-    void equalScoresGoToTheFullerMachine() {
-        machine("empty", "a", false);
-        Machine fuller = machine("fuller", "a", false);
-        running(job().add(), 0, fuller);
+    void equalScoresPlaceTaskOnFullerMachine() {
+        addMachine("empty", "a", false);
+        Machine fuller = addMachine("fuller", "a", false);
+        bindRunning(job().add(), 0, fuller);
         job().add();
-        assertEquals(List.of("fuller"), machines(plan()));
+        assertEquals(List.of("fuller"), machineNames(plan()));
     }
 
     @Test
-    void placementsStayWithinAMachinesCapacity() {
-        machine("m", "a", false);
+    void placementsStayWithinMachineCapacity() {
+        addMachine("m", "a", false);
         JobBuilder many = job();
         many.tasks = 5;
         Job job = many.add();
@@ -36,93 +36,93 @@
     }
 
     @Test
-    void quotaCountsEveryBindingUntilItsReleaseIsRecorded() {
-        Machine a = machine("a", "a", false);
-        machine("b", "a", false);
+    void quotaCountsBindingUntilReleaseIsRecorded() {
+        Machine machine = addMachine("a", "a", false);
+        addMachine("b", "a", false);
         JobBuilder limited = job();
         limited.team = "blue";
         limited.tasks = 6;
         Job job = limited.add();
-        Binding leaving = running(job, 0, a);
-        leaving.advanceTo(Binding.Stage.RELEASING); // until its release is recorded it may still run
+        Binding releasingBinding = bindRunning(job, 0, machine);
+        releasingBinding.advanceTo(Binding.Stage.RELEASING); // the task may still run until its release is recorded
         Plan plan = plan();
         assertEquals(2, plan.placements().size());
-        assertTrue(plan.unplaced().isEmpty(), "tasks over quota need no machine");
+        assertTrue(plan.unplaced().isEmpty(), "tasks over quota must not count as unplaced");
     }
 
-    /** A job of many tasks of 2 CPUs, of which some run on the machine. */
-    private Job smallTasksOfBlue(int there, Machine m) {
+    /** Adds a job of team blue with nine tasks of 2 CPUs, of which this many already run on the machine. */
+    private Job addSmallBlueJob(int runningTasks, Machine machine) {
         JobBuilder small = job();
         small.team = "blue";
         small.cpus = 2;
         small.tasks = 9;
         small.estimateS = 60;
         Job job = small.add();
-        for (int i = 0; i < there; i++) {
-            running(job, i, m);
+        for (int i = 0; i < runningTasks; i++) {
+            bindRunning(job, i, machine);
         }
         return job;
     }
 
     @Test
-    void remainingQuotaIsReservedForALargeTaskWithTheHigherScore() {
-        machine("b", "a", false);
-        Job others = smallTasksOfBlue(4, machine("a", "a", false));
-        running(others, 4, machine("c", "a", false)); // 10 of the team's 12 CPUs
+    void remainingQuotaIsReservedForHigherScoringLargeTask() {
+        addMachine("b", "a", false);
+        Job others = addSmallBlueJob(4, addMachine("a", "a", false));
+        bindRunning(others, 4, addMachine("c", "a", false)); // 10 of the team's 12 CPUs
         JobBuilder large = job();
         large.team = "blue";
         large.estimateS = 20;
         Job first = large.add();
-        assertEquals(List.of(), machines(plan()), "the last 2 CPUs are not for another small task");
+        assertEquals(List.of(), machineNames(plan()), "the last 2 CPUs must not go to another small task");
         JobBuilder otherTeam = job();
         otherTeam.estimateS = 60;
         otherTeam.add();
-        assertEquals(1, plan().placements().size(), "other teams are not blocked");
+        assertEquals(1, plan().placements().size(), "other teams must not be blocked");
         cluster.unbind(others.binding(4), NOW);
         assertTrue(plan().placements().stream().anyMatch(p -> p.job() == first));
     }
 
     @Test
-    void quotaIsNotReservedForATaskThatNoMachineFits() {
-        smallTasksOfBlue(3, machine("a", "a", false));
+    void quotaIsNotReservedForTaskThatFitsNoMachine() {
+        addSmallBlueJob(3, addMachine("a", "a", false));
         JobBuilder large = job();
         large.team = "blue";
         large.cpus = 8;
         large.estimateS = 20;
         large.add();
-        assertEquals(List.of("a"), machines(plan()));
+        assertEquals(List.of("a"), machineNames(plan()));
     }
 
     @Test
-    void capacityOfAVacatedTaskIsReusedBeforeItsReleaseIsRecorded() {
-        Machine m = machine("m", "a", false);
+    void freedCapacityIsReusedBeforeReleaseIsRecorded() {
+        Machine machine = addMachine("m", "a", false);
         JobBuilder first = job();
         first.cpus = 8;
-        Binding gone = running(first.add(), 0, m);
+        Binding endedBinding = bindRunning(first.add(), 0, machine);
         JobBuilder next = job();
         next.cpus = 8;
         next.add();
-        assertEquals(List.of(), machines(plan()));
-        gone.advanceTo(Binding.Stage.RELEASING);
-        cluster.releaseCapacity(gone);
-        cluster.releaseCapacity(gone); // proof may come twice; the capacity is freed once
-        assertEquals(List.of("m"), machines(plan()));
-        cluster.unbind(gone, NOW);
-        assertEquals(new Resources(8, 0, 32), cluster.freeCapacity(m));
+        assertEquals(List.of(), machineNames(plan()));
+        endedBinding.advanceTo(Binding.Stage.RELEASING);
+        cluster.releaseCapacity(endedBinding);
+        cluster.releaseCapacity(endedBinding); // repeated proof must free the capacity only once
+        assertEquals(List.of("m"), machineNames(plan()));
+        cluster.unbind(endedBinding, NOW);
+        assertEquals(new Resources(8, 0, 32), cluster.freeCapacity(machine));
     }
 
     @Test
-    void jobRunsOnlyOnItsAllowedZoneTypeAndKind() {
-        machine("spot", "a", true);
-        machine("wrong-zone", "b", false);
-        JobBuilder picky = job();
-        picky.spot = false;
-        picky.zone = Optional.of("a");
-        picky.tasks = 2;
-        picky.add();
-        assertEquals(List.of(), machines(plan()));
-        machine("right", "a", false);
-        assertEquals(List.of("right", "right"), machines(plan()));
+    void jobRunsOnlyOnAllowedZoneTypeAndSpotKind() {
+        addMachine("spot", "a", true);
+        addMachine("wrong-zone", "b", false);
+        JobBuilder constrained = job();
+        constrained.spot = false;
+        constrained.zone = Optional.of("a");
+        constrained.tasks = 2;
+        constrained.add();
+        assertEquals(List.of(), machineNames(plan()));
+        addMachine("right", "a", false);
+        assertEquals(List.of("right", "right"), machineNames(plan()));
         JobBuilder otherType = job();
         otherType.types = Optional.of(ImmutableSet.of("t9"));
         Job never = otherType.add();
@@ -130,54 +130,54 @@
     }
 
     @Test
-    void oneZoneJobFollowsItsBoundTasks() {
-        Machine first = machine("in-b", "b", false);
-        machine("in-a", "a", false);
-        JobBuilder together = job();
-        together.oneZone = true;
-        together.tasks = 4;
-        Job job = together.add();
-        running(job, 0, first);
-        assertEquals(List.of("in-b"), machines(plan()));
+    void oneZoneJobStaysInZoneOfBoundTasks() {
+        Machine first = addMachine("in-b", "b", false);
+        addMachine("in-a", "a", false);
+        JobBuilder oneZoneJob = job();
+        oneZoneJob.oneZone = true;
+        oneZoneJob.tasks = 4;
+        Job job = oneZoneJob.add();
+        bindRunning(job, 0, first);
+        assertEquals(List.of("in-b"), machineNames(plan()));
     }
 
     @Test
-    void spreadJobPutsAtMostHalfOfItsTasksInAZone() {
-        machine("a1", "a", false);
-        machine("a2", "a", false);
-        machine("b1", "b", false);
-        JobBuilder apart = job();
-        apart.spread = true;
-        apart.tasks = 5;
-        apart.add();
-        List<String> used = machines(plan());
-        assertEquals(3, used.stream().filter(n -> n.startsWith("a")).count());
-        assertEquals(2, used.stream().filter(n -> n.startsWith("b")).count());
+    void spreadJobPlacesAtMostHalfOfTasksPerZone() {
+        addMachine("a1", "a", false);
+        addMachine("a2", "a", false);
+        addMachine("b1", "b", false);
+        JobBuilder spreadJob = job();
+        spreadJob.spread = true;
+        spreadJob.tasks = 5;
+        spreadJob.add();
+        List<String> machineNames = machineNames(plan());
+        assertEquals(3, machineNames.stream().filter(n -> n.startsWith("a")).count());
+        assertEquals(2, machineNames.stream().filter(n -> n.startsWith("b")).count());
     }
 
     @Test
-    void machinesWithoutAHeartbeatTerminatingOrCordonedGetNothing() {
-        Machine unheard = new Machine("unheard", "", new MachineKind("t8", "a", false), NOW, NOW);
-        cluster.add(unheard);
-        machine("returning", "a", false).markTerminating();
-        machine("faulty", "a", false).suspicion().cordon();
-        machine("noticed", "a", true).reclaim().announce(NOW + 1);
+    void unschedulableMachinesGetNoTasks() {
+        Machine withoutHeartbeat = new Machine("unheard", "", new MachineKind("t8", "a", false), NOW, NOW);
+        cluster.add(withoutHeartbeat);
+        addMachine("returning", "a", false).markTerminating();
+        addMachine("faulty", "a", false).suspicion().cordon();
+        addMachine("noticed", "a", true).reclaim().announce(NOW + 1);
         job().add();
-        assertEquals(List.of(), machines(plan()));
+        assertEquals(List.of(), machineNames(plan()));
     }
 
     @Test
     void higherScoreIsPlacedFirst() {
-        machine("m", "a", false);
+        addMachine("m", "a", false);
         JobBuilder shorter = job();
         JobBuilder longer = job();
         longer.estimateS = 300;
         longer.cpus = 8;
         shorter.cpus = 8;
-        Job later = longer.add();
-        Job sooner = shorter.add();
+        Job longerJob = longer.add();
+        Job shorterJob = shorter.add();
         Plan plan = plan();
-        assertEquals(sooner, plan.placements().get(0).job());
-        assertEquals(1, plan.unplaced().get(later));
+        assertEquals(shorterJob, plan.placements().get(0).job());
+        assertEquals(1, plan.unplaced().get(longerJob));
     }
 }
--- a/src/test/java/org/spruceridge/schedule/PreemptionTest.java
+++ b/src/test/java/org/spruceridge/schedule/PreemptionTest.java
@@ -10,17 +10,17 @@
 import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.Machine;
 
-/** Which running tasks a scheduling cycle preempts for urgent ones. */
+/** Tests which running tasks a scheduling cycle preempts for urgent jobs. */
 final class PreemptionTest extends MatchingFixture {
     @Test
-    void urgentTaskPreemptsOneLowerTaskPerMachineWithinTheInterval() {
-        Machine m = machine("m", "a", false);
+    void urgentTaskPreemptsOneTaskPerMachinePerInterval() {
+        Machine machine = addMachine("m", "a", false);
         JobBuilder low = job();
         low.priority = JobPriority.LOW;
         low.tasks = 2;
         Job victimJob = low.add();
-        running(victimJob, 0, m);
-        running(victimJob, 1, m);
+        bindRunning(victimJob, 0, machine);
+        bindRunning(victimJob, 1, machine);
         JobBuilder high = job();
         high.priority = JobPriority.HIGH;
         high.tasks = 2;
@@ -30,20 +30,20 @@
         Plan plan = plan();
         assertEquals(1, plan.preemptions().size());
         plan.preemptions().get(0).requestStop(Binding.StopMode.CHECKPOINT);
-        m.recordPreemption(NOW);
+        machine.recordPreemption(NOW);
         assertEquals(0, plan().preemptions().size());
     }
 
-    /** One preemption for each task would throw work away for nothing. */
+    /** Guards against one preemption per waiting task, which would lose more work than necessary. */
     @Test
-    void onePreemptionCountsForAllTasksThatItMakesRoomFor() {
+    void preemptionServesAllTasksThatFitFreedCapacity() {
         JobBuilder low = job();
         low.priority = JobPriority.LOW;
         low.tasks = 3;
         low.cpus = 8;
-        Job victims = low.add();
+        Job victimJob = low.add();
         for (int i = 0; i < 3; i++) {
-            running(victims, i, machine("m" + i, "a", false));
+            bindRunning(victimJob, i, addMachine("m" + i, "a", false));
         }
         JobBuilder high = job();
         high.priority = JobPriority.HIGH;
@@ -56,16 +56,16 @@
     }
 
     @Test
-    void tasksOfTheSamePriorityAreNeverPreempted() {
-        Machine m = machine("m", "a", false);
+    void tasksOfSamePriorityAreNotPreempted() {
+        Machine machine = addMachine("m", "a", false);
         JobBuilder first = job();
         first.tasks = 2;
         Job running = first.add();
-        running(running, 0, m);
-        running(running, 1, m);
-        JobBuilder pressing = job();
-        pressing.deadlineS = OptionalDouble.of(40);
-        pressing.add();
+        bindRunning(running, 0, machine);
+        bindRunning(running, 1, machine);
+        JobBuilder urgent = job();
+        urgent.deadlineS = OptionalDouble.of(40);
+        urgent.add();
         assertTrue(plan().preemptions().isEmpty());
     }
 }
--- a/src/test/java/org/spruceridge/schedule/ReferenceWalk.java
+++ b/src/test/java/org/spruceridge/schedule/ReferenceMatching.java
@@ -15,10 +15,10 @@
 import org.spruceridge.config.Policy;
 
 /**
- * The paper's walk (section IV), written down plainly: every pair of a job and a machine, from the highest score down, equal
- * scores to the fuller machine. Team blue has a quota.
+ * A direct implementation of the paper's matching (section IV) for comparison: processes every pair of a job and a
+ * machine in descending order of score; equal scores go to the fuller machine. Team blue has a quota.
  */
-final class ReferenceWalk {
+final class ReferenceMatching {
     private static final double BLUE_QUOTA_CPUS = 12;
 
     private final ImmutableMap<String, MachineType> types;
@@ -28,16 +28,16 @@
     private final Estimates estimates = new Estimates(10);
     private final Map<Machine, Double> fullness = new HashMap<>();
     private final Map<Machine, Resources> free = new HashMap<>();
-    private final Map<Job, Integer> waiting = new HashMap<>();
+    private final Map<Job, Integer> waitingTasks = new HashMap<>();
     private final List<String> placements = new ArrayList<>();
     private double highestPrice;
     private double longestRemainingS;
     private double blueCpus;
 
-    /** One pair of a task's job and a machine. */
+    /** A job, a machine, and the score of the job's tasks on that machine. */
     private record Pair(Job job, Machine machine, double score) {}
 
-    ReferenceWalk(
+    ReferenceMatching(
             Cluster cluster,
             ImmutableMap<String, MachineType> types,
             List<Job> jobs,
@@ -60,21 +60,21 @@
             longestRemainingS = job.isCancelled()
                     ? longestRemainingS
                     : Math.max(longestRemainingS, estimates.remainingS(candidate(job)));
-            waiting.put(job, job.isCancelled() ? 0 : job.spec().tasks());
+            waitingTasks.put(job, job.isCancelled() ? 0 : job.spec().tasks());
         }
         blueCpus = cluster.usedBy("blue").cpus();
     }
 
-    /** What is placed, in order, each as {@code job on machine}. */
+    /** The placements in order, each formatted as {@code job on machine}. */
     List<String> placements() {
         List<Pair> pairs = pairs();
         for (int i = 0; i < pairs.size(); ) {
             Pair first = pairs.get(i);
-            List<Machine> tied = new ArrayList<>();
+            List<Machine> tiedMachines = new ArrayList<>();
             for (; i < pairs.size() && pairs.get(i).job == first.job && pairs.get(i).score == first.score; i++) {
-                tied.add(pairs.get(i).machine);
+                tiedMachines.add(pairs.get(i).machine);
             }
-            placeOn(tied, first.job);
+            placeOn(tiedMachines, first.job);
         }
         return placements;
     }
@@ -96,7 +96,7 @@
         return pairs;
     }
 
-    /** Equations 4 to 7, 12 and 13, with the terms for prices and full machines. */
+    /** Equations 4 to 7, 12 and 13, plus the machine price and bin packing terms. */
     private double score(Job job, Machine machine) {
         MachineType type = types.get(machine.type());
         Candidate candidate = candidate(job);
@@ -110,20 +110,20 @@
                 + Policy.defaults().weights().packing() * fullness.get(machine);
     }
 
-    private void placeOn(List<Machine> tied, Job job) {
+    private void placeOn(List<Machine> tiedMachines, Job job) {
         Resources task = job.spec().task();
         boolean isBlue = job.spec().team().equals("blue");
-        while (waiting.get(job) > 0) {
-            Optional<Machine> fullest = tied.stream()
+        while (waitingTasks.get(job) > 0) {
+            Optional<Machine> fullest = tiedMachines.stream()
                     .filter(machine -> task.fitsIn(free.get(machine)))
                     .filter(machine -> !isBlue || blueCpus + task.cpus() <= BLUE_QUOTA_CPUS)
                     .min(Comparator.comparingDouble(machine -> free.get(machine).cpus()));
             if (fullest.isEmpty()) {
                 return;
             }
-            free.computeIfPresent(fullest.get(), (machine, room) -> room.minus(task));
+            free.computeIfPresent(fullest.get(), (machine, freeCapacity) -> freeCapacity.minus(task));
             blueCpus += isBlue ? task.cpus() : 0;
-            waiting.merge(job, -1, Integer::sum);
+            waitingTasks.merge(job, -1, Integer::sum);
             placements.add(job.id() + " on " + fullest.get().name());
         }
     }
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -21,23 +21,23 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.sim.Fixtures;
 
-/** What a scheduling cycle costs in a burst: a large cluster that is full, and many jobs that wait. */
+/** Limits the allocations of a scheduling cycle in a burst: a large, full cluster with many waiting jobs. */
 final class SchedulingCostTest {
     private static final long NOW = 1_000_000_000_000L;
-    private static final long WALL = 1_000_000;
+    private static final long WALL_MS = 1_000_000;
     private static final int MACHINES = 1120;
     private static final int WAITING_JOBS = 150;
-    /** A fifth of what a walk over all machines for each job allocated. */
-    private static final long MOST_BYTES = 3_000_000;
+    /** A fifth of the bytes that a cycle over all machines for each job allocates. */
+    private static final long MAX_CYCLE_ALLOCATION_BYTES = 3_000_000;
 
     private final Cluster cluster = new Cluster();
     private final Matching matching = new Matching(MatchingFixture.SETTINGS, Policy.defaults(), 50);
-    private int jobs;
+    private int jobCount;
 
-    private Job job(JobPriority priority, int tasks, double cpus, double estimateS, double deadlineS) {
+    private Job addJob(JobPriority priority, int tasks, double cpus, double estimateS, double deadlineS) {
         Job job = new Job(
                 Fixtures.spec(
-                        String.format("j-%06d", ++jobs),
+                        String.format("j-%06d", ++jobCount),
                         priority,
                         tasks,
                         new Resources(cpus, 0, cpus * 3),
@@ -45,17 +45,17 @@
                         priority == JobPriority.LOW ? 20 : 0,
                         deadlineS > 0 ? OptionalDouble.of(deadlineS) : OptionalDouble.empty()),
                 1,
-                WALL - 1000L * jobs);
+                WALL_MS - 1000L * jobCount);
         cluster.add(job);
         return job;
     }
 
     @BeforeEach
-    void fullCluster() {
+    void fillCluster() {
         cluster.updateTypes(ImmutableMap.of(
                 "t4", new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
-        Job small = job(JobPriority.NORMAL, 10_000, 1, 60, 1e6);
-        Job large = job(JobPriority.LOW, 10_000, 4, 60, 0);
+        Job small = addJob(JobPriority.NORMAL, 10_000, 1, 60, 1e6);
+        Job large = addJob(JobPriority.LOW, 10_000, 4, 60, 0);
         for (int i = 0; i < MACHINES; i++) {
             Machine machine =
                     new Machine("i-" + i, "", new MachineKind("t4", i % 2 == 0 ? "a" : "b", i % 3 == 0), NOW, NOW);
@@ -64,33 +64,34 @@
             cluster.add(machine);
             Job running = i % 2 == 0 ? small : large;
             while (running.spec().task().fitsIn(cluster.freeCapacity(machine))) {
-                Binding b = new Binding(running, running.nextWaiting(0), 1, machine, Binding.Stage.COMMITTED, NOW);
-                b.recordPhase(Binding.Phase.RUNNING, NOW);
-                cluster.bind(b);
+                Binding binding =
+                        new Binding(running, running.nextWaiting(0), 1, machine, Binding.Stage.COMMITTED, NOW);
+                binding.recordPhase(Binding.Phase.RUNNING, NOW);
+                cluster.bind(binding);
             }
         }
         small.retryAfter(Long.MAX_VALUE);
         large.retryAfter(Long.MAX_VALUE);
         for (int i = 0; i < WAITING_JOBS; i++) {
             switch (i % 3) {
-                case 0 -> job(JobPriority.NORMAL, 60, 1, 60, 100 + i);
-                case 1 -> job(JobPriority.LOW, 20, 4, 60, 0);
-                default -> job(JobPriority.HIGH, 12, 4, 15, 30 + i);
+                case 0 -> addJob(JobPriority.NORMAL, 60, 1, 60, 100 + i);
+                case 1 -> addJob(JobPriority.LOW, 20, 4, 60, 0);
+                default -> addJob(JobPriority.HIGH, 12, 4, 15, 30 + i);
             }
         }
     }
 
     @Test
-    void aCycleOnAFullClusterAllocatesLittle() {
+    void cycleOnFullClusterStaysWithinAllocationLimit() {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        Plan plan = matching.plan(cluster, NOW, WALL);
-        long before = threads.getCurrentThreadAllocatedBytes();
+        Plan plan = matching.plan(cluster, NOW, WALL_MS);
+        long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
         for (int i = 0; i < 10; i++) {
-            matching.plan(cluster, NOW, WALL);
+            matching.plan(cluster, NOW, WALL_MS);
         }
-        long bytes = (threads.getCurrentThreadAllocatedBytes() - before) / 10;
+        long bytesPerCycle = (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 10;
         assertEquals(0, plan.placements().size());
-        assertTrue(plan.preemptions().size() > 0, "no stop was planned");
-        assertTrue(bytes < MOST_BYTES, "bytes a cycle: " + bytes);
+        assertTrue(plan.preemptions().size() > 0, "no preemption was planned");
+        assertTrue(bytesPerCycle < MAX_CYCLE_ALLOCATION_BYTES, "bytes per cycle: " + bytesPerCycle);
     }
 }
--- a/src/test/java/org/spruceridge/schedule/ServicePlacementTest.java
+++ b/src/test/java/org/spruceridge/schedule/ServicePlacementTest.java
@@ -12,7 +12,7 @@
 import org.spruceridge.cluster.JobPriority;
 import org.spruceridge.cluster.Machine;
 
-/** How a scheduling cycle places and evicts the replicas of services. */
+/** Tests how a scheduling cycle places and evicts replicas of services. */
 final class ServicePlacementTest extends MatchingFixture {
     private JobBuilder service(int replicas, double cpus) {
         JobBuilder service = job();
@@ -24,16 +24,16 @@
         return service;
     }
 
-    /** It has no deadline, and counts as urgent all the same. */
+    /** A service counts as urgent although it has no deadline. */
     @Test
     void serviceIsPlacedFirstAndPreemptsOthers() {
-        Machine full = machine("full", "a", false);
+        Machine full = addMachine("full", "a", false);
         JobBuilder low = job();
         low.tasks = 2;
         Job batch = low.add();
-        running(batch, 0, full);
-        running(batch, 1, full);
-        machine("free", "a", false);
+        bindRunning(batch, 0, full);
+        bindRunning(batch, 1, full);
+        addMachine("free", "a", false);
         JobBuilder urgent = job();
         urgent.deadlineS = OptionalDouble.of(40);
         urgent.tasks = 2;
@@ -43,41 +43,41 @@
         assertEquals(
                 List.of(service, service),
                 plan.placements().stream().map(Plan.Placement::job).toList());
-        assertEquals(List.of("free", "free"), machines(plan));
+        assertEquals(List.of("free", "free"), machineNames(plan));
         assertEquals(1, plan.preemptions().size());
     }
 
-    /** Each on a machine of its own as long as there are any, and first on those that carry replicas already. */
+    /** Each replica gets a separate machine while there are any, and machines that already run replicas come first. */
     @Test
-    void replicasSpreadOverMachinesWithOtherReplicasFirst() {
-        Machine first = machine("first", "a", false);
-        Machine second = machine("second", "a", false);
-        machine("third", "a", false);
+    void replicasSpreadAcrossMachinesPreferringThoseWithReplicas() {
+        Machine first = addMachine("first", "a", false);
+        Machine second = addMachine("second", "a", false);
+        addMachine("third", "a", false);
         Job other = service(2, 1).add();
-        running(other, 0, second);
-        running(other, 1, second);
-        running(job().add(), 0, first);
+        bindRunning(other, 0, second);
+        bindRunning(other, 1, second);
+        bindRunning(job().add(), 0, first);
         service(2, 1).add();
-        assertEquals(List.of("second", "first"), machines(plan()));
+        assertEquals(List.of("second", "first"), machineNames(plan()));
     }
 
     @Test
-    void secondReplicaOnAMachineOnlyWhenNoOtherFits() {
-        machine("first", "a", false);
-        machine("second", "a", false);
+    void secondReplicaSharesMachineOnlyWhenNoOtherFits() {
+        addMachine("first", "a", false);
+        addMachine("second", "a", false);
         service(5, 1).add();
-        List<String> placed = machines(plan());
+        List<String> placed = machineNames(plan());
         assertEquals(2, placed.subList(0, 2).stream().distinct().count());
         assertEquals(5, placed.size());
         assertTrue(placed.stream().filter("first"::equals).count() >= 2);
         assertTrue(placed.stream().filter("second"::equals).count() >= 2);
     }
 
-    /** A replica does not end: no capacity is reserved where only its end would make room. */
+    /** Replicas do not end, so no capacity is reserved on a machine where only their end would make room. */
     @Test
-    void noReservationWaitsForTheEndOfAReplica() {
-        Machine m = machine("m", "a", false);
-        running(service(1, 4).add(), 0, m);
+    void capacityHeldByReplicaIsNotReserved() {
+        Machine machine = addMachine("m", "a", false);
+        bindRunning(service(1, 4).add(), 0, machine);
         JobBuilder large = job();
         large.cpus = 8;
         large.add();
@@ -89,21 +89,21 @@
                 plan().placements().stream().map(Plan.Placement::job).toList());
     }
 
-    /** Of a machine that the cloud reclaims; other jobs do not get the reserved capacity. */
+    /** Other jobs do not get the capacity that is reserved for a replica on a machine that the cloud reclaims. */
     @Test
-    void replicaOnAReclaimedMachineIsEvictedOnlyWithRoomReservedOnAnother() {
-        Machine leaving = machine("leaving", "a", false);
-        Binding replica = running(service(1, 8).add(), 0, leaving);
-        leaving.reclaim().announce(NOW + 60_000_000_000L);
+    void replicaOnReclaimedMachineIsEvictedOnlyWithReplacementCapacity() {
+        Machine reclaimed = addMachine("leaving", "a", false);
+        Binding replica = bindRunning(service(1, 8).add(), 0, reclaimed);
+        reclaimed.reclaim().announce(NOW + 60_000_000_000L);
         assertEquals(List.of(), plan().evictions());
-        machine("other", "a", false);
+        addMachine("other", "a", false);
         job().add();
         Plan plan = plan();
         assertEquals(List.of(replica), plan.evictions());
-        assertEquals(List.of(), machines(plan));
+        assertEquals(List.of(), machineNames(plan));
         replica.requestStop(Binding.StopMode.CHECKPOINT);
         Plan next = plan();
         assertEquals(List.of(), next.evictions());
-        assertEquals(List.of(), machines(next), "the capacity stays reserved until the replica is gone");
+        assertEquals(List.of(), machineNames(next), "the capacity must stay reserved until the replica is gone");
     }
 }
