--- a/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
+++ b/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
@@ -1,13 +1,13 @@
 package org.spruceridge.dispatch;
 
 /**
- * Numbers the attempts of a term. An attempt has the term in its upper bits and a counter below, so that attempts grow over
- * all terms although none is stored.
+ * Allocates the attempt numbers of a term. An attempt number has the term in its upper bits and a counter in its lower
+ * bits, so attempt numbers increase across terms although none of them is stored.
  */
 final class AttemptNumbers {
     private static final int COUNTER_BITS = 24;
 
-    /** How many attempts a term has; a term ends before they are used up. */
+    /** The number of attempts in a term. The leader resigns before they run out. */
     static final long MAX_PER_TERM = (1L << COUNTER_BITS) - 1;
 
     private final long term;
@@ -26,7 +26,7 @@
         return (term << COUNTER_BITS) + used;
     }
 
-    /** Records that {@code count} attempts of the term are used. */
+    /** Records that {@code count} attempt numbers of the term are in use. */
     void recordUsed(long count) {
         used = count;
     }
--- a/src/main/java/org/spruceridge/dispatch/CommandBatch.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandBatch.java
@@ -9,12 +9,12 @@
 import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.worker.WorkerCommand;
 
-/** The commands of one direct request to a worker, and the bindings that it starts and stops. */
+/** The commands of one direct request to a worker, and the bindings that the request starts and stops. */
 record CommandBatch(List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
-    /** Without commands: it only asks for a reply. */
+    /** A batch without commands, which only requests a reply. */
     static final CommandBatch PROBE = new CommandBatch(List.of(), List.of(), List.of());
 
-    /** Collects the due commands of a machine that were not sent directly yet, and records them as sent. */
+    /** Collects the due commands of a machine that have not been sent directly yet, and records them as sent. */
     static CommandBatch collect(Machine machine, HeartbeatHandler heartbeatHandler, Loop loop) {
         CommandBatch batch = new CommandBatch(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         for (Binding binding : machine.bindings()) {
@@ -29,7 +29,7 @@
     private void addUnlessSent(Binding binding, WorkerCommand command, Loop loop) {
         switch (command.verb()) {
             case START -> {
-                // Only the first start is sent directly; later ones are left to the responses to heartbeats.
+                // Only the first start is sent directly. Heartbeat responses carry the retries.
                 if (binding.isStartSent() || binding.machine().directCommands().hasUncertainStart()) {
                     return;
                 }
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -17,12 +17,13 @@
 import org.spruceridge.worker.WorkerClient;
 
 /**
- * Sends starts and stops directly to workers, without waiting for their next heartbeat.
+ * Sends start and stop commands directly to workers, without waiting for their next heartbeat.
  *
- * <p>Such a command can arrive minutes late, as long as the fencing token and the incarnation still match. A late stop names
- * an attempt and harms nothing. A late start would, once its binding is released: so while a direct start is unresolved, its
- * absence from a heartbeat proves nothing, the worker is not told to forget the attempt, and a machine that did not answer a
- * direct start gets no more tasks and is terminated. A new incarnation or a newer token voids whatever is on its way.
+ * <p>A direct command can arrive minutes late and still be executed if the fencing token and the incarnation match. A
+ * late stop is harmless, because it names an attempt. A late start is not: its binding may have been released in the
+ * meantime. Therefore, while a direct start is unresolved, the absence of its task from a heartbeat proves nothing, and
+ * the worker gets no command to forget the attempt. A machine that does not answer a direct start gets no more tasks
+ * and is terminated. A new incarnation or a newer fencing token invalidates all commands in flight.
  */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
@@ -35,12 +36,12 @@
     private final Runnable onReply;
     private final long term;
     private final long timeoutNanos;
-    /** Machines with a request under way. */
+    /** Machines with a request in flight. */
     private final Set<Machine> awaitingReply = new HashSet<>();
-    /** Of these, machines for which commands may have become due since. */
+    /** Machines with a request in flight for which commands may have become due since it was sent. */
     private final Set<Machine> sendAfterReply = new HashSet<>();
 
-    /** {@code onReply} is called after the result of each request, which may be that there was no reply. */
+    /** {@code onReply} is called after each request has completed, also if it timed out or failed. */
     public CommandSender(
             LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onReply) {
         this.loop = context.loop();
@@ -53,17 +54,17 @@
         this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
-    /** Asks a suspect machine for a reply, which shows that commands reach it. */
+    /** Sends a request without commands to a suspect machine; a reply shows that commands reach the machine. */
     public void probe(Machine machine) {
         if (isLeader.getAsBoolean()) {
             send(machine, CommandBatch.PROBE);
         }
     }
 
-    /** Sends the commands that are due on a machine; if a request to it is under way, after the reply to that. */
+    /** Sends the commands that are due on a machine, or defers them until the request in flight to it has completed. */
     public void sendDueCommands(Machine machine) {
         if (!machine.lease().isFenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
-            return; // the responses to its heartbeats carry the commands
+            return; // heartbeat responses carry the commands instead
         }
         if (awaitingReply.contains(machine)) {
             sendAfterReply.add(machine);
@@ -80,7 +81,7 @@
         try {
             address = Address.parse(machine.address());
         } catch (IllegalArgumentException e) {
-            return; // the responses to its heartbeats carry the commands
+            return; // heartbeat responses carry the commands instead
         }
         awaitingReply.add(machine);
         long incarnation = machine.incarnation();
@@ -123,7 +124,10 @@
         }
     }
 
-    /** Responses to heartbeats repeat a stop; to a machine that cannot send heartbeats it is sent directly again. */
+    /**
+     * Sends unanswered stops again. Heartbeat responses repeat them as well, but not to a machine whose heartbeats do
+     * not arrive.
+     */
     private void retryStops(Machine machine, CommandBatch batch, CommandResult result) {
         if (result.heartbeat().isPresent() || batch.stops().isEmpty()) {
             return;
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -16,14 +16,17 @@
 import org.spruceridge.term.LeaderContext;
 
 /**
- * Runs a scheduling cycle after each request, with a minimum spacing between cycles, and puts it off for a while when other
- * requests wait on the event loop.
+ * Runs a scheduling cycle after it is requested. Cycles have a minimum spacing, and are deferred for a limited time
+ * while other requests wait on the event loop.
  */
 public final class SchedulingLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
-    /** Cycles take at most one part in this many of the processor: heartbeats come before scheduling. */
-    private static final long CYCLE_SPACING_IN_CYCLE_COSTS = 4;
+    /**
+     * The minimum time between the starts of two cycles, in durations of the last cycle. It limits scheduling to a
+     * quarter of the event loop's time, since heartbeats take precedence.
+     */
+    private static final long MIN_SPACING_IN_CYCLE_DURATIONS = 4;
 
     private static final long BUSY_RECHECK_INTERVAL_NANOS = Durations.millis(20);
 
@@ -44,14 +47,14 @@
     private long lastCycleDurationNanos;
 
     /**
-     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code resign} ends the leadership,
-     * for a reason.
+     * {@code onCommandsDue} is called for each machine on which a task has to be stopped; {@code resign} ends the
+     * leadership and takes the reason.
      */
     public SchedulingLoop(
             LeaderContext context,
             RecordWriter recordWriter,
             Matching matching,
-            Consumer<Machine> commandsDue,
+            Consumer<Machine> onCommandsDue,
             Consumer<String> resign) {
         this.loop = context.loop();
         this.scope = context.scope();
@@ -59,7 +62,7 @@
         this.matching = matching;
         this.latencies = context.latencies();
         this.attemptNumbers = new AttemptNumbers(context.term().term());
-        this.executor = new PlanExecutor(cluster, recordWriter, attemptNumbers, commandsDue);
+        this.executor = new PlanExecutor(cluster, recordWriter, attemptNumbers, onCommandsDue);
         this.resign = resign;
         this.minCycleSpacingNanos =
                 Durations.nanos(context.policy().scheduling().minCycleIntervalHeartbeats()
@@ -69,13 +72,13 @@
         this.lastCycleAt = loop.nanos() - minCycleSpacingNanos;
     }
 
-    /** Requests a cycle, after an event that a new plan can use. */
+    /** Requests a cycle after an event that may change the plan; does nothing if a cycle is already requested. */
     public void request() {
         if (cycleRequested) {
             return;
         }
         cycleRequested = true;
-        long spacingNanos = Math.max(minCycleSpacingNanos, CYCLE_SPACING_IN_CYCLE_COSTS * lastCycleDurationNanos);
+        long spacingNanos = Math.max(minCycleSpacingNanos, MIN_SPACING_IN_CYCLE_DURATIONS * lastCycleDurationNanos);
         cycleDueAt = Math.max(loop.nanos(), lastCycleAt + spacingNanos);
         scope.after(cycleDueAt - loop.nanos(), this::runUnlessLoopIsBusy);
     }
@@ -85,12 +88,12 @@
         return lastPlan;
     }
 
-    /** Records that {@code count} attempts of this term are used. */
+    /** Records that {@code count} attempt numbers of this term are in use. */
     void recordAttemptsUsed(long count) {
         attemptNumbers.recordUsed(count);
     }
 
-    /** Puts the cycle off while requests wait, for up to the maximum decision delay: heartbeats come first. */
+    /** Defers the cycle by up to the maximum decision delay while requests wait, since heartbeats take precedence. */
     private void runUnlessLoopIsBusy() {
         if (loop.busy() && loop.nanos() - cycleDueAt < maxDecisionDelayNanos) {
             scope.after(BUSY_RECHECK_INTERVAL_NANOS, this::runUnlessLoopIsBusy);
--- a/src/main/java/org/spruceridge/dispatch/package-info.java
+++ b/src/main/java/org/spruceridge/dispatch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides when scheduling cycles run, carries out their plans, and sends commands directly to workers. Owned by the leader
- * of one term; everything runs on the event loop.
+ * Triggers scheduling cycles, executes their plans, and sends commands directly to workers. All objects belong to the
+ * leader of one term and run on the event loop.
  */
 package org.spruceridge.dispatch;
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -51,21 +51,22 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * A leader of 4,000 machines and 40,000 tasks under small limits of the state service: all is bound, a burst of exits
- * is recorded, and a failover is complete; nothing is refused or lost, and transactions, bytes and heap stay within bounds.
+ * Runs a leader with 4,000 machines and 40,000 tasks under small limits of the state service. All tasks are bound, a
+ * burst of exits is recorded, and a failover restores the state. No transaction is rejected, no binding is lost, and
+ * the numbers of transactions and allocated bytes and the heap stay within limits.
  */
 final class FleetSizeTest {
     private static final int MACHINES = 4000;
     private static final int JOBS = 200;
     private static final int TASKS_PER_JOB = 200;
     private static final int TASKS = JOBS * TASKS_PER_JOB;
-    private static final Address HERE = new Address("10.0.0.1", 1);
+    private static final Address LOCAL_ADDRESS = new Address("10.0.0.1", 1);
     private static final int TRANSACTION_OPERATIONS = 4;
     private static final double VALUE_KB = 2;
-    private static final double CHANGES_PER_S = 90;
-    /** The deployed heap is 64 MB, and a leader needs some of it for what it is doing. */
+    private static final double WRITES_PER_S = 90;
+    /** Half of the 64 MB heap of a deployed node; a leader needs the rest for requests in progress. */
     private static final long MAX_HEAP_BYTES = 32L << 20;
-    /** Of a cycle on a cluster in which all is full; a walk over all pairs would take a hundred times as much. */
+    /** The limit for a cycle on a full cluster; a cycle over all pairs would allocate about a hundred times as much. */
     private static final long MAX_CYCLE_ALLOCATION_BYTES = 4L << 20;
 
     private static final Settings SETTINGS = Fixtures.settings(
@@ -83,7 +84,7 @@
             BindingsRecord.maxBindingsPerMachine(SETTINGS.state().recordKb()));
     private long leaderRevision;
 
-    /** A leader of one term with all its parts but the network. */
+    /** All components of a leader of one term except the network. */
     private final class Term {
         private final LeaderContext context;
         private final Cluster cluster;
@@ -103,19 +104,19 @@
             cluster.updateTypes(ImmutableMap.of(
                     "t4",
                     new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
-            HttpClient http =
-                    (to, call, timeout, done) -> loop.after(Durations.millis(5), () -> state.accept(call, done));
+            HttpClient http = (to, call, timeout, onResponse) ->
+                    loop.after(Durations.millis(5), () -> state.accept(call, onResponse));
             client = new StateClient(
                     loop,
                     http,
-                    HERE,
-                    new RateLimiter(loop, 190, CHANGES_PER_S, 1),
+                    LOCAL_ADDRESS,
+                    new RateLimiter(loop, 190, WRITES_PER_S, 1),
                     context.warnings(),
                     context.latencies());
             recordWriter = new RecordWriter(context, client, new Listener());
             heartbeatHandler = new HeartbeatHandler(context, recordWriter, machine -> requestCycle());
-            schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, why -> {
-                throw new AssertionError(why);
+            schedulingLoop = new SchedulingLoop(context, recordWriter, matching, machine -> {}, reason -> {
+                throw new AssertionError(reason);
             });
         }
 
@@ -140,15 +141,15 @@
             }
         }
 
-        long bindings(Predicate<Binding> which) {
+        long countBindings(Predicate<Binding> predicate) {
             return cluster.machines().stream()
                     .flatMap(m -> m.bindings().stream())
-                    .filter(which)
+                    .filter(predicate)
                     .count();
         }
 
-        long committed() {
-            return bindings(b -> b.stage() == Binding.Stage.COMMITTED);
+        long committedBindings() {
+            return countBindings(b -> b.stage() == Binding.Stage.COMMITTED);
         }
     }
 
@@ -182,17 +183,17 @@
         }
     }
 
-    /** Each heartbeat shows all tasks of its machine as running but the first, which has exited. */
-    private void burstOfExits(Term term) {
+    /** Handles a heartbeat of each machine that reports its first task as exited and all others as running. */
+    private void sendBurstOfExits(Term term) {
         for (Machine machine : List.copyOf(term.cluster.machines())) {
             List<TaskStatus> tasks = new ArrayList<>();
-            for (Binding b : machine.bindings()) {
-                boolean ends = tasks.isEmpty();
+            for (Binding binding : machine.bindings()) {
+                boolean hasExited = tasks.isEmpty();
                 tasks.add(new TaskStatus(
-                        b.task(),
-                        b.attempt(),
-                        ends ? TaskState.EXITED : TaskState.RUNNING,
-                        ends ? ExitCause.DONE : ExitCause.NONE));
+                        binding.task(),
+                        binding.attempt(),
+                        hasExited ? TaskState.EXITED : TaskState.RUNNING,
+                        hasExited ? ExitCause.DONE : ExitCause.NONE));
             }
             term.heartbeatHandler.handle(new WorkerHeartbeat(
                     machine.name(),
@@ -206,19 +207,19 @@
         }
     }
 
-    private static long heap() {
+    private static long usedHeapBytes() {
         Runtime runtime = Runtime.getRuntime();
         System.gc();
         return runtime.totalMemory() - runtime.freeMemory();
     }
 
-    private int pages() {
+    private int pageCount() {
         return state.keys(StateKeys.BINDINGS_PREFIX).size()
                 + state.keys(StateKeys.FINISHED_TASKS_PREFIX).size();
     }
 
     @Test
-    void fourThousandMachinesAreServed() {
+    void leaderServesFourThousandMachinesWithinLimits() {
         state.lowerLimits(VALUE_KB, TRANSACTION_OPERATIONS, 100);
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
         Term first = termWithAllTasksBound();
@@ -228,75 +229,80 @@
     }
 
     private Term termWithAllTasksBound() {
-        long heapBefore = heap();
+        long heapBefore = usedHeapBytes();
         Term term = new Term(1);
         addJobsAndMachines(term);
         term.schedulingLoop.request();
-        for (int s = 0; s < 120 && term.committed() < TASKS; s++) {
+        for (int second = 0; second < 120 && term.committedBindings() < TASKS; second++) {
             loop.run(1);
         }
-        assertEquals(TASKS, term.committed(), "bound");
+        assertEquals(TASKS, term.committedBindings(), "committed bindings");
         assertEquals(0, state.rejectedTransactions());
-        // A page carries all that has gathered for it, and is written a few times at most.
-        assertTrue(state.transactions() <= 4 * pages(), state.transactions() + " transactions, " + pages() + " pages");
-        assertTrue(heap() - heapBefore < MAX_HEAP_BYTES, "heap: " + (heap() - heapBefore));
+        // Each write of a page contains all pending changes, so a page is written only a few times.
+        assertTrue(
+                state.transactions() <= 4 * pageCount(),
+                state.transactions() + " transactions, " + pageCount() + " pages");
+        assertTrue(
+                usedHeapBytes() - heapBefore < MAX_HEAP_BYTES,
+                "heap growth in bytes: " + (usedHeapBytes() - heapBefore));
         return term;
     }
 
     private void assertBurstOfExitsIsRecorded(Term term) {
         int transactionsBefore = state.transactions();
-        burstOfExits(term);
-        for (int s = 0; s < 60 && term.recordWriter.backlog() > 0; s++) {
+        sendBurstOfExits(term);
+        for (int second = 0; second < 60 && term.recordWriter.backlog() > 0; second++) {
             loop.run(1);
         }
-        assertEquals(TASKS - MACHINES, term.committed(), "after the burst");
-        int burst = state.transactions() - transactionsBefore;
-        assertTrue(burst <= 4 * pages(), burst + " transactions, " + pages() + " pages");
+        assertEquals(TASKS - MACHINES, term.committedBindings(), "committed bindings after the burst");
+        int burstTransactions = state.transactions() - transactionsBefore;
+        assertTrue(
+                burstTransactions <= 4 * pageCount(), burstTransactions + " transactions, " + pageCount() + " pages");
     }
 
     private void assertCycleAllocatesLittle(Term term) {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
         matching.plan(term.cluster, loop.nanos(), loop.wallMillis());
-        long bytes = threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
-        assertTrue(bytes < MAX_CYCLE_ALLOCATION_BYTES, "bytes a cycle: " + bytes);
+        long allocatedBytes = threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
+        assertTrue(allocatedBytes < MAX_CYCLE_ALLOCATION_BYTES, "bytes per cycle: " + allocatedBytes);
     }
 
     private void assertFailoverIsComplete() {
         Term second = new Term(2);
-        boolean[] ready = new boolean[1];
+        boolean[] completed = new boolean[1];
         new Failover(second.context, second.client, second.recordWriter.records()).start(new Failover.Listener() {
             @Override
             public void openJobsLoaded(long asOfNanos) {}
 
             @Override
             public void completed(long revision) {
-                ready[0] = true;
+                completed[0] = true;
             }
         });
         loop.run(10);
-        assertTrue(ready[0], "taken over");
-        assertEquals(TASKS - MACHINES, second.committed(), "taken over");
+        assertTrue(completed[0], "failover completed");
+        assertEquals(TASKS - MACHINES, second.committedBindings(), "committed bindings after the failover");
         assertEquals(
                 MACHINES,
                 second.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
-                "ends that were taken over");
+                "completed tasks after the failover");
         assertEquals(0, state.rejectedTransactions());
     }
 
-    /** The attempts of a term are numbers of 24 bits: before they are used up the leader resigns. */
+    /** The attempt counter of a term has 24 bits; the leader resigns before it overflows. */
     @Test
-    void leaderResignsBeforeTheAttemptsOfItsTermAreUsedUp() {
+    void leaderResignsBeforeAttemptNumbersRunOut() {
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
         Term term = new Term(1);
         addJobsAndMachines(term);
-        List<String> resigned = new ArrayList<>();
+        List<String> resignReasons = new ArrayList<>();
         SchedulingLoop schedulingLoop =
-                new SchedulingLoop(term.context, term.recordWriter, matching, machine -> {}, resigned::add);
+                new SchedulingLoop(term.context, term.recordWriter, matching, machine -> {}, resignReasons::add);
         schedulingLoop.recordAttemptsUsed(AttemptNumbers.MAX_PER_TERM - 10);
         schedulingLoop.request();
         loop.run(1);
-        assertEquals(1, resigned.size());
-        assertEquals(0, term.bindings(b -> true));
+        assertEquals(1, resignReasons.size());
+        assertEquals(0, term.countBindings(b -> true));
     }
 }
