--- a/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
+++ b/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
@@ -27,49 +27,49 @@
     private final RecordWriter recordWriter;
     private final RateLimitedWarnings warnings;
     private final FailureTracker failureTracker;
-    private final OrphanBindings orphans;
+    private final OrphanBindings orphanBindings;
     private final Consumer<Machine> onMachineAvailable;
 
     BindingReconciler(
             LeaderContext context,
             RecordWriter recordWriter,
-            OrphanBindings orphans,
+            OrphanBindings orphanBindings,
             Consumer<Machine> onMachineAvailable) {
         this.loop = context.loop();
         this.recordWriter = recordWriter;
         this.warnings = context.warnings();
         this.failureTracker = new FailureTracker(context.settings().workers());
-        this.orphans = orphans;
+        this.orphanBindings = orphanBindings;
         this.onMachineAvailable = onMachineAvailable;
     }
 
-    /** Applies the statuses to the machine's bindings; returns those that belong to none of them. */
+    /** Applies the statuses to the machine's bindings; returns the statuses without a matching binding. */
     List<TaskStatus> reconcile(Machine machine, ImmutableList<TaskStatus> statuses, long now) {
-        Map<TaskId, TaskStatus> bound = new HashMap<>();
-        List<TaskStatus> unbound = new ArrayList<>();
+        Map<TaskId, TaskStatus> boundStatuses = new HashMap<>();
+        List<TaskStatus> unboundStatuses = new ArrayList<>();
         for (TaskStatus status : statuses) {
             Binding binding = machine.binding(status.task());
             if (binding != null && binding.attempt() == status.attempt()) {
-                bound.put(status.task(), status);
+                boundStatuses.put(status.task(), status);
             } else {
-                unbound.add(status);
+                unboundStatuses.add(status);
             }
         }
         for (Binding binding : ImmutableList.copyOf(machine.bindings())) {
-            reconcile(binding, bound.get(binding.task()), now);
+            reconcile(binding, boundStatuses.get(binding.task()), now);
         }
-        return unbound;
+        return unboundStatuses;
     }
 
     /** {@code status} is null if the heartbeat does not list the task. */
     private void reconcile(Binding binding, TaskStatus status, long now) {
-        Binding.Phase before = binding.phase();
+        Binding.Phase previousPhase = binding.phase();
         if (status == null) {
             applyAbsence(binding, now);
         } else {
             applyStatus(binding, status, now);
         }
-        if (binding.phase() != before && binding.phase() != Binding.Phase.ABSENT) {
+        if (binding.phase() != previousPhase && binding.phase() != Binding.Phase.ABSENT) {
             binding.machine().suspicion().recordAcknowledgement();
         }
     }
@@ -77,13 +77,13 @@
     private void applyAbsence(Binding binding, long now) {
         binding.recordPhase(Binding.Phase.ABSENT, now);
         if (binding.stage() == Binding.Stage.ORPHANED) {
-            orphans.remove(binding, now);
+            orphanBindings.remove(binding, now);
         } else if (isAbandoned(binding)) {
             recordWriter.release(binding, false);
         }
     }
 
-    /** True if the task neither runs nor will be started; a direct start that is unresolved may still arrive. */
+    /** True if the task is not running and will not be started; an unresolved direct start could still start it. */
     private static boolean isAbandoned(Binding binding) {
         return binding.stage() == Binding.Stage.COMMITTED
                 && CommandSelector.isStartForbidden(binding)
@@ -105,7 +105,7 @@
 
     private void applyExit(Binding binding, ExitCause cause, long now) {
         if (binding.phase() == Binding.Phase.ENDED) {
-            return; // its release is being written
+            return; // the release of the binding is already being written
         }
         double elapsedS = binding.elapsedS(now);
         binding.recordPhase(Binding.Phase.ENDED, now);
@@ -125,7 +125,7 @@
     private void releaseExited(Binding binding, ExitCause cause, long now) {
         boolean completed = cause == ExitCause.DONE && !binding.job().spec().isService();
         if (binding.stage() == Binding.Stage.ORPHANED && !completed) {
-            orphans.remove(binding, now);
+            orphanBindings.remove(binding, now);
         } else {
             recordWriter.release(binding, completed);
         }
--- a/src/main/java/org/spruceridge/reconciliation/CancellationSource.java
+++ b/src/main/java/org/spruceridge/reconciliation/CancellationSource.java
@@ -2,13 +2,13 @@
 
 /** How the leader learned that a job was cancelled. */
 public enum CancellationSource {
-    /** A change of the watched open entries. */
+    /** The watch reported a change of the open entries. */
     WATCH("watch"),
-    /** A listing of the open entries that lacks the job. */
+    /** A listing of the open entries does not contain the job. */
     LISTING("listing"),
-    /** The heartbeat of the node that confirmed the cancellation to the user. */
+    /** The heartbeat of the node that confirmed the cancellation to the user reported it. */
     HEARTBEAT("peer-heartbeat"),
-    /** A write of this leader that failed on the job's guard. */
+    /** A transaction of this leader failed the comparison of the job's open entry. */
     FAILED_GUARD("failed-guard");
 
     private final String logValue;
@@ -17,7 +17,7 @@
         this.logValue = logValue;
     }
 
-    /** The value for log lines. */
+    /** The value to log. */
     @Override
     public String toString() {
         return logValue;
--- a/src/main/java/org/spruceridge/reconciliation/CancellationView.java
+++ b/src/main/java/org/spruceridge/reconciliation/CancellationView.java
@@ -4,7 +4,7 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** How recent the leader's view of cancellations is: up to which moment all confirmed ones are in the cluster state. */
+/** Tracks the staleness of the leader's view of cancellations: the time up to which it includes all confirmed ones. */
 final class CancellationView {
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -17,12 +17,14 @@
         this.maxAgeNanos = maxAgeNanos;
     }
 
-    /** Records that the view is complete up to a moment on the steady clock, in nanoseconds. */
-    void recordCompleteUpTo(long moment) {
-        completeUpTo = Math.max(completeUpTo, moment);
+    /** Records that the view is complete up to this time on the monotonic clock, in nanoseconds. */
+    void recordCompleteUpTo(long timeNanos) {
+        completeUpTo = Math.max(completeUpTo, timeNanos);
     }
 
-    /** The moment up to which the view is complete; before all others if it never was. */
+    /**
+     * The time up to which the view is complete, in nanoseconds; {@link Long#MIN_VALUE} if it has never been complete.
+     */
     long completeUpTo() {
         return completeUpTo;
     }
@@ -31,7 +33,7 @@
         return completeUpTo != NEVER && loop.nanos() - completeUpTo < maxAgeNanos;
     }
 
-    /** The age of the view in seconds; empty if it never was complete. */
+    /** The age of the view in seconds; empty if it has never been complete. */
     OptionalDouble ageS() {
         return completeUpTo == NEVER
                 ? OptionalDouble.empty()
--- a/src/main/java/org/spruceridge/reconciliation/CommandSelector.java
+++ b/src/main/java/org/spruceridge/reconciliation/CommandSelector.java
@@ -13,24 +13,26 @@
 import org.spruceridge.worker.WorkerHeartbeat;
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
-/** Chooses the commands for a worker. */
+/** Selects the commands to send to a worker. */
 final class CommandSelector {
     private final Loop loop;
     private final Cluster cluster;
-    private final OrphanBindings orphans;
+    private final OrphanBindings orphanBindings;
     private final ReclaimCheckpoint reclaimCheckpoint;
 
-    CommandSelector(LeaderContext context, OrphanBindings orphans) {
+    CommandSelector(LeaderContext context, OrphanBindings orphanBindings) {
         this.loop = context.loop();
         this.cluster = context.cluster();
-        this.orphans = orphans;
+        this.orphanBindings = orphanBindings;
         this.reclaimCheckpoint = new ReclaimCheckpoint(context.settings().workers());
     }
 
-    /** The commands that answer a heartbeat; {@code unbound} are the tasks of it that belong to no binding. */
-    List<WorkerCommand> commandsFor(Machine machine, List<TaskStatus> unbound, long now) {
+    /**
+     * The commands of the response to a heartbeat; {@code unboundStatuses} are its statuses without a matching binding.
+     */
+    List<WorkerCommand> commandsFor(Machine machine, List<TaskStatus> unboundStatuses, long now) {
         List<WorkerCommand> commands = new ArrayList<>();
-        for (TaskStatus status : unbound) {
+        for (TaskStatus status : unboundStatuses) {
             addUnboundTask(machine, status, commands, now);
         }
         for (Binding binding : machine.bindings()) {
@@ -46,15 +48,16 @@
 
     private void addUnboundTask(Machine machine, TaskStatus status, List<WorkerCommand> commands, long now) {
         if (!status.hasExited()) {
-            orphans.add(machine, status, now);
+            orphanBindings.add(machine, status, now);
             commands.add(WorkerCommand.stopImmediately(status.task(), status.attempt()));
         } else if (!machine.directCommands().isStartUnresolved(status.attempt())) {
-            // While the worker knows the attempt, a late start of it does nothing: only then it may be forgotten.
+            // A worker ignores a late start of an attempt that it knows, so it may forget the attempt only once the
+            // start is resolved.
             commands.add(WorkerCommand.forget(status.task(), status.attempt()));
         }
     }
 
-    /** The command that a binding calls for at present, if any. */
+    /** The command that the current state of a binding requires, if any. */
     Optional<WorkerCommand> dueCommand(Binding binding) {
         return switch (binding.phase()) {
             case ABSENT -> dueStart(binding);
@@ -62,7 +65,7 @@
             case CHECKPOINTING -> binding.stopMode() == Binding.StopMode.IMMEDIATE
                     ? Optional.of(stopImmediately(binding))
                     : Optional.empty();
-            case ENDED -> Optional.empty(); // forgotten once its end is on record
+            case ENDED -> Optional.empty(); // the worker forgets the attempt once its end is recorded
         };
     }
 
@@ -87,7 +90,7 @@
         return WorkerCommand.stopImmediately(binding.task(), binding.attempt());
     }
 
-    /** True if a task that is not on its machine yet must not be started there any more. */
+    /** True if a task that has not been started on its machine must no longer be started there. */
     static boolean isStartForbidden(Binding binding) {
         Machine machine = binding.machine();
         return binding.stopMode() != Binding.StopMode.NONE
@@ -98,19 +101,19 @@
     }
 
     /**
-     * The commands for a heartbeat that is answered but not taken into the cluster state. The response renews the worker's
-     * lease, so it stops all listed tasks of jobs that are not open. That needs no fresh heartbeat: a stop names an attempt,
-     * and an ended job stays ended.
+     * The commands of the response to a heartbeat that is not applied to the cluster state. The response renews the
+     * worker's lease, so it has to stop all listed tasks of jobs that are not open. This is safe even if the heartbeat
+     * is outdated: a stop names an attempt, and an ended job never reopens.
      */
-    List<WorkerCommand> stopsOfEndedJobs(WorkerHeartbeat heartbeat) {
+    List<WorkerCommand> stopsForEndedJobs(WorkerHeartbeat heartbeat) {
         return heartbeat.tasks().stream()
                 .filter(status -> !status.hasExited() && !isOpen(status.task().job()))
                 .map(status -> WorkerCommand.stopImmediately(status.task(), status.attempt()))
                 .toList();
     }
 
-    private boolean isOpen(String id) {
-        Job job = cluster.job(id);
+    private boolean isOpen(String jobId) {
+        Job job = cluster.job(jobId);
         return job != null && !job.isCancelled();
     }
 }
--- a/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
+++ b/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
@@ -10,15 +10,17 @@
 import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
 
 /**
- * Tells faulty machines from faulty jobs by the exits of their tasks: machines are cordoned, and jobs are retried with a
- * growing backoff.
+ * Distinguishes faulty machines from faulty jobs by the exits of their tasks. Faulty machines are cordoned, and faulty
+ * jobs are retried with exponential backoff.
  */
 final class FailureTracker {
     private static final Logger LOG = LoggerFactory.getLogger(FailureTracker.class);
 
-    /** How many jobs must fail on a machine before it is cordoned. */
+    /** The number of jobs with failures on a machine at which the machine is cordoned. */
     private static final int FAILED_JOBS_BEFORE_CORDON = 2;
-    /** How long an early exit of a replica counts, in cancellation times, which also limit the backoff. */
+    /**
+     * How long an early exit of a replica counts, in cancellation times; the cancellation time also caps the backoff.
+     */
     private static final double EARLY_EXIT_MEMORY_IN_CANCEL_TIMES = 2;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 16;
@@ -29,7 +31,7 @@
         this.workers = workers;
     }
 
-    /** Records that a task ended by itself after it was seen running for {@code elapsedS} seconds. */
+    /** Records that a task exited without a stop command after it was seen running for {@code elapsedS} seconds. */
     void recordExit(Binding binding, ExitCause cause, double elapsedS, long now) {
         Job job = binding.job();
         Machine machine = binding.machine();
@@ -48,7 +50,9 @@
         delayRetry(job, workers.heartbeatIntervalS(), now);
     }
 
-    /** Several failed jobs speak against their machine; one job that fails on many machines speaks against the job. */
+    /**
+     * Failures of several jobs indicate a faulty machine; failures of one job on many machines indicate a faulty job.
+     */
     private void recordFailure(Job job, Machine machine, long now) {
         job.failedMachines().add(machine.name());
         machine.suspicion().failedJobs().add(job.id());
@@ -72,8 +76,9 @@
     }
 
     /**
-     * A replica never should exit by itself. It is restarted at once, on another machine if it ran for a short time only,
-     * and with a growing backoff once more of them have exited early in a row than the service has replicas.
+     * Records the exit of a replica, which should run until it is stopped. The replica is restarted immediately, on
+     * another machine if it exited early. Exponential backoff applies once the number of consecutive early exits
+     * exceeds the number of replicas of the service.
      */
     private void recordReplicaExit(Job job, Machine machine, double elapsedS, long now) {
         if (elapsedS >= workers.leaseS()) {
@@ -88,7 +93,7 @@
         }
     }
 
-    /** Exponential backoff from the heartbeat interval, up to the cancellation time of the settings. */
+    /** Delays the retry by the heartbeat interval, doubled this many times, up to the configured cancellation time. */
     private void backOff(Job job, int doublings, long now) {
         double backoffS = workers.heartbeatIntervalS() * Math.pow(2, doublings);
         delayRetry(job, Math.min(backoffS, workers.cancelS()), now);
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
@@ -11,7 +11,7 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.worker.WorkerHeartbeat;
 
-/** Decides by fencing token and freshness which heartbeats count, and records those that do on their machines. */
+/** Accepts or rejects heartbeats by fencing token and freshness, and records accepted heartbeats on their machines. */
 final class HeartbeatAdmission {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAdmission.class);
 
@@ -26,14 +26,13 @@
     }
 
     /**
-     * Why a heartbeat does not count; empty if it does. One that counts carries this term's fencing token and is newer than
-     * all before it: commands of earlier leaders can no longer reach that worker, so a task that it lacks is not there. A
-     * machine that is not known yet is added to the cluster state.
+     * Returns why a heartbeat is rejected; empty if it is accepted. An accepted heartbeat carries this term's fencing
+     * token and is newer than all accepted before. Its worker no longer executes commands of earlier leaders, so a task
+     * that the heartbeat does not list is not on the machine. An unknown machine is added to the cluster state.
      */
     Optional<Rejected> check(WorkerHeartbeat heartbeat) {
-        // Without this term's token it may be a copy of any age, of a machine that is gone. The response brings the
-        // token,
-        // and the next heartbeat carries it.
+        // A heartbeat without this term's token may be a duplicate of any age, even from a machine that no longer
+        // exists. The response delivers the token, and the next heartbeat carries it.
         if (heartbeat.fencingToken() != term) {
             return Optional.of(Rejected.OTHER_FENCING_TOKEN);
         }
@@ -41,16 +40,16 @@
             return Optional.of(Rejected.MACHINE_DELETED);
         }
         Machine machine = findOrAdd(heartbeat);
-        boolean newer = machine.heartbeatVersion().isSupersededBy(heartbeat.incarnation(), heartbeat.sequence());
-        return newer ? Optional.empty() : Optional.of(Rejected.OUTDATED);
+        boolean isNewer = machine.heartbeatVersion().isSupersededBy(heartbeat.incarnation(), heartbeat.sequence());
+        return isNewer ? Optional.empty() : Optional.of(Rejected.OUTDATED);
     }
 
-    /** True if the machine has room from this heartbeat on: it is the first of an incarnation, or the first of this term. */
+    /** True if this heartbeat makes the machine available: it is the first one of an incarnation or of this term. */
     boolean makesAvailable(Machine machine, WorkerHeartbeat heartbeat) {
         return !machine.lease().isFenced() || machine.heartbeatVersion().isNewIncarnation(heartbeat.incarnation());
     }
 
-    /** Records a heartbeat that counts: its version and address, the fencing token and the reclaim notice. */
+    /** Records an accepted heartbeat: its version and address, the fencing token and the reclaim notice. */
     void record(Machine machine, WorkerHeartbeat heartbeat, HeartbeatOrigin origin, long now) {
         long incarnation = heartbeat.incarnation();
         switch (origin) {
@@ -68,9 +67,9 @@
     }
 
     private Machine findOrAdd(WorkerHeartbeat heartbeat) {
-        Machine known = cluster.machine(heartbeat.machine());
-        if (known != null) {
-            return known;
+        Machine existing = cluster.machine(heartbeat.machine());
+        if (existing != null) {
+            return existing;
         }
         long now = loop.nanos();
         Machine machine = new Machine(heartbeat.machine(), heartbeat.address(), heartbeat.kind(), now, now);
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -16,8 +16,8 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * Takes the heartbeats of workers into the cluster state and answers them with commands. The steps are, in this order:
- * admission, recording, reconciliation of bindings, the choice of commands, and the renewal of the worker's lease.
+ * Applies the heartbeats of workers to the cluster state and responds with commands. The steps are, in this order:
+ * admission, recording, reconciliation of bindings, selection of commands, and renewal of the worker's lease.
  */
 public final class HeartbeatHandler {
     private final Loop loop;
@@ -29,51 +29,51 @@
     private final Consumer<Machine> onMachineAvailable;
 
     /**
-     * {@code onMachineAvailable} is called for each machine that has new room: its heartbeats begin, or a task on it has
-     * exited.
+     * {@code onMachineAvailable} is called for each machine with newly available capacity: after its first heartbeat of
+     * an incarnation or a term, and after a task on it has exited.
      */
     public HeartbeatHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> onMachineAvailable) {
-        OrphanBindings orphans = new OrphanBindings(context.cluster(), context.warnings());
+        OrphanBindings orphanBindings = new OrphanBindings(context.cluster(), context.warnings());
         this.loop = context.loop();
         this.cluster = context.cluster();
         this.admission = new HeartbeatAdmission(context);
-        this.bindingReconciler = new BindingReconciler(context, recordWriter, orphans, onMachineAvailable);
-        this.commandSelector = new CommandSelector(context, orphans);
+        this.bindingReconciler = new BindingReconciler(context, recordWriter, orphanBindings, onMachineAvailable);
+        this.commandSelector = new CommandSelector(context, orphanBindings);
         this.leaseRenewals = new LeaseRenewals(context);
         this.onMachineAvailable = onMachineAvailable;
     }
 
-    /** Handles a heartbeat that a worker sent by itself; returns the commands of the response, which renews its lease. */
+    /** Handles a heartbeat sent by a worker; returns the commands of the response, which renews the worker's lease. */
     public List<WorkerCommand> handle(WorkerHeartbeat heartbeat) {
         HeartbeatResult result = apply(heartbeat, HeartbeatOrigin.WORKER_REQUEST);
         leaseRenewals.record(heartbeat);
         return result instanceof Reconciled reconciled
                 ? reconciled.commands()
-                : commandSelector.stopsOfEndedJobs(heartbeat);
+                : commandSelector.stopsForEndedJobs(heartbeat);
     }
 
-    /** Handles a heartbeat while the failover is under way: only jobs are known yet, and of those all that are open. */
+    /** Handles a heartbeat during the failover, when all open jobs are known but machines and bindings are not yet. */
     public List<WorkerCommand> handleDuringFailover(WorkerHeartbeat heartbeat) {
         leaseRenewals.recordDuringFailover(heartbeat);
-        return commandSelector.stopsOfEndedJobs(heartbeat);
+        return commandSelector.stopsForEndedJobs(heartbeat);
     }
 
-    /** Handles a heartbeat that came with the result of a direct command, to which there is no response. */
+    /** Handles a heartbeat that arrived with the result of a direct command, which gets no response. */
     public void handleReply(WorkerHeartbeat heartbeat) {
         apply(heartbeat, HeartbeatOrigin.COMMAND_REPLY);
     }
 
-    /** The machines of the records are known from now on. */
+    /** Called when the failover is complete: all recorded machines are known from now on. */
     public void failoverCompleted() {
         leaseRenewals.failoverCompleted();
     }
 
-    /** True if the heartbeat must not be answered, so that the worker's lease expires. */
+    /** True if the heartbeat must get no response, so that the worker's lease expires. */
     public boolean withholdsResponse(WorkerHeartbeat heartbeat) {
-        return leaseRenewals.areWithheldFrom(heartbeat);
+        return leaseRenewals.isResponseWithheld(heartbeat);
     }
 
-    /** The command that a binding calls for at present, if any. */
+    /** The command that the current state of a binding requires, if any. */
     public Optional<WorkerCommand> dueCommand(Binding binding) {
         return commandSelector.dueCommand(binding);
     }
@@ -87,10 +87,10 @@
         long now = loop.nanos();
         boolean becomesAvailable = admission.makesAvailable(machine, heartbeat);
         admission.record(machine, heartbeat, origin, now);
-        List<TaskStatus> unbound = bindingReconciler.reconcile(machine, heartbeat.tasks(), now);
+        List<TaskStatus> unboundStatuses = bindingReconciler.reconcile(machine, heartbeat.tasks(), now);
         if (becomesAvailable) {
             onMachineAvailable.accept(machine);
         }
-        return new Reconciled(commandSelector.commandsFor(machine, unbound, now));
+        return new Reconciled(commandSelector.commandsFor(machine, unboundStatuses, now));
     }
 }
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatOrigin.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatOrigin.java
@@ -1,9 +1,9 @@
 package org.spruceridge.reconciliation;
 
-/** How a heartbeat came to the leader. */
+/** How a heartbeat reached the leader. */
 enum HeartbeatOrigin {
-    /** The worker sent it by itself, which shows that it reaches a controller. */
+    /** The worker sent the heartbeat, which shows that the worker can reach a controller. */
     WORKER_REQUEST,
-    /** It came with the result of a direct command. */
+    /** The heartbeat arrived with the result of a direct command. */
     COMMAND_REPLY
 }
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatResult.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatResult.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import org.spruceridge.worker.WorkerCommand;
 
-/** What became of a heartbeat. */
+/** The result of handling a heartbeat. */
 sealed interface HeartbeatResult {
-    /** It was taken into the cluster state, and these commands follow from it. */
+    /** The heartbeat was applied to the cluster state; the worker gets these commands. */
     record Reconciled(List<WorkerCommand> commands) implements HeartbeatResult {}
 
-    /** It was not taken into the cluster state, for this reason. */
+    /** The reason why a heartbeat was not applied to the cluster state. */
     enum Rejected implements HeartbeatResult {
-        /** It carries the fencing token of another term. */
+        /** The heartbeat carries the fencing token of another term. */
         OTHER_FENCING_TOKEN,
-        /** Its machine was deleted. */
+        /** The machine has been deleted. */
         MACHINE_DELETED,
-        /** It is not newer than the newest heartbeat that was accepted. */
+        /** The heartbeat is not newer than the last accepted one. */
         OUTDATED
     }
 }
--- a/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
@@ -12,7 +12,7 @@
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.term.LeaderContext;
 
-/** Marks jobs as cancelled: what is proposed is withdrawn, and what runs is stopped. */
+/** Marks jobs as cancelled, withdraws their proposed bindings, and has their running tasks stopped. */
 final class JobCanceller {
     private static final Logger LOG = LoggerFactory.getLogger(JobCanceller.class);
 
@@ -20,24 +20,24 @@
     private final long term;
     private final RecordWriter recordWriter;
     private final CancellationView view;
-    private final Consumer<Machine> commandsDue;
+    private final Consumer<Machine> onCommandsDue;
     private final Runnable onJobsChanged;
 
     JobCanceller(
             LeaderContext context,
             RecordWriter recordWriter,
             CancellationView view,
-            Consumer<Machine> commandsDue,
+            Consumer<Machine> onCommandsDue,
             Runnable onJobsChanged) {
         this.loop = context.loop();
         this.term = context.term().term();
         this.recordWriter = recordWriter;
         this.view = view;
-        this.commandsDue = commandsDue;
+        this.onCommandsDue = onCommandsDue;
         this.onJobsChanged = onJobsChanged;
     }
 
-    /** Does nothing if the job is cancelled already. */
+    /** Cancels the job; does nothing if it is already cancelled. */
     void cancel(Job job, CancellationSource source) {
         if (job.isCancelled()) {
             return;
@@ -47,11 +47,14 @@
         List<Machine> machines =
                 job.bindings().stream().map(Binding::machine).distinct().toList();
         log(job, source, machines.size());
-        machines.forEach(commandsDue);
+        machines.forEach(onCommandsDue);
         onJobsChanged.run();
     }
 
-    /** Logged at info only if tasks are bound; {@code ageS} is an upper bound of the time since the user was told. */
+    /**
+     * Logs at info level only if tasks are bound; {@code ageS} is an upper bound of the time since the user received
+     * the confirmation.
+     */
     private void log(Job job, CancellationSource source, int machineCount) {
         if (machineCount == 0) {
             LOG.debug("job cancelled term={} job={} source={} taskCount=0", term, job.id(), source);
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -28,7 +28,7 @@
 import org.spruceridge.state.StateResult;
 import org.spruceridge.term.LeaderContext;
 
-/** Learns of accepted and cancelled jobs by watching the open entries, which exist for unfinished jobs only. */
+/** Detects accepted and cancelled jobs by watching the open entries, which exist only for unfinished jobs. */
 public final class JobWatcher {
     private static final long RETRY_DELAY_NANOS = Durations.millis(250);
 
@@ -45,14 +45,14 @@
     private Cancellable watch = () -> {};
 
     /**
-     * {@code commandsDue} is called for each machine on which a task has to be stopped; {@code onJobsChanged} after jobs
-     * were added or cancelled.
+     * {@code onCommandsDue} is called for each machine on which a task has to be stopped; {@code onJobsChanged} after
+     * jobs were added or cancelled.
      */
     public JobWatcher(
             LeaderContext context,
             StateClient state,
             RecordWriter recordWriter,
-            Consumer<Machine> commandsDue,
+            Consumer<Machine> onCommandsDue,
             Runnable onJobsChanged) {
         CancellationTimes times = CancellationTimes.of(context.settings().workers());
         this.loop = context.loop();
@@ -62,37 +62,41 @@
         this.recordWriter = recordWriter;
         this.warnings = context.warnings();
         this.view = new CancellationView(loop, Durations.nanos(times.maxStalenessS()));
-        this.canceller = new JobCanceller(context, recordWriter, view, commandsDue, onJobsChanged);
+        this.canceller = new JobCanceller(context, recordWriter, view, onCommandsDue, onJobsChanged);
         this.onJobsChanged = onJobsChanged;
         this.watchDurationS = times.watchTimeoutS();
     }
 
-    /** Records that every cancellation confirmed before this moment is in the cluster state. */
-    public void recordViewCompleteUpTo(long moment) {
-        view.recordCompleteUpTo(moment);
+    /**
+     * Records that every cancellation confirmed before this time is in the cluster state; the time is on the monotonic
+     * clock, in nanoseconds.
+     */
+    public void recordViewCompleteUpTo(long timeNanos) {
+        view.recordCompleteUpTo(timeNanos);
     }
 
     /**
-     * True while the view of cancellations is recent enough for heartbeats to be answered. A renewed leader lease does not
-     * show that: it can be renewed while the watch is stuck, and after an outage it has its full time again.
+     * True while the view of cancellations is recent enough to respond to heartbeats. A valid leader lease does not
+     * imply this: the lease can be renewed while the watch is stuck, and after an outage it has its full duration
+     * again.
      */
     public boolean isUpToDate() {
         return view.isUpToDate();
     }
 
-    /** How long ago the view of cancellations was complete, in seconds; empty if it never was. */
+    /** The age of the view of cancellations, in seconds; empty if it has never been complete. */
     public OptionalDouble cancellationViewAgeS() {
         return view.ageS();
     }
 
-    /** Follows all changes after a revision. A result is complete up to the moment of its request. */
+    /** Watches all changes after a revision. Each result is complete up to the time of its request. */
     public void watchFrom(long revision) {
         long requestedAt = loop.nanos();
         watch = state.watch(
                 StateKeys.OPEN_JOBS_PREFIX,
                 revision,
                 watchDurationS,
-                scope.guard(result -> applyWatched(result, requestedAt)));
+                scope.guard(result -> handleWatchResult(result, requestedAt)));
     }
 
     /** Ends the watch. */
@@ -100,15 +104,15 @@
         watch.cancel();
     }
 
-    /** Marks a job as cancelled by its user: what is proposed is withdrawn, and what runs is stopped. */
+    /** Marks a job as cancelled by its user, withdraws its proposed bindings, and has its running tasks stopped. */
     public void markCancelled(Job job, CancellationSource source) {
         canceller.cancel(job, source);
     }
 
-    private void applyWatched(StateResult<Changes> result, long requestedAt) {
+    private void handleWatchResult(StateResult<Changes> result, long requestedAt) {
         if (result.isOk()) {
             Changes changes = result.value();
-            changes.changes().forEach(this::apply);
+            changes.changes().forEach(this::applyChange);
             view.recordCompleteUpTo(requestedAt);
             if (!changes.changes().isEmpty()) {
                 onJobsChanged.run();
@@ -117,37 +121,39 @@
         } else if (result.outcome() == StateResult.Outcome.REVISION_COMPACTED) {
             relistOpenJobs();
         } else {
-            // Not the same watch again: if only watches get no answer, a listing still tells.
+            // The watch is not retried directly: a listing still succeeds if only watches get no response.
             scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
         }
     }
 
-    private void apply(Change change) {
-        String id = change.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
+    private void applyChange(Change change) {
+        String jobId = change.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
         if (change instanceof Change.Put put) {
-            add(id, put.value(), put.modRevision());
+            addJob(jobId, put.value(), put.modRevision());
         } else {
-            openEntryRemoved(id, CancellationSource.WATCH);
+            handleRemovedEntry(jobId, CancellationSource.WATCH);
         }
     }
 
-    /** The open entry of a job goes with its cancellation, or with the record of its end by this leader. */
-    private void openEntryRemoved(String id, CancellationSource source) {
-        Job job = cluster.job(id);
+    /**
+     * The open entry of a job is removed when the job is cancelled, or when this leader records the job's completion.
+     */
+    private void handleRemovedEntry(String jobId, CancellationSource source) {
+        Job job = cluster.job(jobId);
         if (job != null && !recordWriter.isCompleting(job)) {
             canceller.cancel(job, source);
         }
     }
 
-    private void add(String id, JsonNode value, long modRevision) {
-        if (cluster.job(id) != null) {
+    private void addJob(String jobId, JsonNode value, long modRevision) {
+        if (cluster.job(jobId) != null) {
             return;
         }
         try {
             JobRecord record = JobRecord.read(value);
             cluster.add(new Job(record.spec(), modRevision, record.submittedMs()));
         } catch (BadMessageException e) {
-            warnings.warn("unreadable job record", "job=" + id + " reason=" + e.getMessage());
+            warnings.warn("unreadable job record", "job=" + jobId + " reason=" + e.getMessage());
         }
     }
 
@@ -156,24 +162,24 @@
         state.list(
                 StateKeys.OPEN_JOBS_PREFIX,
                 Priority.HEARTBEATS,
-                scope.guard(listing -> applyListed(listing, requestedAt)));
+                scope.guard(listing -> handleListing(listing, requestedAt)));
     }
 
-    private void applyListed(StateResult<Listing> result, long requestedAt) {
+    private void handleListing(StateResult<Listing> result, long requestedAt) {
         if (!result.isOk()) {
             scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
             return;
         }
         Listing listing = result.value();
-        Set<String> open = new HashSet<>();
+        Set<String> openIds = new HashSet<>();
         for (Entry entry : listing.entries()) {
-            String id = entry.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
-            open.add(id);
-            add(id, entry.value(), entry.modRevision());
+            String jobId = entry.key().substring(StateKeys.OPEN_JOBS_PREFIX.length());
+            openIds.add(jobId);
+            addJob(jobId, entry.value(), entry.modRevision());
         }
         List.copyOf(cluster.jobs()).stream()
-                .filter(job -> !open.contains(job.id()))
-                .forEach(job -> openEntryRemoved(job.id(), CancellationSource.LISTING));
+                .filter(job -> !openIds.contains(job.id()))
+                .forEach(job -> handleRemovedEntry(job.id(), CancellationSource.LISTING));
         view.recordCompleteUpTo(requestedAt);
         onJobsChanged.run();
         watchFrom(listing.revision());
--- a/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
+++ b/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
@@ -9,13 +9,16 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.worker.WorkerHeartbeat;
 
-/** Records which workers' leases are renewed by responses, and decides which heartbeats get none. */
+/** Records the worker leases that responses renew, and decides which heartbeats get no response. */
 final class LeaseRenewals {
     private final Loop loop;
     private final Cluster cluster;
     private final long term;
     private final long workerLeaseNanos;
-    /** When the heartbeats of machines were answered that are not in the cluster state yet, on the steady clock. */
+    /**
+     * Renewal times of machines that are not in the cluster state yet, by machine name, on the monotonic clock in
+     * nanoseconds.
+     */
     private final Map<String, Long> renewedDuringFailover = new HashMap<>();
 
     LeaseRenewals(LeaderContext context) {
@@ -25,7 +28,7 @@
         this.workerLeaseNanos = Durations.nanos(context.settings().workers().leaseS());
     }
 
-    /** Records that a heartbeat is answered and that its worker gets this term's fencing token with the response. */
+    /** Records the response to a heartbeat, which delivers this term's fencing token to the worker. */
     void record(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine != null) {
@@ -33,12 +36,12 @@
         }
     }
 
-    /** Records that a heartbeat is answered before the machines are known. */
+    /** Records the response to a heartbeat during the failover, before the machines are known. */
     void recordDuringFailover(WorkerHeartbeat heartbeat) {
         renewedDuringFailover.put(heartbeat.machine(), loop.nanos());
     }
 
-    /** The machines are known from now on: the renewals of the failover are recorded on them. */
+    /** Called when the machines are known: records the renewals made during the failover on them. */
     void failoverCompleted() {
         renewedDuringFailover.forEach((name, renewedAt) -> {
             Machine machine = cluster.machine(name);
@@ -50,16 +53,17 @@
     }
 
     /**
-     * True if a response would only delay the proof that the machine's tasks are gone: it is terminating and does not carry
-     * out its commands, or it has been answered for longer than a lease and does not show this term's fencing token.
+     * True if a response would only delay the proof that the machine's tasks are gone. This is the case if the machine
+     * is terminating and does not execute its commands, or if it has received responses for longer than a lease and
+     * still does not present this term's fencing token.
      */
-    boolean areWithheldFrom(WorkerHeartbeat heartbeat) {
+    boolean isResponseWithheld(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine == null || machine.bindings().isEmpty()) {
             return false;
         }
-        // Not before a whole lease: right after a failover, responses may be too late for workers that are not at
-        // fault.
+        // Fencing is overdue only after a whole lease: shortly after a failover, responses may arrive too late at
+        // healthy workers.
         boolean fencingOverdue =
                 heartbeat.fencingToken() != term && machine.lease().isFencingOverdue(loop.nanos(), workerLeaseNanos);
         return fencingOverdue || (machine.isTerminating() && machine.awaitsAcknowledgement());
--- a/src/main/java/org/spruceridge/reconciliation/OrphanBindings.java
+++ b/src/main/java/org/spruceridge/reconciliation/OrphanBindings.java
@@ -8,7 +8,9 @@
 import org.spruceridge.net.RateLimitedWarnings;
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
-/** Bindings of tasks that run although no record knows them: they are counted where they run until they are gone. */
+/**
+ * Bindings of running tasks that have no record. They count against the capacity of their machine until they are gone.
+ */
 final class OrphanBindings {
     private final Cluster cluster;
     private final RateLimitedWarnings warnings;
@@ -18,7 +20,7 @@
         this.warnings = warnings;
     }
 
-    /** Adds a binding, to be stopped immediately, unless the job is unknown or the task is bound to another machine. */
+    /** Adds a binding to be stopped immediately, unless the job is unknown or the task is already bound. */
     void add(Machine machine, TaskStatus status, long now) {
         TaskId task = status.task();
         warnings.warn(
@@ -35,7 +37,7 @@
         cluster.bind(orphan);
     }
 
-    /** The task is gone; no record of it has to be released. */
+    /** Removes the binding of a task that is gone; there is no record to release. */
     void remove(Binding orphan, long now) {
         cluster.unbind(orphan, now);
         cluster.removeIfEnded(orphan.job(), orphan.job().isCancelled());
--- a/src/main/java/org/spruceridge/reconciliation/ReclaimCheckpoint.java
+++ b/src/main/java/org/spruceridge/reconciliation/ReclaimCheckpoint.java
@@ -6,12 +6,12 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.net.Durations;
 
-/** Stops tasks in time for a checkpoint on machines that the cloud is about to reclaim. */
+/** Stops tasks on machines that the cloud is about to reclaim, early enough for a checkpoint. */
 final class ReclaimCheckpoint {
-    /** The next heartbeat comes at the latest after one and a quarter intervals; this is twice that. */
-    private static final double LAST_CHANCE_HEARTBEATS = 2.5;
+    /** Twice the maximum delay until the next heartbeat, which is 1.25 intervals. */
+    private static final double STOP_LEAD_HEARTBEAT_INTERVALS = 2.5;
 
-    private static final double LAST_CHANCE_CHECKPOINTS = 1.5;
+    private static final double STOP_LEAD_CHECKPOINT_DURATIONS = 1.5;
 
     private final Settings.Workers workers;
 
@@ -19,14 +19,14 @@
         this.workers = workers;
     }
 
-    /** Requests the stop of a task that is on the machine if this is the last chance for its checkpoint. */
+    /** Requests the stop of a task on the machine if a later stop might leave too little time for its checkpoint. */
     void requestIfDue(Binding binding, long now) {
         SpotReclaim reclaim = binding.machine().reclaim();
         if (!isPresent(binding) || !reclaim.isAnnounced() || binding.stopMode() != Binding.StopMode.NONE) {
             return;
         }
         double remainingS = Durations.seconds(reclaim.reclaimAt() - now);
-        if (remainingS <= lastChanceS(binding.job().spec())) {
+        if (remainingS <= stopLeadTimeS(binding.job().spec())) {
             binding.requestStop(Binding.StopMode.CHECKPOINT);
         }
     }
@@ -35,19 +35,19 @@
         return binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.FETCHING;
     }
 
-    private double lastChanceS(JobSpec spec) {
-        double checkpointS = spec.canCheckpoint() ? LAST_CHANCE_CHECKPOINTS * spec.checkpointDurationS() : 0;
-        return LAST_CHANCE_HEARTBEATS * workers.heartbeatIntervalS() + checkpointS;
+    private double stopLeadTimeS(JobSpec spec) {
+        double checkpointS = spec.canCheckpoint() ? STOP_LEAD_CHECKPOINT_DURATIONS * spec.checkpointDurationS() : 0;
+        return STOP_LEAD_HEARTBEAT_INTERVALS * workers.heartbeatIntervalS() + checkpointS;
     }
 
-    /** How many seconds a task gets for its checkpoint: not more than remain until its machine is reclaimed. */
+    /** The time for a task's checkpoint, in seconds; at most the time until its machine is reclaimed. */
     static double graceS(Binding binding, long now) {
-        double wantedS = 2 * binding.job().spec().checkpointDurationS() + 1;
+        double fullGraceS = 2 * binding.job().spec().checkpointDurationS() + 1;
         SpotReclaim reclaim = binding.machine().reclaim();
         if (!reclaim.isAnnounced()) {
-            return wantedS;
+            return fullGraceS;
         }
         double remainingS = Durations.seconds(reclaim.reclaimAt() - now);
-        return Math.max(0, Math.min(wantedS, remainingS));
+        return Math.max(0, Math.min(fullGraceS, remainingS));
     }
 }
--- a/src/main/java/org/spruceridge/reconciliation/package-info.java
+++ b/src/main/java/org/spruceridge/reconciliation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Brings the leader's cluster state in line with what workers and the consensus-backed key-value store report: heartbeats
- * are reconciled with bindings and answered with commands, and accepted and cancelled jobs are followed. Owned by the leader
- * of one term; everything runs on the event loop.
+ * Reconciles the leader's cluster state with the reports of workers and of the consensus-backed key-value store.
+ * Heartbeats are reconciled with bindings and get commands in response; a watch reports accepted and cancelled jobs.
+ * All objects belong to the leader of one term and run on the event loop.
  */
 package org.spruceridge.reconciliation;
