--- a/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
+++ b/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
@@ -21,7 +21,7 @@
     /**
      * How long an early exit of a replica counts, in cancellation times; the cancellation time also caps the backoff.
      */
-    private static final double EARLY_EXIT_MEMORY_IN_CANCEL_TIMES = 2;
+    private static final double EARLY_EXIT_WINDOW_IN_CANCEL_TIMES = 2;
 
     private static final int MAX_BACKOFF_DOUBLINGS = 16;
 
@@ -31,7 +31,7 @@
         this.workers = workers;
     }
 
-    /** Records that a task exited without a stop command after it was seen running for {@code elapsedS} seconds. */
+    /** Records that a task exited on its own after it was seen running for {@code elapsedS} seconds. */
     void recordExit(Binding binding, ExitCause cause, double elapsedS, long now) {
         Job job = binding.job();
         Machine machine = binding.machine();
@@ -86,7 +86,7 @@
             return;
         }
         recordFailure(job, machine, now);
-        job.countEarlyExit(now, Durations.nanos(EARLY_EXIT_MEMORY_IN_CANCEL_TIMES * workers.cancelS()));
+        job.countEarlyExit(now, Durations.nanos(EARLY_EXIT_WINDOW_IN_CANCEL_TIMES * workers.cancelS()));
         int excessExits = job.earlyExits() - job.spec().tasks();
         if (excessExits > 0) {
             backOff(job, Math.min(excessExits, MAX_BACKOFF_DOUBLINGS), now);
@@ -99,7 +99,7 @@
         delayRetry(job, Math.min(backoffS, workers.cancelS()), now);
     }
 
-    private static void delayRetry(Job job, double seconds, long now) {
-        job.retryAfter(Math.max(job.retryAfter(), now + Durations.nanos(seconds)));
+    private static void delayRetry(Job job, double delayS, long now) {
+        job.retryAfter(Math.max(job.retryAfter(), now + Durations.nanos(delayS)));
     }
 }
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -98,9 +98,9 @@
     /**
      * The expected time until exiting tasks free enough capacity for this task, in seconds; infinite if they never do.
      */
-    double secondsUntilFit(Resources task, Estimates estimates, long now) {
+    double secondsUntilFit(Resources task, RemainingTimeEstimator estimator, long now) {
         if (releases == null) {
-            releases = releases(estimates, now);
+            releases = releases(estimator, now);
         }
         double cpus = free.cpus();
         double gpus = free.gpus();
@@ -116,12 +116,12 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    private List<ExpectedRelease> releases(Estimates estimates, long now) {
+    private List<ExpectedRelease> releases(RemainingTimeEstimator estimator, long now) {
         List<ExpectedRelease> expectedReleases =
                 new ArrayList<>(machine.bindings().size());
         for (Binding binding : machine.bindings()) {
             if (!binding.isProvenGone() && binding.isExpectedToEnd()) {
-                double remainingS = estimates.remainingS(binding.job().spec().estimateS(), binding.elapsedS(now));
+                double remainingS = estimator.remainingS(binding.job().spec().estimateS(), binding.elapsedS(now));
                 expectedReleases.add(
                         new ExpectedRelease(remainingS, binding.job().spec().task()));
             }
--- a/src/main/java/org/spruceridge/schedule/Matching.java
+++ b/src/main/java/org/spruceridge/schedule/Matching.java
@@ -12,7 +12,7 @@
 public final class Matching {
     private final Settings settings;
     private final Policy policy;
-    private final Estimates estimates;
+    private final RemainingTimeEstimator estimator;
     private final PriorityMatrix matrix;
     private final int maxBindingsPerMachine;
 
@@ -21,9 +21,9 @@
         this.settings = settings;
         this.policy = policy;
         this.maxBindingsPerMachine = maxBindingsPerMachine;
-        this.estimates = new Estimates(policy.scheduling().minRemainingTimeS());
+        this.estimator = new RemainingTimeEstimator(policy.scheduling().minRemainingTimeS());
         this.matrix = new PriorityMatrix(
-                policy.weights(), estimates, policy.scheduling().targetStartDelayS());
+                policy.weights(), estimator, policy.scheduling().targetStartDelayS());
     }
 
     /**
@@ -32,6 +32,6 @@
      */
     public Plan plan(Cluster cluster, long now, long wallMs) {
         CycleState state = new CycleState(cluster, settings, maxBindingsPerMachine, now);
-        return new SchedulingCycle(state, matrix, estimates, policy, wallMs).run();
+        return new SchedulingCycle(state, matrix, estimator, policy, wallMs).run();
     }
 }
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns the tasks to preempt for these jobs, which are given in descending order of score. */
-    List<Binding> planFor(Collection<WaitingJob> urgentJobs) {
+    List<Binding> selectPreemptions(Collection<WaitingJob> urgentJobs) {
         if (!urgentJobs.isEmpty()) {
             findTargets(urgentJobs);
             urgentJobs.forEach(this::preemptFor);
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -12,7 +12,7 @@
  * distinct groups and not with the number of machines.
  */
 public final class PriorityMatrix {
-    private final Estimates estimates;
+    private final RemainingTimeEstimator estimator;
     private final ImmutableList<Term> jobTerms;
     private final ImmutableList<Term> machineTerms;
 
@@ -22,15 +22,15 @@
     public record Entry(Candidate candidate, MachineGroup group, double score, double urgency) {}
 
     /** {@code targetStartDelayS} is the time within which each job should start, in seconds after its submission. */
-    public PriorityMatrix(Weights weights, Estimates estimates, double targetStartDelayS) {
-        this.estimates = estimates;
+    public PriorityMatrix(Weights weights, RemainingTimeEstimator estimator, double targetStartDelayS) {
+        this.estimator = estimator;
         ImmutableList<Term> terms = ImmutableList.of(
                 new Term(new Deadline(), weights.deadline()),
                 new Term(new OverheadMinimization(), weights.overhead()),
                 new Term(new WaitMinimization(), weights.waiting()),
                 new Term(new AntiAging(), weights.aging()),
                 new Term(new StarvationPrevention(targetStartDelayS), weights.starvation()),
-                new Term(new ServiceAvailability(estimates.minRemainingTimeS()), weights.availability()),
+                new Term(new ServiceAvailability(estimator.minRemainingTimeS()), weights.availability()),
                 new Term(new MachinePrice(), weights.spotPreference()),
                 new Term(new BinPacking(), weights.packing()));
         this.jobTerms = select(terms, false);
@@ -59,7 +59,7 @@
             List<MachineGroup> rowGroups =
                     groups.stream().filter(g -> eligible.test(candidate, g)).toList();
             eligibleGroups.add(rowGroups);
-            longestRemainingS = Math.max(longestRemainingS, rowGroups.isEmpty() ? 0 : estimates.remainingS(candidate));
+            longestRemainingS = Math.max(longestRemainingS, rowGroups.isEmpty() ? 0 : estimator.remainingS(candidate));
         }
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < candidates.size(); i++) {
@@ -74,7 +74,7 @@
             List<MachineGroup> groups,
             double longestRemainingS,
             BiPredicate<Candidate, MachineGroup> hasRoom) {
-        double remainingS = estimates.remainingS(candidate);
+        double remainingS = estimator.remainingS(candidate);
         // Equation 7 is a mean over the machines of the row; the remaining time, and so the urgency, is the same on
         // all.
         Heuristic.Row row =
--- a/src/main/java/org/spruceridge/schedule/Estimates.java
+++ b/src/main/java/org/spruceridge/schedule/RemainingTimeEstimator.java
@@ -5,7 +5,7 @@
  *
  * @param minRemainingTimeS the lower bound, in seconds
  */
-public record Estimates(double minRemainingTimeS) {
+public record RemainingTimeEstimator(double minRemainingTimeS) {
     /**
      * The remaining time of a candidate, in seconds. It is the same on every machine, as machines have no speed rating.
      */
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -12,7 +12,7 @@
  */
 final class Reservations {
     private final CycleState state;
-    private final Estimates estimates;
+    private final RemainingTimeEstimator estimator;
     private final int maxReservations;
     private int reservationsMade;
 
@@ -20,9 +20,9 @@
     private record FutureFit(MachineCapacity capacity, double delayS) {}
 
     /** {@code maxMachineShare} is the largest share of all machines on which capacity may be reserved. */
-    Reservations(CycleState state, Estimates estimates, double maxMachineShare) {
+    Reservations(CycleState state, RemainingTimeEstimator estimator, double maxMachineShare) {
         this.state = state;
-        this.estimates = estimates;
+        this.estimator = estimator;
         this.maxReservations = (int) Math.ceil(state.machines().size() * maxMachineShare);
     }
 
@@ -30,15 +30,15 @@
      * Reserves capacity for the tasks of a job that this cycle cannot place; called before the job's tasks are placed.
      */
     void reserveFor(WaitingJob waiting) {
-        int admitted = state.quotas().admissibleTasks(waiting.job().spec());
-        if (admitted == 0) {
+        int admissibleTasks = state.quotas().admissibleTasks(waiting.job().spec());
+        if (admissibleTasks == 0) {
             reserveTeamQuota(waiting);
             return;
         }
         if (reservationsMade >= maxReservations) {
             return;
         }
-        int wanted = Math.min(waiting.remainingTasks(), admitted);
+        int wanted = Math.min(waiting.remainingTasks(), admissibleTasks);
         List<FutureFit> futureFits = new ArrayList<>();
         Resources task = waiting.job().spec().task();
         for (MachineCapacity capacity : state.machines()) {
@@ -51,7 +51,7 @@
                     return;
                 }
             } else if (!capacity.isReserved()) {
-                double delayS = capacity.secondsUntilFit(task, estimates, state.now());
+                double delayS = capacity.secondsUntilFit(task, estimator, state.now());
                 if (delayS < Double.POSITIVE_INFINITY) {
                     futureFits.add(new FutureFit(capacity, delayS));
                 }
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -32,11 +32,12 @@
     private final Map<MachineGroup, GroupCapacity> groups;
     private final List<Placement> placements = new ArrayList<>();
 
-    SchedulingCycle(CycleState state, PriorityMatrix matrix, Estimates estimates, Policy policy, long wallMs) {
+    SchedulingCycle(
+            CycleState state, PriorityMatrix matrix, RemainingTimeEstimator estimator, Policy policy, long wallMs) {
         this.state = state;
         this.matrix = matrix;
         this.reservations =
-                new Reservations(state, estimates, policy.scheduling().reservedShare());
+                new Reservations(state, estimator, policy.scheduling().reservedShare());
         this.preemption = new Preemption(state, policy.preemption().minIntervalPerMachineS());
         this.waitingJobs = state.waitingJobs(wallMs);
         this.groups = state.groups();
@@ -62,7 +63,7 @@
         }
         return new Plan(
                 ImmutableList.copyOf(placements),
-                ImmutableList.copyOf(preemption.planFor(urgentJobs(entries))),
+                ImmutableList.copyOf(preemption.selectPreemptions(urgentJobs(entries))),
                 evictions,
                 unplaced(),
                 groups.size());
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -222,9 +222,9 @@
     void leaderServesFourThousandMachinesWithinLimits() {
         state.lowerLimits(VALUE_KB, TRANSACTION_OPERATIONS, 100);
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
-        Term first = termWithAllTasksBound();
-        assertBurstOfExitsIsRecorded(first);
-        assertCycleAllocatesLittle(first);
+        Term firstTerm = termWithAllTasksBound();
+        assertBurstOfExitsIsRecorded(firstTerm);
+        assertCycleAllocatesLittle(firstTerm);
         assertFailoverIsComplete();
     }
 
@@ -269,23 +269,24 @@
     }
 
     private void assertFailoverIsComplete() {
-        Term second = new Term(2);
+        Term secondTerm = new Term(2);
         boolean[] completed = new boolean[1];
-        new Failover(second.context, second.client, second.recordWriter.records()).start(new Failover.Listener() {
-            @Override
-            public void openJobsLoaded(long asOfNanos) {}
+        new Failover(secondTerm.context, secondTerm.client, secondTerm.recordWriter.records())
+                .start(new Failover.Listener() {
+                    @Override
+                    public void openJobsLoaded(long asOfNanos) {}
 
-            @Override
-            public void completed(long revision) {
-                completed[0] = true;
-            }
-        });
+                    @Override
+                    public void completed(long revision) {
+                        completed[0] = true;
+                    }
+                });
         loop.run(10);
         assertTrue(completed[0], "failover completed");
-        assertEquals(TASKS - MACHINES, second.committedBindings(), "committed bindings after the failover");
+        assertEquals(TASKS - MACHINES, secondTerm.committedBindings(), "committed bindings after the failover");
         assertEquals(
                 MACHINES,
-                second.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
+                secondTerm.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
                 "completed tasks after the failover");
         assertEquals(0, state.rejectedTransactions());
     }
--- a/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
+++ b/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
@@ -118,12 +118,12 @@
 
     @Test
     void remainingTimeHasTenSecondFloor() {
-        Estimates estimates = new Estimates(10);
+        RemainingTimeEstimator estimator = new RemainingTimeEstimator(10);
         Job job = job(1, 40, OptionalDouble.empty());
-        assertEquals(40, estimates.remainingS(new Candidate(job, 0, 0, 0)));
-        assertEquals(15, estimates.remainingS(new Candidate(job, 25, 0, 0)));
-        assertEquals(10, estimates.remainingS(new Candidate(job, 35, 0, 0)));
-        assertEquals(10, estimates.remainingS(new Candidate(job, 400, 0, 0)));
+        assertEquals(40, estimator.remainingS(new Candidate(job, 0, 0, 0)));
+        assertEquals(15, estimator.remainingS(new Candidate(job, 25, 0, 0)));
+        assertEquals(10, estimator.remainingS(new Candidate(job, 35, 0, 0)));
+        assertEquals(10, estimator.remainingS(new Candidate(job, 400, 0, 0)));
     }
 
     @Test
@@ -132,7 +132,7 @@
         Candidate urgent = new Candidate(job(1, 40, OptionalDouble.of(100)), 0, 40, 60);
         Candidate longer = new Candidate(job(2, 80, OptionalDouble.empty()), 0, 20, Double.POSITIVE_INFINITY);
         List<PriorityMatrix.Entry> entries = new PriorityMatrix(
-                        Policy.defaults().weights(), new Estimates(10), 240)
+                        Policy.defaults().weights(), new RemainingTimeEstimator(10), 240)
                 .entries(ImmutableList.of(urgent, longer), ImmutableList.of(GROUP), (c, m) -> true, (c, m) -> true);
         // 15 * (1 - 0.5) * 0.5 + 40 * 0 + 8 * (1 - 40 / 80) + 5 * 40 / (40 + 40) = 3.75 + 4 + 2.5 and of the added
         // terms 2 * (1 - 1), as there is only one price, + 3 * 0.5 for a half-full machine.
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -27,9 +27,9 @@
     @Test
     void placementsStayWithinMachineCapacity() {
         addMachine("m", "a", false);
-        JobBuilder many = job();
-        many.tasks = 5;
-        Job job = many.add();
+        JobBuilder largeJob = job();
+        largeJob.tasks = 5;
+        Job job = largeJob.add();
         Plan plan = plan();
         assertEquals(2, plan.placements().size());
         assertEquals(3, plan.unplaced().get(job));
@@ -125,8 +125,8 @@
         assertEquals(List.of("right", "right"), machineNames(plan()));
         JobBuilder otherType = job();
         otherType.types = Optional.of(ImmutableSet.of("t9"));
-        Job never = otherType.add();
-        assertTrue(plan().placements().stream().noneMatch(p -> p.job() == never));
+        Job otherTypeJob = otherType.add();
+        assertTrue(plan().placements().stream().noneMatch(p -> p.job() == otherTypeJob));
     }
 
     @Test
--- a/src/test/java/org/spruceridge/schedule/ReferenceMatching.java
+++ b/src/test/java/org/spruceridge/schedule/ReferenceMatching.java
@@ -25,7 +25,7 @@
     private final List<Job> jobs;
     private final List<Machine> machines;
     private final long wallMs;
-    private final Estimates estimates = new Estimates(10);
+    private final RemainingTimeEstimator estimator = new RemainingTimeEstimator(10);
     private final Map<Machine, Double> fullness = new HashMap<>();
     private final Map<Machine, Resources> free = new HashMap<>();
     private final Map<Job, Integer> waitingTasks = new HashMap<>();
@@ -59,7 +59,7 @@
         for (Job job : jobs) {
             longestRemainingS = job.isCancelled()
                     ? longestRemainingS
-                    : Math.max(longestRemainingS, estimates.remainingS(candidate(job)));
+                    : Math.max(longestRemainingS, estimator.remainingS(candidate(job)));
             waitingTasks.put(job, job.isCancelled() ? 0 : job.spec().tasks());
         }
         blueCpus = cluster.usedBy("blue").cpus();
@@ -100,7 +100,7 @@
     private double score(Job job, Machine machine) {
         MachineType type = types.get(machine.type());
         Candidate candidate = candidate(job);
-        double remainingS = estimates.remainingS(candidate);
+        double remainingS = estimator.remainingS(candidate);
         double urgency = Deadline.urgency(candidate.slackS(), remainingS);
         double price = type.price(machine.isSpot()) / type.capacity().cpus() / highestPrice;
         return 15 * (1 - urgency) * urgency
