--- a/src/main/java/org/spruceridge/api/AdmissionControl.java
+++ b/src/main/java/org/spruceridge/api/AdmissionControl.java
@@ -9,7 +9,7 @@
 import org.spruceridge.cluster.Resources;
 import org.spruceridge.config.Settings.Team;
 
-/** Decides whether a well-formed job can ever run with the machine types and team limits that exist. */
+/** Checks whether a valid job can run at all, given the available machine types and the limits of its team. */
 final class AdmissionControl {
     private final ImmutableMap<String, Team> teams;
 
@@ -17,7 +17,7 @@
         this.teams = teams;
     }
 
-    /** Why the job can never run; empty if it can. The text is sent to the user. */
+    /** Returns why the job can never run, or empty if it can run. The text is sent to the user. */
     Optional<String> rejectionReason(JobSpec spec, ImmutableMap<String, MachineType> types) {
         Team team = teams.get(spec.team());
         if (team == null) {
@@ -32,7 +32,8 @@
                     ? Optional.empty()
                     : Optional.of("a task needs more than the team's limit");
         }
-        // All replicas run at the same time, and none of them ends to make way for another.
+        // All replicas of a service run at the same time and none completes, so the limit must cover all of them at
+        // once.
         Resources allReplicas = spec.task().times(spec.tasks());
         return allReplicas.fitsIn(limit) ? Optional.empty() : Optional.of("the job needs more than the team's limit");
     }
@@ -42,7 +43,7 @@
                 && type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
     }
 
-    /** A limit of 0 in the settings means none. */
+    /** A limit of 0 in the settings means unlimited. */
     private static Resources limitOf(Team team) {
         return new Resources(
                 team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
@@ -50,10 +51,10 @@
                 Double.MAX_VALUE);
     }
 
-    /** The job with only those types named that exist, so that its record stays small. */
+    /** Removes unknown machine types from the job's list of allowed types, to keep its record small. */
     static JobSpec withKnownTypes(JobSpec spec, ImmutableMap<String, MachineType> types) {
-        Optional<ImmutableSet<String>> known = spec.types()
+        Optional<ImmutableSet<String>> knownTypes = spec.types()
                 .map(named -> Sets.intersection(named, types.keySet()).immutableCopy());
-        return spec.withTypes(known);
+        return spec.withTypes(knownTypes);
     }
 }
--- a/src/main/java/org/spruceridge/api/JobCancellation.java
+++ b/src/main/java/org/spruceridge/api/JobCancellation.java
@@ -10,7 +10,7 @@
 import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 
-/** Cancels jobs: ends the job record by compare-and-swap, and announces the cancellation to the peers. */
+/** Cancels jobs: marks the job record as cancelled by compare-and-swap, and announces the cancellation to the peers. */
 final class JobCancellation {
     private final JobsEndpoint.Dependencies dependencies;
     private final StateClient state;
@@ -26,46 +26,48 @@
         this.transactions = transactions;
     }
 
-    void cancel(String id, Consumer<Response> answer) {
-        cancel(id, transactions.newDeadline(), answer);
+    void cancel(String id, Consumer<Response> onResponse) {
+        cancel(id, transactions.newDeadline(), onResponse);
     }
 
-    private void cancel(String id, long deadline, Consumer<Response> answer) {
-        state.get(StateKeys.job(id), Priority.SUBMISSIONS, found -> {
-            if (!found.isOk()) {
-                boolean isMissing = found.outcome() == StateResult.Outcome.NOT_FOUND;
-                answer.accept(isMissing ? JobResponses.unknownJob() : JobResponses.stateUnavailable());
+    private void cancel(String id, long deadline, Consumer<Response> onResponse) {
+        state.get(StateKeys.job(id), Priority.SUBMISSIONS, readResult -> {
+            if (!readResult.isOk()) {
+                boolean isMissing = readResult.outcome() == StateResult.Outcome.NOT_FOUND;
+                onResponse.accept(isMissing ? JobResponses.unknownJob() : JobResponses.stateUnavailable());
                 return;
             }
-            Optional<JobRecord> record = lookup.read(id, found.value().value());
+            Optional<JobRecord> record = lookup.read(id, readResult.value().value());
             if (record.isEmpty()) {
-                answer.accept(JobResponses.unreadableRecord());
+                onResponse.accept(JobResponses.unreadableRecord());
             } else if (record.get().stage() != JobRecord.Stage.OPEN) {
                 lookup.cache(record.get());
-                answer.accept(JobResponses.outcome(id, record.get().stage()));
+                onResponse.accept(
+                        JobResponses.cancellationResult(id, record.get().stage()));
             } else {
-                end(id, record.get(), found.value().modRevision(), deadline, answer);
+                commitCancellation(id, record.get(), readResult.value().modRevision(), deadline, onResponse);
             }
         });
     }
 
-    /** {@code modRevision} is that of the job record and of the open entry, which are always written together. */
-    private void end(String id, JobRecord open, long modRevision, long deadline, Consumer<Response> answer) {
-        JobRecord cancelled =
-                open.ended(JobRecord.Stage.CANCELLED, dependencies.loop().wallMillis());
+    /** {@code modRevision} applies to both the job record and the open-job entry: both are always written together. */
+    private void commitCancellation(
+            String id, JobRecord openRecord, long modRevision, long deadline, Consumer<Response> onResponse) {
+        JobRecord cancelledRecord =
+                openRecord.ended(JobRecord.Stage.CANCELLED, dependencies.loop().wallMillis());
         Transaction transaction = Transaction.builder()
-                .put(StateKeys.job(id), modRevision, cancelled.write(valueBytes))
+                .put(StateKeys.job(id), modRevision, cancelledRecord.write(valueBytes))
                 .delete(StateKeys.openJob(id), modRevision)
                 .build();
-        transactions.commit(transaction, deadline, answer, result -> {
+        transactions.commit(transaction, deadline, onResponse, result -> {
             if (result.isCommitted()) {
-                lookup.cache(cancelled);
+                lookup.cache(cancelledRecord);
                 dependencies.cancellations().add(id);
-                answer.accept(JobResponses.outcome(id, JobRecord.Stage.CANCELLED));
+                onResponse.accept(JobResponses.cancellationResult(id, JobRecord.Stage.CANCELLED));
             } else if (transactions.isBefore(deadline)) {
-                cancel(id, deadline, answer);
+                cancel(id, deadline, onResponse);
             } else {
-                answer.accept(JobResponses.stateUnavailable());
+                onResponse.accept(JobResponses.stateUnavailable());
             }
         });
     }
--- a/src/main/java/org/spruceridge/api/JobLookup.java
+++ b/src/main/java/org/spruceridge/api/JobLookup.java
@@ -16,14 +16,14 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.StateResult;
 
-/** Answers with the state of a job, from its record in the state service or from the cache of ended jobs. */
+/** Returns the state of a job, from its record in the state service or from the cache of ended jobs. */
 final class JobLookup {
     private static final int MAX_CACHED_JOBS = 20_000;
 
     private final StateClient state;
     private final Function<String, Progress> progress;
     private final RateLimitedWarnings warnings;
-    /** A job that ended never changes, so it may be answered from memory. */
+    /** The record of an ended job never changes, so it can be cached. */
     private final Cache<String, EndedJob> endedJobs =
             CacheBuilder.newBuilder().maximumSize(MAX_CACHED_JOBS).build();
 
@@ -39,25 +39,28 @@
         this.warnings = warnings;
     }
 
-    /** Answers with the job's current state, or with {@code ifMissing} if there is no such job. */
-    void lookUp(String id, Response ifMissing, Consumer<Response> answer) {
-        EndedJob cached = endedJobs.getIfPresent(id);
-        if (cached != null) {
-            answer.accept(JobResponses.ended(id, cached.stage, cached.tasks));
+    /** Responds with the job's current state, or with {@code ifMissing} if the job does not exist. */
+    void lookUp(String id, Response ifMissing, Consumer<Response> onResponse) {
+        EndedJob endedJob = endedJobs.getIfPresent(id);
+        if (endedJob != null) {
+            onResponse.accept(JobResponses.ended(id, endedJob.stage, endedJob.tasks));
             return;
         }
-        state.get(StateKeys.job(id), Priority.SUBMISSIONS, found -> {
-            if (found.isOk()) {
-                answer.accept(
-                        read(id, found.value().value()).map(this::describe).orElseGet(JobResponses::unreadableRecord));
+        state.get(StateKeys.job(id), Priority.SUBMISSIONS, readResult -> {
+            if (readResult.isOk()) {
+                onResponse.accept(read(id, readResult.value().value())
+                        .map(this::describe)
+                        .orElseGet(JobResponses::unreadableRecord));
             } else {
-                answer.accept(
-                        found.outcome() == StateResult.Outcome.NOT_FOUND ? ifMissing : JobResponses.stateUnavailable());
+                onResponse.accept(
+                        readResult.outcome() == StateResult.Outcome.NOT_FOUND
+                                ? ifMissing
+                                : JobResponses.stateUnavailable());
             }
         });
     }
 
-    /** The job record; empty, after a warning, if it cannot be read. */
+    /** Parses a job record. If it is unreadable, logs a warning and returns empty. */
     Optional<JobRecord> read(String id, JsonNode value) {
         try {
             return Optional.of(JobRecord.read(value));
@@ -67,7 +70,7 @@
         }
     }
 
-    /** Caches a job that ended. */
+    /** Caches an ended job. */
     void cache(JobRecord ended) {
         endedJobs.put(ended.spec().id(), EndedJob.of(ended));
     }
--- a/src/main/java/org/spruceridge/api/JobResponses.java
+++ b/src/main/java/org/spruceridge/api/JobResponses.java
@@ -6,7 +6,7 @@
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.record.JobRecord;
 
-/** The responses of the users' API. */
+/** Builds the responses of the user API. */
 final class JobResponses {
     private static final int RETRY_AFTER_S = 1;
 
@@ -24,7 +24,7 @@
                         .put("running", progress.running()));
     }
 
-    /** The state of a job that ended, with its progress. */
+    /** The state of an ended job, with its progress. */
     static Response ended(String id, JobRecord.Stage stage, int tasks) {
         return Response.of(
                 200,
@@ -33,13 +33,13 @@
                         .put("running", 0));
     }
 
-    /** The answer to a cancellation: how the job ended. */
-    static Response outcome(String id, JobRecord.Stage stage) {
+    /** The response to a cancellation: the final stage of the job. */
+    static Response cancellationResult(String id, JobRecord.Stage stage) {
         return Response.of(200, summary(id, stageName(stage)));
     }
 
     static Response stateUnavailable() {
-        return retryLater("the state service does not answer now");
+        return retryLater("the state service is not responding");
     }
 
     static Response retryLater(String reason) {
@@ -47,7 +47,7 @@
     }
 
     static Response jobTooLarge() {
-        return Response.error(400, "the job is too large to be kept");
+        return Response.error(400, "the job is too large to store");
     }
 
     static Response unknownJob() {
@@ -55,7 +55,7 @@
     }
 
     static Response unreadableRecord() {
-        return Response.error(500, "unreadable record");
+        return Response.error(500, "the job record is unreadable");
     }
 
     private static ObjectNode summary(String id, String stage) {
--- a/src/main/java/org/spruceridge/api/JobSubmission.java
+++ b/src/main/java/org/spruceridge/api/JobSubmission.java
@@ -17,98 +17,103 @@
 import org.spruceridge.upgrade.FeatureLevel;
 
 /**
- * Submits jobs. A submission is idempotent: once a job id was accepted, every repetition is answered with the state of that
- * job, whatever it holds. So each refusal first looks whether the job exists.
+ * Submits jobs. Submission is idempotent: once a job id has been accepted, every further submission with that id
+ * returns the state of the existing job, whatever its body contains. A submission with a readable id is therefore
+ * rejected only after checking that the job does not exist.
  */
 final class JobSubmission {
     private final JobsEndpoint.Dependencies dependencies;
-    private final AdmissionControl admission;
+    private final AdmissionControl admissionControl;
     private final int valueBytes;
     private final JobLookup lookup;
     private final JobTransactions transactions;
 
     JobSubmission(JobsEndpoint.Dependencies dependencies, JobLookup lookup, JobTransactions transactions) {
         this.dependencies = dependencies;
-        this.admission = new AdmissionControl(dependencies.settings().teams());
+        this.admissionControl = new AdmissionControl(dependencies.settings().teams());
         this.valueBytes = dependencies.settings().state().valueBytes();
         this.lookup = lookup;
         this.transactions = transactions;
     }
 
-    void submit(byte[] body, Consumer<Response> answer) {
+    void submit(byte[] body, Consumer<Response> onResponse) {
         JsonNode json;
         try {
             json = Json.strictObject(body);
         } catch (BadMessageException e) {
-            answer.accept(Response.error(400, e.getMessage()));
+            onResponse.accept(Response.error(400, e.getMessage()));
             return;
         }
         JobSpec spec;
         try {
             spec = JobSpecMessage.read(json);
         } catch (BadMessageException e) {
-            Response refusal = Response.error(400, e.getMessage());
+            Response rejection = Response.error(400, e.getMessage());
             JobSpecMessage.idOf(json)
-                    .ifPresentOrElse(id -> lookup.lookUp(id, refusal, answer), () -> answer.accept(refusal));
+                    .ifPresentOrElse(
+                            id -> lookup.lookUp(id, rejection, onResponse), () -> onResponse.accept(rejection));
             return;
         }
-        admit(spec, answer);
+        admit(spec, onResponse);
     }
 
-    private void admit(JobSpec spec, Consumer<Response> answer) {
+    private void admit(JobSpec spec, Consumer<Response> onResponse) {
         Optional<ImmutableMap<String, MachineType>> types =
                 dependencies.machineTypes().get();
         if (types.isEmpty()) {
-            lookup.lookUp(spec.id(), JobResponses.retryLater("machine types not known yet"), answer);
+            lookup.lookUp(spec.id(), JobResponses.retryLater("machine types not known yet"), onResponse);
             return;
         }
-        Optional<String> rejectionReason = admission.rejectionReason(spec, types.get());
+        Optional<String> rejectionReason = admissionControl.rejectionReason(spec, types.get());
         if (rejectionReason.isPresent()) {
-            lookup.lookUp(spec.id(), Response.error(422, rejectionReason.get()), answer);
+            lookup.lookUp(spec.id(), Response.error(422, rejectionReason.get()), onResponse);
             return;
         }
-        JobSpec trimmed = AdmissionControl.withKnownTypes(spec, types.get());
+        JobSpec specWithKnownTypes = AdmissionControl.withKnownTypes(spec, types.get());
         if (spec.isService()) {
-            storeServiceIfSupported(trimmed, answer);
+            storeServiceIfSupported(specWithKnownTypes, onResponse);
         } else {
-            store(trimmed, answer);
+            store(specWithKnownTypes, onResponse);
         }
     }
 
-    /** Nodes of an earlier version could not read the record of a service, so it is refused while any may be running. */
-    private void storeServiceIfSupported(JobSpec spec, Consumer<Response> answer) {
+    /**
+     * Stores a service if the cluster supports services. Nodes of an earlier version cannot read the record of a
+     * service, so the submission is rejected while any of them may be running.
+     */
+    private void storeServiceIfSupported(JobSpec spec, Consumer<Response> onResponse) {
         if (servicesSupported()) {
-            store(spec, answer);
+            store(spec, onResponse);
             return;
         }
-        dependencies.level().read(Priority.SUBMISSIONS, found -> {
+        dependencies.featureLevel().read(Priority.SUBMISSIONS, level -> {
             if (servicesSupported()) {
-                store(spec, answer);
+                store(spec, onResponse);
             } else {
-                lookup.lookUp(spec.id(), JobResponses.retryLater("the cluster is being upgraded"), answer);
+                lookup.lookUp(spec.id(), JobResponses.retryLater("the cluster is being upgraded"), onResponse);
             }
         });
     }
 
     private boolean servicesSupported() {
-        return dependencies.level().highestKnown().includes(FeatureLevel.SERVICES);
+        return dependencies.featureLevel().highestKnown().includes(FeatureLevel.SERVICES);
     }
 
-    private void store(JobSpec spec, Consumer<Response> answer) {
+    private void store(JobSpec spec, Consumer<Response> onResponse) {
         JobRecord record = JobRecord.open(spec, dependencies.loop().wallMillis());
         if (!record.fits(valueBytes)) {
-            lookup.lookUp(spec.id(), JobResponses.jobTooLarge(), answer);
+            lookup.lookUp(spec.id(), JobResponses.jobTooLarge(), onResponse);
             return;
         }
         Transaction transaction = Transaction.builder()
                 .put(StateKeys.job(spec.id()), 0, record.write())
                 .put(StateKeys.openJob(spec.id()), 0, record.write())
                 .build();
-        transactions.commit(transaction, transactions.newDeadline(), answer, result -> {
+        transactions.commit(transaction, transactions.newDeadline(), onResponse, result -> {
             if (result.isCommitted()) {
-                answer.accept(JobResponses.accepted(spec.id()));
+                onResponse.accept(JobResponses.accepted(spec.id()));
             } else {
-                lookup.lookUp(spec.id(), JobResponses.stateUnavailable(), answer);
+                lookup.lookUp(spec.id(), JobResponses.stateUnavailable(), onResponse);
             }
         });
     }
--- a/src/main/java/org/spruceridge/api/JobTransactions.java
+++ b/src/main/java/org/spruceridge/api/JobTransactions.java
@@ -9,9 +9,9 @@
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 
-/** Commits the transactions of users' requests, and retries while the user still waits for the answer. */
+/** Commits the transactions of user requests, with retries while the user is still waiting for the response. */
 final class JobTransactions {
-    /** Users wait 5 s for an answer. After this time a request is no longer retried. */
+    /** A request is not retried after this time, because users wait 5 s for a response. */
     private static final long REQUEST_TIMEOUT_NANOS = Durations.millis(3500);
 
     private final Loop loop;
@@ -22,7 +22,7 @@
         this.state = state;
     }
 
-    /** Until when a request that arrives now is retried, on the loop's clock. */
+    /** The deadline for retries of a request that arrives now, in nanoseconds on the loop's clock. */
     long newDeadline() {
         return loop.nanos() + REQUEST_TIMEOUT_NANOS;
     }
@@ -32,23 +32,27 @@
     }
 
     /**
-     * Commits the transaction. After an unknown outcome the same transaction is sent again, because its conditions make it
-     * idempotent. {@code onOutcome} receives a commit or a conflict; in all other cases the user is told to retry.
+     * Commits the transaction. If the outcome is unknown, the same transaction is sent again: its preconditions make it
+     * idempotent. {@code onCommitOrConflict} receives a commit or a conflict; in all other cases the response asks the
+     * user to retry.
      */
     void commit(
-            Transaction transaction, long deadline, Consumer<Response> answer, Consumer<TransactionResult> onOutcome) {
+            Transaction transaction,
+            long deadline,
+            Consumer<Response> onResponse,
+            Consumer<TransactionResult> onCommitOrConflict) {
         state.commit(transaction, Priority.SUBMISSIONS, result -> {
             switch (result.outcome()) {
-                case COMMITTED, CONFLICT -> onOutcome.accept(result);
+                case COMMITTED, CONFLICT -> onCommitOrConflict.accept(result);
                 case UNKNOWN -> {
                     if (isBefore(deadline)) {
-                        commit(transaction, deadline, answer, onOutcome);
+                        commit(transaction, deadline, onResponse, onCommitOrConflict);
                     } else {
-                        answer.accept(JobResponses.stateUnavailable());
+                        onResponse.accept(JobResponses.stateUnavailable());
                     }
                 }
-                    // The size was checked before, so a rejection is a fault of this service and not of the user.
-                default -> answer.accept(JobResponses.stateUnavailable());
+                    // The size was checked beforehand, so a rejection is a server error and not a user error.
+                default -> onResponse.accept(JobResponses.stateUnavailable());
             }
         });
     }
--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -16,8 +16,8 @@
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 
 /**
- * The users' requests about jobs, which any node serves. Each request is decided by the job's record in the state service,
- * so that it does not matter which node receives it.
+ * Serves the user requests about jobs. Any node can serve them, because the job record in the state service determines
+ * the result of each request.
  */
 public final class JobsEndpoint {
     private final JobSubmission submission;
@@ -25,23 +25,23 @@
     private final JobCancellation cancellation;
 
     /**
-     * What the requests need from the node.
+     * The dependencies of the endpoint on the node.
      *
      * @param machineTypes the machine types by name, empty until they are known
-     * @param progress how many tasks of the job with this id are done and running
-     * @param cancellations where confirmed cancellations are noted
+     * @param progress returns the number of done and running tasks for a job id
+     * @param cancellations records the confirmed cancellations
      */
     public record Dependencies(
             Loop loop,
             StateClient state,
-            ClusterFeatureLevel level,
+            ClusterFeatureLevel featureLevel,
             Settings settings,
             Supplier<Optional<ImmutableMap<String, MachineType>>> machineTypes,
             Function<String, Progress> progress,
             RateLimitedWarnings warnings,
             RecentCancellations cancellations) {}
 
-    /** Sends nothing before the first request. */
+    /** Creates the endpoint; it sends nothing before the first request. */
     public JobsEndpoint(Dependencies dependencies) {
         JobTransactions transactions = new JobTransactions(dependencies.loop(), dependencies.state());
         this.lookup = new JobLookup(dependencies.state(), dependencies.progress(), dependencies.warnings());
@@ -50,25 +50,25 @@
     }
 
     /** POST /api/jobs. */
-    public void submit(byte[] body, Consumer<Response> answer) {
-        submission.submit(body, answer);
+    public void submit(byte[] body, Consumer<Response> onResponse) {
+        submission.submit(body, onResponse);
     }
 
     /** GET /api/jobs/{id}. */
-    public void poll(String id, Consumer<Response> answer) {
+    public void poll(String id, Consumer<Response> onResponse) {
         if (JobSpecMessage.isId(id)) {
-            lookup.lookUp(id, JobResponses.unknownJob(), answer);
+            lookup.lookUp(id, JobResponses.unknownJob(), onResponse);
         } else {
-            answer.accept(JobResponses.unknownJob());
+            onResponse.accept(JobResponses.unknownJob());
         }
     }
 
     /** POST /api/jobs/{id}/abort. */
-    public void abort(String id, Consumer<Response> answer) {
+    public void abort(String id, Consumer<Response> onResponse) {
         if (JobSpecMessage.isId(id)) {
-            cancellation.cancel(id, answer);
+            cancellation.cancel(id, onResponse);
         } else {
-            answer.accept(JobResponses.unknownJob());
+            onResponse.accept(JobResponses.unknownJob());
         }
     }
 }
--- a/src/main/java/org/spruceridge/api/RecentCancellations.java
+++ b/src/main/java/org/spruceridge/api/RecentCancellations.java
@@ -13,7 +13,7 @@
 
     private record Entry(String job, long addedAt) {}
 
-    /** Each job is kept for {@code retentionNanos} nanoseconds. */
+    /** Retains each job for {@code retentionNanos} nanoseconds. */
     public RecentCancellations(Loop loop, long retentionNanos) {
         this.loop = loop;
         this.retentionNanos = retentionNanos;
@@ -23,7 +23,7 @@
         entries.add(new Entry(job, loop.nanos()));
     }
 
-    /** The ids of the jobs that are still kept, the oldest first. */
+    /** The ids of the retained jobs, oldest first. */
     public ImmutableList<String> recent() {
         while (!entries.isEmpty() && loop.nanos() - entries.peek().addedAt > retentionNanos) {
             entries.remove();
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -23,25 +23,25 @@
     private static final int RETRY_AFTER_S = 1;
 
     private final JobsEndpoint jobs;
-    private final Function<byte[], Response> heartbeats;
-    private final Runnable heartbeatDropped;
+    private final Function<byte[], Response> heartbeatHandler;
+    private final Runnable onHeartbeatDropped;
     private final BooleanSupplier isHealthy;
     private final Supplier<ObjectNode> metrics;
     private final Loop loop;
     private final Latencies latencies;
 
-    /** {@code heartbeatDropped} runs for each worker heartbeat that is refused under load. */
+    /** {@code onHeartbeatDropped} runs for each worker heartbeat that is rejected under load. */
     public Router(
             JobsEndpoint jobs,
-            Function<byte[], Response> heartbeats,
-            Runnable heartbeatDropped,
+            Function<byte[], Response> heartbeatHandler,
+            Runnable onHeartbeatDropped,
             BooleanSupplier isHealthy,
             Supplier<ObjectNode> metrics,
             Loop loop,
             Latencies latencies) {
         this.jobs = jobs;
-        this.heartbeats = heartbeats;
-        this.heartbeatDropped = heartbeatDropped;
+        this.heartbeatHandler = heartbeatHandler;
+        this.onHeartbeatDropped = onHeartbeatDropped;
         this.isHealthy = isHealthy;
         this.metrics = metrics;
         this.loop = loop;
@@ -60,66 +60,70 @@
     @Override
     public Response refusal(Request request) {
         if (request.path().equals(HEARTBEATS_PATH)) {
-            heartbeatDropped.run();
+            onHeartbeatDropped.run();
         }
         return Response.unavailable(RETRY_AFTER_S, "too busy");
     }
 
     @Override
-    public void handle(Request request, Consumer<Response> answer) {
+    public void handle(Request request, Consumer<Response> onResponse) {
         String path = request.path();
         if (path.equals(HEARTBEATS_PATH)) {
-            requireMethod("POST", request, answer, () -> timed(Latencies.Kind.HEARTBEATS, answer)
-                    .accept(heartbeats.apply(request.body())));
+            requireMethod("POST", request, onResponse, () -> timed(Latencies.Kind.HEARTBEATS, onResponse)
+                    .accept(heartbeatHandler.apply(request.body())));
         } else if (path.equals(HEALTH_PATH)) {
-            requireMethod("GET", request, answer, () -> answer.accept(health()));
+            requireMethod("GET", request, onResponse, () -> onResponse.accept(health()));
         } else if (path.equals(METRICS_PATH)) {
-            requireMethod("GET", request, answer, () -> answer.accept(Response.of(200, metrics.get())));
+            requireMethod("GET", request, onResponse, () -> onResponse.accept(Response.of(200, metrics.get())));
         } else if (path.equals(JOBS_PATH)) {
             requireMethod(
-                    "POST", request, answer, () -> jobs.submit(request.body(), timed(Latencies.Kind.USERS, answer)));
+                    "POST",
+                    request,
+                    onResponse,
+                    () -> jobs.submit(request.body(), timed(Latencies.Kind.USERS, onResponse)));
         } else if (path.startsWith(JOBS_PATH + "/")) {
-            dispatchJob(path.substring(JOBS_PATH.length() + 1), request, answer);
+            dispatchJob(path.substring(JOBS_PATH.length() + 1), request, onResponse);
         } else {
-            answer.accept(Response.error(404, "no such path"));
+            onResponse.accept(Response.error(404, "no such path"));
         }
     }
 
-    /** {@code rest} is the path after the jobs path: an id, or an id and an action. */
-    private void dispatchJob(String rest, Request request, Consumer<Response> answer) {
-        int slash = rest.indexOf('/');
+    /** {@code jobPath} is the part after {@link #JOBS_PATH}: a job id, or a job id and an action. */
+    private void dispatchJob(String jobPath, Request request, Consumer<Response> onResponse) {
+        int slash = jobPath.indexOf('/');
         if (slash < 0) {
-            requireMethod("GET", request, answer, () -> jobs.poll(rest, timed(Latencies.Kind.USERS, answer)));
-        } else if (rest.substring(slash).equals(ABORT_SUFFIX)) {
+            requireMethod(
+                    "GET", request, onResponse, () -> jobs.poll(jobPath, timed(Latencies.Kind.USERS, onResponse)));
+        } else if (jobPath.substring(slash).equals(ABORT_SUFFIX)) {
             requireMethod(
                     "POST",
                     request,
-                    answer,
-                    () -> jobs.abort(rest.substring(0, slash), timed(Latencies.Kind.USERS, answer)));
+                    onResponse,
+                    () -> jobs.abort(jobPath.substring(0, slash), timed(Latencies.Kind.USERS, onResponse)));
         } else {
-            answer.accept(Response.error(404, "no such path"));
+            onResponse.accept(Response.error(404, "no such path"));
         }
     }
 
-    private Consumer<Response> timed(Latencies.Kind kind, Consumer<Response> answer) {
+    private Consumer<Response> timed(Latencies.Kind kind, Consumer<Response> onResponse) {
         long receivedAt = loop.nanos();
         return response -> {
             latencies.record(kind, loop.nanos() - receivedAt);
-            answer.accept(response);
+            onResponse.accept(response);
         };
     }
 
     private Response health() {
         return isHealthy.getAsBoolean()
                 ? Response.of(200, Json.object().put("status", "ok"))
-                : Response.error(503, "cut off from the state service");
+                : Response.error(503, "this node cannot reach the state service");
     }
 
-    private static void requireMethod(String method, Request request, Consumer<Response> answer, Runnable action) {
+    private static void requireMethod(String method, Request request, Consumer<Response> onResponse, Runnable action) {
         if (request.method().equals(method)) {
             action.run();
         } else {
-            answer.accept(Response.error(405, "only " + method));
+            onResponse.accept(Response.error(405, "only " + method));
         }
     }
 }
--- /dev/null
+++ b/src/test/java/org/spruceridge/api/ErrorResponseTest.java
@@ -0,0 +1,43 @@
+package org.spruceridge.api;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.spruceridge.net.Json;
+import org.spruceridge.net.Latencies;
+import org.spruceridge.net.Request;
+import org.spruceridge.net.Response;
+import org.spruceridge.sim.SimLoop;
+
+/** Tests the complete texts of error responses. */
+final class ErrorResponseTest {
+    private static String text(Response response) {
+        return response.status() + " " + new String(response.body(), StandardCharsets.UTF_8);
+    }
+
+    @Test
+    void jobErrorsContainReason() {
+        assertEquals("503 {\"error\":\"the state service is not responding\"}", text(JobResponses.stateUnavailable()));
+        assertEquals("400 {\"error\":\"the job is too large to store\"}", text(JobResponses.jobTooLarge()));
+        assertEquals("500 {\"error\":\"the job record is unreadable\"}", text(JobResponses.unreadableRecord()));
+    }
+
+    @Test
+    void healthCheckOfUnhealthyNodeContainsReason() {
+        SimLoop loop = new SimLoop();
+        Router router = new Router(
+                null,
+                body -> Response.of(200, Json.object()),
+                () -> {},
+                () -> false,
+                Json::object,
+                loop,
+                new Latencies(loop));
+        List<String> responses = new ArrayList<>();
+        router.handle(new Request("GET", "/healthz", new byte[0]), response -> responses.add(text(response)));
+        assertEquals(List.of("503 {\"error\":\"this node cannot reach the state service\"}"), responses);
+    }
+}
