--- a/src/main/java/org/spruceridge/worker/CommandResult.java
+++ b/src/main/java/org/spruceridge/worker/CommandResult.java
@@ -5,18 +5,21 @@
 /**
  * The result of commands that were sent directly to a worker.
  *
- * @param heartbeat the status after the commands or in place of them, if the worker returned one
+ * @param heartbeat the worker's status, if its reply contained one: after the commands, or instead of executing them
  */
 public record CommandResult(Kind kind, Optional<WorkerHeartbeat> heartbeat) {
-    /** How it ended. */
+    /** The outcome of the commands. */
     public enum Kind {
-        /** The worker has taken the commands. */
+        /** The worker accepted the commands. */
         EXECUTED,
-        /** The worker did nothing: it has a newer fencing token or another incarnation. */
+        /**
+         * The worker rejected the commands and executed none: it has seen a newer fencing token, or it is another
+         * incarnation.
+         */
         REFUSED,
-        /** The commands never left this node. */
+        /** The commands were not sent. */
         UNSENT,
-        /** No reply: the commands may have been executed, or may still arrive minutes later. */
+        /** No usable reply: the commands may have been executed, or may still arrive minutes later. */
         UNKNOWN
     }
 
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -11,7 +11,7 @@
 import org.spruceridge.net.Json;
 import org.spruceridge.net.RateLimitedWarnings;
 
-/** Sends direct commands to workers, beside the commands in the responses to their heartbeats. */
+/** Sends commands directly to workers, in addition to the commands in heartbeat responses. */
 public final class WorkerClient {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -20,13 +20,16 @@
     private final HttpClient http;
     private final RateLimitedWarnings warnings;
 
-    /** Direct commands are sent through {@code http}; unreadable replies are warned about. */
+    /** Sends commands through {@code http}, and logs unreadable replies to {@code warnings}. */
     public WorkerClient(HttpClient http, RateLimitedWarnings warnings) {
         this.http = http;
         this.warnings = warnings;
     }
 
-    /** Sends commands for one incarnation of a worker, under a fencing token; the result comes on the event loop. */
+    /**
+     * Sends commands with a fencing token to one incarnation of a worker. {@code onResult} is called on the event loop,
+     * at the latest after {@code timeoutNanos} nanoseconds.
+     */
     public void send(
             Address worker,
             long fencingToken,
@@ -34,20 +37,20 @@
             List<WorkerCommand> commands,
             long timeoutNanos,
             Consumer<CommandResult> onResult) {
-        ObjectNode body = WorkerCommand.body(fencingToken, commands).put("watch", incarnation);
+        ObjectNode body = WorkerCommand.toJson(fencingToken, commands).put("watch", incarnation);
         HttpCall call = HttpCall.post("/do", Json.bytes(body));
-        http.call(worker, call, timeoutNanos, answer -> onResult.accept(read(answer)));
+        http.call(worker, call, timeoutNanos, response -> onResult.accept(toResult(response)));
     }
 
-    private CommandResult read(HttpAnswer answer) {
+    private CommandResult toResult(HttpAnswer response) {
         try {
-            return switch (answer.status()) {
-                case OK -> CommandResult.withStatus(CommandResult.Kind.EXECUTED, WorkerHeartbeat.read(answer.body()));
+            return switch (response.status()) {
+                case OK -> CommandResult.withStatus(CommandResult.Kind.EXECUTED, WorkerHeartbeat.read(response.body()));
                 case CONFLICT -> CommandResult.withStatus(
-                        CommandResult.Kind.REFUSED, WorkerHeartbeat.read(answer.body()));
+                        CommandResult.Kind.REFUSED, WorkerHeartbeat.read(response.body()));
                 case BAD_REQUEST -> CommandResult.withoutStatus(CommandResult.Kind.REFUSED);
                 default -> CommandResult.withoutStatus(
-                        answer.sent() ? CommandResult.Kind.UNKNOWN : CommandResult.Kind.UNSENT);
+                        response.sent() ? CommandResult.Kind.UNKNOWN : CommandResult.Kind.UNSENT);
             };
         } catch (BadMessageException e) {
             warnings.warn("unreadable command reply", "reason=" + e.getMessage());
--- a/src/main/java/org/spruceridge/worker/WorkerCommand.java
+++ b/src/main/java/org/spruceridge/worker/WorkerCommand.java
@@ -10,19 +10,19 @@
 /**
  * A command to a worker, for one attempt of a task.
  *
- * @param graceS for a stop, the seconds that the task has for a checkpoint; 0 stops it immediately
+ * @param graceS for a stop, the time for a checkpoint in seconds; 0 stops the task immediately
  */
 public record WorkerCommand(Verb verb, TaskId task, long attempt, double graceS) {
-    /** What the worker is to do. */
+    /** The action to perform. */
     public enum Verb {
         START("start"),
         STOP("halt"),
         FORGET("forget");
 
-        private final String wire;
+        private final String wireName;
 
-        Verb(String wire) {
-            this.wire = wire;
+        Verb(String wireName) {
+            this.wireName = wireName;
         }
     }
 
@@ -31,7 +31,7 @@
         return new WorkerCommand(Verb.START, task, attempt, 0);
     }
 
-    /** Stops a task after a checkpoint, for which it has {@code graceS} seconds. */
+    /** Stops a task after a checkpoint, which may take {@code graceS} seconds. */
     public static WorkerCommand stop(TaskId task, long attempt, double graceS) {
         return new WorkerCommand(Verb.STOP, task, attempt, graceS);
     }
@@ -48,28 +48,28 @@
 
     /** The response to a heartbeat: the fencing token and the commands. */
     public static Response answer(long fencingToken, List<WorkerCommand> commands) {
-        return Response.of(200, body(fencingToken, commands));
+        return Response.of(200, toJson(fencingToken, commands));
     }
 
-    /** The response that sends a worker to the leader. */
+    /** The response that redirects a worker to the leader, given by its host name. */
     public static Response redirectToLeader(String leader) {
         return Response.of(421, Json.object().put("steward", leader));
     }
 
-    /** The fencing token and the commands, as they go to a worker. */
-    static ObjectNode body(long fencingToken, List<WorkerCommand> commands) {
-        ObjectNode body = Json.object().put("warrant", fencingToken);
-        ArrayNode commandArray = body.putArray("orders");
+    /** The JSON message to a worker with the fencing token and the commands. */
+    static ObjectNode toJson(long fencingToken, List<WorkerCommand> commands) {
+        ObjectNode json = Json.object().put("warrant", fencingToken);
+        ArrayNode commandArray = json.putArray("orders");
         for (WorkerCommand command : commands) {
             command.writeTo(commandArray.addObject());
         }
-        return body;
+        return json;
     }
 
-    private void writeTo(ObjectNode order) {
-        order.put("verb", verb.wire).put("part", task.toString()).put("try", attempt);
+    private void writeTo(ObjectNode json) {
+        json.put("verb", verb.wireName).put("part", task.toString()).put("try", attempt);
         if (verb == Verb.STOP) {
-            order.put("leewayS", graceS);
+            json.put("leewayS", graceS);
         }
     }
 }
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
@@ -15,11 +15,11 @@
  * A worker's heartbeat: its identity, and the status of its tasks.
  *
  * @param machine the name of the machine
- * @param address where the worker takes direct commands; empty if it takes none
- * @param incarnation the number of the worker's lease, which grows with each lease that begins anew
- * @param sequence grows with every heartbeat and every reply to a direct command
+ * @param address the address for direct commands; empty if the worker does not accept them
+ * @param incarnation the number of the worker's current lease; it increases whenever the worker starts a new lease
+ * @param sequence the sequence number, which increases with every heartbeat and every reply to a direct command
  * @param fencingToken the highest fencing token that the worker has seen
- * @param reclaimNoticeS in how many seconds the cloud reclaims the machine; empty if it gave no notice
+ * @param reclaimNoticeS the time until the cloud reclaims the machine, in seconds; empty without a reclaim notice
  */
 public record WorkerHeartbeat(
         String machine,
@@ -40,31 +40,31 @@
 
         private static final TaskState[] ALL = values();
 
-        private final String wire;
+        private final String wireName;
 
-        TaskState(String wire) {
-            this.wire = wire;
+        TaskState(String wireName) {
+            this.wireName = wireName;
         }
 
         static TaskState fromWire(String name) throws BadMessageException {
             for (TaskState state : ALL) {
-                if (state.wire.equals(name)) {
+                if (state.wireName.equals(name)) {
                     return state;
                 }
             }
-            throw new BadMessageException("unknown state of a task");
+            throw new BadMessageException("stage is not one of fetching, running, saving, ended");
         }
     }
 
     /** Why a task exited. */
     public enum ExitCause {
-        /** It has not exited. */
+        /** The task has not exited. */
         NONE(null),
-        /** It completed. */
+        /** The task completed. */
         DONE("done"),
-        /** It was stopped by a command. */
+        /** A command stopped the task. */
         STOPPED("stopped"),
-        /** It failed, or the cause is one that this version does not know. */
+        /** The task failed, or this version does not know the cause. */
         ERROR("error"),
         /** The worker refused the start: the machine lacks capacity. */
         NO_ROOM("no_room"),
@@ -75,15 +75,15 @@
 
         private static final ExitCause[] ALL = values();
 
-        private final String wire;
+        private final String wireName;
 
-        ExitCause(String wire) {
-            this.wire = wire;
+        ExitCause(String wireName) {
+            this.wireName = wireName;
         }
 
         static ExitCause fromWire(String name) {
             for (ExitCause cause : ALL) {
-                if (name.equals(cause.wire)) {
+                if (name.equals(cause.wireName)) {
                     return cause;
                 }
             }
@@ -93,18 +93,18 @@
 
     /** The status of one task. */
     public record TaskStatus(TaskId task, long attempt, TaskState state, ExitCause cause) {
-        /** True once the task does not run any more. */
+        /** True if the task has stopped running. */
         public boolean hasExited() {
             return state == TaskState.EXITED;
         }
     }
 
-    /** Reads a heartbeat from its JSON bytes. */
+    /** Parses a heartbeat from JSON. Throws {@link BadMessageException} if it is incomplete or malformed. */
     public static WorkerHeartbeat read(byte[] body) throws BadMessageException {
-        try (JsonParser json = Json.parser(body)) {
-            WorkerHeartbeat heartbeat = new WorkerHeartbeatParser(json).read();
-            if (json.nextToken() != null) {
-                throw new BadMessageException("something follows the report");
+        try (JsonParser parser = Json.parser(body)) {
+            WorkerHeartbeat heartbeat = new WorkerHeartbeatParser(parser).read();
+            if (parser.nextToken() != null) {
+                throw new BadMessageException("unexpected data after the heartbeat");
             }
             return heartbeat;
         } catch (IOException e) {
@@ -112,9 +112,9 @@
         }
     }
 
-    /** The heartbeat as a worker sends it. */
+    /** The JSON message of the heartbeat, as a worker sends it. */
     public ObjectNode toJson() {
-        ObjectNode out = Json.object()
+        ObjectNode json = Json.object()
                 .put("host", machine)
                 .put("endpoint", address)
                 .put("build", kind.type())
@@ -123,18 +123,18 @@
                 .put("watch", incarnation)
                 .put("tally", sequence)
                 .put("warrant", fencingToken);
-        reclaimNoticeS.ifPresent(seconds -> out.put("warningS", seconds));
-        ArrayNode parts = out.putArray("parts");
+        reclaimNoticeS.ifPresent(seconds -> json.put("warningS", seconds));
+        ArrayNode taskArray = json.putArray("parts");
         for (TaskStatus status : tasks) {
-            writeStatus(parts.addObject(), status);
+            writeStatus(taskArray.addObject(), status);
         }
-        return out;
+        return json;
     }
 
-    private static void writeStatus(ObjectNode part, TaskStatus status) {
-        part.put("part", status.task.toString()).put("try", status.attempt).put("stage", status.state.wire);
+    private static void writeStatus(ObjectNode json, TaskStatus status) {
+        json.put("part", status.task.toString()).put("try", status.attempt).put("stage", status.state.wireName);
         if (status.hasExited()) {
-            part.put("cause", status.cause.wire);
+            json.put("cause", status.cause.wireName);
         }
     }
 }
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeatParser.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeatParser.java
@@ -13,13 +13,13 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * Reads one heartbeat token by token, without a tree: heartbeats are most of the messages that a leader receives. Fields
- * that it does not know are skipped.
+ * Parses a heartbeat token by token, without building a JSON tree, because most messages to a leader are heartbeats.
+ * Unknown fields are ignored.
  */
 final class WorkerHeartbeatParser {
     private static final long MISSING = -1;
 
-    private final JsonParser json;
+    private final JsonParser parser;
     private String machine;
     private String address;
     private String type;
@@ -31,18 +31,18 @@
     private OptionalDouble reclaimNoticeS = OptionalDouble.empty();
     private ImmutableList<TaskStatus> tasks;
 
-    WorkerHeartbeatParser(JsonParser json) {
-        this.json = json;
+    WorkerHeartbeatParser(JsonParser parser) {
+        this.parser = parser;
     }
 
     WorkerHeartbeat read() throws IOException, BadMessageException {
-        require(json.nextToken() == JsonToken.START_OBJECT, "not an object");
-        for (String field = json.nextFieldName(); field != null; field = json.nextFieldName()) {
-            json.nextToken();
+        require(parser.nextToken() == JsonToken.START_OBJECT, "not an object");
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
             readField(field);
         }
-        require(json.currentToken() == JsonToken.END_OBJECT, "not an object");
-        require(isComplete(), "a field is missing");
+        require(parser.currentToken() == JsonToken.END_OBJECT, "not an object");
+        require(isComplete(), "host, endpoint, build, grove, windfall, watch, tally, warrant or parts is missing");
         return new WorkerHeartbeat(
                 machine,
                 address,
@@ -60,13 +60,13 @@
             case "endpoint" -> address = text(field);
             case "build" -> type = text(field);
             case "grove" -> zone = text(field);
-            case "windfall" -> spot = bool(field);
-            case "watch" -> incarnation = count(field);
-            case "tally" -> sequence = count(field);
-            case "warrant" -> fencingToken = count(field);
+            case "windfall" -> spot = booleanValue(field);
+            case "watch" -> incarnation = nonNegativeLong(field);
+            case "tally" -> sequence = nonNegativeLong(field);
+            case "warrant" -> fencingToken = nonNegativeLong(field);
             case "warningS" -> reclaimNoticeS = optionalNumber(field);
             case "parts" -> tasks = tasks();
-            default -> json.skipChildren();
+            default -> parser.skipChildren();
         }
     }
 
@@ -76,32 +76,32 @@
     }
 
     private ImmutableList<TaskStatus> tasks() throws IOException, BadMessageException {
-        require(json.currentToken() == JsonToken.START_ARRAY, "parts is not a list");
+        require(parser.currentToken() == JsonToken.START_ARRAY, "parts is not a list");
         ImmutableList.Builder<TaskStatus> statuses = ImmutableList.builder();
-        while (json.nextToken() != JsonToken.END_ARRAY) {
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
             statuses.add(taskStatus());
         }
         return statuses.build();
     }
 
     private TaskStatus taskStatus() throws IOException, BadMessageException {
-        require(json.currentToken() == JsonToken.START_OBJECT, "a task is not an object");
+        require(parser.currentToken() == JsonToken.START_OBJECT, "an entry of parts is not an object");
         TaskId task = null;
         long attempt = MISSING;
         TaskState state = null;
         ExitCause cause = null;
-        for (String field = json.nextFieldName(); field != null; field = json.nextFieldName()) {
-            json.nextToken();
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
             switch (field) {
                 case "part" -> task = taskId(text(field));
-                case "try" -> attempt = count(field);
+                case "try" -> attempt = nonNegativeLong(field);
                 case "stage" -> state = TaskState.fromWire(text(field));
                 case "cause" -> cause = isNull() ? null : ExitCause.fromWire(text(field));
-                default -> json.skipChildren();
+                default -> parser.skipChildren();
             }
         }
-        require(task != null && attempt >= 0 && state != null, "a field of a task is missing");
-        require(state != TaskState.EXITED || cause != null, "an exited task has no cause");
+        require(task != null && attempt >= 0 && state != null, "part, try or stage of a task is missing");
+        require(state != TaskState.EXITED || cause != null, "a task with stage ended has no cause");
         return new TaskStatus(task, attempt, state, state == TaskState.EXITED ? cause : ExitCause.NONE);
     }
 
@@ -110,44 +110,44 @@
         try {
             return new TaskId(text.substring(0, slash), Integer.parseInt(text.substring(slash + 1)));
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            throw new BadMessageException("not a task: " + text);
+            throw new BadMessageException("part is not a task id: " + text);
         }
     }
 
     private boolean isNull() {
-        return json.currentToken() == JsonToken.VALUE_NULL;
+        return parser.currentToken() == JsonToken.VALUE_NULL;
     }
 
     private String text(String field) throws IOException, BadMessageException {
-        require(json.currentToken() == JsonToken.VALUE_STRING, field + " is not a text");
-        return json.getText();
+        require(parser.currentToken() == JsonToken.VALUE_STRING, field + " is not a text");
+        return parser.getText();
     }
 
-    private long count(String field) throws IOException, BadMessageException {
-        boolean isCount = json.currentToken() == JsonToken.VALUE_NUMBER_INT
-                && json.getNumberType() != JsonParser.NumberType.BIG_INTEGER
-                && json.getLongValue() >= 0;
-        require(isCount, field + " is not a count");
-        return json.getLongValue();
+    private long nonNegativeLong(String field) throws IOException, BadMessageException {
+        boolean isNonNegativeLong = parser.currentToken() == JsonToken.VALUE_NUMBER_INT
+                && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER
+                && parser.getLongValue() >= 0;
+        require(isNonNegativeLong, field + " is not a count");
+        return parser.getLongValue();
     }
 
-    private boolean bool(String field) throws IOException, BadMessageException {
-        require(json.currentToken().isBoolean(), field + " is not true or false");
-        return json.getBooleanValue();
+    private boolean booleanValue(String field) throws IOException, BadMessageException {
+        require(parser.currentToken().isBoolean(), field + " is not true or false");
+        return parser.getBooleanValue();
     }
 
     private OptionalDouble optionalNumber(String field) throws IOException, BadMessageException {
         if (isNull()) {
             return OptionalDouble.empty();
         }
-        boolean isNumber = json.currentToken().isNumeric() && Double.isFinite(json.getDoubleValue());
+        boolean isNumber = parser.currentToken().isNumeric() && Double.isFinite(parser.getDoubleValue());
         require(isNumber, field + " is not a number");
-        return OptionalDouble.of(json.getDoubleValue());
+        return OptionalDouble.of(parser.getDoubleValue());
     }
 
-    private static void require(boolean condition, String complaint) throws BadMessageException {
+    private static void require(boolean condition, String message) throws BadMessageException {
         if (!condition) {
-            throw new BadMessageException(complaint);
+            throw new BadMessageException(message);
         }
     }
 }
--- a/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
@@ -24,9 +24,9 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskState;
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
-/** A heartbeat is read token by token; one that is incomplete or malformed is rejected. */
+/** Tests that complete heartbeats are parsed, and that incomplete or malformed ones are rejected. */
 final class WorkerHeartbeatTest {
-    private static ObjectNode complete() {
+    private static ObjectNode completeHeartbeat() {
         ObjectNode heartbeat = Json.object()
                 .put("host", "i-000231")
                 .put("endpoint", "10.1.0.232:9000")
@@ -37,9 +37,9 @@
                 .put("tally", 88)
                 .put("warrant", 41)
                 .putNull("warningS");
-        var parts = heartbeat.putArray("parts");
-        parts.addObject().put("part", "j-000412/3").put("try", 2).put("stage", "running");
-        parts.addObject()
+        var tasks = heartbeat.putArray("parts");
+        tasks.addObject().put("part", "j-000412/3").put("try", 2).put("stage", "running");
+        tasks.addObject()
                 .put("part", "j-000398/0")
                 .put("try", 1)
                 .put("stage", "ended")
@@ -56,8 +56,8 @@
     }
 
     @Test
-    void completeHeartbeatIsReadAndUnknownFieldsAreSkipped() throws BadMessageException {
-        ObjectNode heartbeat = complete();
+    void completeHeartbeatIsParsedAndUnknownFieldsAreIgnored() throws BadMessageException {
+        ObjectNode heartbeat = completeHeartbeat();
         heartbeat.putObject("news").putArray("of").add(1).addObject().put("any", "kind");
         WorkerHeartbeat expected = new WorkerHeartbeat(
                 "i-000231",
@@ -78,47 +78,86 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"host", "endpoint", "build", "grove", "windfall", "watch", "tally", "warrant", "parts"})
-    void heartbeatWithAMissingOrMistypedFieldIsRejected(String field) {
-        ObjectNode without = complete();
+    void heartbeatWithMissingOrMistypedFieldIsRejected(String field) {
+        ObjectNode without = completeHeartbeat();
         without.remove(field);
         assertRejected(without);
-        assertRejected(complete().putNull(field));
-        assertRejected(complete().put(field, 1.5));
-        assertRejected(complete().put(field, -1));
-        ObjectNode object = complete();
+        assertRejected(completeHeartbeat().putNull(field));
+        assertRejected(completeHeartbeat().put(field, 1.5));
+        assertRejected(completeHeartbeat().put(field, -1));
+        ObjectNode object = completeHeartbeat();
         object.putObject(field);
         assertRejected(object);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"part", "try", "stage"})
-    void taskWithAMissingOrMistypedFieldIsRejected(String field) {
-        ObjectNode without = complete();
+    void taskWithMissingOrMistypedFieldIsRejected(String field) {
+        ObjectNode without = completeHeartbeat();
         ((ObjectNode) without.path("parts").get(0)).remove(field);
         assertRejected(without);
-        ObjectNode wrong = complete();
+        ObjectNode wrong = completeHeartbeat();
         ((ObjectNode) wrong.path("parts").get(0)).put(field, true);
         assertRejected(wrong);
     }
 
     @Test
-    void exitedTaskWithoutACauseIsRejected() {
-        ObjectNode heartbeat = complete();
+    void exitedTaskWithoutCauseIsRejected() {
+        ObjectNode heartbeat = completeHeartbeat();
         ((ObjectNode) heartbeat.path("parts").get(1)).remove("cause");
         assertRejected(heartbeat);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "null", "[]", "{", "{\"host\":", "{}{}", "{\"parts\":[1]}", "{\"parts\":[[]]}"})
-    void bodyThatIsNoHeartbeatIsRejected(String text) {
+    void invalidHeartbeatBodyIsRejected(String text) {
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
         assertThrows(BadMessageException.class, () -> WorkerHeartbeat.read(body));
     }
 
+    static Stream<Arguments> rejectionReasons() {
+        ObjectNode withoutHost = completeHeartbeat();
+        withoutHost.remove("host");
+        ObjectNode withoutAttempt = completeHeartbeat();
+        task(withoutAttempt, 0).remove("try");
+        ObjectNode withoutCause = completeHeartbeat();
+        task(withoutCause, 1).remove("cause");
+        ObjectNode badTaskId = completeHeartbeat();
+        task(badTaskId, 0).put("part", "j-000412");
+        ObjectNode badStage = completeHeartbeat();
+        task(badStage, 0).put("stage", "paused");
+        ObjectNode badEntry = completeHeartbeat();
+        badEntry.putArray("parts").add(1);
+        return Stream.of(
+                Arguments.of(
+                        withoutHost.toString(),
+                        "host, endpoint, build, grove, windfall, watch, tally, warrant or parts is missing"),
+                Arguments.of(withoutAttempt.toString(), "part, try or stage of a task is missing"),
+                Arguments.of(withoutCause.toString(), "a task with stage ended has no cause"),
+                Arguments.of(badTaskId.toString(), "part is not a task id: j-000412"),
+                Arguments.of(badStage.toString(), "stage is not one of fetching, running, saving, ended"),
+                Arguments.of(badEntry.toString(), "an entry of parts is not an object"),
+                Arguments.of(completeHeartbeat() + "{}", "unexpected data after the heartbeat"));
+    }
+
+    private static ObjectNode task(ObjectNode heartbeat, int index) {
+        return (ObjectNode) heartbeat.path("parts").get(index);
+    }
+
+    @ParameterizedTest
+    @MethodSource("rejectionReasons")
+    void rejectedHeartbeatReportsReason(String heartbeat, String reason) {
+        byte[] body = heartbeat.getBytes(StandardCharsets.UTF_8);
+        assertEquals(
+                reason,
+                assertThrows(BadMessageException.class, () -> WorkerHeartbeat.read(body))
+                        .getMessage());
+    }
+
     @Test
-    void heartbeatFollowedByAnythingIsRejected() {
-        byte[] body =
-                (new String(Json.bytes(complete()), StandardCharsets.UTF_8) + "{}").getBytes(StandardCharsets.UTF_8);
+    void heartbeatWithTrailingDataIsRejected() {
+        byte[] body = (new String(Json.bytes(completeHeartbeat()), StandardCharsets.UTF_8) + "{}")
+                .getBytes(StandardCharsets.UTF_8);
         assertThrows(BadMessageException.class, () -> WorkerHeartbeat.read(body));
     }
 
@@ -144,10 +183,11 @@
         return rows.map(row -> row.get()[1]).collect(Collectors.toSet());
     }
 
-    /** Reads a heartbeat with one task, and asserts that it is written as it was read. */
-    private static TaskStatus readAndWritten(String task) throws BadMessageException {
+    /** Parses a heartbeat with one task, asserts that it serializes to the same text, and returns the task's status. */
+    private static TaskStatus roundTrip(String taskJson) throws BadMessageException {
         String text = "{\"host\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
-                + "\"windfall\":true,\"watch\":2,\"tally\":5,\"warrant\":9,\"warningS\":4.5,\"parts\":[" + task + "]}";
+                + "\"windfall\":true,\"watch\":2,\"tally\":5,\"warrant\":9,\"warningS\":4.5,\"parts\":[" + taskJson
+                + "]}";
         WorkerHeartbeat heartbeat = WorkerHeartbeat.read(text.getBytes(StandardCharsets.UTF_8));
         assertEquals(text, new String(Json.bytes(heartbeat.toJson()), StandardCharsets.UTF_8));
         assertEquals(1, heartbeat.tasks().size());
@@ -156,36 +196,36 @@
 
     @ParameterizedTest
     @MethodSource("stages")
-    void stageIsReadAndWrittenUnderItsName(String stage, TaskState state) throws BadMessageException {
+    void taskStateRoundTripsUnderItsWireName(String stage, TaskState state) throws BadMessageException {
         boolean exited = state == TaskState.EXITED;
         String cause = exited ? ",\"cause\":\"done\"" : "";
         assertEquals(
                 new TaskStatus(new TaskId("j-000412", 3), 2, state, exited ? ExitCause.DONE : ExitCause.NONE),
-                readAndWritten("{\"part\":\"j-000412/3\",\"try\":2,\"stage\":\"" + stage + "\"" + cause + "}"));
+                roundTrip("{\"part\":\"j-000412/3\",\"try\":2,\"stage\":\"" + stage + "\"" + cause + "}"));
     }
 
     @ParameterizedTest
     @MethodSource("causes")
-    void exitCauseIsReadAndWrittenUnderItsName(String name, ExitCause cause) throws BadMessageException {
+    void exitCauseRoundTripsUnderItsWireName(String name, ExitCause cause) throws BadMessageException {
         assertEquals(
                 new TaskStatus(new TaskId("j-000412", 3), 2, TaskState.EXITED, cause),
-                readAndWritten("{\"part\":\"j-000412/3\",\"try\":2,\"stage\":\"ended\",\"cause\":\"" + name + "\"}"));
+                roundTrip("{\"part\":\"j-000412/3\",\"try\":2,\"stage\":\"ended\",\"cause\":\"" + name + "\"}"));
     }
 
     @Test
-    void everyStageAndEveryExitCauseHasItsName() {
+    void allTaskStatesAndExitCausesAreCovered() {
         assertEquals(EnumSet.allOf(TaskState.class), secondArguments(stages()));
         assertEquals(EnumSet.complementOf(EnumSet.of(ExitCause.NONE)), secondArguments(causes()));
     }
 
     @Test
-    void unknownExitCauseIsReadAsErrorAndUnknownStageIsRejected() throws BadMessageException {
-        ObjectNode newCause = complete();
+    void unknownExitCauseBecomesErrorAndUnknownStageIsRejected() throws BadMessageException {
+        ObjectNode newCause = completeHeartbeat();
         ((ObjectNode) newCause.path("parts").get(1)).put("cause", "evicted");
         assertEquals(
                 ExitCause.ERROR,
                 WorkerHeartbeat.read(Json.bytes(newCause)).tasks().get(1).cause());
-        ObjectNode newStage = complete();
+        ObjectNode newStage = completeHeartbeat();
         ((ObjectNode) newStage.path("parts").get(1)).put("stage", "paused");
         assertRejected(newStage);
     }
