--- a/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
+++ b/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
@@ -25,29 +25,31 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Address;
 
-/** The peer transport on Netty: one outgoing TCP connection to each other node, frames prefixed with their length. */
+/** A peer transport on Netty: one outgoing TCP connection to each peer, with length-prefixed frames. */
 public final class NettyPeerTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(NettyPeerTransport.class);
     private static final int MAX_FRAME_BYTES = 1 << 20;
     private static final int LENGTH_FIELD_BYTES = 4;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    /** A peer that leaves more than this unread is taken for dead, and the connection is replaced. */
+    /** A connection with more unsent bytes than this is closed and replaced, because its peer is presumed dead. */
     private static final long MAX_PENDING_BYTES = 4L * MAX_FRAME_BYTES;
 
     private final EventLoopGroup group;
     private final Address listenAddress;
     private final List<Address> peers;
     private final Map<Address, Channel> connections = new HashMap<>();
-    private Consumer<byte[]> receiver = frame -> {};
+    private Consumer<byte[]> frameReceiver = frame -> {};
 
-    /** One connection is kept to each of {@code peers}. */
+    /** Keeps one connection to each of {@code peers}. */
     public NettyPeerTransport(EventLoopGroup group, Address listenAddress, List<Address> peers) {
         this.group = group;
         this.listenAddress = listenAddress;
         this.peers = peers;
     }
 
-    /** Listens for peers. Called before the loop is in use, for it blocks; throws if the address cannot be bound. */
+    /**
+     * Listens for peers; throws if the address cannot be bound. Call this before the loop is in use, because it blocks.
+     */
     public void listen() {
         new ServerBootstrap()
                 .group(group)
@@ -59,7 +61,7 @@
                         channel.pipeline()
                                 .addLast(new LengthFieldBasedFrameDecoder(
                                         MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
-                                .addLast(new FrameHandler(frame -> receiver.accept(frame)));
+                                .addLast(new FrameHandler(frame -> frameReceiver.accept(frame)));
                     }
                 })
                 .bind(new InetSocketAddress(listenAddress.host(), listenAddress.port()))
@@ -68,8 +70,8 @@
     }
 
     @Override
-    public void start(Consumer<byte[]> receiver) {
-        this.receiver = receiver;
+    public void start(Consumer<byte[]> frameReceiver) {
+        this.frameReceiver = frameReceiver;
     }
 
     @Override
@@ -114,15 +116,15 @@
     }
 
     private static final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
-        private final Consumer<byte[]> receiver;
+        private final Consumer<byte[]> frameReceiver;
 
-        FrameHandler(Consumer<byte[]> receiver) {
-            this.receiver = receiver;
+        FrameHandler(Consumer<byte[]> frameReceiver) {
+            this.frameReceiver = frameReceiver;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-            receiver.accept(ByteBufUtil.getBytes(frame));
+            frameReceiver.accept(ByteBufUtil.getBytes(frame));
         }
 
         @Override
--- a/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
@@ -13,97 +13,99 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 
-/** Encodes peer heartbeats as MessagePack arrays. A later version may append fields; readers ignore those. */
+/** Encodes peer heartbeats as MessagePack arrays. Later versions may append fields, which older readers ignore. */
 public final class PeerHeartbeatCodec {
-    /** Version 0.1 knows these fields and ignores those that follow. */
+    /** The number of fields in version 0.1, which ignores any further fields. */
     private static final int VERSION_0_1_FIELD_COUNT = 6;
 
-    private static final int FIELDS = VERSION_0_1_FIELD_COUNT + 2;
-    private static final int MAX_JOBS = 5000;
+    private static final int FIELD_COUNT = VERSION_0_1_FIELD_COUNT + 2;
+    private static final int MAX_PROGRESS_ENTRIES = 5000;
 
     private PeerHeartbeatCodec() {}
 
-    /** The frame of a heartbeat. Of more than 5000 jobs the progress of the first 5000 is included. */
+    /** Encodes a heartbeat as a frame. The frame contains the progress of at most the first 5000 jobs. */
     public static byte[] encode(PeerHeartbeat heartbeat) {
-        try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            out.packArrayHeader(FIELDS);
-            out.packString(heartbeat.hostName());
-            out.packBoolean(heartbeat.stateServiceReachable());
-            out.packBoolean(heartbeat.receivesWorkerHeartbeats());
-            out.packLong(heartbeat.term());
-            packProgress(out, heartbeat.progress());
-            packCancelled(out, heartbeat.cancelled());
-            out.packInt(heartbeat.version().supportedLevel());
-            out.packString(heartbeat.version().name());
-            return out.toByteArray();
+        try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+            packer.packArrayHeader(FIELD_COUNT);
+            packer.packString(heartbeat.hostName());
+            packer.packBoolean(heartbeat.stateServiceReachable());
+            packer.packBoolean(heartbeat.receivesWorkerHeartbeats());
+            packer.packLong(heartbeat.term());
+            packProgress(packer, heartbeat.progress());
+            packCancelled(packer, heartbeat.cancelled());
+            packer.packInt(heartbeat.version().supportedLevel());
+            packer.packString(heartbeat.version().name());
+            return packer.toByteArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static void packProgress(MessageBufferPacker out, ImmutableMap<String, Progress> progress)
+    private static void packProgress(MessageBufferPacker packer, ImmutableMap<String, Progress> progress)
             throws IOException {
-        int count = Math.min(MAX_JOBS, progress.size());
-        out.packMapHeader(count);
+        int count = Math.min(MAX_PROGRESS_ENTRIES, progress.size());
+        packer.packMapHeader(count);
         Iterator<Map.Entry<String, Progress>> jobs = progress.entrySet().iterator();
         for (int i = 0; i < count; i++) {
             Map.Entry<String, Progress> job = jobs.next();
-            out.packString(job.getKey());
-            out.packArrayHeader(2);
-            out.packInt(job.getValue().done());
-            out.packInt(job.getValue().running());
+            packer.packString(job.getKey());
+            packer.packArrayHeader(2);
+            packer.packInt(job.getValue().done());
+            packer.packInt(job.getValue().running());
         }
     }
 
-    private static void packCancelled(MessageBufferPacker out, ImmutableList<String> cancelled) throws IOException {
-        out.packArrayHeader(cancelled.size());
+    private static void packCancelled(MessageBufferPacker packer, ImmutableList<String> cancelled) throws IOException {
+        packer.packArrayHeader(cancelled.size());
         for (String id : cancelled) {
-            out.packString(id);
+            packer.packString(id);
         }
     }
 
-    /** Reads a frame. A {@link BadMessageException} says that it is too short or not a heartbeat. */
+    /** Decodes a frame. Throws {@link BadMessageException} if it has too few fields or is not a heartbeat. */
     public static PeerHeartbeat decode(byte[] frame) throws BadMessageException {
-        try (MessageUnpacker in = MessagePack.newDefaultUnpacker(frame)) {
-            int fields = in.unpackArrayHeader();
-            if (fields < VERSION_0_1_FIELD_COUNT) {
-                throw new BadMessageException("a heartbeat is too short");
+        try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
+            int fieldCount = unpacker.unpackArrayHeader();
+            if (fieldCount < VERSION_0_1_FIELD_COUNT) {
+                throw new BadMessageException("a peer heartbeat has fewer than 6 fields");
             }
-            // Arguments are evaluated from left to right, which is the order of the fields in the frame.
+            // Java evaluates the arguments from left to right, which is the order of the fields in the frame.
             return new PeerHeartbeat(
-                    in.unpackString(),
-                    in.unpackBoolean(),
-                    in.unpackBoolean(),
-                    in.unpackLong(),
-                    unpackProgress(in),
-                    unpackCancelled(in),
-                    unpackVersion(in, fields));
+                    unpacker.unpackString(),
+                    unpacker.unpackBoolean(),
+                    unpacker.unpackBoolean(),
+                    unpacker.unpackLong(),
+                    unpackProgress(unpacker),
+                    unpackCancelled(unpacker),
+                    unpackVersion(unpacker, fieldCount));
         } catch (IOException | MessagePackException e) {
             throw new BadMessageException("not a heartbeat: " + e.getClass().getSimpleName());
         }
     }
 
-    private static ImmutableMap<String, Progress> unpackProgress(MessageUnpacker in) throws IOException {
+    private static ImmutableMap<String, Progress> unpackProgress(MessageUnpacker unpacker) throws IOException {
         ImmutableMap.Builder<String, Progress> progress = ImmutableMap.builder();
-        int count = in.unpackMapHeader();
+        int count = unpacker.unpackMapHeader();
         for (int i = 0; i < count; i++) {
-            String id = in.unpackString();
-            in.unpackArrayHeader();
-            progress.put(id, new Progress(in.unpackInt(), in.unpackInt()));
+            String id = unpacker.unpackString();
+            unpacker.unpackArrayHeader();
+            progress.put(id, new Progress(unpacker.unpackInt(), unpacker.unpackInt()));
         }
         return progress.buildKeepingLast();
     }
 
-    private static ImmutableList<String> unpackCancelled(MessageUnpacker in) throws IOException {
+    private static ImmutableList<String> unpackCancelled(MessageUnpacker unpacker) throws IOException {
         ImmutableList.Builder<String> cancelled = ImmutableList.builder();
-        int count = in.unpackArrayHeader();
+        int count = unpacker.unpackArrayHeader();
         for (int i = 0; i < count; i++) {
-            cancelled.add(in.unpackString());
+            cancelled.add(unpacker.unpackString());
         }
         return cancelled.build();
     }
 
-    private static MemberVersion unpackVersion(MessageUnpacker in, int fields) throws IOException {
-        return fields < FIELDS ? MemberVersion.UNANNOUNCED : new MemberVersion(in.unpackInt(), in.unpackString());
+    private static MemberVersion unpackVersion(MessageUnpacker unpacker, int fieldCount) throws IOException {
+        return fieldCount < FIELD_COUNT
+                ? MemberVersion.UNANNOUNCED
+                : new MemberVersion(unpacker.unpackInt(), unpacker.unpackString());
     }
 }
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -19,10 +19,10 @@
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** Broadcasts this node's heartbeat and keeps the latest heartbeat of each other node. */
+/** Broadcasts this node's heartbeat and keeps the latest heartbeat of each peer. */
 public final class PeerMonitor {
     private static final long HEARTBEAT_INTERVAL_NANOS = Durations.nanos(1);
-    /** A heartbeat that was received longer ago says nothing about the present. */
+    /** A heartbeat received longer ago than this is stale. */
     private static final long HEARTBEAT_TIMEOUT_NANOS = Durations.nanos(3);
 
     private final Loop loop;
@@ -30,7 +30,7 @@
     private final PeerTransport transport;
     private final RateLimitedWarnings warnings;
     private final Supplier<PeerHeartbeat> ownHeartbeat;
-    private final Consumer<String> jobCancelled;
+    private final Consumer<String> onJobCancelled;
     private final Map<String, ReceivedHeartbeat> lastHeartbeats = new HashMap<>();
     private PeerHeartbeat leaderHeartbeat =
             new PeerHeartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of(), MemberVersion.UNANNOUNCED);
@@ -42,88 +42,89 @@
     }
 
     /**
-     * {@code ownHeartbeat} makes the heartbeat to send; {@code jobCancelled} receives the id of each job whose
-     * cancellation another node has confirmed, once for each heartbeat that names it.
+     * {@code ownHeartbeat} supplies the heartbeat to send. {@code onJobCancelled} receives the id of each job whose
+     * cancellation a peer has confirmed, once for each heartbeat that contains the id.
      */
     public PeerMonitor(
             Loop loop,
             PeerTransport transport,
             RateLimitedWarnings warnings,
             Supplier<PeerHeartbeat> ownHeartbeat,
-            Consumer<String> jobCancelled) {
+            Consumer<String> onJobCancelled) {
         this.loop = loop;
         this.scope = new CancellationScope(loop);
         this.transport = transport;
         this.warnings = warnings;
         this.ownHeartbeat = ownHeartbeat;
-        this.jobCancelled = jobCancelled;
+        this.onJobCancelled = onJobCancelled;
     }
 
-    /** Begins to send heartbeats and to receive those of other nodes. */
+    /** Starts sending heartbeats and receiving those of the peers. */
     public void start() {
         transport.start(this::receive);
         send();
     }
 
-    /** Ceases to send heartbeats. */
+    /** Stops sending heartbeats. */
     public void stop() {
         scope.close();
     }
 
-    /** True if another node announced in a fresh heartbeat that the state service answers it. */
+    /** True if a fresh heartbeat of a peer reports that the peer can reach the state service. */
     public boolean anyPeerReachesStateService() {
         return anyFresh(PeerHeartbeat::stateServiceReachable);
     }
 
-    /** True if a fresh heartbeat of another node is known. */
+    /** True if any peer has sent a fresh heartbeat. */
     public boolean anyPeerAlive() {
         return anyFresh(heartbeat -> true);
     }
 
-    /** True if another node announced in a fresh heartbeat that workers reach it. */
+    /** True if a fresh heartbeat of a peer reports that the peer receives worker heartbeats. */
     public boolean anyPeerReceivesWorkerHeartbeats() {
         return anyFresh(PeerHeartbeat::receivesWorkerHeartbeats);
     }
 
-    /** The host name of the leader of the highest term among the fresh heartbeats. */
+    /** The host name of the leader with the highest term, according to the fresh heartbeats; empty if none is known. */
     public Optional<String> leader() {
         long now = loop.nanos();
         return lastHeartbeats.values().stream()
-                .filter(last -> last.isFresh(now) && last.heartbeat.term() > 0)
+                .filter(received -> received.isFresh(now) && received.heartbeat.term() > 0)
                 .map(ReceivedHeartbeat::heartbeat)
                 .max(Comparator.comparingLong(PeerHeartbeat::term))
                 .map(PeerHeartbeat::hostName);
     }
 
-    /** The version in the latest heartbeat of each other node, by host name. */
+    /** The version in the latest heartbeat of each peer, by host name. */
     public ImmutableSortedMap<String, MemberVersion> versions() {
         ImmutableSortedMap.Builder<String, MemberVersion> versions = ImmutableSortedMap.naturalOrder();
-        lastHeartbeats.forEach((host, last) -> versions.put(host, last.heartbeat.version()));
+        lastHeartbeats.forEach((host, received) -> versions.put(host, received.heartbeat.version()));
         return versions.build();
     }
 
     /**
-     * True if each of these hosts announced in a fresh heartbeat that it supports the level. A host without a fresh
+     * True if each of these hosts has announced support for the level in a fresh heartbeat. A host without a fresh
      * heartbeat may be restarting with an earlier version.
      */
     public boolean allPeersSupport(FeatureLevel level, Collection<String> hosts) {
         return hosts.stream().allMatch(host -> supports(lastHeartbeats.get(host), level));
     }
 
-    /** The progress of a job, from the latest heartbeat of the leader of the highest term. */
+    /** The progress of a job, from the latest heartbeat of the leader with the highest term. */
     public Progress progress(String job) {
         return leaderHeartbeat.progress().getOrDefault(job, Progress.NONE);
     }
 
-    private boolean supports(ReceivedHeartbeat last, FeatureLevel level) {
-        return last != null
-                && last.isFresh(loop.nanos())
-                && last.heartbeat.version().supportedLevel() >= level.number();
+    private boolean supports(ReceivedHeartbeat received, FeatureLevel level) {
+        return received != null
+                && received.isFresh(loop.nanos())
+                && received.heartbeat.version().supportedLevel() >= level.number();
     }
 
     private boolean anyFresh(Predicate<PeerHeartbeat> condition) {
         long now = loop.nanos();
-        return lastHeartbeats.values().stream().anyMatch(last -> condition.test(last.heartbeat) && last.isFresh(now));
+        return lastHeartbeats.values().stream()
+                .anyMatch(received -> condition.test(received.heartbeat) && received.isFresh(now));
     }
 
     private void send() {
@@ -138,7 +139,7 @@
             if (heartbeat.term() >= leaderHeartbeat.term() && heartbeat.term() > 0) {
                 leaderHeartbeat = heartbeat;
             }
-            heartbeat.cancelled().forEach(jobCancelled);
+            heartbeat.cancelled().forEach(onJobCancelled);
         } catch (BadMessageException e) {
             warnings.warn("unreadable peer heartbeat", "reason=" + e.getMessage());
         }
--- a/src/main/java/org/spruceridge/peer/PeerTransport.java
+++ b/src/main/java/org/spruceridge/peer/PeerTransport.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** Carries frames between the controller nodes. Any frame may be lost. */
+/** Transports frames between the controller nodes, without guaranteed delivery. */
 public interface PeerTransport {
-    /** Passes each frame received from now on to {@code receiver}, on the event loop. */
-    void start(Consumer<byte[]> receiver);
+    /** Starts receiving; {@code frameReceiver} is called on the event loop for each frame. */
+    void start(Consumer<byte[]> frameReceiver);
 
     /** Sends a frame to every other node to which there is a connection. */
     void broadcast(byte[] frame);
--- a/src/test/java/org/spruceridge/peer/PeerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/peer/PeerHeartbeatTest.java
@@ -9,24 +9,33 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.sim.Fixtures;
 
-/** What goes between nodes comes out as it went in, and nothing else is taken for it. */
+/** Tests that peer heartbeats round-trip through the codec, and that truncated or foreign frames are rejected. */
 final class PeerHeartbeatTest {
     private final PeerHeartbeat heartbeat = Fixtures.heartbeat();
 
     @Test
-    void aHeartbeatIsReadAsItWasWritten() throws BadMessageException {
+    void heartbeatRoundTripsThroughCodec() throws BadMessageException {
         assertEquals(heartbeat, PeerHeartbeatCodec.decode(PeerHeartbeatCodec.encode(heartbeat)));
     }
 
     @Test
-    void whatIsCutShortOrForeignIsRefused() {
-        byte[] whole = PeerHeartbeatCodec.encode(heartbeat);
-        for (int length = 0; length < whole.length; length++) {
-            byte[] part = Arrays.copyOf(whole, length);
-            assertThrows(BadMessageException.class, () -> PeerHeartbeatCodec.decode(part));
+    void truncatedOrForeignFrameIsRejected() {
+        byte[] frame = PeerHeartbeatCodec.encode(heartbeat);
+        for (int length = 0; length < frame.length; length++) {
+            byte[] truncated = Arrays.copyOf(frame, length);
+            assertThrows(BadMessageException.class, () -> PeerHeartbeatCodec.decode(truncated));
         }
         assertThrows(
                 BadMessageException.class,
                 () -> PeerHeartbeatCodec.decode("GET / HTTP/1.1".getBytes(StandardCharsets.UTF_8)));
     }
+
+    @Test
+    void heartbeatWithTooFewFieldsReportsMinimum() {
+        byte[] arrayOfFiveFields = {(byte) 0x95};
+        assertEquals(
+                "a peer heartbeat has fewer than 6 fields",
+                assertThrows(BadMessageException.class, () -> PeerHeartbeatCodec.decode(arrayOfFiveFields))
+                        .getMessage());
+    }
 }
