--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -21,11 +21,11 @@
 import org.spruceridge.net.RateLimiter;
 import org.spruceridge.net.RateLimiter.Priority;
 
-/** The client of the cloud's API. It keeps to this node's share of the rate limit of the cloud. */
+/** The client of the cloud API. It stays within this node's share of the cloud's rate limit. */
 public final class CloudClient {
     /** The maximum number of machines in one launch request. */
     public static final int MAX_LAUNCH_BATCH = 50;
-    /** The maximum number of machines in one deletion. */
+    /** The maximum number of machines in one deletion request. */
     public static final int MAX_DELETE_BATCH = 100;
 
     private static final int PAGE_SIZE = 500;
@@ -36,7 +36,7 @@
     private final RateLimiter limiter;
     private final RateLimitedWarnings warnings;
 
-    /** Calls go to {@code address}, within the limits of {@code limiter}. */
+    /** Sends requests to {@code address}, at the rate that {@code limiter} allows. */
     public CloudClient(HttpClient http, Address address, RateLimiter limiter, RateLimitedWarnings warnings) {
         this.http = http;
         this.address = address;
@@ -44,137 +44,153 @@
         this.warnings = warnings;
     }
 
-    /** Gets the machine types and their present prices; empty if there was no usable answer. */
-    public void catalogue(Consumer<Optional<ImmutableMap<String, MachineType>>> done) {
-        send(Priority.SCHEDULING, HttpCall.get("/flavors"), answer -> done.accept(readCatalogue(answer)));
+    /** Fetches the machine types and their current prices, by name; empty if there was no usable response. */
+    public void catalogue(Consumer<Optional<ImmutableMap<String, MachineType>>> onResponse) {
+        send(Priority.SCHEDULING, HttpCall.get("/flavors"), response -> onResponse.accept(readCatalogue(response)));
     }
 
-    /** Launches machines. The request id must be new, or that of a request that got no answer or was refused. */
+    /**
+     * Launches {@code count} machines. The request id must be new, or the id of a request that got no response or was
+     * refused.
+     */
     public void launch(
-            String requestId, String type, String zone, boolean spot, int count, Consumer<LaunchResult> done) {
+            String requestId, String type, String zone, boolean spot, int count, Consumer<LaunchResult> onResult) {
         byte[] body = Json.bytes(Json.object()
                 .put("claim", requestId)
                 .put("build", type)
                 .put("grove", zone)
                 .put("windfall", spot)
                 .put("howMany", count));
-        send(Priority.SCHEDULING, HttpCall.post("/hosts", body), answer -> done.accept(readLaunchResult(answer)));
+        send(
+                Priority.SCHEDULING,
+                HttpCall.post("/hosts", body),
+                response -> onResult.accept(readLaunchResult(response)));
     }
 
-    /** Deletes machines; true means that they are deleted with everything on them. */
-    public void delete(List<String> machines, Consumer<Boolean> done) {
+    /** Deletes machines. True confirms that the machines and everything on them are deleted. */
+    public void delete(List<String> machines, Consumer<Boolean> onResult) {
         ArrayNode names = Json.array();
         machines.forEach(names::add);
         byte[] body = Json.bytes(Json.object().set("hosts", names));
-        send(Priority.HEARTBEATS, HttpCall.post("/hosts/delete", body), answer -> done.accept(answer.status() == 200));
+        send(
+                Priority.HEARTBEATS,
+                HttpCall.post("/hosts/delete", body),
+                response -> onResult.accept(response.status() == 200));
     }
 
-    /** Lists all machines, page by page; empty if there was no usable answer. The list lags and may go backwards. */
-    public void machines(Consumer<Optional<ImmutableList<CloudMachine>>> done) {
-        page("", new ArrayList<>(), done);
+    /**
+     * Lists all machines, page by page; empty if there was no usable response. The list lags, and a later list may be
+     * older than an earlier one.
+     */
+    public void machines(Consumer<Optional<ImmutableList<CloudMachine>>> onResponse) {
+        listPage("", new ArrayList<>(), onResponse);
     }
 
-    private void page(String from, List<CloudMachine> listed, Consumer<Optional<ImmutableList<CloudMachine>>> done) {
-        String target = "/hosts?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE_SIZE;
-        send(Priority.SCHEDULING, HttpCall.get(target), answer -> {
-            if (answer.status() != 200) {
-                done.accept(Optional.empty());
+    private void listPage(
+            String lastName, List<CloudMachine> listed, Consumer<Optional<ImmutableList<CloudMachine>>> onResponse) {
+        String target = "/hosts?" + (lastName.isEmpty() ? "" : "from=" + lastName + "&") + "limit=" + PAGE_SIZE;
+        send(Priority.SCHEDULING, HttpCall.get(target), response -> {
+            if (response.status() != 200) {
+                onResponse.accept(Optional.empty());
                 return;
             }
             try {
-                JsonNode body = Json.object(answer.body());
-                for (JsonNode item : Json.list(body, "hosts")) {
-                    listed.add(host(item));
+                JsonNode body = Json.object(response.body());
+                for (JsonNode machineJson : Json.list(body, "hosts")) {
+                    listed.add(readMachine(machineJson));
                 }
                 if (body.path("truncated").asBoolean() && !listed.isEmpty()) {
-                    page(listed.get(listed.size() - 1).name(), listed, done);
+                    listPage(listed.get(listed.size() - 1).name(), listed, onResponse);
                 } else {
-                    done.accept(Optional.of(ImmutableList.copyOf(listed)));
+                    onResponse.accept(Optional.of(ImmutableList.copyOf(listed)));
                 }
             } catch (BadMessageException e) {
                 warnInvalid(e);
-                done.accept(Optional.empty());
+                onResponse.accept(Optional.empty());
             }
         });
     }
 
-    private static CloudMachine host(JsonNode item) throws BadMessageException {
+    private static CloudMachine readMachine(JsonNode machineJson) throws BadMessageException {
         CloudMachine.Stage stage =
-                switch (Json.text(item, "stage")) {
+                switch (Json.text(machineJson, "stage")) {
                     case "booting" -> CloudMachine.Stage.BOOTING;
                     case "running" -> CloudMachine.Stage.RUNNING;
                     case "failed" -> CloudMachine.Stage.FAILED;
                     default -> throw new BadMessageException("unknown state of a machine");
                 };
         return new CloudMachine(
-                Json.text(item, "nameId"),
-                Json.text(item, "endpoint"),
-                Json.text(item, "build"),
-                Json.text(item, "grove"),
-                Json.bool(item, "windfall"),
+                Json.text(machineJson, "nameId"),
+                Json.text(machineJson, "endpoint"),
+                Json.text(machineJson, "build"),
+                Json.text(machineJson, "grove"),
+                Json.bool(machineJson, "windfall"),
                 stage,
-                Json.number(item, "heldS"));
+                Json.number(machineJson, "heldS"));
     }
 
-    private Optional<ImmutableMap<String, MachineType>> readCatalogue(HttpAnswer answer) {
-        if (answer.status() != 200) {
+    private Optional<ImmutableMap<String, MachineType>> readCatalogue(HttpAnswer response) {
+        if (response.status() != 200) {
             return Optional.empty();
         }
         try {
-            ImmutableMap.Builder<String, MachineType> out = ImmutableMap.builder();
-            for (JsonNode item : Json.list(Json.object(answer.body()), "builds")) {
-                MachineType type = machineType(item);
-                out.put(type.name(), type);
+            ImmutableMap.Builder<String, MachineType> types = ImmutableMap.builder();
+            for (JsonNode typeJson : Json.list(Json.object(response.body()), "builds")) {
+                MachineType type = readMachineType(typeJson);
+                types.put(type.name(), type);
             }
-            return Optional.of(out.buildKeepingLast());
+            return Optional.of(types.buildKeepingLast());
         } catch (BadMessageException e) {
             warnInvalid(e);
             return Optional.empty();
         }
     }
 
-    private static MachineType machineType(JsonNode item) throws BadMessageException {
+    private static MachineType readMachineType(JsonNode typeJson) throws BadMessageException {
         ImmutableList.Builder<String> zones = ImmutableList.builder();
-        Json.list(item, "groves").forEach(zone -> zones.add(zone.asText()));
+        Json.list(typeJson, "groves").forEach(zone -> zones.add(zone.asText()));
         return new MachineType(
-                Json.text(item, "name"),
-                new Resources(Json.number(item, "cpus"), Json.number(item, "accelerators"), Json.number(item, "memGb")),
-                Json.number(item, "fetchGbPerS"),
-                Json.number(item, "rate"),
-                Json.number(item, "lowPrice"),
-                Json.number(item, "startupS"),
+                Json.text(typeJson, "name"),
+                new Resources(
+                        Json.number(typeJson, "cpus"),
+                        Json.number(typeJson, "accelerators"),
+                        Json.number(typeJson, "memGb")),
+                Json.number(typeJson, "fetchGbPerS"),
+                Json.number(typeJson, "rate"),
+                Json.number(typeJson, "lowPrice"),
+                Json.number(typeJson, "startupS"),
                 zones.build());
     }
 
-    private LaunchResult readLaunchResult(HttpAnswer answer) {
+    private LaunchResult readLaunchResult(HttpAnswer response) {
         try {
-            return switch (answer.status()) {
-                case 200 -> new LaunchResult(LaunchResult.Kind.LAUNCHED, launchedNames(answer));
+            return switch (response.status()) {
+                case 200 -> new LaunchResult(LaunchResult.Kind.LAUNCHED, launchedNames(response));
                 case 503 -> LaunchResult.of(
-                        isOutOfCapacity(answer) ? LaunchResult.Kind.NO_CAPACITY : LaunchResult.Kind.REFUSED);
+                        isOutOfCapacity(response) ? LaunchResult.Kind.NO_CAPACITY : LaunchResult.Kind.REFUSED);
                 case 400 -> LaunchResult.of(LaunchResult.Kind.REJECTED);
                 case 429 -> LaunchResult.of(LaunchResult.Kind.REFUSED);
                 default -> LaunchResult.of(LaunchResult.Kind.UNKNOWN);
             };
         } catch (BadMessageException e) {
             warnInvalid(e);
-            return LaunchResult.of(answer.status() == 200 ? LaunchResult.Kind.UNKNOWN : LaunchResult.Kind.REFUSED);
+            return LaunchResult.of(response.status() == 200 ? LaunchResult.Kind.UNKNOWN : LaunchResult.Kind.REFUSED);
         }
     }
 
-    private static ImmutableList<String> launchedNames(HttpAnswer answer) throws BadMessageException {
+    private static ImmutableList<String> launchedNames(HttpAnswer response) throws BadMessageException {
         ImmutableList.Builder<String> names = ImmutableList.builder();
-        Json.list(Json.object(answer.body()), "hosts").forEach(name -> names.add(name.asText()));
+        Json.list(Json.object(response.body()), "hosts").forEach(name -> names.add(name.asText()));
         return names.build();
     }
 
-    private static boolean isOutOfCapacity(HttpAnswer answer) throws BadMessageException {
-        return Json.object(answer.body()).path("error").asText().contains("capacity");
+    private static boolean isOutOfCapacity(HttpAnswer response) throws BadMessageException {
+        return Json.object(response.body()).path("error").asText().contains("capacity");
     }
 
-    private void send(Priority priority, HttpCall call, Consumer<HttpAnswer> done) {
-        if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT_NANOS, done))) {
-            done.accept(new HttpAnswer(429, new byte[0]));
+    private void send(Priority priority, HttpCall call, Consumer<HttpAnswer> onResponse) {
+        if (!limiter.submit(priority, 0, () -> http.call(address, call, REQUEST_TIMEOUT_NANOS, onResponse))) {
+            onResponse.accept(new HttpAnswer(429, new byte[0]));
         }
     }
 
--- a/src/main/java/org/spruceridge/cloud/CloudMachine.java
+++ b/src/main/java/org/spruceridge/cloud/CloudMachine.java
@@ -1,9 +1,9 @@
 package org.spruceridge.cloud;
 
-/** A machine in the cloud's list; {@code ageS} is the time since its launch in seconds. */
+/** A machine in the cloud's machine list; {@code ageS} is the time since its launch, in seconds. */
 public record CloudMachine(
         String name, String address, String type, String zone, boolean spot, Stage stage, double ageS) {
-    /** Its state. */
+    /** The state of the machine. */
     public enum Stage {
         BOOTING,
         RUNNING,
--- a/src/main/java/org/spruceridge/cloud/LaunchResult.java
+++ b/src/main/java/org/spruceridge/cloud/LaunchResult.java
@@ -2,18 +2,18 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** The result of a launch request: its outcome, and the names of the machines that were launched. */
+/** The result of a launch request: the outcome, and the names of the launched machines. */
 public record LaunchResult(Kind kind, ImmutableList<String> machines) {
-    /** The outcome. */
+    /** The outcome of a launch request. */
     public enum Kind {
         LAUNCHED,
-        /** The cloud has no machine of this type, zone and kind now. */
+        /** The cloud currently has no capacity for this type, zone and purchase option (spot or on-demand). */
         NO_CAPACITY,
-        /** Refused for now: too many requests, or an outage. It may be retried. */
+        /** Temporarily refused, because of rate limiting or an outage; the request may be retried. */
         REFUSED,
         /** The request is invalid. */
         REJECTED,
-        /** No answer: machines may have been launched. The same request id has to be sent again. */
+        /** No usable response: machines may have been launched. The request must be retried with the same id. */
         UNKNOWN
     }
 
--- a/src/main/java/org/spruceridge/cloud/package-info.java
+++ b/src/main/java/org/spruceridge/cloud/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The client of the cloud's API for launching, listing and deleting machines, with typed messages.
+ * The client of the cloud API for launching, listing and deleting machines, with typed messages.
  *
- * <p>The autoscaler and the catalogue of machine types call it on the event loop; the results come back on the event loop as
- * well. This package alone knows the wire names of the API.
+ * <p>The autoscaler and the machine type catalogue call it on the event loop, and callbacks run on the event loop too.
+ * No other package knows the wire names of the API.
  */
 package org.spruceridge.cloud;
