--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -15,7 +15,7 @@
 import org.spruceridge.schedule.Plan;
 import org.spruceridge.term.LeaderContext;
 
-/** Runs the periodic work on machines: follows the cloud's lists, removes failed machines, scales out and in. */
+/** Runs the periodic machine management: polls the cloud's lists, removes failed machines, and scales out and in. */
 public final class Autoscaler {
     private static final long CATALOGUE_REFRESH_NANOS = Durations.nanos(60);
 
@@ -24,99 +24,99 @@
     private final CloudClient cloud;
     private final Cluster cluster;
     private final Settings settings;
-    private final BooleanSupplier leads;
+    private final BooleanSupplier isLeader;
     private final Supplier<Optional<Plan>> lastPlan;
-    private final Runnable changed;
+    private final Runnable requestSchedulingCycle;
     private final FailureDetector failureDetector;
-    private final MachineListReconciler machineList;
+    private final MachineListReconciler machineListReconciler;
     private final FailedMachineRemoval failedMachineRemoval;
     private final ScaleOutCycle scaleOut;
     private final ScaleInCycle scaleIn;
-    private long lastTick;
-    private long lastScaling = Long.MIN_VALUE / 2;
+    private long lastTickAt;
+    private long lastScalingAt = Long.MIN_VALUE / 2;
 
     /**
-     * An autoscaler for one term.
+     * Creates an autoscaler for one term.
      *
      * @param lastPlan the plan of the last scheduling cycle, empty before the first one
-     * @param changed asks for a scheduling cycle
+     * @param requestSchedulingCycle requests a scheduling cycle, after machines or machine types may have changed
      */
     public Autoscaler(
             LeaderContext context,
             CloudClient cloud,
             BindingReleaser releaser,
             Supplier<Optional<Plan>> lastPlan,
-            Runnable changed) {
+            Runnable requestSchedulingCycle) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.cloud = cloud;
         this.cluster = context.cluster();
         this.settings = context.settings();
-        this.leads = context.isLeader();
+        this.isLeader = context.isLeader();
         this.lastPlan = lastPlan;
-        this.changed = changed;
+        this.requestSchedulingCycle = requestSchedulingCycle;
         this.failureDetector = new FailureDetector(loop, cluster, settings, context.policy());
         WarmCapacity warmCapacity = new WarmCapacity(settings, loop.nanos());
-        CloudAccess access = new CloudAccess(loop, scope, cloud, cluster, leads);
+        CloudRequestContext cloudContext = new CloudRequestContext(loop, scope, cloud, cluster, isLeader);
         ScaleOutRequests scaleOutRequests = new ScaleOutRequests(
-                access, context.term().term(), settings.workers().leaseS());
-        ScaleInRequests scaleInRequests = new ScaleInRequests(access, releaser, changed);
-        this.machineList = new MachineListReconciler(loop, cluster, scaleInRequests);
+                cloudContext, context.term().term(), settings.workers().leaseS());
+        ScaleInRequests scaleInRequests = new ScaleInRequests(cloudContext, releaser, requestSchedulingCycle);
+        this.machineListReconciler = new MachineListReconciler(loop, cluster, scaleInRequests);
         this.failedMachineRemoval = new FailedMachineRemoval(loop, failureDetector, scaleInRequests);
         this.scaleOut = new ScaleOutCycle(cluster, settings, warmCapacity, scaleOutRequests);
         this.scaleIn = new ScaleInCycle(context, warmCapacity, scaleInRequests);
-        this.lastTick = loop.nanos();
+        this.lastTickAt = loop.nanos();
     }
 
-    /** Starts to follow the cloud's lists and to scale. */
+    /** Starts polling the cloud's lists and scaling. */
     public void start() {
         refreshCatalogue();
-        refreshList();
+        refreshMachineList();
         tick();
     }
 
     private void refreshCatalogue() {
-        cloud.catalogue(scope.guard(answer -> {
-            answer.ifPresent(types -> {
+        cloud.catalogue(scope.guard(response -> {
+            response.ifPresent(types -> {
                 cluster.updateTypes(types);
-                changed.run();
+                requestSchedulingCycle.run();
             });
             scope.after(
-                    answer.isPresent() ? CATALOGUE_REFRESH_NANOS : CloudAccess.RETRY_INTERVAL_NANOS,
+                    response.isPresent() ? CATALOGUE_REFRESH_NANOS : CloudRequestContext.RETRY_INTERVAL_NANOS,
                     this::refreshCatalogue);
         }));
     }
 
-    private void refreshList() {
-        cloud.machines(scope.guard(answer -> {
-            answer.ifPresent(machineList::reconcile);
+    private void refreshMachineList() {
+        cloud.machines(scope.guard(response -> {
+            response.ifPresent(machineListReconciler::reconcile);
             scope.after(
                     Math.max(
-                            CloudAccess.RETRY_INTERVAL_NANOS,
+                            CloudRequestContext.RETRY_INTERVAL_NANOS,
                             Durations.nanos(settings.cloud().listLagS() / 2)),
-                    this::refreshList);
+                    this::refreshMachineList);
         }));
     }
 
     private void tick() {
         long now = loop.nanos();
-        if (now - lastTick > Durations.nanos(settings.workers().heartbeatIntervalS())) {
+        if (now - lastTickAt > Durations.nanos(settings.workers().heartbeatIntervalS())) {
             recordOverload();
         }
-        lastTick = now;
-        if (leads.getAsBoolean()) {
+        lastTickAt = now;
+        if (isLeader.getAsBoolean()) {
             failedMachineRemoval.run();
-            // While requests wait, scaling is decided less often: the heartbeats of workers come first.
-            double sinceScalingS = Durations.secondsSince(lastScaling, now);
-            if (!loop.busy() || sinceScalingS > settings.workers().maxDecisionDelayS()) {
-                lastScaling = now;
+            // While requests are queued, scaling runs less often, because worker heartbeats take priority.
+            double sinceLastScalingS = Durations.secondsSince(lastScalingAt, now);
+            if (!loop.busy() || sinceLastScalingS > settings.workers().maxDecisionDelayS()) {
+                lastScalingAt = now;
                 scale();
             }
         }
         scope.after(Durations.nanos(settings.workers().heartbeatIntervalS() / 3), this::tick);
     }
 
-    /** Records that this node does not keep up: heartbeats may have arrived that it has not handled yet. */
+    /** Records that this node is overloaded, so that it may not have processed all heartbeats that have arrived. */
     public void recordOverload() {
         failureDetector.recordOverload();
     }
@@ -127,11 +127,11 @@
             return;
         }
         long now = loop.nanos();
-        Set<Machine> needed = scaleOut.run(plan.get(), now, loop.wallMillis());
-        scaleIn.run(needed, now);
+        Set<Machine> neededMachines = scaleOut.run(plan.get(), now, loop.wallMillis());
+        scaleIn.run(neededMachines, now);
     }
 
-    /** How long ago the job of the oldest stop that is not proven was cancelled, in seconds; 0 if there is none. */
+    /** The time since the earliest cancellation of a job with an unproven stop, in seconds; 0 if there is none. */
     public double oldestUnprovenStopS() {
         return failureDetector.oldestUnprovenStopS();
     }
--- a/src/main/java/org/spruceridge/autoscaling/FailedMachineRemoval.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailedMachineRemoval.java
@@ -9,7 +9,10 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Acts on the findings of the failure detector: releases the tasks of expired leases and deletes dead machines. */
+/**
+ * Handles the failures found by the failure detector: releases the tasks of machines with expired leases, and deletes
+ * dead machines.
+ */
 final class FailedMachineRemoval {
     private static final Logger LOG = LoggerFactory.getLogger(FailedMachineRemoval.class);
 
@@ -24,12 +27,12 @@
     }
 
     void run() {
-        endExpiredLeases();
-        deleteFailed();
+        releaseTasksOfExpiredLeases();
+        deleteDeadMachines();
     }
 
-    private void endExpiredLeases() {
-        for (Machine machine : failureDetector.findExpiredLeases()) {
+    private void releaseTasksOfExpiredLeases() {
+        for (Machine machine : failureDetector.findMachinesWithExpiredLease()) {
             LOG.info(
                     "machine lease expired, its tasks are released machine={} count={}",
                     machine.name(),
@@ -39,12 +42,17 @@
         }
     }
 
-    /** Deletes machines that are declared dead; a confirmed deletion proves that their tasks are gone. */
-    private void deleteFailed() {
-        List<Machine> overdue = failureDetector.findOverdueStops();
-        overdue.stream().filter(machine -> !machine.isTerminating()).forEach(this::logOverdueStop);
-        scaleInRequests.delete(overdue, "stop-overdue");
-        scaleInRequests.delete(failureDetector.findDead(), "declared-dead");
+    /**
+     * Deletes machines that are declared dead or whose stops are overdue. A confirmed deletion proves that their tasks
+     * no longer run.
+     */
+    private void deleteDeadMachines() {
+        List<Machine> machinesWithOverdueStops = failureDetector.findMachinesWithOverdueStop();
+        machinesWithOverdueStops.stream()
+                .filter(machine -> !machine.isTerminating())
+                .forEach(this::logOverdueStop);
+        scaleInRequests.delete(machinesWithOverdueStops, "stop-overdue");
+        scaleInRequests.delete(failureDetector.findDeadMachines(), "declared-dead");
     }
 
     private void logOverdueStop(Machine machine) {
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -15,28 +15,28 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Finds the machines whose leases have expired and those that are declared dead. It changes no state of the cluster. */
+/** Finds machines with expired leases and dead machines. It does not change the cluster state. */
 final class FailureDetector {
-    /** Added to the lease beyond clock drift, for late timers on both sides. */
+    /** Allowance for late timers on both sides, added to the lease duration in addition to clock drift. */
     private static final double LEASE_MARGIN_S = 1;
 
-    /** After this many leases a machine is declared dead even if its zone seems to be partitioned. */
+    /** After this many lease durations a machine is declared dead even if its zone appears to be partitioned. */
     private static final double PARTITIONED_ZONE_LEASES = 4;
 
     private final Loop loop;
     private final Cluster cluster;
     private final Settings settings;
     private final Policy policy;
-    private final CancellationTimes times;
+    private final CancellationTimes cancellationTimes;
     private long overloadedUntil = Long.MIN_VALUE;
 
-    /** A zone without a heartbeat for so many heartbeat intervals is partitioned, or this node is. */
-    private static final double PARTITIONED_ZONE_HEARTBEATS = 1.5;
+    /** If a zone sends no heartbeat for this many heartbeat intervals, the zone or this node is partitioned. */
+    private static final double PARTITIONED_ZONE_HEARTBEAT_INTERVALS = 1.5;
 
-    /** The machines of a zone, how many of them are responsive, and when one last sent a heartbeat. */
-    private static final class ZoneCount {
-        private int machines;
-        private int responsive;
+    /** The number of machines and of responsive machines in a zone, and the time of its latest heartbeat. */
+    private static final class ZoneStatus {
+        private int machineCount;
+        private int responsiveCount;
         private long lastHeartbeat = Long.MIN_VALUE;
     }
 
@@ -45,22 +45,22 @@
         this.cluster = cluster;
         this.settings = settings;
         this.policy = policy;
-        this.times = CancellationTimes.of(settings.workers());
+        this.cancellationTimes = CancellationTimes.of(settings.workers());
     }
 
-    /** Records that this node does not keep up: heartbeats may have arrived that it has not handled yet. */
+    /** Records that this node is overloaded, so that it may not have processed all heartbeats that have arrived. */
     void recordOverload() {
         overloadedUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
     }
 
-    /** Machines whose lease no leader can have renewed in time: their workers have killed all tasks. */
-    List<Machine> findExpiredLeases() {
-        long lease = Durations.nanos(
+    /** Finds machines whose leases no leader can have renewed in time: their workers have killed all tasks. */
+    List<Machine> findMachinesWithExpiredLease() {
+        long leaseNanos = Durations.nanos(
                 settings.workers().leaseS() * (1 + 2 * Durations.MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_S);
         long now = loop.nanos();
         List<Machine> expired = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (now - machine.lease().lastRenewal() > lease && hasOpenBinding(machine)) {
+            if (now - machine.lease().lastRenewal() > leaseNanos && hasOpenBinding(machine)) {
                 expired.add(machine);
             }
         }
@@ -72,76 +72,78 @@
     }
 
     /**
-     * Machines on which the stop of a cancelled task has gone unproven for too long: a machine that hangs or cannot be
-     * reached keeps the task, and only its deletion is sure to come in time.
+     * Finds machines on which the stop of a cancelled task has been unproven for too long. A machine that hangs or is
+     * unreachable keeps its task, and only deleting the machine is certain to stop the task in time.
      */
-    List<Machine> findOverdueStops() {
+    List<Machine> findMachinesWithOverdueStop() {
         long now = loop.nanos();
         return cluster.machines().stream()
-                .filter(machine -> machine.bindings().stream().anyMatch(binding -> stopOverdue(binding, now)))
+                .filter(machine -> machine.bindings().stream().anyMatch(binding -> isStopOverdue(binding, now)))
                 .toList();
     }
 
-    /** How long ago the job of the oldest stop that is not proven was cancelled, in seconds; 0 if there is none. */
+    /** The time since the earliest cancellation of a job with an unproven stop, in seconds; 0 if there is none. */
     double oldestUnprovenStopS() {
         long now = loop.nanos();
         return cluster.machines().stream()
                 .flatMap(machine -> machine.bindings().stream())
-                .filter(FailureDetector::stopUnproven)
+                .filter(FailureDetector::isStopUnproven)
                 .mapToDouble(binding -> Durations.secondsSince(binding.job().cancelledAt(), now))
                 .max()
                 .orElse(0);
     }
 
-    private static boolean stopUnproven(Binding binding) {
+    private static boolean isStopUnproven(Binding binding) {
         return binding.job().isCancelled() && binding.stage() != Binding.Stage.PROPOSED && !binding.isProvenGone();
     }
 
-    private boolean stopOverdue(Binding binding, long now) {
+    private boolean isStopOverdue(Binding binding, long now) {
         Job job = binding.job();
-        return stopUnproven(binding)
-                && Durations.secondsSince(job.cancelledAt(), now) > times.unprovenStopTimeoutS()
-                && Durations.secondsSince(job.cancellationLearnedAt(), now) > times.stopProofTimeoutS();
+        return isStopUnproven(binding)
+                && Durations.secondsSince(job.cancelledAt(), now) > cancellationTimes.unprovenStopTimeoutS()
+                && Durations.secondsSince(job.cancellationLearnedAt(), now) > cancellationTimes.stopProofTimeoutS();
     }
 
     /**
-     * Machines that stopped sending heartbeats, do not acknowledge commands, or failed to boot; none while this node does
-     * not keep up with the heartbeats that arrive.
+     * Finds machines that have stopped sending heartbeats, do not acknowledge commands, or have failed to boot. Returns
+     * none while this node is overloaded and may not have processed all heartbeats.
      */
-    List<Machine> findDead() {
+    List<Machine> findDeadMachines() {
         long now = loop.nanos();
         List<Machine> dead = new ArrayList<>();
         if (now < overloadedUntil) {
             return dead;
         }
-        Map<String, ZoneCount> zones = zones(now);
+        Map<String, ZoneStatus> zones = zoneStatuses(now);
         for (Machine machine : cluster.machines()) {
-            if (machine.hasReported() ? isDead(machine, zones.get(machine.zone()), now) : failedToBoot(machine, now)) {
+            if (machine.hasReported()
+                    ? isDead(machine, zones.get(machine.zone()), now)
+                    : hasFailedToBoot(machine, now)) {
                 dead.add(machine);
             }
         }
         return dead;
     }
 
-    private Map<String, ZoneCount> zones(long now) {
-        Map<String, ZoneCount> zones = new HashMap<>();
+    private Map<String, ZoneStatus> zoneStatuses(long now) {
+        Map<String, ZoneStatus> zones = new HashMap<>();
         for (Machine machine : cluster.machines()) {
             if (machine.hasReported()) {
-                ZoneCount count = zones.computeIfAbsent(machine.zone(), z -> new ZoneCount());
-                count.machines++;
-                count.responsive += unresponsiveS(machine, now) < deadAfterS() ? 1 : 0;
-                count.lastHeartbeat =
-                        Math.max(count.lastHeartbeat, machine.lease().lastHeartbeat());
+                ZoneStatus status = zones.computeIfAbsent(machine.zone(), z -> new ZoneStatus());
+                status.machineCount++;
+                status.responsiveCount += unresponsiveS(machine, now) < deadTimeoutS() ? 1 : 0;
+                status.lastHeartbeat =
+                        Math.max(status.lastHeartbeat, machine.lease().lastHeartbeat());
             }
         }
         return zones;
     }
 
-    private double deadAfterS() {
+    private double deadTimeoutS() {
         return policy.fleet().silenceTimeoutLeases() * settings.workers().leaseS();
     }
 
-    private boolean failedToBoot(Machine machine, long now) {
+    private boolean hasFailedToBoot(Machine machine, long now) {
         double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(Double.MAX_VALUE);
         return Durations.secondsSince(machine.launchedAt(), now)
                         > policy.fleet().bootTimeoutBoots() * bootS
@@ -149,30 +151,39 @@
                         > settings.workers().leaseS();
     }
 
-    /** Where most machines of a zone are unresponsive, the network is the likely cause, and they may return. */
-    private boolean isDead(Machine machine, ZoneCount zone, long now) {
+    /**
+     * If most machines of a zone are unresponsive, the likely cause is the network and they may recover, so a longer
+     * timeout applies.
+     */
+    private boolean isDead(Machine machine, ZoneStatus zone, long now) {
         double leaseS = settings.workers().leaseS();
         double unresponsiveForS = unresponsiveS(machine, now);
-        // A worker that has not sent a heartbeat to this leader yet may still be looking for it.
-        boolean exceeded = unresponsiveForS > (machine.lease().isFenced() ? deadAfterS() : leaseS);
-        return exceeded && (responsive(zone, now) || unresponsiveForS > PARTITIONED_ZONE_LEASES * leaseS);
+        // A worker that has not yet sent a heartbeat to this leader may still be locating it.
+        boolean isTimedOut = unresponsiveForS > (machine.lease().isFenced() ? deadTimeoutS() : leaseS);
+        return isTimedOut && (isResponsive(zone, now) || unresponsiveForS > PARTITIONED_ZONE_LEASES * leaseS);
     }
 
     /**
-     * True if most machines of a zone are responsive and one sent a heartbeat lately. The majority alone is not enough:
-     * when a zone is partitioned, the machines that sent theirs first exceed the limit while most others do not yet.
+     * True if most machines of a zone are responsive and at least one has recently sent a heartbeat. The majority alone
+     * is not enough: when a zone is partitioned, the machines with the oldest heartbeats reach the timeout while most
+     * others still count as responsive.
      */
-    private boolean responsive(ZoneCount zone, long now) {
-        double quietS = Durations.secondsSince(zone.lastHeartbeat, now);
-        return zone.responsive * 2 > zone.machines
-                && quietS < PARTITIONED_ZONE_HEARTBEATS * settings.workers().heartbeatIntervalS();
+    private boolean isResponsive(ZoneStatus zone, long now) {
+        double sinceLastHeartbeatS = Durations.secondsSince(zone.lastHeartbeat, now);
+        return zone.responsiveCount * 2 > zone.machineCount
+                && sinceLastHeartbeatS
+                        < PARTITIONED_ZONE_HEARTBEAT_INTERVALS
+                                * settings.workers().heartbeatIntervalS();
     }
 
-    /** For how many seconds the machine has sent no heartbeat, or has not acknowledged a command. */
+    /**
+     * For how many seconds the machine has been unresponsive: since its last heartbeat, or since a command has been
+     * unacknowledged or the machine suspect, whichever is longer.
+     */
     private static double unresponsiveS(Machine machine, long now) {
-        double silentS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
+        double sinceLastHeartbeatS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
         return machine.awaitsAcknowledgement()
-                ? Math.max(silentS, Durations.secondsSince(machine.unacknowledgedSince(), now))
-                : silentS;
+                ? Math.max(sinceLastHeartbeatS, Durations.secondsSince(machine.unacknowledgedSince(), now))
+                : sinceLastHeartbeatS;
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/MachineListReconciler.java
+++ b/src/main/java/org/spruceridge/autoscaling/MachineListReconciler.java
@@ -13,8 +13,8 @@
 import org.spruceridge.net.Loop;
 
 /**
- * Reconciles the cluster state with the cloud's list of machines: adds those that are not known, and removes those that the
- * cloud reports as failed. The list lags, so a machine that it lacks is not removed.
+ * Reconciles the cluster state with the cloud's machine list: adds unknown machines, and removes machines that the
+ * cloud reports as failed. The list lags, so machines that are missing from it are not removed.
  */
 final class MachineListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(MachineListReconciler.class);
@@ -29,37 +29,37 @@
         this.scaleInRequests = scaleInRequests;
     }
 
-    void reconcile(ImmutableList<CloudMachine> listed) {
+    void reconcile(ImmutableList<CloudMachine> listedMachines) {
         long now = loop.nanos();
-        List<String> failed = new ArrayList<>();
-        for (CloudMachine host : listed) {
-            if (host.stage() == CloudMachine.Stage.FAILED) {
-                removeFailed(host);
-                failed.add(host.name());
+        List<String> failedNames = new ArrayList<>();
+        for (CloudMachine listed : listedMachines) {
+            if (listed.stage() == CloudMachine.Stage.FAILED) {
+                removeFailed(listed);
+                failedNames.add(listed.name());
             } else {
-                addOrUpdate(host, now);
+                addOrUpdate(listed, now);
             }
         }
-        scaleInRequests.removeFromList(failed);
+        scaleInRequests.removeFromCloudList(failedNames);
     }
 
-    private void removeFailed(CloudMachine host) {
-        Machine machine = cluster.machine(host.name());
+    private void removeFailed(CloudMachine listed) {
+        Machine machine = cluster.machine(listed.name());
         if (machine != null) {
             LOG.info("machine failed machine={}", machine.name());
             scaleInRequests.recordDeletion(machine);
         }
     }
 
-    private void addOrUpdate(CloudMachine host, long now) {
-        Machine machine = cluster.machine(host.name());
-        if (machine == null && !cluster.wasRemoved(host.name())) {
-            MachineKind kind = new MachineKind(host.type(), host.zone(), host.spot());
-            machine = new Machine(host.name(), host.address(), kind, now, now);
+    private void addOrUpdate(CloudMachine listed, long now) {
+        Machine machine = cluster.machine(listed.name());
+        if (machine == null && !cluster.wasRemoved(listed.name())) {
+            MachineKind kind = new MachineKind(listed.type(), listed.zone(), listed.spot());
+            machine = new Machine(listed.name(), listed.address(), kind, now, now);
             cluster.add(machine);
         }
         if (machine != null) {
-            machine.launchedAt(Math.min(machine.launchedAt(), now - Durations.nanos(host.ageS())));
+            machine.launchedAt(Math.min(machine.launchedAt(), now - Durations.nanos(listed.ageS())));
         }
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
@@ -12,9 +12,9 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.term.LeaderContext;
 
-/** Decides which machines to delete because they are idle or can get no more tasks. */
+/** Decides which machines to delete because they are idle or cannot be given any more tasks. */
 final class ScaleInCycle {
-    /** The cloud bills at least this many seconds for a machine, so an idle one is not deleted before. */
+    /** The minimum time that the cloud bills for a machine. An idle machine is not deleted earlier. */
     private static final double MIN_BILLED_S = 60;
 
     private final Cluster cluster;
@@ -31,53 +31,63 @@
         this.scaleInRequests = scaleInRequests;
     }
 
-    /** Deletes idle and unusable machines; {@code needed} are those whose capacity is still needed. */
-    void run(Set<Machine> needed, long now) {
-        List<Machine> surplus = new ArrayList<>();
+    /**
+     * Deletes idle and unusable machines, except idle ones in {@code neededMachines}, whose capacity is still needed.
+     */
+    void run(Set<Machine> neededMachines, long now) {
+        List<Machine> machinesToDelete = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (canBeDeleted(machine) && (isUnusable(machine, now) || isSurplus(machine, needed, now))) {
-                surplus.add(machine);
+            if (canBeDeleted(machine) && (isUnusable(machine, now) || isSurplus(machine, neededMachines, now))) {
+                machinesToDelete.add(machine);
             }
         }
-        scaleInRequests.delete(surplus, "idle-or-unusable");
+        scaleInRequests.delete(machinesToDelete, "idle-or-unusable");
     }
 
     private static boolean canBeDeleted(Machine machine) {
         return !machine.isTerminating()
                 && machine.hasReported()
-                && (machine.bindings().isEmpty() || awaitsStartOfCancelledTask(machine));
+                && (machine.bindings().isEmpty() || mayReceiveStartOfCancelledTask(machine));
     }
 
     private boolean isUnusable(Machine machine, long now) {
         return machine.isUnschedulable() && !(machine.suspicion().isSuspect() && isBeingProbed(machine, now));
     }
 
-    private boolean isSurplus(Machine machine, Set<Machine> needed, long now) {
-        return isIdleLong(machine, now) && !needed.contains(machine) && !warmCapacity.isLearning(cluster, now);
+    private boolean isSurplus(Machine machine, Set<Machine> neededMachines, long now) {
+        return isIdleTimeoutExceeded(machine, now)
+                && !neededMachines.contains(machine)
+                && !warmCapacity.isLearning(cluster, now);
     }
 
-    private boolean isIdleLong(Machine machine, long now) {
+    private boolean isIdleTimeoutExceeded(Machine machine, long now) {
         double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
-        double idleTimeoutS = policy.fleet().idleTimeoutBoots() * bootS * cheapness(machine);
+        double idleTimeoutS = policy.fleet().idleTimeoutBoots() * bootS * minPriceRatio(machine);
         return Durations.secondsSince(machine.idleSince(), now) > idleTimeoutS
                 && Durations.secondsSince(machine.launchedAt(), now) > MIN_BILLED_S;
     }
 
-    /** True if the machine became suspect a short time ago, and a probe of it may still be answered. */
+    /** True if the machine became suspect recently, so that it may still respond to a probe. */
     private boolean isBeingProbed(Machine machine, long now) {
         return Durations.secondsSince(machine.unacknowledgedSince(), now)
                 < settings.workers().leaseS() / 2;
     }
 
-    /** The lowest price of the machine's type divided by its own: the more it costs, the sooner it is deleted. */
-    private double cheapness(Machine machine) {
+    /**
+     * The lowest price of the machine's type divided by the machine's own price. It scales the idle timeout, so that
+     * more expensive machines are deleted sooner.
+     */
+    private double minPriceRatio(Machine machine) {
         return cluster.typeOf(machine)
                 .map(type -> Math.min(type.price(), type.spotPrice()) / type.price(machine.isSpot()))
                 .orElse(1.0);
     }
 
-    /** True if a direct start of a cancelled task may still arrive: only the deletion rules that out. */
-    private static boolean awaitsStartOfCancelledTask(Machine machine) {
+    /**
+     * True if a direct command to start a cancelled task may still reach the machine, which only the deletion of the
+     * machine rules out.
+     */
+    private static boolean mayReceiveStartOfCancelledTask(Machine machine) {
         return machine.directCommands().hasUncertainStart()
                 && machine.bindings().stream()
                         .anyMatch(binding -> binding.job().isCancelled()
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
@@ -15,43 +15,44 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.net.Durations;
 
-/** Deletes machines at the cloud. A confirmed deletion proves that no task is left on them. */
+/** Requests the deletion of machines from the cloud. A confirmed deletion proves that no task runs on them any more. */
 final class ScaleInRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInRequests.class);
 
-    private final CloudAccess access;
+    private final CloudRequestContext context;
     private final Cluster cluster;
     private final BindingReleaser releaser;
-    private final Runnable changed;
-    private final Set<String> deleting = new HashSet<>();
-    private final Set<String> removedFromList = new HashSet<>();
+    private final Runnable requestSchedulingCycle;
+    private final Set<String> deletionsInFlight = new HashSet<>();
+    private final Set<String> removedFromCloudList = new HashSet<>();
 
-    /** {@code changed} asks for a scheduling cycle. */
-    ScaleInRequests(CloudAccess access, BindingReleaser releaser, Runnable changed) {
-        this.access = access;
-        this.cluster = access.cluster();
+    /** {@code requestSchedulingCycle} is called when a machine has been removed. */
+    ScaleInRequests(CloudRequestContext context, BindingReleaser releaser, Runnable requestSchedulingCycle) {
+        this.context = context;
+        this.cluster = context.cluster();
         this.releaser = releaser;
-        this.changed = changed;
+        this.requestSchedulingCycle = requestSchedulingCycle;
     }
 
-    /** Requests the deletion of machines, if there are any; {@code reason} is logged. */
+    /** Requests the deletion of machines, if any, and retries until it is confirmed; {@code reason} is logged. */
     void delete(List<Machine> machines, String reason) {
         if (machines.isEmpty()) {
             return;
         }
-        if (!access.leads().getAsBoolean()) {
-            // Retried only if the lease is renewed: otherwise another leader may have given the machines tasks by now.
-            access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(machines, reason));
+        if (!context.isLeader().getAsBoolean()) {
+            // Retries only if the leader lease is renewed. Otherwise a new leader may have assigned tasks to the
+            // machines.
+            context.scope().after(CloudRequestContext.RETRY_INTERVAL_NANOS, () -> delete(machines, reason));
             return;
         }
-        List<Machine> notRequested = new ArrayList<>();
+        List<Machine> notInFlight = new ArrayList<>();
         for (Machine machine : machines) {
             machine.markTerminating();
-            if (deleting.add(machine.name())) {
-                notRequested.add(machine);
+            if (deletionsInFlight.add(machine.name())) {
+                notInFlight.add(machine);
             }
         }
-        for (List<Machine> batch : Lists.partition(notRequested, CloudClient.MAX_DELETE_BATCH)) {
+        for (List<Machine> batch : Lists.partition(notInFlight, CloudClient.MAX_DELETE_BATCH)) {
             deleteBatch(batch, reason);
         }
     }
@@ -59,47 +60,51 @@
     private void deleteBatch(List<Machine> batch, String reason) {
         List<String> names = batch.stream().map(Machine::name).toList();
         LOG.info("deleting machines machines={} reason={}", names, reason);
-        long requestedAt = access.loop().nanos();
-        access.cloud().delete(names, access.scope().guard(confirmed -> {
-            names.forEach(deleting::remove);
+        long requestedAt = context.loop().nanos();
+        context.cloud().delete(names, context.scope().guard(confirmed -> {
+            names.forEach(deletionsInFlight::remove);
             LOG.info(
                     "machine deletion answered machine={} count={} outcome={} ageS={}",
                     names.get(0),
                     names.size(),
                     confirmed ? "deleted" : "unconfirmed",
-                    Durations.secondsSince(requestedAt, access.loop().nanos()));
+                    Durations.secondsSince(requestedAt, context.loop().nanos()));
             if (confirmed) {
                 batch.forEach(this::recordDeletion);
             } else {
-                access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> delete(batch, reason));
+                context.scope().after(CloudRequestContext.RETRY_INTERVAL_NANOS, () -> delete(batch, reason));
             }
         }));
     }
 
-    /** Deletes machines that the cloud reports as failed from its list, each once. */
-    void removeFromList(List<String> failed) {
-        List<String> notRequested = failed.stream().filter(removedFromList::add).toList();
-        for (List<String> batch : Lists.partition(notRequested, CloudClient.MAX_DELETE_BATCH)) {
-            access.cloud().delete(batch, access.scope().guard(confirmed -> {
+    /**
+     * Deletes machines that the cloud reports as failed, so that they leave its list. Each deletion is requested once,
+     * and again only if it was not confirmed.
+     */
+    void removeFromCloudList(List<String> failedNames) {
+        List<String> newNames =
+                failedNames.stream().filter(removedFromCloudList::add).toList();
+        for (List<String> batch : Lists.partition(newNames, CloudClient.MAX_DELETE_BATCH)) {
+            context.cloud().delete(batch, context.scope().guard(confirmed -> {
                 if (!confirmed) {
-                    batch.forEach(removedFromList::remove);
+                    batch.forEach(removedFromCloudList::remove);
                 }
             }));
         }
     }
 
-    /** Removes a machine that is proven not to exist any more, and releases its tasks. */
+    /** Removes a machine that is proven to no longer exist, and releases its tasks. */
     void recordDeletion(Machine machine) {
         releaseAll(machine);
         cluster.remove(machine);
-        changed.run();
+        requestSchedulingCycle.run();
     }
 
-    /** Releases all tasks of a machine on which they are proven not to run. */
+    /** Releases all tasks of a machine. They must be proven to no longer run on it. */
     void releaseAll(Machine machine) {
         for (Binding binding : ImmutableList.copyOf(machine.bindings())) {
             if (binding.stage() == Binding.Stage.ORPHANED) {
-                cluster.unbind(binding, access.loop().nanos());
+                cluster.unbind(binding, context.loop().nanos());
             } else {
                 releaser.release(binding, false);
             }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
@@ -15,7 +15,7 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.schedule.Plan;
 
-/** Decides how many machines to launch for the tasks that the last scheduling cycle could not place. */
+/** Decides how many machines to launch, for unplaced tasks of the last scheduling cycle and for warm capacity. */
 final class ScaleOutCycle {
     private final Cluster cluster;
     private final Settings settings;
@@ -29,33 +29,33 @@
         this.scaleOutRequests = scaleOutRequests;
     }
 
-    /** Requests the machines that are missing, and returns the existing ones whose capacity is needed. */
+    /** Requests the additional machines, and returns the existing machines whose capacity is needed. */
     Set<Machine> run(Plan plan, long now, long wallMs) {
         List<WarmCapacity.Reserve> reserves = warmCapacity.reserves(cluster, now, wallMs);
         ScaleOutPlanner planner =
-                new ScaleOutPlanner(cluster, scaleOutRequests::isAvailable, smallestTask(plan, reserves));
+                new ScaleOutPlanner(cluster, scaleOutRequests::isAvailable, minTaskResources(plan, reserves));
         List<Machine> running = addBootingMachines(planner, now);
         addPendingRequests(planner);
         for (Machine machine : running) {
-            planner.addFreed(machine, freedWithinBoot(machine, now));
+            planner.addFutureCapacity(machine, freedWithinBoot(machine, now));
         }
         plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
-        running.forEach(planner::add); // warm capacity may use what the scheduling cycle left free
+        running.forEach(planner::add); // warm capacity may use the capacity that the scheduling cycle left free
         reserves.forEach(reserve -> planner.place(
                 reserve.example(), reserve.tasks(), ZoneAllowance.of(reserve.example(), reserve.tasks())));
         planner.launches().forEach(scaleOutRequests::launch);
-        return planner.kept();
+        return planner.neededMachines();
     }
 
     /** The minimum of each resource over all tasks to be placed. */
-    private static Resources smallestTask(Plan plan, List<WarmCapacity.Reserve> reserves) {
+    private static Resources minTaskResources(Plan plan, List<WarmCapacity.Reserve> reserves) {
         Stream<JobSpec> specs = Stream.concat(
                 plan.unplaced().keySet().stream().map(Job::spec),
                 reserves.stream().map(WarmCapacity.Reserve::example));
         return Resources.minOf(specs.map(JobSpec::task));
     }
 
-    /** Adds the machines that are about to come up, and returns those that are up. */
+    /** Adds the booting machines, and returns the running ones. */
     private List<Machine> addBootingMachines(ScaleOutPlanner planner, long now) {
         List<Machine> running = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
@@ -72,9 +72,9 @@
     }
 
     private void addPendingRequests(ScaleOutPlanner planner) {
-        scaleOutRequests.forEachPending((offer, count) -> {
+        scaleOutRequests.forEachPending((kind, count) -> {
             for (int i = 0; i < count; i++) {
-                planner.add(offer);
+                planner.add(kind);
             }
         });
     }
@@ -86,7 +86,7 @@
                         < 2 * settings.workers().heartbeatIntervalS();
     }
 
-    /** The capacity that the tasks of a machine will leave free sooner than another machine can boot, by their estimates. */
+    /** The capacity that tasks of a machine are estimated to free sooner than a new machine of its type can boot. */
     private Resources freedWithinBoot(Machine machine, long now) {
         double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
         Resources freed = Resources.NONE;
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
@@ -17,29 +17,29 @@
 import org.spruceridge.cluster.Resources;
 
 /**
- * Packs tasks that found no capacity into existing and booting machines, and then into new ones of the cheapest kind that
- * fits and is available. It only computes; {@link ScaleOutCycle} requests the machines.
+ * Bin-packs unplaced tasks into existing and booting machines, and the remaining ones into new machines of the cheapest
+ * available kind that fits. It only computes the plan; {@link ScaleOutCycle} requests the machines.
  */
 final class ScaleOutPlanner {
     private static final int MAX_NEW_MACHINES = 100;
 
     private final Cluster cluster;
     private final Predicate<MachineKind> isAvailable;
-    private final Resources smallestTask;
+    private final Resources minTaskResources;
     private final List<Bin> bins = new ArrayList<>();
     private final Map<MachineKind, Integer> launches = new HashMap<>();
     private final Map<String, Integer> machinesPerZone = new HashMap<>();
-    private final Set<Machine> kept = new HashSet<>();
-    private int newMachines;
+    private final Set<Machine> neededMachines = new HashSet<>();
+    private int newMachineCount;
 
     /**
-     * {@code isAvailable} is true for kinds that were not refused lately. {@code smallestTask} is the minimum of each
-     * resource over all tasks to be placed: capacity that it does not fit into is ignored.
+     * {@code isAvailable} is true for kinds that the cloud has not recently refused. {@code minTaskResources} is the
+     * minimum of each resource over all tasks to be placed; free capacity smaller than that is ignored.
      */
-    ScaleOutPlanner(Cluster cluster, Predicate<MachineKind> isAvailable, Resources smallestTask) {
+    ScaleOutPlanner(Cluster cluster, Predicate<MachineKind> isAvailable, Resources minTaskResources) {
         this.cluster = cluster;
         this.isAvailable = isAvailable;
-        this.smallestTask = smallestTask;
+        this.minTaskResources = minTaskResources;
         for (Machine machine : cluster.machines()) {
             machinesPerZone.merge(machine.zone(), 1, Integer::sum);
         }
@@ -50,111 +50,111 @@
         addIfUseful(machine.kind(), cluster.freeCapacity(machine), machine);
     }
 
-    /** Adds the capacity that a machine will have free by the time a new one would have booted. */
-    void addFreed(Machine machine, Resources freed) {
+    /** Adds the capacity that will become free on a machine before a new machine could boot. */
+    void addFutureCapacity(Machine machine, Resources freed) {
         addIfUseful(machine.kind(), freed, machine);
     }
 
-    private void addIfUseful(MachineKind kind, Resources free, Machine machine) {
-        if (smallestTask.fitsIn(free)) {
-            bins.add(new Bin(kind, free, machine));
+    private void addIfUseful(MachineKind kind, Resources freeCapacity, Machine machine) {
+        if (minTaskResources.fitsIn(freeCapacity)) {
+            bins.add(new Bin(kind, freeCapacity, machine));
         }
     }
 
-    /** Adds the capacity of a machine that was requested. */
-    void add(MachineKind offer) {
-        MachineType type = cluster.types().get(offer.type());
+    /** Adds the capacity of a requested machine. */
+    void add(MachineKind kind) {
+        MachineType type = cluster.types().get(kind.type());
         if (type != null) {
-            bins.add(new Bin(offer, type.capacity(), null));
+            bins.add(new Bin(kind, type.capacity(), null));
         }
     }
 
     /** Places tasks of a job, and plans new machines for those that do not fit. */
-    void place(JobSpec spec, int count, ZoneAllowance zones) {
-        int left = count;
+    void place(JobSpec spec, int count, ZoneAllowance zoneAllowance) {
+        int remaining = count;
         for (Bin bin : bins) {
-            if (left == 0) {
+            if (remaining == 0) {
                 return;
             }
-            left -= bin.take(spec, left, zones);
+            remaining -= bin.place(spec, remaining, zoneAllowance);
         }
-        while (left > 0 && newMachines < MAX_NEW_MACHINES) {
-            Optional<MachineKind> offer = cheapest(spec, zones);
-            if (offer.isEmpty()) {
+        while (remaining > 0 && newMachineCount < MAX_NEW_MACHINES) {
+            Optional<MachineKind> kind = cheapestKind(spec, zoneAllowance);
+            if (kind.isEmpty()) {
                 return;
             }
-            Bin bin =
-                    new Bin(offer.get(), cluster.types().get(offer.get().type()).capacity(), null);
+            Bin bin = new Bin(kind.get(), cluster.types().get(kind.get().type()).capacity(), null);
             bins.add(bin);
-            newMachines++;
-            launches.merge(offer.get(), 1, Integer::sum);
-            machinesPerZone.merge(offer.get().zone(), 1, Integer::sum);
-            left -= bin.take(spec, left, zones);
+            newMachineCount++;
+            launches.merge(kind.get(), 1, Integer::sum);
+            machinesPerZone.merge(kind.get().zone(), 1, Integer::sum);
+            remaining -= bin.place(spec, remaining, zoneAllowance);
         }
     }
 
-    /** How many machines to launch, by kind. */
+    /** The number of machines to launch, by kind. */
     Map<MachineKind, Integer> launches() {
         return launches;
     }
 
     /** The existing machines whose capacity is needed. */
-    Set<Machine> kept() {
-        return kept;
+    Set<Machine> neededMachines() {
+        return neededMachines;
     }
 
-    private Optional<MachineKind> cheapest(JobSpec spec, ZoneAllowance zones) {
-        List<MachineKind> offers = new ArrayList<>();
+    private Optional<MachineKind> cheapestKind(JobSpec spec, ZoneAllowance zoneAllowance) {
+        List<MachineKind> candidates = new ArrayList<>();
         for (MachineType type : cluster.types().values()) {
             if (!spec.task().fitsIn(type.capacity())) {
                 continue;
             }
             for (String zone : type.zones()) {
-                if (zones.left(zone) == 0) {
+                if (zoneAllowance.remaining(zone) == 0) {
                     continue;
                 }
                 for (boolean spot : new boolean[] {true, false}) {
-                    MachineKind offer = new MachineKind(type.name(), zone, spot);
-                    if (spec.allows(type.name(), zone, spot) && isAvailable.test(offer)) {
-                        offers.add(offer);
+                    MachineKind kind = new MachineKind(type.name(), zone, spot);
+                    if (spec.allows(type.name(), zone, spot) && isAvailable.test(kind)) {
+                        candidates.add(kind);
                     }
                 }
             }
         }
-        return offers.stream()
-                .min(Comparator.comparingDouble((MachineKind offer) -> pricePerTask(offer, spec))
-                        .thenComparing(offer -> machinesPerZone.getOrDefault(offer.zone(), 0))
+        return candidates.stream()
+                .min(Comparator.comparingDouble((MachineKind kind) -> pricePerTask(kind, spec))
+                        .thenComparing(kind -> machinesPerZone.getOrDefault(kind.zone(), 0))
                         .thenComparing(MachineKind::zone));
     }
 
-    private double pricePerTask(MachineKind offer, JobSpec spec) {
-        MachineType type = cluster.types().get(offer.type());
-        int holds = Math.min(spec.tasks(), type.capacity().holds(spec.task()));
-        return type.price(offer.spot()) / Math.max(1, holds);
+    private double pricePerTask(MachineKind kind, JobSpec spec) {
+        MachineType type = cluster.types().get(kind.type());
+        int tasksPerMachine = Math.min(spec.tasks(), type.capacity().holds(spec.task()));
+        return type.price(kind.spot()) / Math.max(1, tasksPerMachine);
     }
 
     private final class Bin {
-        private final MachineKind offer;
+        private final MachineKind kind;
         private final Machine machine;
-        private Resources free;
+        private Resources freeCapacity;
 
-        Bin(MachineKind offer, Resources free, Machine machine) {
-            this.offer = offer;
-            this.free = free;
+        Bin(MachineKind kind, Resources freeCapacity, Machine machine) {
+            this.kind = kind;
+            this.freeCapacity = freeCapacity;
             this.machine = machine;
         }
 
-        int take(JobSpec spec, int most, ZoneAllowance zones) {
-            if (!spec.task().fitsIn(free) || !spec.allows(offer.type(), offer.zone(), offer.spot())) {
+        int place(JobSpec spec, int maxCount, ZoneAllowance zoneAllowance) {
+            if (!spec.task().fitsIn(freeCapacity) || !spec.allows(kind.type(), kind.zone(), kind.spot())) {
                 return 0;
             }
-            int count = Math.min(Math.min(most, zones.left(offer.zone())), free.holds(spec.task()));
-            zones.take(offer.zone(), count);
+            int count =
+                    Math.min(Math.min(maxCount, zoneAllowance.remaining(kind.zone())), freeCapacity.holds(spec.task()));
+            zoneAllowance.add(kind.zone(), count);
             for (int i = 0; i < count; i++) {
-                free = free.minus(spec.task());
+                freeCapacity = freeCapacity.minus(spec.task());
             }
             if (count > 0 && machine != null) {
-                kept.add(machine);
+                neededMachines.add(machine);
             }
             return count;
         }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
@@ -14,13 +14,13 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Requests machines from the cloud. Each request has a name that is used once; a request without an answer is sent again
- * under its name, which makes it idempotent.
+ * Requests machines from the cloud. Each request has a unique id. A request without a response is retried with the same
+ * id, which makes it idempotent.
  */
 final class ScaleOutRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
 
-    private final CloudAccess access;
+    private final CloudRequestContext context;
     private final Cluster cluster;
     private final long term;
     private final double leaseS;
@@ -28,76 +28,80 @@
     private final Map<String, Request> pendingRequests = new LinkedHashMap<>();
     private long requestCount;
 
-    /** A request without a result yet. */
-    private record Request(MachineKind offer, int count, long requestedAt) {}
+    /** A request that has no result yet. */
+    private record Request(MachineKind kind, int count, long requestedAt) {}
 
-    /** {@code leaseS} stands for the boot time of a type that is not known. */
-    ScaleOutRequests(CloudAccess access, long term, double leaseS) {
-        this.access = access;
-        this.cluster = access.cluster();
+    /** {@code leaseS} is used as the boot time of an unknown machine type, in seconds. */
+    ScaleOutRequests(CloudRequestContext context, long term, double leaseS) {
+        this.context = context;
+        this.cluster = context.cluster();
         this.term = term;
         this.leaseS = leaseS;
     }
 
-    /** True unless the cloud refused machines of this kind a short time ago. */
-    boolean isAvailable(MachineKind offer) {
-        return unavailableUntil.getOrDefault(offer, Long.MIN_VALUE)
-                <= access.loop().nanos();
+    /** True unless the cloud recently refused machines of this kind. */
+    boolean isAvailable(MachineKind kind) {
+        return unavailableUntil.getOrDefault(kind, Long.MIN_VALUE)
+                <= context.loop().nanos();
     }
 
-    /** Passes on what was requested and has no result yet. */
+    /** Calls {@code consumer} with the kind and count of each request that has no result yet. */
     void forEachPending(BiConsumer<MachineKind, Integer> consumer) {
-        pendingRequests.values().forEach(request -> consumer.accept(request.offer, request.count));
+        pendingRequests.values().forEach(request -> consumer.accept(request.kind, request.count));
     }
 
-    /** Requests so many machines, or as many as one request may name. */
-    void launch(MachineKind offer, int count) {
-        String name = term + "-" + (++requestCount);
+    /** Requests {@code count} machines, or {@link CloudClient#MAX_LAUNCH_BATCH} if that is fewer. */
+    void launch(MachineKind kind, int count) {
+        String requestId = term + "-" + (++requestCount);
         Request request = new Request(
-                offer,
+                kind,
                 Math.min(count, CloudClient.MAX_LAUNCH_BATCH),
-                access.loop().nanos());
-        pendingRequests.put(name, request);
+                context.loop().nanos());
+        pendingRequests.put(requestId, request);
         LOG.info(
                 "launching machines request={} count={} machineType={} zone={} spot={}",
-                name,
+                requestId,
                 request.count,
-                offer.type(),
-                offer.zone(),
-                offer.spot());
-        send(name, request);
+                kind.type(),
+                kind.zone(),
+                kind.spot());
+        send(requestId, request);
     }
 
-    private void send(String name, Request request) {
-        if (!access.leads().getAsBoolean()) {
-            access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> send(name, request));
+    private void send(String requestId, Request request) {
+        if (!context.isLeader().getAsBoolean()) {
+            context.scope().after(CloudRequestContext.RETRY_INTERVAL_NANOS, () -> send(requestId, request));
             return;
         }
-        MachineKind offer = request.offer;
-        access.cloud()
+        MachineKind kind = request.kind;
+        context.cloud()
                 .launch(
-                        name,
-                        offer.type(),
-                        offer.zone(),
-                        offer.spot(),
+                        requestId,
+                        kind.type(),
+                        kind.zone(),
+                        kind.spot(),
                         request.count,
-                        access.scope().guard(result -> {
+                        context.scope().guard(result -> {
                             if (result.kind() == LaunchResult.Kind.UNKNOWN) {
-                                // Machines may have been launched: the same name returns them and launches none twice.
-                                access.scope().after(CloudAccess.RETRY_INTERVAL_NANOS, () -> send(name, request));
+                                // Machines may have been launched. A retry with the same id returns them without
+                                // launching any twice.
+                                context.scope()
+                                        .after(
+                                                CloudRequestContext.RETRY_INTERVAL_NANOS,
+                                                () -> send(requestId, request));
                                 return;
                             }
-                            pendingRequests.remove(name);
-                            recordResult(name, request, result);
+                            pendingRequests.remove(requestId);
+                            recordResult(requestId, request, result);
                         }));
     }
 
-    private void recordResult(String name, Request request, LaunchResult result) {
-        long now = access.loop().nanos();
-        MachineKind offer = request.offer;
+    private void recordResult(String requestId, Request request, LaunchResult result) {
+        long now = context.loop().nanos();
+        MachineKind kind = request.kind;
         for (String machineName : result.machines()) {
             if (cluster.machine(machineName) == null && !cluster.wasRemoved(machineName)) {
-                Machine machine = new Machine(machineName, "", offer, now, now);
+                Machine machine = new Machine(machineName, "", kind, now, now);
                 machine.launchedAt(request.requestedAt);
                 cluster.add(machine);
             }
@@ -105,15 +109,16 @@
         if (result.machines().size() < request.count) {
             LOG.info(
                     "fewer machines launched than requested request={} outcome={} count={}",
-                    name,
+                    requestId,
                     result.kind(),
                     result.machines().size());
-            double bootS = cluster.types().containsKey(offer.type())
-                    ? cluster.types().get(offer.type()).bootS()
+            double bootS = cluster.types().containsKey(kind.type())
+                    ? cluster.types().get(kind.type()).bootS()
                     : leaseS;
-            boolean full =
+            boolean isOutOfCapacity =
                     result.kind() == LaunchResult.Kind.NO_CAPACITY || result.kind() == LaunchResult.Kind.LAUNCHED;
-            unavailableUntil.put(offer, now + (full ? Durations.nanos(bootS) : CloudAccess.RETRY_INTERVAL_NANOS));
+            unavailableUntil.put(
+                    kind, now + (isOutOfCapacity ? Durations.nanos(bootS) : CloudRequestContext.RETRY_INTERVAL_NANOS));
         }
     }
 }
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -13,25 +13,25 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Capacity kept free for tasks that should start sooner than a machine boots. For a class of job arrays with such an
- * objective: the peak of its unfinished tasks in recent time. For a class of services: the peak of what was submitted within
- * one boot time, and the replicas that the failure of one machine would stop.
+ * Capacity kept free for tasks that should start sooner than a machine can boot. For a class of job arrays with such an
+ * objective, it is the recent peak of unfinished tasks. For a class of services, it is the peak of replicas submitted
+ * within one boot time; in addition, it covers the replicas that the failure of one machine would stop.
  */
 final class WarmCapacity {
-    /** How long a peak is remembered, in boot times. */
-    private static final double PEAK_MEMORY_BOOTS = 15;
+    /** How long a peak is retained, in boot times. */
+    private static final double PEAK_RETENTION_BOOTS = 15;
 
-    /** How long a new leader waits for jobs of a class that has none, in boot times. */
+    /** How long a new leader waits for jobs of a class without any, in boot times. */
     private static final double LEARNING_BOOTS = 3;
 
     private final Settings settings;
-    private final long since;
+    private final long startedAt;
     private final Map<String, Peak> peaks = new HashMap<>();
 
-    /** Capacity to be kept free for so many tasks like those of a job. */
+    /** Capacity to keep free for a number of tasks of the same shape as the example job's. */
     record Reserve(JobSpec example, int tasks) {}
 
-    /** What the jobs of a class need now. */
+    /** The current demand of the jobs of a class. */
     private static final class Demand {
         private JobSpec example;
         private int tasks;
@@ -44,30 +44,30 @@
 
     WarmCapacity(Settings settings, long now) {
         this.settings = settings;
-        this.since = now;
+        this.startedAt = now;
     }
 
     /**
-     * True while a new leader has not observed such classes for long enough to know their peaks: it must not delete what
-     * its predecessor kept for them.
+     * True while a new leader has not yet observed the classes that need warm capacity for long enough to know their
+     * peaks. Until then it must not delete the capacity that its predecessor kept for them.
      */
     boolean isLearning(Cluster cluster, long now) {
-        double bootS = bootS(cluster);
+        double bootS = minBootS(cluster);
         return settings.objectives().stream()
                 .filter(objective -> needsWarmCapacity(objective, bootS))
-                .anyMatch(objective -> now - since < Durations.nanos(learningBoots(objective.jobClass()) * bootS));
+                .anyMatch(objective -> now - startedAt < Durations.nanos(learningBoots(objective.jobClass()) * bootS));
     }
 
-    /** The needs of services are known at once, as the records of their jobs contain the time of submission. */
+    /** The demand of services is known immediately, because their job records contain the submission time. */
     private double learningBoots(String jobClass) {
         Peak peak = peaks.get(jobClass);
         if (peak == null || peak.example == null) {
             return LEARNING_BOOTS;
         }
-        return peak.example.isService() ? 0 : PEAK_MEMORY_BOOTS;
+        return peak.example.isService() ? 0 : PEAK_RETENTION_BOOTS;
     }
 
-    private static double bootS(Cluster cluster) {
+    private static double minBootS(Cluster cluster) {
         return cluster.types().values().stream()
                 .mapToDouble(MachineType::bootS)
                 .min()
@@ -78,9 +78,12 @@
         return objective.kind().equals("wait") && objective.withinS() < bootS;
     }
 
-    /** The capacity to keep free, as numbers of tasks like those of a job. */
+    /**
+     * The capacity to keep free, as counts of tasks of example jobs. {@code now} is in nanoseconds on the loop's clock,
+     * {@code wallMs} in milliseconds of wall-clock time.
+     */
     List<Reserve> reserves(Cluster cluster, long now, long wallMs) {
-        double bootS = bootS(cluster);
+        double bootS = minBootS(cluster);
         Map<String, Demand> demands = new HashMap<>();
         for (Settings.Objective objective : settings.objectives()) {
             if (needsWarmCapacity(objective, bootS)) {
@@ -89,38 +92,38 @@
         }
         for (Job job : cluster.jobs()) {
             if (!job.isCancelled()) {
-                add(job, demands, wallMs - bootS * 1000);
+                addDemand(job, demands, wallMs - bootS * 1000);
             }
         }
         List<Reserve> reserves = new ArrayList<>();
         demands.forEach((jobClass, demand) -> {
             Peak peak = peaks.computeIfAbsent(jobClass, c -> new Peak());
-            peak.record(demand.example, demand.tasks, now, Durations.nanos(PEAK_MEMORY_BOOTS * bootS));
+            peak.record(demand.example, demand.tasks, now, Durations.nanos(PEAK_RETENTION_BOOTS * bootS));
             if (peak.example != null) {
                 reserves.add(new Reserve(peak.example, peak.tasks));
             }
         });
-        addLossOfOneMachine(cluster, reserves);
+        addMachineFailureReserve(cluster, reserves);
         return reserves;
     }
 
-    private static void add(Job job, Map<String, Demand> demands, double recentMs) {
+    private static void addDemand(Job job, Map<String, Demand> demands, double submittedAfterMs) {
         JobSpec spec = job.spec();
         if (spec.isService()) {
-            boolean recent = job.submittedMs() > recentMs;
-            demands.computeIfAbsent(spec.jobClass(), c -> new Demand()).add(spec, recent ? spec.tasks() : 0);
+            boolean isRecent = job.submittedMs() > submittedAfterMs;
+            demands.computeIfAbsent(spec.jobClass(), c -> new Demand()).add(spec, isRecent ? spec.tasks() : 0);
         } else if (demands.containsKey(spec.jobClass())) {
             demands.get(spec.jobClass()).add(spec, spec.tasks() - job.doneCount());
         }
     }
 
-    /** Adds capacity for the replicas of the machine that has most of them. */
-    private static void addLossOfOneMachine(Cluster cluster, List<Reserve> reserves) {
-        int most = 0;
+    /** Adds capacity for the replicas of the machine with the most replicas. */
+    private static void addMachineFailureReserve(Cluster cluster, List<Reserve> reserves) {
+        int maxReplicas = 0;
         JobSpec example = null;
         for (Machine machine : cluster.machines()) {
-            if (machine.replicas() > most) {
-                most = machine.replicas();
+            if (machine.replicas() > maxReplicas) {
+                maxReplicas = machine.replicas();
                 example = machine.bindings().stream()
                         .map(binding -> binding.job().spec())
                         .filter(JobSpec::isService)
@@ -129,7 +132,7 @@
             }
         }
         if (example != null) {
-            reserves.add(new Reserve(example, most));
+            reserves.add(new Reserve(example, maxReplicas));
         }
     }
 
@@ -138,12 +141,12 @@
         private int tasks;
         private long peakAt;
 
-        void record(JobSpec latest, int unfinished, long now, long memory) {
-            example = latest == null ? example : latest;
-            if (unfinished >= tasks) {
-                tasks = unfinished;
+        void record(JobSpec latestExample, int taskCount, long now, long retentionNanos) {
+            example = latestExample == null ? example : latestExample;
+            if (taskCount >= tasks) {
+                tasks = taskCount;
                 peakAt = now;
-            } else if (now - peakAt > memory) {
+            } else if (now - peakAt > retentionNanos) {
                 tasks = Math.max(1, tasks - 1);
                 peakAt = now;
             }
--- a/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
+++ b/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
@@ -15,7 +15,7 @@
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
 
-/** Which machines are declared dead for missing heartbeats, and which are not. */
+/** Tests which machines are declared dead because of missing heartbeats. */
 final class FailureDetectorTest {
     private static final double HEARTBEAT_INTERVAL_S = 1.5;
     private static final double LEASE_S = 12;
@@ -44,8 +44,8 @@
         }
     }
 
-    /** Each machine but one sends a heartbeat once an interval, one after the other, for some seconds. */
-    private void heartbeatsOfAllBut(Machine silent, double seconds) {
+    /** For {@code seconds}, each machine except {@code silent} sends one heartbeat per interval, evenly staggered. */
+    private void sendHeartbeatsFromAllBut(Machine silent, double seconds) {
         for (int i = 0; i < seconds / HEARTBEAT_INTERVAL_S * MACHINES; i++) {
             Machine machine = machines.get(i % MACHINES);
             if (machine != silent) {
@@ -56,21 +56,24 @@
     }
 
     @Test
-    void aMachineSilentAloneIsDeclaredDeadAfterHalfALease() {
+    void singleSilentMachineIsDeclaredDeadAfterHalfLease() {
         Machine silent = machines.get(3);
-        heartbeatsOfAllBut(silent, 5);
-        assertEquals(List.of(), detector.findDead());
-        heartbeatsOfAllBut(silent, 2);
-        assertEquals(List.of(silent), detector.findDead());
+        sendHeartbeatsFromAllBut(silent, 5);
+        assertEquals(List.of(), detector.findDeadMachines());
+        sendHeartbeatsFromAllBut(silent, 2);
+        assertEquals(List.of(silent), detector.findDeadMachines());
     }
 
-    /** Those whose heartbeat came first before the partition exceed half a lease while most others do not yet. */
+    /**
+     * Guards against deleting the machines of a partitioned zone. Those with the oldest heartbeats before the partition
+     * reach the timeout of half a lease while most other machines of the zone still count as responsive.
+     */
     @Test
-    void noMachineOfAPartitionedZoneIsDeclaredDeadWithinThreeLeases() {
-        heartbeatsOfAllBut(null, 6);
-        for (double s = 0; s < 3 * LEASE_S; s += 0.1) {
+    void machinesOfPartitionedZoneAreNotDeclaredDeadWithinThreeLeases() {
+        sendHeartbeatsFromAllBut(null, 6);
+        for (double elapsedS = 0; elapsedS < 3 * LEASE_S; elapsedS += 0.1) {
             loop.run(0.1);
-            assertEquals(List.of(), detector.findDead(), s + " s after the cut");
+            assertEquals(List.of(), detector.findDeadMachines(), elapsedS + " s after the partition");
         }
     }
 }
