--- a/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
@@ -16,7 +16,7 @@
  * @param receivesWorkerHeartbeats whether the sender has recently received heartbeats from workers
  * @param term the sender's term, 0 if it is not the leader
  * @param progress the progress of the open jobs by id; empty if the sender is not the leader
- * @param cancelled ids of jobs whose cancellation the sender has recently confirmed to users
+ * @param cancelledJobs ids of jobs whose cancellation the sender has recently confirmed to users
  * @param version the sender's software version and feature level
  */
 public record PeerHeartbeat(
@@ -25,7 +25,7 @@
         boolean receivesWorkerHeartbeats,
         long term,
         ImmutableMap<String, Progress> progress,
-        ImmutableList<String> cancelled,
+        ImmutableList<String> cancelledJobs,
         MemberVersion version) {
     /** The number of done and of running tasks of a job. */
     public record Progress(int done, int running) {
--- a/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
@@ -32,7 +32,7 @@
             packer.packBoolean(heartbeat.receivesWorkerHeartbeats());
             packer.packLong(heartbeat.term());
             packProgress(packer, heartbeat.progress());
-            packCancelled(packer, heartbeat.cancelled());
+            packCancelledJobs(packer, heartbeat.cancelledJobs());
             packer.packInt(heartbeat.version().supportedLevel());
             packer.packString(heartbeat.version().name());
             return packer.toByteArray();
@@ -55,9 +55,10 @@
         }
     }
 
-    private static void packCancelled(MessageBufferPacker packer, ImmutableList<String> cancelled) throws IOException {
-        packer.packArrayHeader(cancelled.size());
-        for (String id : cancelled) {
+    private static void packCancelledJobs(MessageBufferPacker packer, ImmutableList<String> cancelledJobs)
+            throws IOException {
+        packer.packArrayHeader(cancelledJobs.size());
+        for (String id : cancelledJobs) {
             packer.packString(id);
         }
     }
@@ -76,7 +77,7 @@
                     unpacker.unpackBoolean(),
                     unpacker.unpackLong(),
                     unpackProgress(unpacker),
-                    unpackCancelled(unpacker),
+                    unpackCancelledJobs(unpacker),
                     unpackVersion(unpacker, fieldCount));
         } catch (IOException | MessagePackException e) {
             throw new BadMessageException("not a heartbeat: " + e.getClass().getSimpleName());
@@ -94,13 +95,13 @@
         return progress.buildKeepingLast();
     }
 
-    private static ImmutableList<String> unpackCancelled(MessageUnpacker unpacker) throws IOException {
-        ImmutableList.Builder<String> cancelled = ImmutableList.builder();
+    private static ImmutableList<String> unpackCancelledJobs(MessageUnpacker unpacker) throws IOException {
+        ImmutableList.Builder<String> cancelledJobs = ImmutableList.builder();
         int count = unpacker.unpackArrayHeader();
         for (int i = 0; i < count; i++) {
-            cancelled.add(unpacker.unpackString());
+            cancelledJobs.add(unpacker.unpackString());
         }
-        return cancelled.build();
+        return cancelledJobs.build();
     }
 
     private static MemberVersion unpackVersion(MessageUnpacker unpacker, int fieldCount) throws IOException {
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -139,7 +139,7 @@
             if (heartbeat.term() >= leaderHeartbeat.term() && heartbeat.term() > 0) {
                 leaderHeartbeat = heartbeat;
             }
-            heartbeat.cancelled().forEach(onJobCancelled);
+            heartbeat.cancelledJobs().forEach(onJobCancelled);
         } catch (BadMessageException e) {
             warnings.warn("unreadable peer heartbeat", "reason=" + e.getMessage());
         }
