--- a/src/main/java/org/spruceridge/autoscaling/FailedMachineRemoval.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailedMachineRemoval.java
@@ -50,12 +50,12 @@
         List<Machine> machinesWithOverdueStops = failureDetector.findMachinesWithOverdueStop();
         machinesWithOverdueStops.stream()
                 .filter(machine -> !machine.isTerminating())
-                .forEach(this::logOverdueStop);
+                .forEach(this::logOldestOverdueStop);
         scaleInRequests.delete(machinesWithOverdueStops, "stop-overdue");
         scaleInRequests.delete(failureDetector.findDeadMachines(), "declared-dead");
     }
 
-    private void logOverdueStop(Machine machine) {
+    private void logOldestOverdueStop(Machine machine) {
         long now = loop.nanos();
         machine.bindings().stream()
                 .filter(binding -> binding.job().isCancelled())
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
@@ -81,8 +81,8 @@
                         kind.zone(),
                         kind.spot(),
                         request.count,
-                        context.scope().guard(result -> {
-                            if (result.kind() == LaunchResult.Kind.UNKNOWN) {
+                        context.scope().guard(launchResult -> {
+                            if (launchResult.kind() == LaunchResult.Kind.UNKNOWN) {
                                 // Machines may have been launched. A retry with the same id returns them without
                                 // launching any twice.
                                 context.scope()
@@ -92,31 +92,31 @@
                                 return;
                             }
                             pendingRequests.remove(requestId);
-                            recordResult(requestId, request, result);
+                            recordResult(requestId, request, launchResult);
                         }));
     }
 
-    private void recordResult(String requestId, Request request, LaunchResult result) {
+    private void recordResult(String requestId, Request request, LaunchResult launchResult) {
         long now = context.loop().nanos();
         MachineKind kind = request.kind;
-        for (String machineName : result.machines()) {
+        for (String machineName : launchResult.machines()) {
             if (cluster.machine(machineName) == null && !cluster.wasRemoved(machineName)) {
                 Machine machine = new Machine(machineName, "", kind, now, now);
                 machine.launchedAt(request.requestedAt);
                 cluster.add(machine);
             }
         }
-        if (result.machines().size() < request.count) {
+        if (launchResult.machines().size() < request.count) {
             LOG.info(
                     "fewer machines launched than requested request={} outcome={} count={}",
                     requestId,
-                    result.kind(),
-                    result.machines().size());
+                    launchResult.kind(),
+                    launchResult.machines().size());
             double bootS = cluster.types().containsKey(kind.type())
                     ? cluster.types().get(kind.type()).bootS()
                     : leaseS;
-            boolean isOutOfCapacity =
-                    result.kind() == LaunchResult.Kind.NO_CAPACITY || result.kind() == LaunchResult.Kind.LAUNCHED;
+            boolean isOutOfCapacity = launchResult.kind() == LaunchResult.Kind.NO_CAPACITY
+                    || launchResult.kind() == LaunchResult.Kind.LAUNCHED;
             unavailableUntil.put(
                     kind, now + (isOutOfCapacity ? Durations.nanos(bootS) : CloudRequestContext.RETRY_INTERVAL_NANOS));
         }
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -13,9 +13,10 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Capacity kept free for tasks that should start sooner than a machine can boot. For a class of job arrays with such an
- * objective, it is the recent peak of unfinished tasks. For a class of services, it is the peak of replicas submitted
- * within one boot time; in addition, it covers the replicas that the failure of one machine would stop.
+ * Capacity kept free for tasks that should start sooner than a machine can boot. For a class of job arrays whose wait
+ * objective is shorter than a boot time, it is the recent peak of unfinished tasks. For a class of services, it is the
+ * peak of replicas submitted within one boot time; in addition, it covers the replicas that the failure of one machine
+ * would stop.
  */
 final class WarmCapacity {
     /** How long a peak is retained, in boot times. */
@@ -34,11 +35,11 @@
     /** The current demand of the jobs of a class. */
     private static final class Demand {
         private JobSpec example;
-        private int tasks;
+        private int taskCount;
 
         void add(JobSpec spec, int count) {
             example = spec;
-            tasks += count;
+            taskCount += count;
         }
     }
 
@@ -98,9 +99,9 @@
         List<Reserve> reserves = new ArrayList<>();
         demands.forEach((jobClass, demand) -> {
             Peak peak = peaks.computeIfAbsent(jobClass, c -> new Peak());
-            peak.record(demand.example, demand.tasks, now, Durations.nanos(PEAK_RETENTION_BOOTS * bootS));
+            peak.record(demand.example, demand.taskCount, now, Durations.nanos(PEAK_RETENTION_BOOTS * bootS));
             if (peak.example != null) {
-                reserves.add(new Reserve(peak.example, peak.tasks));
+                reserves.add(new Reserve(peak.example, peak.taskCount));
             }
         });
         addMachineFailureReserve(cluster, reserves);
@@ -138,16 +139,16 @@
 
     private static final class Peak {
         private JobSpec example;
-        private int tasks;
+        private int taskCount;
         private long peakAt;
 
-        void record(JobSpec latestExample, int taskCount, long now, long retentionNanos) {
+        void record(JobSpec latestExample, int currentCount, long now, long retentionNanos) {
             example = latestExample == null ? example : latestExample;
-            if (taskCount >= tasks) {
-                tasks = taskCount;
+            if (currentCount >= taskCount) {
+                taskCount = currentCount;
                 peakAt = now;
             } else if (now - peakAt > retentionNanos) {
-                tasks = Math.max(1, tasks - 1);
+                taskCount = Math.max(1, taskCount - 1);
                 peakAt = now;
             }
         }
