--- a/src/main/java/org/spruceridge/api/JobResponses.java
+++ b/src/main/java/org/spruceridge/api/JobResponses.java
@@ -39,7 +39,7 @@
     }
 
     static Response stateUnavailable() {
-        return retryLater("the state service is not responding");
+        return retryLater("the state service does not answer now");
     }
 
     static Response retryLater(String reason) {
@@ -55,7 +55,7 @@
     }
 
     static Response unreadableRecord() {
-        return Response.error(500, "the job record is unreadable");
+        return Response.error(500, "unreadable record");
     }
 
     private static ObjectNode summary(String id, String stage) {
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -116,7 +116,7 @@
     private Response health() {
         return isHealthy.getAsBoolean()
                 ? Response.of(200, Json.object().put("status", "ok"))
-                : Response.error(503, "this node cannot reach the state service");
+                : Response.error(503, "cut off from the state service");
     }
 
     private static void requireMethod(String method, Request request, Consumer<Response> onResponse, Runnable action) {
--- a/src/test/java/org/spruceridge/api/ErrorResponseTest.java
+++ b/src/test/java/org/spruceridge/api/ErrorResponseTest.java
@@ -20,9 +20,10 @@
 
     @Test
     void jobErrorsContainReason() {
-        assertEquals("503 {\"error\":\"the state service is not responding\"}", text(JobResponses.stateUnavailable()));
+        assertEquals(
+                "503 {\"error\":\"the state service does not answer now\"}", text(JobResponses.stateUnavailable()));
         assertEquals("400 {\"error\":\"the job is too large to store\"}", text(JobResponses.jobTooLarge()));
-        assertEquals("500 {\"error\":\"the job record is unreadable\"}", text(JobResponses.unreadableRecord()));
+        assertEquals("500 {\"error\":\"unreadable record\"}", text(JobResponses.unreadableRecord()));
     }
 
     @Test
@@ -38,6 +39,6 @@
                 new Latencies(loop));
         List<String> responses = new ArrayList<>();
         router.handle(new Request("GET", "/healthz", new byte[0]), response -> responses.add(text(response)));
-        assertEquals(List.of("503 {\"error\":\"this node cannot reach the state service\"}"), responses);
+        assertEquals(List.of("503 {\"error\":\"cut off from the state service\"}"), responses);
     }
 }
