--- a/src/test/java/org/spruceridge/sim/Fixtures.java
+++ b/src/test/java/org/spruceridge/sim/Fixtures.java
@@ -14,13 +14,13 @@
 import org.spruceridge.peer.MemberVersion;
 import org.spruceridge.peer.PeerHeartbeat;
 
-/** Settings and jobs for tests that need only a few of their fields to be something in particular. */
+/** Settings, jobs and heartbeats for tests that depend on only a few of their fields. */
 public final class Fixtures {
-    private static final Address HERE = new Address("10.0.0.1", 1);
+    private static final Address NODE_ADDRESS = new Address("10.0.0.1", 1);
 
     private Fixtures() {}
 
-    /** A heartbeat of a leader of term 7, with one job under way and one cancelled. */
+    /** A heartbeat of a leader of term 7, with one job in progress and one cancelled. */
     public static PeerHeartbeat heartbeat() {
         return new PeerHeartbeat(
                 "n0",
@@ -32,7 +32,7 @@
                 new MemberVersion(2, "0.2.0"));
     }
 
-    /** Settings of a lone node in zone a, of two zones. */
+    /** Settings of a single node in zone a of the two zones a and b. */
     public static Settings settings(
             ImmutableMap<String, Settings.Team> teams,
             Settings.Workers workers,
@@ -42,11 +42,11 @@
         return new Settings(
                 "n0",
                 "a",
-                HERE,
-                HERE,
+                NODE_ADDRESS,
+                NODE_ADDRESS,
                 ImmutableList.of(),
-                HERE,
-                HERE,
+                NODE_ADDRESS,
+                NODE_ADDRESS,
                 ImmutableList.of("a", "b"),
                 teams,
                 ImmutableList.of(),
@@ -57,7 +57,7 @@
                 0);
     }
 
-    /** A job of the team red, of tasks of one CPU, with a deadline that a service has no use for. */
+    /** A job of team red whose tasks use 1 CPU each; it has a deadline, which is irrelevant for a service. */
     public static Job job(int number, JobKind kind, int tasks) {
         return new Job(
                 new JobSpec(
@@ -83,12 +83,12 @@
                 0);
     }
 
-    /** An array job of the team red that may run anywhere. */
+    /** An array job of team red that may run on any machine. */
     public static JobSpec spec(
             String id,
             JobPriority priority,
             int tasks,
-            Resources task,
+            Resources taskResources,
             double estimateS,
             double checkpointIntervalS,
             OptionalDouble deadlineS) {
@@ -99,7 +99,7 @@
                 JobKind.ARRAY,
                 priority,
                 tasks,
-                task,
+                taskResources,
                 Optional.empty(),
                 Optional.empty(),
                 false,
--- a/src/test/java/org/spruceridge/sim/NodeSettings.java
+++ b/src/test/java/org/spruceridge/sim/NodeSettings.java
@@ -6,16 +6,16 @@
 
 /** The settings that the platform would pass to the nodes of a simulated cluster. */
 final class NodeSettings {
-    private final List<String> names;
+    private final List<String> nodeNames;
     private final double teamCpus;
-    private final int sockets;
+    private final int maxSockets;
     private final boolean announcesLowerLimits;
 
-    /** {@code names} are those of all nodes; {@code teamCpus} is what the one team may use. */
-    NodeSettings(List<String> names, double teamCpus, int sockets, boolean announcesLowerLimits) {
-        this.names = names;
+    /** {@code teamCpus} is the quota of the only team, and {@code maxSockets} the socket limit of each node. */
+    NodeSettings(List<String> nodeNames, double teamCpus, int maxSockets, boolean announcesLowerLimits) {
+        this.nodeNames = nodeNames;
         this.teamCpus = teamCpus;
-        this.sockets = sockets;
+        this.maxSockets = maxSockets;
         this.announcesLowerLimits = announcesLowerLimits;
     }
 
@@ -27,7 +27,7 @@
                 .put("serve_on", SimulatedCluster.address(name).toString())
                 .put("peer_listen", "10.0.1.1:1");
         var members = root.putArray("members");
-        for (String other : names) {
+        for (String other : nodeNames) {
             if (!other.equals(name)) {
                 members.addObject().put("host_name", other).put("domain", "z1").put("peer_addr", "10.0.1.1:1");
             }
@@ -54,7 +54,7 @@
                     .put("txn_ops", SimulatedCluster.NEXT_TXN_OPS);
         }
         facts.putObject("cloud").put("rps", SimulatedCluster.CLOUD_RPS).put("list_lag_s", 2);
-        facts.putObject("resources").put("core_share", 1).put("mem_mb", 200).put("max_sockets", sockets);
+        facts.putObject("resources").put("core_share", 1).put("mem_mb", 200).put("max_sockets", maxSockets);
         return root;
     }
 }
--- a/src/test/java/org/spruceridge/sim/ProductionVersion.java
+++ b/src/test/java/org/spruceridge/sim/ProductionVersion.java
@@ -32,68 +32,70 @@
 import org.spruceridge.net.Response;
 
 /**
- * The version in production, run for real: its sources are taken from the repository's history, by the commit that the
- * deploy file names, compiled against the libraries of the test, and loaded apart from the classes of this version. Its
- * interfaces to clocks and network are bridged to the simulator. A history without that commit fails the test.
+ * Runs the code of the version in production. Its sources are taken from the repository's history at the commit that the
+ * deploy file names, compiled against the test's libraries and loaded by a separate class loader. Its interfaces to clocks
+ * and network are bridged to the simulator. The test fails if the history lacks that commit.
  */
 public final class ProductionVersion {
     private static final Path DEPLOY_FILE = Path.of("deploy", "service.toml");
     private static final Pattern COMMIT = Pattern.compile("(?m)^production = \"([0-9a-f]{40})\"$");
     private static final String SOURCES = "src/main/java";
     private static final String PACKAGE = "org.spruceridge.";
-    private static final Map<String, ClassLoader> LOADED = new ConcurrentHashMap<>();
+    private static final Map<String, ClassLoader> CLASS_LOADERS = new ConcurrentHashMap<>();
 
     private ProductionVersion() {}
 
-    /** The commit that the deploy file names. */
+    /** The commit that the deploy file names as the version in production. */
     public static String commit() {
         try {
-            Matcher line = COMMIT.matcher(Files.readString(DEPLOY_FILE));
-            if (!line.find()) {
-                throw new AssertionError(DEPLOY_FILE + " names no commit as production");
+            Matcher matcher = COMMIT.matcher(Files.readString(DEPLOY_FILE));
+            if (!matcher.find()) {
+                throw new AssertionError(DEPLOY_FILE + " has no line production = \"<commit of 40 hex digits>\"");
             }
-            return line.group(1);
+            return matcher.group(1);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** A class of that version. */
+    /** Loads a class of the version in production; {@code name} starts below the root package. */
     public static Class<?> load(String name) {
         try {
-            return Class.forName(PACKAGE + name, true, LOADED.computeIfAbsent(commit(), ProductionVersion::build));
+            return Class.forName(
+                    PACKAGE + name, true, CLASS_LOADERS.computeIfAbsent(commit(), ProductionVersion::compileAndLoad));
         } catch (ClassNotFoundException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** A node of that version. */
-    static SimNode node(SimNode.Parts parts) {
-        Object settings = call(load("config.Settings"), "read", null, parts.settings());
+    /** A node of the version in production. */
+    static SimNode node(SimNode.Dependencies dependencies) {
+        Object settings = call(load("config.Settings"), "read", null, dependencies.settings());
         Object policy = call(load("config.Policy"), "defaults", null);
         Class<?> loop = load("net.Loop");
         Class<?> http = load("net.HttpClient");
-        Class<?> link = load("peer.PeerTransport");
+        Class<?> peerTransport = load("peer.PeerTransport");
         try {
             Object node = load("node.Node")
-                    .getConstructor(loop, http, link, RandomGenerator.class, settings.getClass(), policy.getClass())
+                    .getConstructor(
+                            loop, http, peerTransport, RandomGenerator.class, settings.getClass(), policy.getClass())
                     .newInstance(
-                            bridge(loop, parts.loop()),
-                            bridge(http, parts.http()),
-                            bridge(link, parts.link()),
-                            parts.random(),
+                            bridge(loop, dependencies.loop()),
+                            bridge(http, dependencies.http()),
+                            bridge(peerTransport, dependencies.peerTransport()),
+                            dependencies.random(),
                             settings,
                             policy);
             return new ProductionNode(node);
         } catch (ReflectiveOperationException e) {
-            throw new LinkageError("the version in production has other constructors", e);
+            throw new LinkageError("cannot construct node.Node of the version in production", e);
         }
     }
 
     private record ProductionNode(Object node) implements SimNode {
         @Override
-        public void start(Runnable ready) {
-            call(node.getClass(), "start", node, ready);
+        public void start(Runnable onLeaderKnown) {
+            call(node.getClass(), "start", node, onLeaderKnown);
         }
 
         @Override
@@ -102,14 +104,14 @@
         }
 
         @Override
-        public void handle(Request request, Consumer<Response> answer) {
+        public void handle(Request request, Consumer<Response> onResponse) {
             Object handler = call(node.getClass(), "handler", node);
-            Consumer<Object> converted = response -> answer.accept((Response) fromProduction(response));
+            Consumer<Object> converted = response -> onResponse.accept((Response) fromProduction(response));
             call(load("net.RequestHandler"), "handle", handler, toProduction(request), converted);
         }
     }
 
-    /** Calls the public method of that name; there must be one with so many parameters. */
+    /** Calls the public method with this name and as many parameters as there are arguments; fails if there is none. */
     public static Object call(Class<?> type, String name, Object target, Object... arguments) {
         for (Method method : type.getMethods()) {
             if (method.getName().equals(name) && method.getParameterCount() == arguments.length) {
@@ -132,61 +134,65 @@
         }
     }
 
-    /** An object of an interface of the production version which hands all calls on to ours of the same name. */
-    private static Object bridge(Class<?> type, Object ours) {
+    /**
+     * A proxy of an interface of the production version that forwards each call to the method of the same name of this
+     * version's {@code delegate}.
+     */
+    private static Object bridge(Class<?> type, Object delegate) {
         InvocationHandler handler = (proxy, method, arguments) -> {
-            Object[] given = arguments == null ? new Object[0] : arguments;
-            Object[] converted = new Object[given.length];
-            for (int i = 0; i < given.length; i++) {
-                converted[i] =
-                        given[i] instanceof Consumer<?> ? bridged((Consumer<?>) given[i]) : fromProduction(given[i]);
+            Object[] productionArguments = arguments == null ? new Object[0] : arguments;
+            Object[] converted = new Object[productionArguments.length];
+            for (int i = 0; i < productionArguments.length; i++) {
+                converted[i] = productionArguments[i] instanceof Consumer<?>
+                        ? bridgeConsumer((Consumer<?>) productionArguments[i])
+                        : fromProduction(productionArguments[i]);
             }
-            Object result = call(publicInterface(ours), method.getName(), ours, converted);
+            Object result = call(publicInterface(delegate), method.getName(), delegate, converted);
             return result instanceof Cancellable ? bridge(load("net.Cancellable"), result) : result;
         };
         return Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler);
     }
 
-    /** Implementations need not be public; the interface of ours that they implement is. */
-    private static Class<?> publicInterface(Object ours) {
-        return ours.getClass().getInterfaces()[0];
+    /** The public interface that an object of this version implements; its class need not be public. */
+    private static Class<?> publicInterface(Object delegate) {
+        return delegate.getClass().getInterfaces()[0];
     }
 
     @SuppressWarnings("unchecked")
-    private static Consumer<Object> bridged(Consumer<?> theirs) {
-        return value -> ((Consumer<Object>) theirs).accept(toProduction(value));
+    private static Consumer<Object> bridgeConsumer(Consumer<?> consumer) {
+        return value -> ((Consumer<Object>) consumer).accept(toProduction(value));
     }
 
-    private static Object toProduction(Object ours) {
-        if (ours instanceof HttpAnswer answer) {
-            return create("net.HttpAnswer", answer.status(), answer.body(), answer.sent());
+    private static Object toProduction(Object value) {
+        if (value instanceof HttpAnswer answer) {
+            return createRecord("net.HttpAnswer", answer.status(), answer.body(), answer.sent());
         }
-        if (ours instanceof Request request) {
-            return create("net.Request", request.method(), request.path(), request.body());
+        if (value instanceof Request request) {
+            return createRecord("net.Request", request.method(), request.path(), request.body());
         }
-        return ours;
+        return value;
     }
 
-    private static Object fromProduction(Object theirs) {
-        if (theirs == null || theirs.getClass().getClassLoader() == ProductionVersion.class.getClassLoader()) {
-            return theirs;
+    private static Object fromProduction(Object value) {
+        if (value == null || value.getClass().getClassLoader() == ProductionVersion.class.getClassLoader()) {
+            return value;
         }
-        return switch (theirs.getClass().getName()) {
-            case PACKAGE + "config.Address" -> new Address((String) get(theirs, "host"), (int) get(theirs, "port"));
+        return switch (value.getClass().getName()) {
+            case PACKAGE + "config.Address" -> new Address((String) read(value, "host"), (int) read(value, "port"));
             case PACKAGE + "net.HttpCall" -> new HttpCall(
-                    (String) get(theirs, "method"), (String) get(theirs, "target"), (byte[]) get(theirs, "body"));
+                    (String) read(value, "method"), (String) read(value, "target"), (byte[]) read(value, "body"));
             case PACKAGE + "net.Response" -> new Response(
-                    (int) get(theirs, "status"), (byte[]) get(theirs, "body"), (int) get(theirs, "retryAfterS"));
-            default -> theirs;
+                    (int) read(value, "status"), (byte[]) read(value, "body"), (int) read(value, "retryAfterS"));
+            default -> value;
         };
     }
 
-    private static Object get(Object record, String component) {
+    private static Object read(Object record, String component) {
         return call(record.getClass(), component, record);
     }
 
-    /** A record of the production version by its canonical constructor. */
-    private static Object create(String name, Object... components) {
+    /** Creates a record of the production version with its constructor that has this number of parameters. */
+    private static Object createRecord(String name, Object... components) {
         try {
             return Arrays.stream(load(name).getConstructors())
                     .filter(c -> c.getParameterCount() == components.length)
@@ -194,32 +200,32 @@
                     .orElseThrow()
                     .newInstance(components);
         } catch (ReflectiveOperationException e) {
-            throw new LinkageError("the version in production has other constructors", e);
+            throw new LinkageError("cannot construct a record of the version in production", e);
         }
     }
 
-    private static ClassLoader build(String commit) {
+    private static ClassLoader compileAndLoad(String commit) {
         try {
             Path root = Files.createTempDirectory("production");
             List<Path> sources = extract(commit, root.resolve("src"));
             Path classes = Files.createDirectory(root.resolve("classes"));
             compile(sources, classes);
-            return new Apart(classes.toUri().toURL());
+            return new ProductionClassLoader(classes.toUri().toURL());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static List<Path> extract(String commit, Path into) throws IOException {
+    private static List<Path> extract(String commit, Path directory) throws IOException {
         Process git = new ProcessBuilder("git", "archive", "--format=zip", commit, SOURCES)
                 .redirectError(ProcessBuilder.Redirect.INHERIT)
                 .start();
         List<Path> sources = new ArrayList<>();
-        try (InputStream out = git.getInputStream();
-                ZipInputStream zip = new ZipInputStream(out)) {
+        try (InputStream archive = git.getInputStream();
+                ZipInputStream zip = new ZipInputStream(archive)) {
             for (ZipEntry entry = zip.getNextEntry(); entry != null; entry = zip.getNextEntry()) {
                 if (entry.getName().endsWith(".java")) {
-                    Path file = into.resolve(entry.getName());
+                    Path file = directory.resolve(entry.getName());
                     Files.createDirectories(file.getParent());
                     Files.write(file, zip.readAllBytes());
                     sources.add(file);
@@ -227,18 +233,18 @@
             }
         }
         if (sources.isEmpty()) {
-            throw new AssertionError("the history does not hold " + commit + ", which is in production");
+            throw new AssertionError("the git history lacks commit " + commit + ", the version in production");
         }
         return sources;
     }
 
     private static void compile(List<Path> sources, Path classes) {
-        String own = System.getProperty("java.class.path");
+        String ownClassPath = System.getProperty("java.class.path");
         List<String> options = new ArrayList<>(List.of(
                 "-nowarn",
                 "-proc:none",
                 "-cp",
-                System.getProperty("surefire.test.class.path", own),
+                System.getProperty("surefire.test.class.path", ownClassPath),
                 "-d",
                 classes.toString()));
         sources.forEach(source -> options.add(source.toString()));
@@ -248,9 +254,9 @@
         }
     }
 
-    /** Loads the service's own classes from one place, and all others like the test. */
-    private static final class Apart extends URLClassLoader {
-        Apart(URL classes) throws MalformedURLException {
+    /** Loads the service's classes from one directory, and delegates all others to the test's class loader. */
+    private static final class ProductionClassLoader extends URLClassLoader {
+        ProductionClassLoader(URL classes) throws MalformedURLException {
             super(new URL[] {classes}, ProductionVersion.class.getClassLoader());
         }
 
--- a/src/test/java/org/spruceridge/sim/RateLimit.java
+++ b/src/test/java/org/spruceridge/sim/RateLimit.java
@@ -3,7 +3,7 @@
 import java.util.function.LongSupplier;
 import org.spruceridge.net.Durations;
 
-/** A rate limit of the settings, with bursts of some seconds' worth: exceeding it fails the scenario. */
+/** A token bucket for a rate limit from the settings. Exceeding the limit fails the scenario. */
 final class RateLimit {
     private final String unit;
     private final double perSecond;
@@ -12,6 +12,7 @@
     private double available;
     private long updatedAt;
 
+    /** The bucket holds {@code burstS} seconds' worth of tokens and is full at first. */
     RateLimit(String unit, double perSecond, double burstS, LongSupplier clock) {
         this.unit = unit;
         this.perSecond = perSecond;
@@ -21,17 +22,18 @@
         this.updatedAt = clock.getAsLong();
     }
 
-    /** True if so many permits are available now. */
-    boolean allows(int count) {
-        return Math.min(burst, available + Durations.seconds(clock.getAsLong() - updatedAt) * perSecond) >= count;
+    /** True if this many tokens are available now. */
+    boolean allows(int tokens) {
+        return Math.min(burst, available + Durations.seconds(clock.getAsLong() - updatedAt) * perSecond) >= tokens;
     }
 
-    void take(int count) {
+    /** Takes tokens; throws an {@link AssertionError} if they are not available. */
+    void take(int tokens) {
         long now = clock.getAsLong();
-        available = Math.min(burst, available + Durations.seconds(now - updatedAt) * perSecond) - count;
+        available = Math.min(burst, available + Durations.seconds(now - updatedAt) * perSecond) - tokens;
         updatedAt = now;
         if (available < 0) {
-            throw new AssertionError("limit: more than " + perSecond + " " + unit + " a second");
+            throw new AssertionError("rate limit exceeded: more than " + perSecond + " " + unit + " a second");
         }
     }
 }
--- a/src/test/java/org/spruceridge/sim/RuleChecker.java
+++ b/src/test/java/org/spruceridge/sim/RuleChecker.java
@@ -13,144 +13,145 @@
 import org.spruceridge.net.Durations;
 
 /**
- * The protocol's rules over one cluster. It records on its own what was submitted, what runs where and what users were
- * answered, and fails the scenario as soon as a rule is violated.
+ * Checks the protocol's rules for one cluster. It keeps its own record of submitted jobs, placed tasks and answers to users,
+ * and fails the scenario as soon as a rule is violated.
  */
 final class RuleChecker {
-    /** Workers drop answers after this time: a later start was sent too late, or delayed. */
-    private static final double IN_FLIGHT_S = 4;
+    /** Workers drop answers after this time, so a later start of a cancelled task was sent too late or delayed. */
+    private static final double MAX_IN_FLIGHT_S = 4;
 
-    /** The longest time that a job may wait beside free capacity, once all faults have ended. */
+    /** The longest time for which a job may wait despite free capacity, once all faults have been cleared. */
     private static final double MAX_WAIT_S = 90;
 
     private final LongSupplier clock;
     private final double teamCpus;
-    private final double cancelS;
-    private final Map<String, ObjectNode> submitted = new HashMap<>();
-    private final Set<String> accepted = new HashSet<>();
-    private final Map<String, Long> cancelled = new HashMap<>();
+    private final double cancellationDeadlineS;
+    private final Map<String, ObjectNode> submittedJobs = new HashMap<>();
+    private final Set<String> acceptedJobs = new HashSet<>();
+    private final Map<String, Long> cancelledAt = new HashMap<>();
     private final Set<String> cancelRequested = new HashSet<>();
     private final Map<String, String> terminalStages = new HashMap<>();
-    private final Map<String, Place> placements = new TreeMap<>();
-    private final Set<String> completed = new HashSet<>();
-    /** How many tasks of each job are on machines, and in each zone as "job zone". */
+    private final Map<String, Placement> placements = new TreeMap<>();
+    private final Set<String> completedTasks = new HashSet<>();
+    /** The number of running tasks of each job, and of each job in each zone under its {@link #zoneKey}. */
     private final Multiset<String> runningCounts = HashMultiset.create();
 
     private final Multiset<String> completedCounts = HashMultiset.create();
 
     private final Map<String, Long> waitingSince = new HashMap<>();
 
-    private record Place(String machine, String zone) {}
+    private record Placement(String machine, String zone) {}
 
-    RuleChecker(LongSupplier clock, double teamCpus, double cancelS) {
+    RuleChecker(LongSupplier clock, double teamCpus, double cancellationDeadlineS) {
         this.clock = clock;
         this.teamCpus = teamCpus;
-        this.cancelS = cancelS;
+        this.cancellationDeadlineS = cancellationDeadlineS;
     }
 
-    private static void violation(String rule, String what) {
-        throw new AssertionError(rule + ": " + what);
+    private static void throwViolation(String rule, String detail) {
+        throw new AssertionError(rule + ": " + detail);
     }
 
     static boolean isService(ObjectNode job) {
         return job.path("shape").asText().equals("standing");
     }
 
-    private static String jobOf(String taskId) {
+    private static String jobIdOf(String taskId) {
         return taskId.substring(0, taskId.indexOf('/'));
     }
 
     void recordSubmission(ObjectNode job) {
-        submitted.putIfAbsent(job.path("nameId").asText(), job);
+        submittedJobs.putIfAbsent(job.path("nameId").asText(), job);
     }
 
     void recordCancelRequest(String id) {
         cancelRequested.add(id);
     }
 
-    /** A user was answered about a job; {@code stage} is that of a 200 or 201. */
+    /** Records an answer to a user about a job; {@code stage} is empty unless the status is 200 or 201. */
     void recordAnswer(String id, int status, String stage) {
         boolean known = status == 200 || status == 201;
-        if (known && !submitted.containsKey(id)) {
-            violation("invented", id);
+        if (known && !submittedJobs.containsKey(id)) {
+            throwViolation("invented", id);
         }
-        if (accepted.contains(id) && (status == 404 || status == 400 || status == 422)) {
-            violation("forgotten", id + " got " + status);
+        if (acceptedJobs.contains(id) && (status == 404 || status == 400 || status == 422)) {
+            throwViolation("forgotten", id + " got " + status);
         }
         if (!known) {
             return;
         }
-        accepted.add(id);
-        String end = terminalStages.get(id);
-        if (end != null && !end.equals(stage)) {
-            violation("went_back", id + " was " + end + " and is " + stage);
+        acceptedJobs.add(id);
+        String terminalStage = terminalStages.get(id);
+        if (terminalStage != null && !terminalStage.equals(stage)) {
+            throwViolation("went_back", id + " was " + terminalStage + " and is " + stage);
         }
         if (stage.equals("cancelled") && !cancelRequested.contains(id)) {
-            violation("went_back", id + " is cancelled, without a request");
+            throwViolation("went_back", id + " is cancelled without a request");
         }
-        if (stage.equals("done") && isService(submitted.get(id))) {
-            violation("not_done", id + " is a service");
+        if (stage.equals("done") && isService(submittedJobs.get(id))) {
+            throwViolation("not_done", id + " is a service");
         }
         if (stage.equals("done")
-                && tasksCompleted(id) < submitted.get(id).path("parts").asInt()) {
-            violation("not_done", id);
+                && completedTaskCount(id) < submittedJobs.get(id).path("parts").asInt()) {
+            throwViolation("not_done", id);
         }
         if (stage.equals("done") || stage.equals("cancelled")) {
             terminalStages.put(id, stage);
         }
         if (stage.equals("cancelled")) {
-            cancelled.putIfAbsent(id, clock.getAsLong());
+            cancelledAt.putIfAbsent(id, clock.getAsLong());
         }
     }
 
-    private double sinceCancelledS(String id) {
-        Long at = cancelled.get(id);
-        return at == null ? 0 : Durations.seconds(clock.getAsLong() - at);
+    private double secondsSinceCancellation(String id) {
+        Long cancellationTime = cancelledAt.get(id);
+        return cancellationTime == null ? 0 : Durations.seconds(clock.getAsLong() - cancellationTime);
     }
 
     void recordStart(String taskId, String machine, String zone, boolean spot) {
-        String id = jobOf(taskId);
-        ObjectNode job = submitted.get(id);
+        String id = jobIdOf(taskId);
+        ObjectNode job = submittedJobs.get(id);
         if (placements.containsKey(taskId)) {
-            violation("ran_twice", taskId + " on " + placements.get(taskId).machine + " and " + machine);
+            throwViolation("ran_twice", taskId + " on " + placements.get(taskId).machine + " and " + machine);
         }
-        if (sinceCancelledS(id) > IN_FLIGHT_S) {
-            violation("ran_cancelled", taskId + " started " + sinceCancelledS(id) + " s after its cancellation");
+        if (secondsSinceCancellation(id) > MAX_IN_FLIGHT_S) {
+            throwViolation(
+                    "ran_cancelled", taskId + " started " + secondsSinceCancellation(id) + " s after its cancellation");
         }
         if ((spot && !job.path("windfall").asBoolean())
                 || (job.hasNonNull("grove") && !job.path("grove").asText().equals(zone))) {
-            violation("wrong_place", taskId + " in " + zone);
+            throwViolation("wrong_place", taskId + " in " + zone);
         }
-        placements.put(taskId, new Place(machine, zone));
+        placements.put(taskId, new Placement(machine, zone));
         runningCounts.add(id);
         runningCounts.add(zoneKey(id, zone));
         checkSpread(taskId, zone);
         double cpus = runningCpus();
         if (cpus > teamCpus) {
-            violation("quota", cpus + " CPUs");
+            throwViolation("quota", cpus + " CPUs");
         }
     }
 
-    /** The tasks of one job may be required to share a zone, or to have at most half of them in one. */
+    /** A job may require that its tasks share a zone, or that at most half of them, rounded up, run in one zone. */
     private void checkSpread(String taskId, String zone) {
-        String id = jobOf(taskId);
-        ObjectNode job = submitted.get(id);
+        String id = jobIdOf(taskId);
+        ObjectNode job = submittedJobs.get(id);
         long runningInZone = runningCounts.count(zoneKey(id, zone));
-        if (job.path("samePlace").asBoolean() && runningInZone < runningTasks(id)) {
-            violation("wrong_place", taskId + " in " + zone + ", the others elsewhere");
+        if (job.path("samePlace").asBoolean() && runningInZone < runningTaskCount(id)) {
+            throwViolation("wrong_place", taskId + " in " + zone + ", other tasks of its job in another zone");
         }
         int tasks = job.path("parts").asInt();
         if (job.path("scatter").asBoolean() && runningInZone > (tasks + 1) / 2) {
-            violation("wrong_place", taskId + " in " + zone + " with too many");
+            throwViolation("wrong_place", taskId + " in " + zone + ", which has more than half of its job's tasks");
         }
     }
 
     void recordStop(String taskId, String machine) {
-        Place place = placements.get(taskId);
-        if (place != null && place.machine.equals(machine)) {
+        Placement placement = placements.get(taskId);
+        if (placement != null && placement.machine.equals(machine)) {
             placements.remove(taskId);
-            runningCounts.remove(jobOf(taskId));
-            runningCounts.remove(zoneKey(jobOf(taskId), place.zone));
+            runningCounts.remove(jobIdOf(taskId));
+            runningCounts.remove(zoneKey(jobIdOf(taskId), placement.zone));
         }
     }
 
@@ -159,69 +160,74 @@
     }
 
     void recordCompletion(String taskId) {
-        if (completed.add(taskId)) {
-            completedCounts.add(jobOf(taskId));
+        if (completedTasks.add(taskId)) {
+            completedCounts.add(jobIdOf(taskId));
         }
     }
 
-    /** To be called periodically: cancelled tasks must stop in time, whether their machines are reachable or not. */
+    /** Called periodically: cancelled tasks must stop in time, whether or not their machines are reachable. */
     void checkDeadlines() {
-        for (var e : placements.entrySet()) {
-            if (sinceCancelledS(jobOf(e.getKey())) > cancelS) {
-                violation("ran_cancelled", e.getKey() + " still on " + e.getValue().machine);
+        for (var placement : placements.entrySet()) {
+            if (secondsSinceCancellation(jobIdOf(placement.getKey())) > cancellationDeadlineS) {
+                throwViolation("ran_cancelled", placement.getKey() + " still on " + placement.getValue().machine);
             }
         }
     }
 
-    /** To be called at the end: each accepted job was cancelled or is complete, and no task is left running. */
+    /** Called at the end of a scenario: each accepted job must be cancelled or complete, and no task may still run. */
     void checkAllFinished() {
-        for (String id : unfinished()) {
-            violation("left waiting", id + " has " + tasksCompleted(id) + " tasks complete");
+        for (String id : unfinishedJobs()) {
+            throwViolation("unfinished", id + " has " + completedTaskCount(id) + " tasks complete");
         }
-        List<String> left = leftRunning();
-        if (!left.isEmpty()) {
-            violation("left running", left.toString());
+        List<String> leftoverTasks = leftoverTasks();
+        if (!leftoverTasks.isEmpty()) {
+            throwViolation("still running", leftoverTasks.toString());
         }
     }
 
-    /** Tasks on machines at the end, except those of services that were not cancelled. */
-    private List<String> leftRunning() {
+    /** The running tasks, except those of services that were not cancelled. */
+    private List<String> leftoverTasks() {
         return placements.keySet().stream()
-                .filter(taskId -> cancelled.containsKey(jobOf(taskId)) || !isService(submitted.get(jobOf(taskId))))
+                .filter(taskId ->
+                        cancelledAt.containsKey(jobIdOf(taskId)) || !isService(submittedJobs.get(jobIdOf(taskId))))
                 .toList();
     }
 
-    /** Accepted jobs, not cancelled, of which a task is not complete; of services, of which a replica does not run. */
-    private List<String> unfinished() {
-        return accepted.stream()
-                .filter(id -> !cancelled.containsKey(id))
-                .filter(id -> (isService(submitted.get(id)) ? runningTasks(id) : tasksCompleted(id))
-                        < submitted.get(id).path("parts").asInt())
+    /** Accepted jobs that were not cancelled and have an incomplete task or, for services, a replica that does not run. */
+    private List<String> unfinishedJobs() {
+        return acceptedJobs.stream()
+                .filter(id -> !cancelledAt.containsKey(id))
+                .filter(id -> (isService(submittedJobs.get(id)) ? runningTaskCount(id) : completedTaskCount(id))
+                        < submittedJobs.get(id).path("parts").asInt())
                 .toList();
     }
 
-    /** Accepted jobs, not cancelled, of which a task is neither complete nor on a machine. */
+    /** Accepted jobs that were not cancelled and have a task that is neither complete nor running. */
     List<String> waitingJobs() {
-        return unfinished().stream()
-                .filter(id -> tasksCompleted(id) + runningTasks(id)
-                        < submitted.get(id).path("parts").asInt())
+        return unfinishedJobs().stream()
+                .filter(id -> completedTaskCount(id) + runningTaskCount(id)
+                        < submittedJobs.get(id).path("parts").asInt())
                 .toList();
     }
 
     /** True if the team's quota allows one more task of the job. */
-    boolean limitAllows(String id) {
-        return runningCpus() + submitted.get(id).path("cpus").asDouble() <= teamCpus;
+    boolean quotaAllows(String id) {
+        return runningCpus() + submittedJobs.get(id).path("cpus").asDouble() <= teamCpus;
     }
 
-    /** The CPUs that tasks take on a machine. */
+    /** The number of CPUs that the tasks on a machine use. */
     double cpusOn(String machine) {
         return placements.entrySet().stream()
                 .filter(e -> e.getValue().machine.equals(machine))
-                .mapToDouble(e -> submitted.get(jobOf(e.getKey())).path("cpus").asDouble())
+                .mapToDouble(
+                        e -> submittedJobs.get(jobIdOf(e.getKey())).path("cpus").asDouble())
                 .sum();
     }
 
-    /** To be called periodically for each waiting job, once all faults have ended. */
+    /**
+     * Called periodically for each accepted job, once all faults have been cleared: a job with a waiting task and capacity
+     * for it must not wait longer than {@link #MAX_WAIT_S}.
+     */
     void checkWaiting(String id, boolean hasCapacity) {
         if (!hasCapacity) {
             waitingSince.remove(id);
@@ -229,45 +235,45 @@
         }
         long since = waitingSince.computeIfAbsent(id, i -> clock.getAsLong());
         if (Durations.seconds(clock.getAsLong() - since) > MAX_WAIT_S) {
-            violation("waits beside room", id);
+            throwViolation("waits despite free capacity", id);
         }
     }
 
-    /** The CPUs that all tasks on machines take. */
+    /** The number of CPUs that all running tasks use. */
     private double runningCpus() {
         return runningCounts.entrySet().stream()
-                .filter(e -> submitted.containsKey(e.getElement()))
+                .filter(e -> submittedJobs.containsKey(e.getElement()))
                 .mapToDouble(e -> e.getCount()
-                        * submitted.get(e.getElement()).path("cpus").asDouble())
+                        * submittedJobs.get(e.getElement()).path("cpus").asDouble())
                 .sum();
     }
 
-    private long runningTasks(String id) {
+    private long runningTaskCount(String id) {
         return runningCounts.count(id);
     }
 
     boolean areAllFinished() {
-        return leftRunning().isEmpty() && unfinished().isEmpty();
+        return leftoverTasks().isEmpty() && unfinishedJobs().isEmpty();
     }
 
-    private long tasksCompleted(String id) {
+    private long completedTaskCount(String id) {
         return completedCounts.count(id);
     }
 
-    Set<String> accepted() {
-        return accepted;
+    Set<String> acceptedJobs() {
+        return acceptedJobs;
     }
 
     ObjectNode job(String id) {
-        return submitted.get(id);
+        return submittedJobs.get(id);
     }
 
-    Set<String> completed() {
-        return completed;
+    Set<String> completedTasks() {
+        return completedTasks;
     }
 
-    /** Tasks on machines now, with their machine. */
-    Map<String, String> running() {
+    /** The running tasks, with the machine of each. */
+    Map<String, String> runningTasks() {
         Map<String, String> out = new TreeMap<>();
         placements.forEach((taskId, place) -> out.put(taskId, place.machine));
         return out;
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Durations;
 
-/** Each rule of the checker fails on a history that violates it, and on no other. */
+/** Each rule of the checker fails on a history that violates it, and none fails on a valid history. */
 final class RuleCheckerTest {
     private static final String JOB = "j-000001";
     private static final String TASK = "j-000001/0";
@@ -29,8 +29,8 @@
     }
 
     private static void assertViolates(String rule, Runnable step) {
-        AssertionError e = assertThrows(AssertionError.class, step::run);
-        assertEquals(rule, e.getMessage().split(":")[0], e.getMessage());
+        AssertionError violation = assertThrows(AssertionError.class, step::run);
+        assertEquals(rule, violation.getMessage().split(":")[0], violation.getMessage());
     }
 
     @Test
@@ -124,14 +124,14 @@
     }
 
     @Test
-    void doneBeforeAllTasksViolatesNotDone() {
+    void doneBeforeAllTasksCompleteViolatesNotDone() {
         accept(SimJobs.array(1, 2));
         rules.recordCompletion(TASK);
         assertViolates("not_done", () -> rules.recordAnswer(JOB, 200, "done"));
     }
 
     @Test
-    void revokedOrUnrequestedEndViolatesWentBack() {
+    void changedOrUnrequestedTerminalStageViolatesWentBack() {
         accept(SimJobs.array(1, 1));
         assertViolates("went_back", () -> rules.recordAnswer(JOB, 200, "cancelled"));
         rules.recordCancelRequest(JOB);
@@ -140,39 +140,39 @@
     }
 
     @Test
-    void jobWaitingBesideFreeCapacityIsReported() {
+    void jobWaitingDespiteFreeCapacityIsReported() {
         accept(SimJobs.array(1, 5));
         assertEquals(List.of(JOB), rules.waitingJobs());
         for (int i = 0; i < 4; i++) {
             rules.recordStart(JOB + "/" + i, "m" + i / 2, "z1", true);
         }
         assertEquals(8, rules.cpusOn("m1"));
-        assertFalse(rules.limitAllows(JOB));
+        assertFalse(rules.quotaAllows(JOB));
         rules.recordStop(JOB + "/0", "m0");
-        assertTrue(rules.limitAllows(JOB));
+        assertTrue(rules.quotaAllows(JOB));
         rules.checkWaiting(JOB, true);
         nowS = 80;
-        rules.checkWaiting(JOB, false); // no capacity for a moment
+        rules.checkWaiting(JOB, false); // a lack of capacity resets the waiting time
         nowS = 85;
         rules.checkWaiting(JOB, true);
         nowS = 175;
         rules.checkWaiting(JOB, true);
         nowS = 176;
-        assertViolates("waits beside room", () -> rules.checkWaiting(JOB, true));
+        assertViolates("waits despite free capacity", () -> rules.checkWaiting(JOB, true));
     }
 
     @Test
     void unfinishedJobOrLeftoverTaskIsReported() {
         accept(SimJobs.array(1, 1));
-        assertViolates("left waiting", rules::checkAllFinished);
+        assertViolates("unfinished", rules::checkAllFinished);
         rules.recordStart(TASK, "m1", "z1", true);
         rules.recordCompletion(TASK);
-        assertViolates("left running", rules::checkAllFinished);
+        assertViolates("still running", rules::checkAllFinished);
     }
 
-    /** Deadlines are checked against actual task starts, at full size too, not against bindings or heartbeats. */
+    /** Deadlines are checked against actual task starts, not against bindings or heartbeats, at full size too. */
     @Test
-    void oneCancelledTaskAmongFourThousandMachinesIsDetected() {
+    void overdueCancelledTaskAmongFourThousandMachinesIsDetected() {
         for (int i = 0; i < 4000; i++) {
             accept(SimJobs.array(i, 1).put("cpus", 0.001));
             rules.recordStart(String.format("j-%06d/0", i), "m" + i, "z1", true);
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -16,16 +16,16 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.Json;
 
-/** The cloud, written from its published protocol, with one machine type. */
+/** A simulated cloud with one machine type, implemented from its published protocol. */
 public final class SimCloud implements SimNet.Server {
-    /** The CPUs of each machine. */
-    static final double CPUS = 8;
+    /** The number of CPUs of each machine. */
+    static final double MACHINE_CPUS = 8;
 
     private final SimulatedCluster cluster;
-    private final Map<String, List<String>> claims = new HashMap<>();
+    private final Map<String, List<String>> machinesByClaim = new HashMap<>();
     private final TreeMap<String, Host> hosts = new TreeMap<>();
-    private final RateLimit calls;
-    private int launched;
+    private final RateLimit callLimit;
+    private int launchCount;
     private int deletionRequests;
     private int capacity = Integer.MAX_VALUE;
     private SimWorker.Behaviour behaviour = SimWorker.Behaviour.COMPLETES;
@@ -47,36 +47,36 @@
 
     SimCloud(SimulatedCluster cluster) {
         this.cluster = cluster;
-        this.calls = new RateLimit("calls of the cloud", SimulatedCluster.CLOUD_RPS, 2, cluster.loop::nanos);
+        this.callLimit = new RateLimit("calls to the cloud", SimulatedCluster.CLOUD_RPS, 2, cluster.loop::nanos);
     }
 
-    /** Sets what tasks do on all machines, those launched later included. */
-    public void setBehaviour(SimWorker.Behaviour next) {
-        behaviour = next;
-        workers().forEach(w -> w.setBehaviour(next));
+    /** Sets how tasks behave on all machines, including those launched later. */
+    public void setBehaviour(SimWorker.Behaviour newBehaviour) {
+        behaviour = newBehaviour;
+        workers().forEach(w -> w.setBehaviour(newBehaviour));
     }
 
-    /** Limits how many machines can run at one time. */
+    /** Limits how many machines can exist at the same time. */
     public void limitCapacity(int machines) {
         capacity = machines;
     }
 
-    /** Requests to delete machines so far. */
+    /** The number of requests to delete machines so far. */
     public int deletionRequests() {
         return deletionRequests;
     }
 
-    /** Machines that were launched and not deleted. */
+    /** The number of machines that were launched and not deleted. */
     public int machineCount() {
         return hosts.size();
     }
 
-    /** The workers that are up, in the order of their names. */
+    /** The workers of the machines that have booted, in the order of their names. */
     public List<SimWorker> workers() {
         return hosts.values().stream().flatMap(host -> host.worker.stream()).toList();
     }
 
-    /** The names of the machines that are up. */
+    /** The names of the machines that have booted, in order. */
     public List<String> machineNames() {
         return workers().stream().map(SimWorker::name).toList();
     }
@@ -89,20 +89,20 @@
     }
 
     @Override
-    public void accept(HttpCall call, Consumer<HttpAnswer> answer) {
-        calls.take(1);
+    public void accept(HttpCall call, Consumer<HttpAnswer> onResponse) {
+        callLimit.take(1);
         try {
             String path = call.target().split("\\?")[0];
             if (path.equals("/flavors")) {
-                answer.accept(ok(catalogue()));
+                onResponse.accept(ok(catalogue()));
             } else if (path.equals("/hosts/delete")) {
                 deletionRequests++;
                 Json.list(Json.object(call.body()), "hosts").forEach(n -> remove(n.asText()));
-                answer.accept(ok(Json.object()));
+                onResponse.accept(ok(Json.object()));
             } else if (call.method().equals("POST")) {
-                answer.accept(launch(Json.object(call.body())));
+                onResponse.accept(launch(Json.object(call.body())));
             } else {
-                answer.accept(ok(list()));
+                onResponse.accept(ok(listMachines()));
             }
         } catch (BadMessageException e) {
             throw new AssertionError(e);
@@ -118,24 +118,24 @@
 
     private HttpAnswer launch(JsonNode body) throws BadMessageException {
         String claim = Json.text(body, "claim");
-        if (!claims.containsKey(claim)) {
-            int n = (int) Math.min(Json.nonNegativeLong(body, "howMany"), capacity - hosts.size());
-            if (n <= 0) {
+        if (!machinesByClaim.containsKey(claim)) {
+            int machineCount = (int) Math.min(Json.nonNegativeLong(body, "howMany"), capacity - hosts.size());
+            if (machineCount <= 0) {
                 return new HttpAnswer(503, Json.bytes(Json.object().put("error", "no capacity")));
             }
-            List<String> names = new ArrayList<>();
-            for (int i = 0; i < n; i++) {
-                names.add(launchMachine(Json.text(body, "grove"), Json.bool(body, "windfall")));
+            List<String> launchedNames = new ArrayList<>();
+            for (int i = 0; i < machineCount; i++) {
+                launchedNames.add(launchMachine(Json.text(body, "grove"), Json.bool(body, "windfall")));
             }
-            claims.put(claim, names);
+            machinesByClaim.put(claim, launchedNames);
         }
-        ArrayNode names = Json.array();
-        claims.get(claim).forEach(names::add);
-        return ok(Json.object().set("hosts", names));
+        ArrayNode launchedNames = Json.array();
+        machinesByClaim.get(claim).forEach(launchedNames::add);
+        return ok(Json.object().set("hosts", launchedNames));
     }
 
     private String launchMachine(String zone, boolean spot) {
-        String name = String.format("i-%06d", launched++);
+        String name = String.format("i-%06d", launchCount++);
         Host host = new Host(zone, spot, cluster.loop.nanos());
         hosts.put(name, host);
         cluster.loop.after(Durations.nanos(SimulatedCluster.MACHINE_BOOT_S), () -> {
@@ -149,17 +149,17 @@
         return name;
     }
 
-    private ObjectNode list() {
+    private ObjectNode listMachines() {
         ObjectNode out = Json.object().put("truncated", false);
         ArrayNode list = out.putArray("hosts");
-        hosts.forEach((name, h) -> list.addObject()
+        hosts.forEach((name, host) -> list.addObject()
                 .put("nameId", name)
                 .put("endpoint", "10.1.0.1:9000")
                 .put("build", "t8")
-                .put("grove", h.zone)
-                .put("windfall", h.spot)
-                .put("stage", h.stage)
-                .put("heldS", Durations.seconds(cluster.loop.nanos() - h.launchedAt)));
+                .put("grove", host.zone)
+                .put("windfall", host.spot)
+                .put("stage", host.stage)
+                .put("heldS", Durations.seconds(cluster.loop.nanos() - host.launchedAt)));
         return out;
     }
 
@@ -167,7 +167,7 @@
         ObjectNode out = Json.object();
         ObjectNode type = out.putArray("builds").addObject();
         type.put("name", "t8")
-                .put("cpus", CPUS)
+                .put("cpus", MACHINE_CPUS)
                 .put("accelerators", 0)
                 .put("memGb", 32)
                 .put("localGb", 50)
--- a/src/test/java/org/spruceridge/sim/SimJobs.java
+++ b/src/test/java/org/spruceridge/sim/SimJobs.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.spruceridge.net.Json;
 
-/** Messages as users and workers send them, for scenarios to submit as they are or with some fields changed. */
+/** Messages of users and workers, which scenarios send unchanged or with some fields changed. */
 public final class SimJobs {
     private SimJobs() {}
 
@@ -12,7 +12,7 @@
         return String.format("j-%06d", number);
     }
 
-    /** An array job of tasks of 4 CPUs, which run for 5 s each. */
+    /** An array job whose tasks use 4 CPUs and run for 5 s each. */
     public static ObjectNode array(int number, int tasks) {
         return Json.object()
                 .put("nameId", id(number))
@@ -37,7 +37,7 @@
                 .putNull("dueS");
     }
 
-    /** A service of replicas of 2 CPUs. */
+    /** A service whose replicas use 2 CPUs each. */
     public static ObjectNode service(int number, int replicas) {
         return array(number, replicas)
                 .put("lot", "portal")
@@ -48,7 +48,7 @@
                 .put("expectS", 0.0);
     }
 
-    /** A heartbeat of an idle worker that has not seen any fencing token. */
+    /** A heartbeat of an idle worker that has not received a fencing token yet. */
     public static ObjectNode heartbeat(String machine, int sequence) {
         ObjectNode node = Json.object()
                 .put("host", machine)
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -5,12 +5,12 @@
 import org.spruceridge.net.Loop;
 import org.spruceridge.net.ManualLoop;
 
-/** Simulated time: tasks run in the order of their moments, and time passes only between them. */
+/** An event loop in simulated time: tasks run in the order of their due times, and time advances only between them. */
 public final class SimLoop implements Loop {
     private final ManualLoop time = new ManualLoop();
-    private boolean busy;
+    private boolean isBusy;
 
-    /** Starts at 1000 s, as the zero of a steady clock is arbitrary. */
+    /** Starts the monotonic clock at 1000 s, because its origin is arbitrary. */
     public SimLoop() {
         time.pass(Durations.nanos(1000));
     }
@@ -32,30 +32,30 @@
 
     @Override
     public boolean busy() {
-        return busy;
+        return isBusy;
     }
 
-    /** Sets whether requests wait for the loop. */
+    /** Sets whether the loop reports that requests are queued for it. */
     public void busy(boolean value) {
-        busy = value;
+        isBusy = value;
     }
 
-    /** Tasks that are still to run. */
+    /** The number of tasks that have not run yet. */
     public int pending() {
         return time.pending();
     }
 
-    /** Lets time pass within a task, as if it used much CPU time. */
+    /** Advances the clock within a task, as if the task used this much CPU time; due tasks then run late. */
     public void pass(double seconds) {
         time.pass(Durations.nanos(seconds));
     }
 
-    /** Lets time pass. */
+    /** Advances the time by {@code seconds} and runs the tasks that become due. */
     public void run(double seconds) {
         time.advance(Durations.nanos(seconds));
     }
 
-    /** The loop of one process: nothing runs once the process is killed, and all tasks wait while it is paused. */
+    /** The event loop of one process: nothing runs once the process is killed, and due tasks wait while it is paused. */
     public static final class ProcessLoop implements Loop {
         private final SimLoop loop;
         private boolean stopped;
@@ -65,14 +65,14 @@
             this.loop = loop;
         }
 
-        /** Pauses the process while its clocks run on; then all tasks that became due meanwhile run, in order. */
+        /** Pauses the process while its clocks run on; the tasks that become due meanwhile run after the pause, in order. */
         void pause(double seconds) {
             pausedUntil = loop.nanos() + Durations.nanos(seconds);
         }
 
-        private void run(Runnable work) {
+        private void runUnlessKilled(Runnable work) {
             if (loop.nanos() < pausedUntil) {
-                loop.after(pausedUntil - loop.nanos(), () -> run(work));
+                loop.after(pausedUntil - loop.nanos(), () -> runUnlessKilled(work));
             } else if (!stopped) {
                 work.run();
             }
@@ -98,7 +98,7 @@
 
         @Override
         public Cancellable after(long delayNanos, Runnable work) {
-            return loop.after(delayNanos, () -> run(work));
+            return loop.after(delayNanos, () -> runUnlessKilled(work));
         }
 
         @Override
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -13,28 +13,28 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.HttpClient;
 
-/** A network in memory that can lose, hold and delay messages. */
+/** An in-memory network that can lose, hold, duplicate and delay messages. */
 public final class SimNet {
     private static final long LATENCY_NANOS = Durations.millis(1);
 
     /** How the network delivers a request. */
     public enum Delivery {
         DELIVERED,
-        /** It arrives a tenth of a second later than others. */
+        /** The request arrives after 100 ms instead of 1 ms. */
         SLOW,
-        /** It never arrives. */
+        /** The request never arrives. */
         LOST,
-        /** It is processed, and its answer never arrives. */
+        /** The request is processed, but its answer never arrives. */
         ANSWER_LOST,
-        /** Its sender times out; it arrives when held messages are delivered. */
+        /** The sender times out; the request arrives when held messages are delivered. */
         HELD,
-        /** It arrives, and a duplicate of it when held messages are delivered. */
+        /** The request arrives, and a duplicate of it arrives when held messages are delivered. */
         DUPLICATED,
-        /** It arrives, and a duplicate of it 2 seconds to one and a half leases later. */
+        /** The request arrives, and a duplicate of it arrives 2 s to 1.5 lease durations later. */
         DUPLICATED_LATE,
-        /** Its sender gets no answer; it arrives 2 to 12 seconds later. */
+        /** The sender gets no answer; the request arrives 2 s to 12 s later. */
         DELAYED,
-        /** It is answered 503. */
+        /** The request is answered with 503 and does not arrive. */
         REFUSED;
 
         private boolean isAnswered() {
@@ -50,7 +50,7 @@
         Delivery deliveryOf(String from, Address to, HttpCall call);
     }
 
-    /** Takes requests at an address. */
+    /** Handles the requests that arrive at an address. */
     public interface Server extends BiConsumer<HttpCall, Consumer<HttpAnswer>> {}
 
     private final SimLoop loop;
@@ -64,11 +64,12 @@
         this.loop = loop;
     }
 
-    public void injectFaults(FaultPolicy next) {
-        faultPolicy = next;
+    /** Delivers all requests from now on as the policy decides. */
+    public void injectFaults(FaultPolicy policy) {
+        faultPolicy = policy;
     }
 
-    /** The state service refuses this node alone for a while; its open watches wait. */
+    /** Refuses only this node's requests to the state service for {@code seconds}; its open watches get no answer. */
     public void refuseStateRequests(String node, double seconds) {
         refusedUntil.put(node, loop.nanos() + Durations.nanos(seconds));
     }
@@ -78,43 +79,43 @@
                 && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
     }
 
-    /** From now on all requests are delivered, and no node is refused; held messages stay held. */
+    /** Delivers all requests from now on and refuses no node; held messages stay held. */
     public void clearFaults() {
         refusedUntil.clear();
         faultPolicy = (from, to, call) -> Delivery.DELIVERED;
     }
 
-    /** Messages that are held now. */
+    /** The number of held messages. */
     public int heldCount() {
         return held.size();
     }
 
-    /** Delivers all held messages, late. */
+    /** Delivers all held messages. */
     public void deliverHeld() {
-        List<Runnable> late = List.copyOf(held);
+        List<Runnable> messages = List.copyOf(held);
         held.clear();
-        late.forEach(Runnable::run);
+        messages.forEach(Runnable::run);
     }
 
-    /** Delivers the message that has been held longest, if there is one. */
+    /** Delivers the message that was held first, if any. */
     public void deliverOldestHeld() {
         if (!held.isEmpty()) {
             held.remove(0).run();
         }
     }
 
-    void serve(Address at, Server server) {
-        servers.put(at, server);
+    void serve(Address address, Server server) {
+        servers.put(address, server);
     }
 
-    void remove(Address at) {
-        servers.remove(at);
+    void remove(Address address) {
+        servers.remove(address);
     }
 
-    /** The network as one process has it. */
+    /** An HTTP client of one process, which sends its requests through this network. */
     HttpClient client(String from, SimLoop.ProcessLoop process) {
-        return (to, call, timeout, done) -> {
-            Exchange exchange = new Exchange(from, to, call, process, done);
+        return (to, call, timeout, onResponse) -> {
+            Exchange exchange = new Exchange(from, to, call, process, onResponse);
             process.after(timeout, () -> exchange.complete(HttpAnswer.noResponse()));
             exchange.send();
             return exchange::cancel;
@@ -127,15 +128,15 @@
         private final Address to;
         private final HttpCall call;
         private final SimLoop.ProcessLoop process;
-        private final Consumer<HttpAnswer> done;
+        private final Consumer<HttpAnswer> onResponse;
         private boolean isComplete;
 
-        Exchange(String from, Address to, HttpCall call, SimLoop.ProcessLoop process, Consumer<HttpAnswer> done) {
+        Exchange(String from, Address to, HttpCall call, SimLoop.ProcessLoop process, Consumer<HttpAnswer> onResponse) {
             this.from = from;
             this.to = to;
             this.call = call;
             this.process = process;
-            this.done = done;
+            this.onResponse = onResponse;
         }
 
         void cancel() {
@@ -145,7 +146,7 @@
         void complete(HttpAnswer answer) {
             if (!isComplete) {
                 isComplete = true;
-                done.accept(answer);
+                onResponse.accept(answer);
             }
         }
 
@@ -174,14 +175,14 @@
         private void arrive(Delivery delivery) {
             Server server = servers.get(to);
             if (server != null) {
-                server.accept(call, answer -> answer(delivery, answer));
+                server.accept(call, answer -> onServerAnswer(delivery, answer));
             }
         }
 
-        /** The watch of a node that is refused waits, as in an outage. */
-        private void answer(Delivery delivery, HttpAnswer answer) {
+        /** Withholds the answer to a watch while its node is refused, as the state service does in an outage. */
+        private void onServerAnswer(Delivery delivery, HttpAnswer answer) {
             if (call.target().startsWith("/follow") && isRefused(from, to)) {
-                loop.after(Durations.millis(50), () -> answer(delivery, answer));
+                loop.after(Durations.millis(50), () -> onServerAnswer(delivery, answer));
             } else {
                 deliverAnswer(delivery, answer);
             }
--- a/src/test/java/org/spruceridge/sim/SimNode.java
+++ b/src/test/java/org/spruceridge/sim/SimNode.java
@@ -12,28 +12,29 @@
 import org.spruceridge.node.Node;
 import org.spruceridge.peer.PeerTransport;
 
-/** A controller node of any version, as the simulator sees it. */
+/** The simulator's interface to a controller node, which runs this version or the version in production. */
 interface SimNode {
-    /** Starts the node; {@code ready} runs once it knows which node leads. */
-    void start(Runnable ready);
+    /** Starts the node; {@code onLeaderKnown} runs once the node knows which node leads. */
+    void start(Runnable onLeaderKnown);
 
-    /** True while it may act as leader. */
+    /** True while the node may act as leader. */
     boolean leads();
 
-    /** Handles a request. */
-    void handle(Request request, Consumer<Response> answer);
+    /** Handles a request and passes the response to {@code onResponse}. */
+    void handle(Request request, Consumer<Response> onResponse);
 
     /** The dependencies of a node. */
-    record Parts(Loop loop, HttpClient http, PeerTransport link, SplittableRandom random, JsonNode settings) {}
+    record Dependencies(
+            Loop loop, HttpClient http, PeerTransport peerTransport, SplittableRandom random, JsonNode settings) {}
 
     /** A node of this version. */
-    static SimNode current(Parts parts) {
+    static SimNode current(Dependencies dependencies) {
         Node node = new Node(
-                parts.loop(),
-                parts.http(),
-                parts.link(),
-                parts.random(),
-                Settings.read(parts.settings()),
+                dependencies.loop(),
+                dependencies.http(),
+                dependencies.peerTransport(),
+                dependencies.random(),
+                Settings.read(dependencies.settings()),
                 Policy.defaults());
         return new SimNode() {
             @Override
--- a/src/test/java/org/spruceridge/sim/SimNodes.java
+++ b/src/test/java/org/spruceridge/sim/SimNodes.java
@@ -13,19 +13,20 @@
 import org.spruceridge.net.HttpAnswer;
 import org.spruceridge.net.Request;
 
-/** The controller nodes of a simulated cluster: they start, crash, pause, and change their version. */
+/** The controller nodes of a simulated cluster, which scenarios start, crash, pause, isolate, upgrade and downgrade. */
 public final class SimNodes {
     private final SimLoop loop;
     private final SimNet net;
     private final NodeSettings settings;
     private final List<String> names;
     private final SimPeers peers = new SimPeers();
-    private final Map<String, Running> nodes = new TreeMap<>();
-    private final Set<String> ready = new HashSet<>();
-    private final Set<String> onProductionVersion = new HashSet<>();
-    private int incarnations;
+    private final Map<String, Incarnation> latestIncarnations = new TreeMap<>();
+    private final Set<String> readyNodes = new HashSet<>();
+    private final Set<String> nodesOnProductionVersion = new HashSet<>();
+    private int incarnationCount;
 
-    private record Running(SimNode node, SimLoop.ProcessLoop process) {
+    /** A node since its last start; its process may have been stopped. */
+    private record Incarnation(SimNode node, SimLoop.ProcessLoop process) {
         boolean leads() {
             return !process.isStopped() && node.leads();
         }
@@ -38,60 +39,61 @@
         this.names = names;
     }
 
-    /** The names of all nodes, whether they run or not. */
+    /** The names of all nodes, running or not. */
     List<String> names() {
         return names;
     }
 
     SimNode node(String name) {
-        return nodes.get(name).node;
+        return latestIncarnations.get(name).node;
     }
 
-    /** From their next start on all nodes run the version in production. */
+    /** Makes all nodes run the version in production from their next start. */
     void useProductionVersion() {
-        onProductionVersion.addAll(names);
+        nodesOnProductionVersion.addAll(names);
     }
 
-    /** Starts a node for the first time, or again after a crash. */
+    /** Starts a node, for the first time or after a crash. */
     public void start(String name) {
         SimLoop.ProcessLoop process = new SimLoop.ProcessLoop(loop);
         SimPeers.Link link = peers.link(name, process);
-        SimNode.Parts parts = new SimNode.Parts(
-                process, net.client(name, process), link, new SplittableRandom(++incarnations), settings.of(name));
-        SimNode node = runsProductionVersion(name) ? ProductionVersion.node(parts) : SimNode.current(parts);
-        nodes.put(name, new Running(node, process));
+        SimNode.Dependencies dependencies = new SimNode.Dependencies(
+                process, net.client(name, process), link, new SplittableRandom(++incarnationCount), settings.of(name));
+        SimNode node =
+                runsProductionVersion(name) ? ProductionVersion.node(dependencies) : SimNode.current(dependencies);
+        latestIncarnations.put(name, new Incarnation(node, process));
         peers.connect(link);
         serve(SimulatedCluster.address(name), node, process);
-        process.after(0, () -> node.start(() -> ready.add(name)));
+        process.after(0, () -> node.start(() -> readyNodes.add(name)));
     }
 
     private void serve(Address address, SimNode node, SimLoop.ProcessLoop process) {
         net.serve(
                 address,
-                (call, answer) -> process.after(
+                (call, onResponse) -> process.after(
                         0,
                         () -> node.handle(new Request(call.method(), call.target(), call.body()), response -> {
                             if (!process.isStopped()) {
-                                answer.accept(new HttpAnswer(response.status(), response.body()));
+                                onResponse.accept(new HttpAnswer(response.status(), response.body()));
                             }
                         })));
     }
 
-    /** Starts a node again unless it runs. */
+    /** Restarts a node unless it is running. */
     public void startIfStopped(String name) {
         if (isStopped(name)) {
             start(name);
         }
     }
 
-    /** Stops a node as a kill without a signal does. */
+    /** Kills a node's process without a signal, so that it cannot shut down gracefully. */
     public void crash(String name) {
-        ready.remove(name);
-        nodes.get(name).process.kill();
+        readyNodes.remove(name);
+        latestIncarnations.get(name).process.kill();
         net.remove(SimulatedCluster.address(name));
     }
 
-    /** Crashes the leader, if there is one, and starts it again after a while. */
+    /** Crashes the leader, if there is one, and restarts it after {@code restartAfterS} seconds. */
     public void crashLeader(double restartAfterS) {
         leader().ifPresent(name -> {
             crash(name);
@@ -99,17 +101,17 @@
         });
     }
 
-    /** Stops a node and starts it again with this version after a while, as its turn in a rolling upgrade. */
+    /** Stops a node and restarts it with this version after a delay, as one step of a rolling upgrade. */
     public void upgrade(String name, double restartAfterS) {
         crash(name);
-        onProductionVersion.remove(name);
+        nodesOnProductionVersion.remove(name);
         restartAfter(name, restartAfterS);
     }
 
-    /** Stops a node and starts it again with the version in production after a while. */
+    /** Stops a node and restarts it with the version in production after a delay. */
     public void downgrade(String name, double restartAfterS) {
         crash(name);
-        onProductionVersion.add(name);
+        nodesOnProductionVersion.add(name);
         restartAfter(name, restartAfterS);
     }
 
@@ -117,14 +119,14 @@
         loop.after(Durations.nanos(seconds), () -> startIfStopped(name));
     }
 
-    /** True if the node runs, or ran last, the version in production. */
+    /** True if the node runs the version in production, or ran it last. */
     public boolean runsProductionVersion(String name) {
-        return onProductionVersion.contains(name);
+        return nodesOnProductionVersion.contains(name);
     }
 
     /** Pauses a node's process while its clocks run on. */
     public void pause(String name, double seconds) {
-        nodes.get(name).process.pause(seconds);
+        latestIncarnations.get(name).process.pause(seconds);
     }
 
     /** Partitions a node from the other nodes, in both directions. */
@@ -137,24 +139,24 @@
         peers.reconnect(name);
     }
 
-    /** True once the node has found out since its start which node leads. */
+    /** True once the node has learned, since its last start, which node leads. */
     public boolean isReady(String name) {
-        return ready.contains(name);
+        return readyNodes.contains(name);
     }
 
     private boolean isStopped(String name) {
-        return nodes.get(name).process.isStopped();
+        return latestIncarnations.get(name).process.isStopped();
     }
 
-    /** The node that leads. */
+    /** The name of the node that leads, if any. */
     Optional<String> leader() {
-        return nodes.entrySet().stream()
+        return latestIncarnations.entrySet().stream()
                 .filter(entry -> entry.getValue().leads())
                 .map(Map.Entry::getKey)
                 .findFirst();
     }
 
-    /** The nodes that run, in the order of their names. */
+    /** The names of the running nodes that match the filter, in order. */
     public List<String> running(Predicate<String> filter) {
         return names.stream()
                 .filter(name -> !isStopped(name) && filter.test(name))
--- a/src/test/java/org/spruceridge/sim/SimPeers.java
+++ b/src/test/java/org/spruceridge/sim/SimPeers.java
@@ -8,19 +8,19 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.peer.PeerTransport;
 
-/** The network between the nodes: it delivers peer heartbeats after a millisecond, except to and from isolated nodes. */
+/** The network between the nodes, which delivers peer heartbeats after 1 ms, except to and from isolated nodes. */
 final class SimPeers {
     private static final long LATENCY_NANOS = Durations.millis(1);
 
     private final Map<String, Link> links = new TreeMap<>();
     private final Set<String> isolated = new HashSet<>();
 
-    /** A node's end of the network, which receives nothing before {@link #connect}. */
+    /** Creates a node's link to the network, which receives nothing until {@link #connect}. */
     Link link(String node, SimLoop.ProcessLoop process) {
         return new Link(node, process);
     }
 
-    /** Replaces the link of the node's former incarnation. */
+    /** Connects a link, which replaces the one of the node's previous incarnation. */
     void connect(Link link) {
         links.put(link.node, link);
     }
@@ -47,8 +47,8 @@
         }
 
         @Override
-        public void start(Consumer<byte[]> next) {
-            receiver = next;
+        public void start(Consumer<byte[]> newReceiver) {
+            receiver = newReceiver;
         }
 
         @Override
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimState.java
@@ -17,30 +17,30 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.Json;
 
-/** The state service, written from its published protocol. */
+/** A simulated state service, implemented from its published protocol. */
 public final class SimState implements SimNet.Server {
     private static final int MAX_TRANSACTION_BYTES = 64 << 10;
 
     private final SimLoop loop;
     private int maxOps;
-    private double valueKb = SimulatedCluster.VALUE_KB;
+    private double maxValueKb = SimulatedCluster.VALUE_KB;
     private int rejectedTransactions;
     private int transactions;
-    private int largestValue;
-    private int largestTransactionOps;
+    private int maxValueBytes;
+    private int maxTransactionOps;
     private final int pageSize;
-    private final TreeMap<String, Value> keys = new TreeMap<>();
+    private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
-    private final List<ObjectNode> log = new ArrayList<>();
+    private final List<ObjectNode> changeLog = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     private long revision = 1;
-    private long lastLease;
+    private long lastLeaseId;
     private long outageUntil;
-    private final RateLimit requests;
-    private RateLimit writes;
+    private final RateLimit requestLimit;
+    private RateLimit writeLimit;
     private boolean refusesExcessWrites;
 
-    private record Value(JsonNode json, long modRevision, long leaseId) {}
+    private record VersionedValue(JsonNode json, long modRevision, long leaseId) {}
 
     private static final class Lease {
         private final long ttl;
@@ -53,72 +53,75 @@
 
     private static final class Watch {
         private final String prefix;
-        private final long from;
-        private final Consumer<HttpAnswer> answer;
+        private final long fromRevision;
+        private final Consumer<HttpAnswer> onResponse;
         private boolean isAnswered;
 
-        Watch(String prefix, long from, Consumer<HttpAnswer> answer) {
+        Watch(String prefix, long fromRevision, Consumer<HttpAnswer> onResponse) {
             this.prefix = prefix;
-            this.from = from;
-            this.answer = answer;
+            this.fromRevision = fromRevision;
+            this.onResponse = onResponse;
         }
     }
 
-    /** Takes values of 4 KiB and so many changes a transaction; listings come in pages of {@code pageSize}. */
+    /**
+     * Accepts values of up to 4 KiB and up to {@code maxOps} changes in a transaction; a page of a listing has up to
+     * {@code pageSize} keys.
+     */
     public SimState(SimLoop loop, int maxOps, int pageSize) {
         this.loop = loop;
         this.maxOps = maxOps;
         this.pageSize = pageSize;
-        this.requests = new RateLimit("requests", SimulatedCluster.STATE_RPS, 1, loop::nanos);
-        this.writes = new RateLimit("writes", SimulatedCluster.STATE_WRITE_RPS, 1, loop::nanos);
+        this.requestLimit = new RateLimit("requests", SimulatedCluster.STATE_RPS, 1, loop::nanos);
+        this.writeLimit = new RateLimit("writes", SimulatedCluster.STATE_WRITE_RPS, 1, loop::nanos);
         expireLeases();
     }
 
-    /** Refuses all requests for a while; leases get their full time again after it. */
+    /** Refuses all requests with 503 for {@code seconds}; after that every lease gets its full TTL again. */
     public void outage(double seconds) {
         outageUntil = loop.nanos() + Durations.nanos(seconds);
         loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.expiresAt = loop.nanos() + g.ttl));
     }
 
-    /** Lowers the limits: larger values and transactions get 400, writes beyond the rate 429. */
-    public void lowerLimits(double nextValueKb, int nextTxnOps, double writeRps) {
-        valueKb = nextValueKb;
-        maxOps = nextTxnOps;
-        writes = new RateLimit("writes", writeRps, 1, loop::nanos);
+    /** Lowers the limits: larger values and transactions are answered with 400, writes beyond the rate with 429. */
+    public void lowerLimits(double newMaxValueKb, int newMaxOps, double newWriteRps) {
+        maxValueKb = newMaxValueKb;
+        maxOps = newMaxOps;
+        writeLimit = new RateLimit("writes", newWriteRps, 1, loop::nanos);
         refuseWritesBeyondRate();
     }
 
-    /** Answers 429 to writes beyond the rate, as the service does, where a scenario would otherwise fail. */
+    /** Answers 429 to writes beyond the rate, as the real service does, instead of failing the scenario. */
     public void refuseWritesBeyondRate() {
         refusesExcessWrites = true;
     }
 
-    /** Transactions that were refused because they, or a value in them, were too large. */
+    /** The number of transactions rejected because they, or a value in them, were too large. */
     public int rejectedTransactions() {
         return rejectedTransactions;
     }
 
-    /** The largest value that was written since this was last asked for, in bytes. */
+    /** The size in bytes of the largest value in transactions since the last call of this method; resets it. */
     public int largestValueBytes() {
-        int was = largestValue;
-        largestValue = 0;
-        return was;
+        int largest = maxValueBytes;
+        maxValueBytes = 0;
+        return largest;
     }
 
-    /** The most changes of one transaction since this was last asked for. */
+    /** The largest number of changes in one transaction since the last call of this method; resets it. */
     public int largestTransactionOps() {
-        int was = largestTransactionOps;
-        largestTransactionOps = 0;
-        return was;
+        int largest = maxTransactionOps;
+        maxTransactionOps = 0;
+        return largest;
     }
 
-    /** Writes a value as another version might have left it; returns its revision. */
+    /** Stores a value directly, for example as another version might have written it; returns its revision. */
     public long put(String key, JsonNode value) {
-        keys.put(key, new Value(value, ++revision, 0));
+        keys.put(key, new VersionedValue(value, ++revision, 0));
         return revision;
     }
 
-    /** Transactions requested so far. */
+    /** The number of transactions requested so far. */
     public int transactions() {
         return transactions;
     }
@@ -128,22 +131,22 @@
         return keys.containsKey(key) ? keys.get(key).json : null;
     }
 
-    /** The keys under a prefix. */
+    /** The keys with this prefix. */
     public Set<String> keys(String prefix) {
         return Set.copyOf(keys.subMap(prefix, prefix + '\uffff').keySet());
     }
 
-    /** True if the request is a transaction that names a key with this text in it. */
+    /** True if the request is a transaction that names a key containing {@code keyPart}. */
     public static boolean isTransactionOn(HttpCall call, String keyPart) {
         return call.target().equals("/txn") && new String(call.body(), StandardCharsets.UTF_8).contains(keyPart);
     }
 
-    private boolean isOut() {
+    private boolean isInOutage() {
         return loop.nanos() < outageUntil;
     }
 
     private void expireLeases() {
-        if (!isOut()) {
+        if (!isInOutage()) {
             for (long id : List.copyOf(leases.keySet())) {
                 if (leases.get(id).expiresAt < loop.nanos()) {
                     endLease(id);
@@ -165,33 +168,33 @@
     }
 
     @Override
-    public void accept(HttpCall call, Consumer<HttpAnswer> answer) {
-        requests.take(1);
-        if (isOut()) {
-            answer.accept(new HttpAnswer(503, new byte[0]));
+    public void accept(HttpCall call, Consumer<HttpAnswer> onResponse) {
+        requestLimit.take(1);
+        if (isInOutage()) {
+            onResponse.accept(new HttpAnswer(503, new byte[0]));
             return;
         }
         String path = call.target().split("\\?")[0];
         try {
             if (path.equals("/follow")) {
-                openWatch(call.target(), answer);
+                openWatch(call.target(), onResponse);
             } else if (path.equals("/txn")) {
-                answer.accept(applyTransaction(transaction(call.body())));
+                onResponse.accept(applyTransaction(parseTransaction(call.body())));
             } else if (path.equals("/grants")) {
-                answer.accept(createLease(Json.object(call.body())));
+                onResponse.accept(createLease(Json.object(call.body())));
             } else if (path.startsWith("/grants/")) {
-                answer.accept(renewOrRevokeLease(call, Long.parseLong(path.split("/")[2])));
+                onResponse.accept(renewOrRevokeLease(call, Long.parseLong(path.split("/")[2])));
             } else if (path.equals("/store")) {
-                answer.accept(list(call.target()));
+                onResponse.accept(listKeys(call.target()));
             } else {
-                answer.accept(get(path.substring("/store/".length())));
+                onResponse.accept(get(path.substring("/store/".length())));
             }
         } catch (BadMessageException e) {
-            answer.accept(new HttpAnswer(400, e.getMessage().getBytes(StandardCharsets.UTF_8)));
+            onResponse.accept(new HttpAnswer(400, e.getMessage().getBytes(StandardCharsets.UTF_8)));
         }
     }
 
-    private static JsonNode transaction(byte[] body) throws BadMessageException {
+    private static JsonNode parseTransaction(byte[] body) throws BadMessageException {
         if (body.length > MAX_TRANSACTION_BYTES) {
             throw new BadMessageException("too large");
         }
@@ -201,8 +204,8 @@
     private HttpAnswer createLease(JsonNode body) throws BadMessageException {
         Lease lease = new Lease(Durations.millis(Json.number(body, "ttlMs")));
         lease.expiresAt = loop.nanos() + lease.ttl;
-        leases.put(++lastLease, lease);
-        return ok(Json.object().put("permit", lastLease));
+        leases.put(++lastLeaseId, lease);
+        return ok(Json.object().put("permit", lastLeaseId));
     }
 
     private HttpAnswer renewOrRevokeLease(HttpCall call, long id) {
@@ -219,39 +222,39 @@
     }
 
     private HttpAnswer get(String key) {
-        Value value = keys.get(key);
+        VersionedValue value = keys.get(key);
         return value == null
                 ? new HttpAnswer(404, Json.bytes(Json.object().put("ring", revision)))
                 : ok(entry(key, value));
     }
 
-    private HttpAnswer list(String target) {
-        String prefix = query(target, "starts", "");
-        String from = query(target, "from", "");
-        int limit = Math.min(pageSize, Integer.parseInt(query(target, "limit", "1000")));
+    private HttpAnswer listKeys(String target) {
+        String prefix = queryParameter(target, "starts", "");
+        String afterKey = queryParameter(target, "from", "");
+        int limit = Math.min(pageSize, Integer.parseInt(queryParameter(target, "limit", "1000")));
         ObjectNode out = Json.object().put("ring", revision);
         ArrayNode entries = out.putArray("entries");
         boolean more = false;
-        for (var e : keys.subMap(prefix, prefix + '\uffff').entrySet()) {
-            if (e.getKey().compareTo(from) <= 0) {
+        for (var keyAndValue : keys.subMap(prefix, prefix + '\uffff').entrySet()) {
+            if (keyAndValue.getKey().compareTo(afterKey) <= 0) {
                 continue;
             }
             if (entries.size() == limit) {
                 more = true;
                 break;
             }
-            entries.add(entry(e.getKey(), e.getValue()));
+            entries.add(entry(keyAndValue.getKey(), keyAndValue.getValue()));
         }
         return ok(out.put("truncated", more));
     }
 
     private HttpAnswer applyTransaction(JsonNode body) throws BadMessageException {
         JsonNode ops = body.path("then");
-        if (refusesExcessWrites && !writes.allows(ops.size())) {
+        if (refusesExcessWrites && !writeLimit.allows(ops.size())) {
             return new HttpAnswer(429, new byte[0]);
         }
-        writes.take(ops.size());
-        largestTransactionOps = Math.max(largestTransactionOps, ops.size());
+        writeLimit.take(ops.size());
+        maxTransactionOps = Math.max(maxTransactionOps, ops.size());
         transactions++;
         checkSizes(ops, body.path("guards").size());
         for (JsonNode op : ops) {
@@ -266,7 +269,7 @@
             return new HttpAnswer(409, Json.bytes(out));
         }
         revision++;
-        ops.forEach(this::apply);
+        ops.forEach(this::applyOperation);
         notifyWatches();
         return ok(Json.object().put("ring", revision));
     }
@@ -278,20 +281,20 @@
         }
         for (JsonNode op : ops) {
             int bytes = Json.bytes(Json.object().set("v", op.path("v"))).length;
-            largestValue = Math.max(largestValue, bytes);
-            if (bytes > valueKb * 1024) {
+            maxValueBytes = Math.max(maxValueBytes, bytes);
+            if (bytes > maxValueKb * 1024) {
                 rejectedTransactions++;
                 throw new BadMessageException("too large");
             }
         }
     }
 
-    /** The keys that do not have the revision which their guard names; a missing key has revision 0. */
+    /** The keys whose revision differs from the one in their guard; a missing key has revision 0. */
     private ArrayNode failedComparisons(Iterable<JsonNode> guards) throws BadMessageException {
         ArrayNode failed = Json.array();
         for (JsonNode guard : guards) {
             String key = Json.text(guard, "k");
-            Value value = keys.get(key);
+            VersionedValue value = keys.get(key);
             if ((value == null ? 0 : value.modRevision) != Json.nonNegativeLong(guard, "stamp")) {
                 failed.add(key);
             }
@@ -299,49 +302,51 @@
         return failed;
     }
 
-    private void apply(JsonNode op) {
+    private void applyOperation(JsonNode op) {
         if (!op.has("set")) {
             delete(op.get("drop").asText());
             return;
         }
         String key = op.get("set").asText();
-        keys.put(key, new Value(op.get("v"), revision, op.path("permit").asLong()));
+        keys.put(
+                key, new VersionedValue(op.get("v"), revision, op.path("permit").asLong()));
         ObjectNode change = Json.object().put("set", key).put("stamp", revision);
         change.set("v", op.get("v"));
-        log.add(change);
+        changeLog.add(change);
     }
 
     private void delete(String key) {
         if (keys.remove(key) != null) {
-            log.add(Json.object().put("drop", key).put("stamp", revision));
+            changeLog.add(Json.object().put("drop", key).put("stamp", revision));
         }
     }
 
-    private void openWatch(String target, Consumer<HttpAnswer> answer) {
-        Watch watch = new Watch(query(target, "starts", ""), Long.parseLong(query(target, "from", "0")), answer);
+    private void openWatch(String target, Consumer<HttpAnswer> onResponse) {
+        Watch watch = new Watch(
+                queryParameter(target, "starts", ""), Long.parseLong(queryParameter(target, "from", "0")), onResponse);
         watches.add(watch);
-        loop.after(Durations.millis(Double.parseDouble(query(target, "blockMs", "0"))), () -> timeOut(watch));
+        loop.after(Durations.millis(Double.parseDouble(queryParameter(target, "blockMs", "0"))), () -> timeOut(watch));
         notifyWatches();
     }
 
-    /** Open watches stay open in an outage. */
+    /** Answers a watch whose maximum wait is over; in an outage it stays open until the outage ends. */
     private void timeOut(Watch watch) {
-        if (isOut()) {
+        if (isInOutage()) {
             loop.after(outageUntil - loop.nanos(), () -> timeOut(watch));
         } else {
-            answer(watch, true);
+            answerWatch(watch, true);
         }
     }
 
     private void notifyWatches() {
-        List.copyOf(watches).forEach(w -> answer(w, false));
+        List.copyOf(watches).forEach(w -> answerWatch(w, false));
     }
 
-    private void answer(Watch watch, boolean evenIfEmpty) {
+    private void answerWatch(Watch watch, boolean evenIfEmpty) {
         ArrayNode changes = Json.array();
-        for (ObjectNode change : log) {
+        for (ObjectNode change : changeLog) {
             String key = change.path(change.has("set") ? "set" : "drop").asText();
-            if (change.get("stamp").asLong() > watch.from && key.startsWith(watch.prefix)) {
+            if (change.get("stamp").asLong() > watch.fromRevision && key.startsWith(watch.prefix)) {
                 changes.add(change);
             }
         }
@@ -350,11 +355,11 @@
             watches.remove(watch);
             ObjectNode out = Json.object().put("ring", revision);
             out.set("log", changes);
-            watch.answer.accept(ok(out));
+            watch.onResponse.accept(ok(out));
         }
     }
 
-    private static ObjectNode entry(String key, Value value) {
+    private static ObjectNode entry(String key, VersionedValue value) {
         ObjectNode out = Json.object().put("k", key).put("stamp", value.modRevision);
         out.set("v", value.json);
         return out;
@@ -364,10 +369,10 @@
         return new HttpAnswer(200, Json.bytes(body));
     }
 
-    static String query(String target, String name, String fallback) {
-        int q = target.indexOf('?');
-        if (q >= 0) {
-            for (String pair : target.substring(q + 1).split("&")) {
+    static String queryParameter(String target, String name, String fallback) {
+        int queryStart = target.indexOf('?');
+        if (queryStart >= 0) {
+            for (String pair : target.substring(queryStart + 1).split("&")) {
                 if (pair.startsWith(name + "=")) {
                     return pair.substring(name.length() + 1);
                 }
--- a/src/test/java/org/spruceridge/sim/SimUsers.java
+++ b/src/test/java/org/spruceridge/sim/SimUsers.java
@@ -10,8 +10,8 @@
 import org.spruceridge.net.Response;
 
 /**
- * Many users at once, written from the published protocol: each repeats its request at another node a second after anything
- * but the answer that it needs, or after five seconds without an answer.
+ * Many concurrent users, implemented from the published protocol. Each user retries its request at the next node: 1 s after
+ * an answer other than 200 or 201, or after 5 s without an answer.
  */
 public final class SimUsers {
     private static final double ANSWER_TIMEOUT_S = 5;
@@ -19,24 +19,24 @@
 
     private final SimLoop loop;
     private final RuleChecker rules;
-    private final Consumer<Call> send;
+    private final Consumer<Call> sender;
     private int unanswered;
 
-    /** One request to one node, and who takes its answer. */
-    record Call(String node, Request request, Consumer<Response> answer) {}
+    /** A request to one node, and the callback that receives the response. */
+    record Call(String node, Request request, Consumer<Response> onResponse) {}
 
-    SimUsers(SimLoop loop, RuleChecker rules, Consumer<Call> send) {
+    SimUsers(SimLoop loop, RuleChecker rules, Consumer<Call> sender) {
         this.loop = loop;
         this.rules = rules;
-        this.send = send;
+        this.sender = sender;
     }
 
-    /** Requests that have not had the answer that they need. */
+    /** The number of requests that have not been answered with 200 or 201 yet. */
     public int unansweredCount() {
         return unanswered;
     }
 
-    /** Submits these jobs, spread over these nodes. */
+    /** Submits the jobs, each by its own user, at the nodes in turn. */
     public void submit(List<ObjectNode> jobs, List<String> nodes) {
         for (int i = 0; i < jobs.size(); i++) {
             ObjectNode job = jobs.get(i);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Cancels these jobs, spread over these nodes. */
+    /** Cancels the jobs, each by its own user, at the nodes in turn. */
     public void cancel(List<String> ids, List<String> nodes) {
         for (int i = 0; i < ids.size(); i++) {
             String id = ids.get(i);
@@ -55,7 +55,7 @@
         }
     }
 
-    /** One user and the one request that it repeats. */
+    /** A user who retries one request until it is accepted. */
     private final class User {
         private final String job;
         private final Request request;
@@ -68,27 +68,27 @@
             unanswered++;
         }
 
-        void sendRequest(int turn) {
+        void sendRequest(int attempt) {
             AtomicBoolean isOver = new AtomicBoolean();
             loop.after(Durations.nanos(ANSWER_TIMEOUT_S), () -> {
                 if (!isOver.getAndSet(true)) {
-                    sendRequest(turn + 1);
+                    sendRequest(attempt + 1);
                 }
             });
-            send.accept(new Call(nodes.get(turn % nodes.size()), request, response -> {
+            sender.accept(new Call(nodes.get(attempt % nodes.size()), request, response -> {
                 if (!isOver.getAndSet(true)) {
-                    onAnswer(response, turn);
+                    onAnswer(response, attempt);
                 }
             }));
         }
 
-        private void onAnswer(Response response, int turn) {
+        private void onAnswer(Response response, int attempt) {
             boolean accepted = response.status() == 200 || response.status() == 201;
             rules.recordAnswer(job, response.status(), accepted ? SimulatedCluster.stage(response) : "");
             if (accepted) {
                 unanswered--;
             } else {
-                loop.after(Durations.nanos(RETRY_DELAY_S), () -> sendRequest(turn + 1));
+                loop.after(Durations.nanos(RETRY_DELAY_S), () -> sendRequest(attempt + 1));
             }
         }
     }
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -16,7 +16,7 @@
 import org.spruceridge.net.HttpClient;
 import org.spruceridge.net.Json;
 
-/** A worker, written from its published protocol, on the simulated loop. */
+/** A simulated worker, implemented from its published protocol. */
 public final class SimWorker {
     private final SimulatedCluster cluster;
     private final SimLoop.ProcessLoop process;
@@ -25,24 +25,24 @@
     private final String zone;
     private final boolean spot;
     private final Map<String, Task> tasks = new TreeMap<>();
-    private final List<String> nodes;
-    private int node;
+    private final List<String> nodeNames;
+    private int nodeIndex;
     private long incarnation = 1;
     private long sequence;
     private long fencingToken;
-    private long leaseStart;
-    private long lastSent = Long.MIN_VALUE / 2;
+    private long leaseStartedAt;
+    private long lastSentAt = Long.MIN_VALUE / 2;
     private long tokenAnnouncedAt = Long.MIN_VALUE / 2;
     private boolean isAwaitingAnswer;
     private boolean isHung;
     private final List<Runnable> deferred = new ArrayList<>();
     private Double interruptionNoticeS;
 
-    /** What a started task does. */
+    /** How a started task ends. */
     public enum Behaviour {
         COMPLETES,
         FAILS,
-        /** Replicas of services end too. */
+        /** Tasks complete, and replicas of services end as well. */
         ENDS_SERVICES
     }
 
@@ -67,56 +67,58 @@
         this.name = name;
         this.zone = zone;
         this.spot = spot;
-        this.nodes = cluster.nodes.names();
-        this.leaseStart = cluster.loop.nanos();
+        this.nodeNames = cluster.nodes.names();
+        this.leaseStartedAt = cluster.loop.nanos();
         cluster.net.serve(address(name), this::acceptCommands);
-        heartbeat();
-        checkLease();
+        heartbeatPeriodically();
+        checkLeasePeriodically();
     }
 
+    /** The name of the machine. */
     public String name() {
         return name;
     }
 
-    public void setBehaviour(Behaviour next) {
-        behaviour = next;
+    /** Sets how tasks on this machine end from now on. */
+    public void setBehaviour(Behaviour newBehaviour) {
+        behaviour = newBehaviour;
     }
 
-    /** True if the job allows this machine's zone and kind. */
+    /** True if the job allows this machine's zone and, for a spot machine, spot capacity. */
     boolean fits(ObjectNode job) {
         boolean zoneFits =
                 !job.hasNonNull("grove") || job.path("grove").asText().equals(zone);
         return zoneFits && (!spot || job.path("windfall").asBoolean());
     }
 
-    /** Announces in its heartbeats that the cloud will reclaim the machine in so many seconds. */
+    /** Reports in all further heartbeats that the cloud will reclaim the machine in {@code seconds}. */
     public void announceInterruption(double seconds) {
         interruptionNoticeS = seconds;
     }
 
     /**
-     * Lets the machine hang: commands and answers that come meanwhile wait until {@link #resume}. It can go on with its
-     * tasks only within its lease, so they count as stopped from the lease's end.
+     * Makes the machine hang: commands and answers that arrive are deferred until {@link #resume}. It may run its tasks
+     * only within its lease, so they count as stopped once the lease expires.
      */
     public void hang() {
         isHung = true;
     }
 
-    /** Ends {@link #hang}: the machine carries out what came meanwhile. */
+    /** Ends {@link #hang}: the machine handles the commands, answers and task ends that were deferred. */
     public void resume() {
         isHung = false;
-        List<Runnable> late = List.copyOf(deferred);
+        List<Runnable> deferredWork = List.copyOf(deferred);
         deferred.clear();
-        late.forEach(Runnable::run);
+        deferredWork.forEach(Runnable::run);
     }
 
-    /** Restarts the machine at once: its tasks are lost, and so is the state of its worker. */
+    /** Restarts the machine at once; its tasks and the state of its worker are lost. */
     public void restart() {
         tasks.values().forEach(t -> cluster.taskEnded(t.id, name));
         tasks.clear();
         incarnation++;
         fencingToken = 0;
-        leaseStart = cluster.loop.nanos();
+        leaseStartedAt = cluster.loop.nanos();
     }
 
     /** Starts a task that no leader has bound to this machine. */
@@ -124,7 +126,7 @@
         startTask(new Task(id, attempt), id + "#" + attempt);
     }
 
-    /** Ends all replicas of services on the machine with this cause. */
+    /** Ends all replicas of services on the machine and reports this cause. */
     public void endReplicas(String cause) {
         for (Task task : List.copyOf(tasks.values())) {
             if (cluster.isReplica(task.id) && !task.stage.equals("ended")) {
@@ -133,22 +135,22 @@
         }
     }
 
-    /** Tasks that are on the machine now. */
-    public List<String> running() {
+    /** The ids of the tasks on the machine that have not ended. */
+    public List<String> runningTasks() {
         return tasks.values().stream()
                 .filter(t -> !t.stage.equals("ended"))
                 .map(t -> t.id)
                 .toList();
     }
 
-    /** Where the worker with this name accepts direct commands. */
+    /** The address at which the worker with this name accepts direct commands. */
     public static Address address(String name) {
         return new Address("10.1.0." + name, 9000);
     }
 
-    private void acceptCommands(HttpCall call, Consumer<HttpAnswer> answer) {
+    private void acceptCommands(HttpCall call, Consumer<HttpAnswer> onResponse) {
         if (isHung) {
-            deferred.add(() -> acceptCommands(call, answer));
+            deferred.add(() -> acceptCommands(call, onResponse));
             return;
         }
         try {
@@ -162,7 +164,7 @@
                 }
             }
             sequence++;
-            answer.accept(new HttpAnswer(valid ? 200 : 409, Json.bytes(body())));
+            onResponse.accept(new HttpAnswer(valid ? 200 : 409, Json.bytes(heartbeatBody())));
         } catch (BadMessageException e) {
             throw new AssertionError(e);
         }
@@ -175,54 +177,54 @@
         tasks.clear();
     }
 
-    private void checkLease() {
-        if (cluster.loop.nanos() - leaseStart > Durations.nanos(SimulatedCluster.LEASE_S)) {
+    private void checkLeasePeriodically() {
+        if (cluster.loop.nanos() - leaseStartedAt > Durations.nanos(SimulatedCluster.LEASE_S)) {
             incarnation++;
-            leaseStart = cluster.loop.nanos();
+            leaseStartedAt = cluster.loop.nanos();
             tasks.values().forEach(t -> cluster.taskEnded(t.id, name));
             tasks.clear();
         }
-        process.after(Durations.millis(50), this::checkLease);
+        process.after(Durations.millis(50), this::checkLeasePeriodically);
     }
 
-    private void heartbeat() {
-        process.after(Durations.nanos(SimulatedCluster.HEARTBEAT_INTERVAL_S), this::heartbeat);
+    private void heartbeatPeriodically() {
+        process.after(Durations.nanos(SimulatedCluster.HEARTBEAT_INTERVAL_S), this::heartbeatPeriodically);
         if (!isHung) {
-            send();
+            sendHeartbeat();
         }
     }
 
-    /** A higher fencing token is announced by an extra heartbeat, at most once in half a lease, as in the protocol. */
+    /** Announces a higher fencing token in an extra heartbeat, at most once per half lease, as in the protocol. */
     private void announceToken() {
         long now = cluster.loop.nanos();
         if (now - tokenAnnouncedAt >= Durations.nanos(SimulatedCluster.LEASE_S / 2)) {
             tokenAnnouncedAt = now;
-            sendSoon();
+            sendHeartbeatSoon();
         }
     }
 
-    private void sendSoon() {
-        long wait = lastSent + Durations.millis(500) - cluster.loop.nanos();
-        process.after(Math.max(0, wait), this::send);
+    private void sendHeartbeatSoon() {
+        long delayNanos = lastSentAt + Durations.millis(500) - cluster.loop.nanos();
+        process.after(Math.max(0, delayNanos), this::sendHeartbeat);
     }
 
-    private void send() {
+    private void sendHeartbeat() {
         if (isAwaitingAnswer || isHung) {
             return;
         }
         isAwaitingAnswer = true;
         sequence++;
         long sentAt = cluster.loop.nanos();
-        lastSent = sentAt;
+        lastSentAt = sentAt;
         long sentIncarnation = incarnation;
-        Address to = SimulatedCluster.address(nodes.get(node));
-        http.call(to, HttpCall.post("/hello", Json.bytes(body())), Durations.nanos(4), answer -> {
+        Address to = SimulatedCluster.address(nodeNames.get(nodeIndex));
+        http.call(to, HttpCall.post("/hello", Json.bytes(heartbeatBody())), Durations.nanos(4), answer -> {
             isAwaitingAnswer = false;
             onAnswer(answer, sentAt, sentIncarnation);
         });
     }
 
-    private ObjectNode body() {
+    private ObjectNode heartbeatBody() {
         ObjectNode out = Json.object()
                 .put("host", name)
                 .put("endpoint", address(name).toString())
@@ -234,37 +236,38 @@
                 .put("warrant", fencingToken)
                 .put("warningS", interruptionNoticeS);
         ArrayNode parts = out.putArray("parts");
-        for (Task t : tasks.values()) {
+        for (Task task : tasks.values()) {
             parts.addObject()
-                    .put("part", t.id)
-                    .put("try", t.attempt)
-                    .put("stage", t.stage)
-                    .put("cause", t.cause);
+                    .put("part", task.id)
+                    .put("try", task.attempt)
+                    .put("stage", task.stage)
+                    .put("cause", task.cause);
         }
         return out;
     }
 
     private void onAnswer(HttpAnswer answer, long sentAt, long sentIncarnation) {
         if (isHung) {
-            deferred.add(() -> onAnswer(HttpAnswer.noResponse(), sentAt, sentIncarnation)); // by then it is too old
+            // The answer is too old by the time the machine resumes.
+            deferred.add(() -> onAnswer(HttpAnswer.noResponse(), sentAt, sentIncarnation));
             return;
         }
         if (answer.status() != 200) {
-            node = nextNode(answer);
-            process.after(Durations.millis(answer.status() == 421 ? 100 : 1000), this::send);
+            nodeIndex = nextNode(answer);
+            process.after(Durations.millis(answer.status() == 421 ? 100 : 1000), this::sendHeartbeat);
             return;
         }
         try {
             JsonNode body = Json.object(answer.body());
-            long received = Json.nonNegativeLong(body, "warrant");
-            if (received < fencingToken || sentIncarnation != incarnation) {
+            long receivedToken = Json.nonNegativeLong(body, "warrant");
+            if (receivedToken < fencingToken || sentIncarnation != incarnation) {
                 return;
             }
-            if (received > fencingToken) {
-                fencingToken = received;
+            if (receivedToken > fencingToken) {
+                fencingToken = receivedToken;
                 announceToken();
             }
-            leaseStart = sentAt;
+            leaseStartedAt = sentAt;
             for (JsonNode command : Json.list(body, "orders")) {
                 execute(command);
             }
@@ -277,14 +280,14 @@
         if (answer.status() == 421) {
             try {
                 JsonNode leaderName = Json.object(answer.body()).path("steward");
-                if (nodes.contains(leaderName.asText())) {
-                    return nodes.indexOf(leaderName.asText());
+                if (nodeNames.contains(leaderName.asText())) {
+                    return nodeNames.indexOf(leaderName.asText());
                 }
             } catch (BadMessageException e) {
                 throw new AssertionError(e);
             }
         }
-        return (node + 1) % nodes.size();
+        return (nodeIndex + 1) % nodeNames.size();
     }
 
     private void execute(JsonNode command) throws BadMessageException {
@@ -315,7 +318,7 @@
     private void startTask(Task task, String key) {
         tasks.put(key, task);
         cluster.taskStarted(task.id, this, zone, spot);
-        sendSoon();
+        sendHeartbeatSoon();
         boolean ends = !cluster.isReplica(task.id) || behaviour != Behaviour.COMPLETES;
         if (ends) {
             process.after(Durations.nanos(cluster.durationS(task.id)), () -> complete(task, key));
@@ -337,6 +340,6 @@
         if (cause.equals("done") && !cluster.isReplica(task.id)) {
             cluster.taskCompleted(task.id);
         }
-        sendSoon();
+        sendHeartbeatSoon();
     }
 }
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -19,8 +19,8 @@
 import org.spruceridge.record.BindingsRecord;
 
 /**
- * A deployment on simulated time: real nodes, and simulated clients, workers, network, state service and cloud. Every
- * event is recorded by {@link RuleChecker}, which fails the scenario as soon as a rule is violated.
+ * A deployment in simulated time: real nodes with simulated users, workers, network, state service and cloud.
+ * {@link RuleChecker} records every event and fails the scenario as soon as a rule is violated.
  */
 public final class SimulatedCluster {
     public static final double HEARTBEAT_INTERVAL_S = 2;
@@ -50,43 +50,44 @@
     /** The limits of the state service, and whether the settings announce lower ones. */
     private record Limits(int txnOps, int pageSize, boolean announcesLowerLimits) {}
 
-    /** What the one team may use, and the sockets of a node. */
-    private record Size(double teamCpus, int sockets) {}
+    /** The CPU quota of the only team, and the socket limit of each node. */
+    private record ClusterSize(double teamCpus, int maxSockets) {}
 
-    private static final Size SMALL = new Size(TEAM_CPUS, 100);
+    private static final ClusterSize SMALL_SIZE = new ClusterSize(TEAM_CPUS, 100);
 
+    /** A small cluster of this version. */
     public SimulatedCluster(int nodeCount) {
         this(nodeCount, 12, 1000);
     }
 
-    /** A cluster whose nodes all run the version in production; the settings announce lower limits of the state service. */
+    /** A cluster whose nodes all run the version in production; its settings announce lower limits of the state service. */
     public static SimulatedCluster inProduction(int nodeCount) {
-        return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL, true);
+        return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL_SIZE, true);
     }
 
     /** A cluster of this version whose settings announce lower limits of the state service. */
     public static SimulatedCluster withFallingLimits(int nodeCount) {
-        return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL, false);
+        return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL_SIZE, false);
     }
 
-    /** A small page size makes listings come in several pages. */
+    /** A small cluster of this version; a small {@code pageSize} splits listings into several pages. */
     public SimulatedCluster(int nodeCount, int txnOps, int pageSize) {
-        this(nodeCount, new Limits(txnOps, pageSize, false), SMALL, false);
+        this(nodeCount, new Limits(txnOps, pageSize, false), SMALL_SIZE, false);
     }
 
-    /** A cluster whose only team has a quota of so many machines. */
+    /** A cluster whose only team has a quota of the CPUs of {@code machines} machines. */
     public static SimulatedCluster ofSize(int nodeCount, int machines) {
-        Size size = new Size(machines * SimCloud.CPUS, 2 * machines);
+        ClusterSize size = new ClusterSize(machines * SimCloud.MACHINE_CPUS, 2 * machines);
         SimulatedCluster cluster = new SimulatedCluster(nodeCount, new Limits(12, 1000, false), size, false);
-        // Users reach all nodes at once, and the nodes' bursts together exceed that of the service.
+        // Users send requests to all nodes at once, and the nodes' bursts together exceed that of the service.
         cluster.state.refuseWritesBeyondRate();
         return cluster;
     }
 
-    private SimulatedCluster(int nodeCount, Limits limits, Size size, boolean production) {
+    private SimulatedCluster(int nodeCount, Limits limits, ClusterSize size, boolean isProductionVersion) {
         List<String> names =
                 IntStream.range(0, nodeCount).mapToObj(i -> "n" + i).toList();
-        NodeSettings settings = new NodeSettings(names, size.teamCpus, size.sockets, limits.announcesLowerLimits);
+        NodeSettings settings = new NodeSettings(names, size.teamCpus, size.maxSockets, limits.announcesLowerLimits);
         this.nodes = new SimNodes(loop, net, settings, names);
         this.rules = new RuleChecker(loop::nanos, size.teamCpus, CANCELLATION_DEADLINE_S);
         this.users = new SimUsers(loop, rules, this::send);
@@ -94,7 +95,7 @@
         this.cloud = new SimCloud(this);
         net.serve(STATE_ADDRESS, state);
         net.serve(CLOUD_ADDRESS, cloud);
-        if (production) {
+        if (isProductionVersion) {
             nodes.useProductionVersion();
         }
         names.forEach(nodes::start);
@@ -106,22 +107,22 @@
         loop.after(Durations.millis(100), this::checkRulesPeriodically);
     }
 
-    /** The address at which a node serves. */
+    /** The address at which a node serves requests. */
     public static Address address(String node) {
         return new Address("10.0.0." + node, 8080);
     }
 
-    /** True if a request to this address is one to the state service. */
+    /** True if this is the address of the state service. */
     public static boolean isStateService(Address address) {
         return address.equals(STATE_ADDRESS);
     }
 
-    /** True if a request to this address is one to the cloud. */
+    /** True if this is the address of the cloud. */
     public static boolean isCloud(Address address) {
         return address.equals(CLOUD_ADDRESS);
     }
 
-    /** Lowers the limits of the state service, without notice. */
+    /** Lowers the limits of the state service without notice. */
     public void lowerLimits() {
         state.lowerLimits(NEXT_VALUE_KB, NEXT_TXN_OPS, NEXT_WRITE_RPS);
     }
@@ -131,26 +132,27 @@
         return nodes.leader().orElse(null);
     }
 
-    /** A node that runs and does not lead. */
+    /** The name of a running node that does not lead. */
     public String follower() {
         return nodes.running(name -> !name.equals(leader())).stream()
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Sends a request without a body to a node and lets time pass until it is answered; null after five seconds. */
+    /** Sends a request without a body to a node and advances time until it is answered; null after 5 s. */
     public Response request(String node, String method, String path) {
         return request(node, method, path, new byte[0]);
     }
 
-    /** Sends a request to a node and lets time pass until it is answered; null after five seconds. */
+    /** Sends a request with a JSON body to a node and advances time until it is answered; null after 5 s. */
     public Response request(String node, String method, String path, JsonNode body) {
         return request(node, method, path, Json.bytes(body));
     }
 
+    /** Sends a request to a node and advances time until it is answered; null after 5 s. */
     public Response request(String node, String method, String path, byte[] body) {
-        String[] steps = path.split("/");
-        String id = steps.length > 3 ? steps[3] : "";
+        String[] segments = path.split("/");
+        String id = segments.length > 3 ? segments[3] : "";
         if (path.endsWith("/abort")) {
             rules.recordCancelRequest(id);
         }
@@ -167,7 +169,7 @@
     }
 
     private void send(SimUsers.Call call) {
-        nodes.node(call.node()).handle(call.request(), call.answer());
+        nodes.node(call.node()).handle(call.request(), call.onResponse());
     }
 
     /** The metrics of a node. */
@@ -175,31 +177,32 @@
         return json(request(node, "GET", "/metrics"));
     }
 
-    /** Lets time pass until a condition holds; fails if it does not within so many seconds. */
-    public void await(BooleanSupplier condition, double seconds) {
-        for (int i = 0; i < seconds * 20 && !condition.getAsBoolean(); i++) {
+    /** Advances time until a condition holds; fails if it does not hold within {@code timeoutS}. */
+    public void await(BooleanSupplier condition, double timeoutS) {
+        for (int i = 0; i < timeoutS * 20 && !condition.getAsBoolean(); i++) {
             loop.run(0.05);
         }
         if (!condition.getAsBoolean()) {
-            throw new AssertionError("not within " + seconds + " s");
+            throw new AssertionError("condition not met within " + timeoutS + " s");
         }
     }
 
-    /** Lets time pass until a node leads. */
-    public void awaitLeader(double seconds) {
-        await(() -> leader() != null, seconds);
+    /** Advances time until a node leads. */
+    public void awaitLeader(double timeoutS) {
+        await(() -> leader() != null, timeoutS);
     }
 
-    /** Lets time pass until a node other than this one leads. */
-    public void awaitLeaderOtherThan(String former, double seconds) {
-        await(() -> leader() != null && !leader().equals(former), seconds);
+    /** Advances time until a node other than this one leads. */
+    public void awaitLeaderOtherThan(String previousLeader, double timeoutS) {
+        await(() -> leader() != null && !leader().equals(previousLeader), timeoutS);
     }
 
-    /** Submits through any node. */
+    /** Submits a job through the first node; returns the HTTP status, or 0 if there is no answer. */
     public int submit(ObjectNode job) {
         return submit(nodes.names().get(0), job);
     }
 
+    /** Submits a job through a node; returns the HTTP status, or 0 if there is no answer. */
     public int submit(String node, ObjectNode job) {
         rules.recordSubmission(job);
         Response response = request(node, "POST", "/api/jobs", job);
@@ -209,49 +212,47 @@
         return status;
     }
 
-    /** Cancels through a node; returns the stage that it answered, or the status if that is not 200. */
+    /** Cancels a job through a node; returns the stage in the answer, the status if it is not 200, or "none". */
     public String cancel(String node, String id) {
         Response response = request(node, "POST", "/api/jobs/" + id + "/abort");
         return stageOrStatus(response);
     }
 
-    /**
-     * Ends all faults: every accepted job must end within this time, and every node must know each of them.
-     */
-    public void verifyRecovery(double seconds) {
+    /** Clears all faults; then every accepted job must finish within {@code timeoutS}, and every node must know it. */
+    public void verifyRecovery(double timeoutS) {
         net.clearFaults();
         net.deliverHeld();
         nodes.names().forEach(nodes::startIfStopped);
-        for (double s = 0; s < seconds && !rules.areAllFinished(); s += 0.5) {
+        for (double elapsedS = 0; elapsedS < timeoutS && !rules.areAllFinished(); elapsedS += 0.5) {
             loop.run(0.5);
-            Set<String> waiting = Set.copyOf(rules.waitingJobs());
-            rules.accepted().forEach(id -> rules.checkWaiting(id, waiting.contains(id) && hasCapacityFor(id)));
+            Set<String> waitingJobs = Set.copyOf(rules.waitingJobs());
+            rules.acceptedJobs().forEach(id -> rules.checkWaiting(id, waitingJobs.contains(id) && hasCapacityFor(id)));
         }
         rules.checkAllFinished();
         loop.run(8);
-        for (String id : rules.accepted()) {
+        for (String id : rules.acceptedJobs()) {
             for (String name : nodes.names()) {
                 Response response = request(name, "GET", "/api/jobs/" + id);
                 if (response == null || response.status() != 200) {
-                    throw new AssertionError("forgotten: " + name + " gives no answer about " + id);
+                    throw new AssertionError("forgotten: " + name + " did not answer 200 for " + id);
                 }
             }
         }
     }
 
-    /** The stage of a job as a node answers it, or the status if that is not 200. */
+    /** The stage of a job as the leader or else a follower answers it, the status if it is not 200, or "none". */
     public String poll(String id) {
         Response response = request(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id);
         return stageOrStatus(response);
     }
 
-    /** True if a running machine and the quota of its team have capacity for one more task of the job. */
+    /** True if a running machine and the quota of the team have capacity for one more task of the job. */
     private boolean hasCapacityFor(String id) {
         ObjectNode job = rules.job(id);
-        return rules.limitAllows(id)
+        return rules.quotaAllows(id)
                 && cloud.workers().stream()
                         .anyMatch(w -> w.fits(job)
-                                && rules.cpusOn(w.name()) + job.path("cpus").asDouble() <= SimCloud.CPUS);
+                                && rules.cpusOn(w.name()) + job.path("cpus").asDouble() <= SimCloud.MACHINE_CPUS);
     }
 
     private static String stageOrStatus(Response response) {
@@ -274,13 +275,13 @@
         }
     }
 
-    /** How many replicas of a service are on machines. */
-    public long replicas(int number) {
-        String id = SimJobs.id(number);
+    /** The number of replicas of a service that run. */
+    public long replicas(int jobNumber) {
+        String id = SimJobs.id(jobNumber);
         return running().keySet().stream().filter(p -> p.startsWith(id + "/")).count();
     }
 
-    /** The recorded bindings of each machine. */
+    /** The bindings of each machine as recorded in the state service. */
     public List<BindingsRecord.MachineBindings> recordedBindings() {
         List<BindingsRecord.MachineBindings> out = new ArrayList<>();
         for (String key : new TreeSet<>(state.keys("bound/"))) {
@@ -294,24 +295,25 @@
     }
 
     /** True if the records bind a task of this job to a machine. */
-    public boolean hasBinding(String job) {
+    public boolean hasBinding(String jobId) {
         return recordedBindings().stream()
                 .flatMap(m -> m.bound().stream())
-                .anyMatch(b -> b.task().job().equals(job));
+                .anyMatch(b -> b.task().job().equals(jobId));
     }
 
-    /** Every start so far, as {@code task@machine}. */
+    /** All task starts so far, as {@code task@machine}. */
     public List<String> starts() {
         return starts;
     }
 
+    /** The ids of the tasks that have completed. */
     public Set<String> completed() {
-        return rules.completed();
+        return rules.completedTasks();
     }
 
-    /** Tasks on machines now, with their machine. */
+    /** The running tasks, with the machine of each. */
     public Map<String, String> running() {
-        return rules.running();
+        return rules.runningTasks();
     }
 
     /** True if the task is a replica of a service, which ends only when it is stopped. */
