--- a/src/main/java/org/spruceridge/net/BadMessageException.java
+++ b/src/main/java/org/spruceridge/net/BadMessageException.java
@@ -4,7 +4,7 @@
 public final class BadMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** {@code message} says what is wrong with it. */
+    /** {@code message} describes the problem and is returned to the sender or logged. */
     public BadMessageException(String message) {
         super(message, null, false, false);
     }
--- a/src/main/java/org/spruceridge/net/Cancellable.java
+++ b/src/main/java/org/spruceridge/net/Cancellable.java
@@ -1,8 +1,8 @@
 package org.spruceridge.net;
 
-/** A pending timer or call that can be cancelled; cancelling it twice is harmless. */
+/** A pending timer or call that can be cancelled. Cancellation is idempotent. */
 @FunctionalInterface
 public interface Cancellable {
-    /** Cancels it; does nothing if it is over. */
+    /** Cancels the timer or call; does nothing if it has already fired, completed or been cancelled. */
     void cancel();
 }
--- a/src/main/java/org/spruceridge/net/CancellationScope.java
+++ b/src/main/java/org/spruceridge/net/CancellationScope.java
@@ -4,13 +4,16 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The pending timers and callbacks of one component. Once it is closed, no timer fires and no guarded callback runs. */
+/**
+ * The pending timers and callbacks of one component. Once the scope is closed, no timer fires and no guarded callback
+ * runs.
+ */
 public final class CancellationScope {
     private final Loop loop;
     private final Set<Timer> timers = new HashSet<>();
     private boolean isClosed;
 
-    /** Timers run on this loop. */
+    /** Creates an open scope whose timers run on this loop. */
     public CancellationScope(Loop loop) {
         this.loop = loop;
     }
@@ -34,7 +37,7 @@
         };
     }
 
-    /** True once it has been closed. */
+    /** True once the scope has been closed. */
     public boolean isClosed() {
         return isClosed;
     }
--- a/src/main/java/org/spruceridge/net/ClientConnection.java
+++ b/src/main/java/org/spruceridge/net/ClientConnection.java
@@ -21,24 +21,24 @@
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
-    private final Address to;
+    private final Address address;
     private final ConnectionPool pool;
     private final ConnectionLimiter connectionLimiter;
     private Channel channel;
-    /** The exchange that is being carried, null if none is. */
-    private HttpExchange current;
+    /** The exchange in progress, or null. */
+    private HttpExchange currentExchange;
 
     private boolean isCounted;
-    private long idleSince;
+    private long idleSinceNanos;
 
-    ClientConnection(Address to, ConnectionPool pool, ConnectionLimiter connectionLimiter) {
-        this.to = to;
+    ClientConnection(Address address, ConnectionPool pool, ConnectionLimiter connectionLimiter) {
+        this.address = address;
         this.pool = pool;
         this.connectionLimiter = connectionLimiter;
     }
 
-    Address to() {
-        return to;
+    Address address() {
+        return address;
     }
 
     boolean isActive() {
@@ -46,21 +46,21 @@
     }
 
     boolean isCarrying(HttpExchange exchange) {
-        return current == exchange;
+        return currentExchange == exchange;
     }
 
-    /** When it became idle, on the loop's monotonic clock. */
-    long idleSince() {
-        return idleSince;
+    /** The time at which the connection became idle, on the loop's monotonic clock. */
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    void idleSince(long nanos) {
-        idleSince = nanos;
+    void setIdleSince(long nanos) {
+        idleSinceNanos = nanos;
     }
 
-    /** The channel exists, connected or not yet: it counts against the limit until it is closed. */
-    void opened(Channel opened) {
-        channel = opened;
+    /** Sets the channel, connected or not yet. It counts against the connection limit until it is closed. */
+    void attach(Channel newChannel) {
+        channel = newChannel;
         channel.closeFuture().addListener(future -> release());
         isCounted = true;
         connectionLimiter.opened();
@@ -80,15 +80,15 @@
     }
 
     void send(HttpExchange exchange) {
-        current = exchange;
-        exchange.connection(this);
+        currentExchange = exchange;
+        exchange.setConnection(this);
         HttpCall call = exchange.call();
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(call.method()),
                 call.target(),
                 Unpooled.wrappedBuffer(call.body()));
-        request.headers().set(HttpHeaderNames.HOST, to.toString());
+        request.headers().set(HttpHeaderNames.HOST, address.toString());
         request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
         if (call.body().length > 0) {
             request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
@@ -98,8 +98,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-        HttpExchange exchange = current;
-        current = null;
+        HttpExchange exchange = currentExchange;
+        currentExchange = null;
         if (exchange == null || response.decoderResult().isFailure()) {
             ctx.close();
             if (exchange != null) {
@@ -125,15 +125,15 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            LOG.error("outbound connection failed by an internal error", cause);
+            LOG.error("outbound connection failed with an internal error", cause);
         }
         ctx.close();
         failCurrent();
     }
 
     private void failCurrent() {
-        HttpExchange exchange = current;
-        current = null;
+        HttpExchange exchange = currentExchange;
+        currentExchange = null;
         if (exchange != null) {
             exchange.complete(HttpAnswer.noResponse());
         }
--- a/src/main/java/org/spruceridge/net/ConnectionPool.java
+++ b/src/main/java/org/spruceridge/net/ConnectionPool.java
@@ -11,25 +11,25 @@
 
 /** The idle connections of the client, by address. Used on the event loop only. */
 final class ConnectionPool {
-    /** The peer of a connection that was idle for longer may be gone without notice. */
+    /** After a longer idle time the peer may have disappeared without closing the connection. */
     private static final long MAX_IDLE_NANOS = Durations.nanos(90);
 
     private final Loop loop;
     private final ConnectionLimiter connectionLimiter;
     private final Map<Address, Deque<ClientConnection>> idleByAddress = new HashMap<>();
-    /** All idle connections, the least recently used first. */
-    private final Set<ClientConnection> idleByUse = new LinkedHashSet<>();
+    /** All idle connections, least recently used first. */
+    private final Set<ClientConnection> idleByLastUse = new LinkedHashSet<>();
 
     ConnectionPool(Loop loop, ConnectionLimiter connectionLimiter) {
         this.loop = loop;
         this.connectionLimiter = connectionLimiter;
     }
 
-    /** Takes the most recently used idle connection to the address out of the pool, if there is one. */
-    Optional<ClientConnection> take(Address to) {
-        Deque<ClientConnection> idle = idleByAddress.get(to);
-        while (idle != null && !idle.isEmpty()) {
-            ClientConnection connection = idle.peek();
+    /** Removes and returns the most recently used idle connection to the address, if there is one. */
+    Optional<ClientConnection> take(Address address) {
+        Deque<ClientConnection> idleConnections = idleByAddress.get(address);
+        while (idleConnections != null && !idleConnections.isEmpty()) {
+            ClientConnection connection = idleConnections.peek();
             remove(connection);
             if (connection.isActive()) {
                 return Optional.of(connection);
@@ -40,43 +40,43 @@
 
     /** Keeps a connection for further requests to its address. */
     void add(ClientConnection connection) {
-        connection.idleSince(loop.nanos());
+        connection.setIdleSince(loop.nanos());
         idleByAddress
-                .computeIfAbsent(connection.to(), address -> new ArrayDeque<>())
+                .computeIfAbsent(connection.address(), address -> new ArrayDeque<>())
                 .push(connection);
-        idleByUse.add(connection);
+        idleByLastUse.add(connection);
         closeExpired();
-        connectionLimiter.trim();
+        connectionLimiter.closeExcessIdleConnections();
     }
 
-    /** Takes a connection out; does nothing if it is not idle. */
+    /** Removes a connection from the pool; does nothing if it is not idle. */
     void remove(ClientConnection connection) {
-        if (!idleByUse.remove(connection)) {
+        if (!idleByLastUse.remove(connection)) {
             return;
         }
-        Deque<ClientConnection> idle = idleByAddress.get(connection.to());
-        idle.remove(connection);
-        if (idle.isEmpty()) {
-            idleByAddress.remove(connection.to());
+        Deque<ClientConnection> idleConnections = idleByAddress.get(connection.address());
+        idleConnections.remove(connection);
+        if (idleConnections.isEmpty()) {
+            idleByAddress.remove(connection.address());
         }
     }
 
     /**
-     * Closes the least recently used idle connection; false if none is idle. Each machine that was sent a command has an
-     * idle connection here, also long after it has gone: together with the connections for heartbeats they would use up
-     * the sockets of a leader.
+     * Closes the least recently used idle connection; returns false if none is idle. Each machine that was sent a
+     * command has an idle connection here, even long after the machine has gone. Together with the connections for
+     * heartbeats these would use up the sockets of a leader.
      */
     boolean closeLeastRecentlyUsed() {
-        if (idleByUse.isEmpty()) {
+        if (idleByLastUse.isEmpty()) {
             return false;
         }
-        idleByUse.iterator().next().close();
+        idleByLastUse.iterator().next().close();
         return true;
     }
 
     private void closeExpired() {
         long now = loop.nanos();
-        while (!idleByUse.isEmpty() && now - idleByUse.iterator().next().idleSince() > MAX_IDLE_NANOS) {
+        while (!idleByLastUse.isEmpty() && now - idleByLastUse.iterator().next().idleSinceNanos() > MAX_IDLE_NANOS) {
             closeLeastRecentlyUsed();
         }
     }
--- a/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
+++ b/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
@@ -4,8 +4,8 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * The first handler of an inbound connection: admits it, and sets the deadlines by which the peer must have sent its next
- * request and, once that has begun, all of it.
+ * The first handler of an inbound connection. It admits the connection and sets two deadlines: one for the start of the
+ * peer's next request, and one for the receipt of the complete request once it has started.
  */
 final class ConnectionWatchdog extends ChannelInboundHandlerAdapter {
     private static final long RECEIVE_TIMEOUT_NANOS = Durations.nanos(10);
@@ -14,7 +14,7 @@
     private final InboundConnections connections;
     private final ServerConnection connection;
     private ChannelHandlerContext context;
-    /** When the peer times out, on the loop's monotonic clock; meaningless while the connection is not watched. */
+    /** The current deadline on the loop's monotonic clock; undefined while the connection is not watched. */
     private long deadlineNanos;
 
     private boolean isReceiving;
@@ -24,7 +24,7 @@
         this.loop = loop;
         this.connections = connections;
         this.connection = connection;
-        connection.watchdog(this);
+        connection.setWatchdog(this);
     }
 
     @Override
@@ -35,7 +35,7 @@
         }
         isAdmitted = true;
         context = ctx;
-        watchFor(InboundConnections.IDLE_TIMEOUT_NANOS);
+        setDeadline(InboundConnections.IDLE_TIMEOUT_NANOS);
         ctx.fireChannelActive();
     }
 
@@ -43,7 +43,7 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (!isReceiving && !connection.isBusy()) {
             isReceiving = true;
-            watchFor(RECEIVE_TIMEOUT_NANOS);
+            setDeadline(RECEIVE_TIMEOUT_NANOS);
         }
         ctx.fireChannelRead(message);
     }
@@ -54,25 +54,25 @@
         ctx.fireChannelInactive();
     }
 
-    /** The connection is closed or about to be; may be called twice. */
+    /** Releases the connection's place because it is closed or about to be closed. Idempotent. */
     void release() {
-        connections.forget(this, connection);
+        connections.removeConnection(this, connection);
         if (isAdmitted) {
             isAdmitted = false;
             connections.release();
         }
     }
 
-    /** The request is complete: the peer waits for this node, and no deadline applies to it. */
+    /** Called when a request is complete: the peer waits for this node, so no deadline applies. */
     void requestReceived() {
         isReceiving = false;
         connections.unwatch(this);
     }
 
-    /** The response is about to be written; the next request is due within the idle timeout. */
-    void responseSent() {
+    /** Called before the response is written: the next request is due within the idle timeout. */
+    void responseReady() {
         if (isAdmitted) {
-            watchFor(connections.idleTimeoutNanos(connection));
+            setDeadline(connections.idleTimeoutNanos(connection));
         }
     }
 
@@ -84,7 +84,7 @@
         context.close();
     }
 
-    private void watchFor(long timeoutNanos) {
+    private void setDeadline(long timeoutNanos) {
         deadlineNanos = loop.nanos() + timeoutNanos;
         connections.watch(this);
     }
--- a/src/main/java/org/spruceridge/net/Durations.java
+++ b/src/main/java/org/spruceridge/net/Durations.java
@@ -1,8 +1,8 @@
 package org.spruceridge.net;
 
-/** Conversions between the seconds of the settings and the nanoseconds of the clocks. */
+/** Conversions between seconds, as in the settings, and nanoseconds, as in the clocks. */
 public final class Durations {
-    /** The most by which two monotonic clocks drift apart, as a share of the time that passes. */
+    /** The maximum drift between two monotonic clocks, relative to the elapsed time. */
     public static final double MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
     private Durations() {}
@@ -17,9 +17,9 @@
         return nanos / 1e9;
     }
 
-    /** Seconds from one moment of the monotonic clock to another, both in nanoseconds. */
-    public static double secondsSince(long moment, long now) {
-        return seconds(now - moment);
+    /** Seconds between two readings of the monotonic clock, which are in nanoseconds. */
+    public static double secondsSince(long startNanos, long nowNanos) {
+        return seconds(nowNanos - startNanos);
     }
 
     /** Milliseconds as nanoseconds. */
--- a/src/main/java/org/spruceridge/net/HttpCall.java
+++ b/src/main/java/org/spruceridge/net/HttpCall.java
@@ -1,12 +1,12 @@
 package org.spruceridge.net;
 
-/** A request to another service; an empty body is none. */
+/** A request to another service; an empty {@code body} means that the request has none. */
 public record HttpCall(String method, String target, byte[] body) {
-    private static final byte[] NOTHING = {};
+    private static final byte[] NO_BODY = {};
 
     /** A GET without a body. */
     public static HttpCall get(String target) {
-        return new HttpCall("GET", target, NOTHING);
+        return new HttpCall("GET", target, NO_BODY);
     }
 
     /** A POST with a JSON body. */
--- a/src/main/java/org/spruceridge/net/HttpClient.java
+++ b/src/main/java/org/spruceridge/net/HttpClient.java
@@ -3,8 +3,11 @@
 import java.util.function.Consumer;
 import org.spruceridge.config.Address;
 
-/** Sends requests; the callback runs on the loop, once, unless the call is cancelled first. */
+/** Sends HTTP requests. Callbacks run on the event loop. */
 public interface HttpClient {
-    /** Sends a request; {@code done} gets its outcome once, at the latest after {@code timeoutNanos}. */
-    Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done);
+    /**
+     * Sends a request. {@code onComplete} is called exactly once with the outcome, after {@code timeoutNanos} at the
+     * latest, unless the returned call is cancelled first.
+     */
+    Cancellable call(Address address, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> onComplete);
 }
--- a/src/main/java/org/spruceridge/net/HttpExchange.java
+++ b/src/main/java/org/spruceridge/net/HttpExchange.java
@@ -3,67 +3,70 @@
 import java.util.function.Consumer;
 import org.spruceridge.config.Address;
 
-/** One request of the client and its outcome: ends once, by a response, a failure, a timeout or a cancellation. */
+/** One request of the client. It finishes exactly once, by a response, a failure, a timeout or a cancellation. */
 final class HttpExchange {
-    private final Address to;
+    private final Address address;
     private final HttpCall call;
-    private final Consumer<HttpAnswer> done;
-    private Cancellable timeout;
-    /** The connection that carries it or is being opened for it; null until there is one. */
+    private final Consumer<HttpAnswer> onComplete;
+    private Cancellable timeoutTimer;
+    /** The connection that carries the request or is being opened for it; null until one is assigned. */
     private ClientConnection connection;
 
-    private boolean isOver;
+    private boolean isFinished;
 
-    HttpExchange(Address to, HttpCall call, Consumer<HttpAnswer> done) {
-        this.to = to;
+    HttpExchange(Address address, HttpCall call, Consumer<HttpAnswer> onComplete) {
+        this.address = address;
         this.call = call;
-        this.done = done;
+        this.onComplete = onComplete;
     }
 
-    Address to() {
-        return to;
+    Address address() {
+        return address;
     }
 
     HttpCall call() {
         return call;
     }
 
-    boolean isOver() {
-        return isOver;
+    boolean isFinished() {
+        return isFinished;
     }
 
-    void timeout(Cancellable timer) {
-        timeout = timer;
+    void setTimeoutTimer(Cancellable timer) {
+        timeoutTimer = timer;
     }
 
-    void connection(ClientConnection carrier) {
-        connection = carrier;
+    void setConnection(ClientConnection newConnection) {
+        connection = newConnection;
     }
 
-    /** Ends without a response; whether the request was sent tells if it may have been carried out. */
-    void timeOut() {
-        if (!isOver) {
-            boolean sent = connection != null && connection.isCarrying(this);
+    /**
+     * Finishes without a response. The outcome depends on whether the request was sent, because a request that was sent
+     * may have been executed.
+     */
+    void onTimeout() {
+        if (!isFinished) {
+            boolean wasSent = connection != null && connection.isCarrying(this);
             closeConnection();
-            complete(sent ? HttpAnswer.noResponse() : HttpAnswer.notSent());
+            complete(wasSent ? HttpAnswer.noResponse() : HttpAnswer.notSent());
         }
     }
 
-    /** Ends without a call of the callback. */
+    /** Finishes without calling the callback. */
     void cancel() {
-        if (!isOver) {
-            isOver = true;
-            timeout.cancel();
+        if (!isFinished) {
+            isFinished = true;
+            timeoutTimer.cancel();
             closeConnection();
         }
     }
 
-    /** Passes the outcome on, unless the exchange is over. */
+    /** Calls the callback with the outcome, unless the exchange has already finished. */
     void complete(HttpAnswer answer) {
-        if (!isOver) {
-            isOver = true;
-            timeout.cancel();
-            done.accept(answer);
+        if (!isFinished) {
+            isFinished = true;
+            timeoutTimer.cancel();
+            onComplete.accept(answer);
         }
     }
 
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -14,8 +14,9 @@
 import org.spruceridge.config.Address;
 
 /**
- * The HTTP server on Netty. Connections are bounded in number, in body size and in time; see {@link InboundConnections}
- * for how they share the limit. All handlers run on the event loop.
+ * The HTTP server, based on Netty. The number of connections, the size of request bodies and the time to receive a
+ * request are limited; see {@link InboundConnections} for how connections share the limit. All handlers run on the
+ * event loop.
  */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
@@ -28,28 +29,27 @@
     private final RequestQueue requestQueue;
     private final RequestHandler handler;
 
-    /** Connections on which workers send heartbeats are closed when idle for {@code workerIdleTimeoutNanos}. */
+    /** Connections that carry workers' heartbeats are closed after being idle for {@code workerIdleTimeoutNanos}. */
     public HttpServer(
             NettyLoop loop, ConnectionLimiter connectionLimiter, long workerIdleTimeoutNanos, RequestHandler handler) {
         this.loop = loop;
         this.connectionLimiter = connectionLimiter;
         this.connections = new InboundConnections(loop, connectionLimiter, workerIdleTimeoutNanos);
         this.requestQueue = new RequestQueue(loop);
-        loop.busyWhile(requestQueue::hasQueuedRequests);
+        loop.setBusyCheck(requestQueue::hasQueuedRequests);
         this.handler = handler;
     }
 
-    /** Binds the address and starts to listen; throws if it cannot be bound. */
+    /** Binds the address and starts listening; throws the cause if the address cannot be bound. */
     public void start(Address address) {
         int backlog = connectionLimiter.maxInbound();
         new ServerBootstrap()
                 .group(loop.group())
                 .channel(NioServerSocketChannel.class)
-                // After a restart of all nodes the whole fleet connects within a moment.
+                // After a restart of all nodes the whole fleet connects almost simultaneously.
                 .option(ChannelOption.SO_BACKLOG, backlog)
-                // Accept the whole backlog in one turn of the loop. At Netty's default of 16, with turns of a tenth of
-                // a
-                // second, workers in search of a busy leader timed out in the backlog.
+                // Accepts the whole backlog in one loop iteration. With Netty's default of 16 connections per iteration
+                // and iterations of 0.1 s, workers looking for a busy leader timed out in the backlog.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(backlog))
--- a/src/main/java/org/spruceridge/net/InboundConnections.java
+++ b/src/main/java/org/spruceridge/net/InboundConnections.java
@@ -4,25 +4,26 @@
 import java.util.Set;
 
 /**
- * The inbound connections of the server. Connections on which workers send heartbeats have a share of their own; when it
- * is used up, the worker connection that has been idle longest is closed, and its worker opens another if it is still
- * alive. So neither dead connections nor a whole fleet keep users and health checks out. Used on the event loop only.
+ * The inbound connections of the server. Connections on which workers send heartbeats are limited to a separate share.
+ * When the share is used up, the worker connection that has been idle longest is closed, and its worker reconnects if
+ * it is still alive. Neither dead connections nor a large fleet can therefore lock out users and health checks. Used on
+ * the event loop only.
  */
 final class InboundConnections {
-    /** How long a connection that is no worker's may be idle between two requests. */
+    /** The maximum idle time between two requests on a connection that is not a worker's. */
     static final long IDLE_TIMEOUT_NANOS = Durations.nanos(90);
-    /** Timeouts are checked by one periodic sweep: a timer for each request costs more than all the sweeps. */
+    /** Timeouts are checked by one periodic sweep, because a timer per request costs more than all sweeps together. */
     private static final long TIMEOUT_CHECK_INTERVAL_NANOS = Durations.nanos(1);
 
     private final Loop loop;
     private final ConnectionLimiter connectionLimiter;
     private final long workerIdleTimeoutNanos;
-    /** Connections on which workers send heartbeats, the one idle longest first. */
+    /** Connections on which workers send heartbeats, idle longest first. */
     private final Set<ServerConnection> workerConnections = new LinkedHashSet<>();
-    /** Connections that wait for their peer and are closed at a deadline. */
+    /** Connections that wait for their peer and are closed at their deadline. */
     private final Set<ConnectionWatchdog> watched = new LinkedHashSet<>();
 
-    private int count;
+    private int connectionCount;
 
     InboundConnections(Loop loop, ConnectionLimiter connectionLimiter, long workerIdleTimeoutNanos) {
         this.loop = loop;
@@ -30,38 +31,40 @@
         this.workerIdleTimeoutNanos = workerIdleTimeoutNanos;
     }
 
-    /** Counts a new connection in; false if there is no room for it, and then it is to be closed. */
+    /** Counts a new connection. Returns false if the limit is reached; the caller must then close the connection. */
     boolean admit() {
-        if (count >= connectionLimiter.maxInbound() && !closeLongestIdleWorker()) {
+        if (connectionCount >= connectionLimiter.maxInbound() && !closeLongestIdleWorkerConnection()) {
             return false;
         }
-        count++;
+        connectionCount++;
         connectionLimiter.opened();
         return true;
     }
 
-    /** Counts a connection out that was admitted before. */
+    /** Stops counting a connection that was admitted before. */
     void release() {
-        count--;
+        connectionCount--;
         connectionLimiter.closed();
     }
 
-    /** Forgets a connection, whether or not it was admitted. */
-    void forget(ConnectionWatchdog watchdog, ServerConnection connection) {
+    /** Removes a connection from all collections, whether or not it was admitted. */
+    void removeConnection(ConnectionWatchdog watchdog, ServerConnection connection) {
         watched.remove(watchdog);
         workerConnections.remove(connection);
     }
 
-    /** A heartbeat has come on this connection: it counts against the share of workers and is the most recently used. */
+    /**
+     * Records a heartbeat on this connection, which counts against the share of workers as the most recently used one.
+     */
     void recordHeartbeat(ServerConnection connection) {
         workerConnections.remove(connection);
         if (workerConnections.size() >= connectionLimiter.maxWorkers()) {
-            closeLongestIdleWorker();
+            closeLongestIdleWorkerConnection();
         }
         workerConnections.add(connection);
     }
 
-    private boolean closeLongestIdleWorker() {
+    private boolean closeLongestIdleWorkerConnection() {
         if (workerConnections.isEmpty()) {
             return false;
         }
@@ -69,7 +72,7 @@
         return true;
     }
 
-    /** How long the connection may be idle between two requests, in nanoseconds. */
+    /** The maximum idle time of the connection between two requests, in nanoseconds. */
     long idleTimeoutNanos(ServerConnection connection) {
         return workerConnections.contains(connection) ? workerIdleTimeoutNanos : IDLE_TIMEOUT_NANOS;
     }
--- a/src/main/java/org/spruceridge/net/Json.java
+++ b/src/main/java/org/spruceridge/net/Json.java
@@ -14,54 +14,57 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** JSON bodies as trees, and typed access to their fields that throws {@link BadMessageException}. */
+/**
+ * Reads and writes JSON bodies as trees. The typed field accessors throw {@link BadMessageException} if the field is
+ * missing or has another type.
+ */
 public final class Json {
-    private static final JsonFactory FACTORY = new JsonFactory();
-    private static final JsonFactory STRICT = JsonFactory.builder()
+    private static final JsonFactory DEFAULT_FACTORY = new JsonFactory();
+    private static final JsonFactory STRICT_FACTORY = JsonFactory.builder()
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
     private Json() {}
 
-    /** Parses a user's message; anything but one JSON object is refused, and so is one that names a field twice. */
+    /** Parses a user's message. Anything but a single JSON object is rejected, and so are duplicate fields. */
     public static JsonNode strictObject(byte[] body) throws BadMessageException {
-        return object(STRICT, body);
+        return object(STRICT_FACTORY, body);
     }
 
-    /** Parses a message of a component of the platform; anything but one JSON object is refused. */
+    /** Parses a message from a component of the platform. Anything but a single JSON object is rejected. */
     public static JsonNode object(byte[] body) throws BadMessageException {
-        return object(FACTORY, body);
+        return object(DEFAULT_FACTORY, body);
     }
 
-    /** A streaming parser, for messages too frequent to build trees of them. */
+    /** A streaming parser, for messages that are too frequent to build trees from. */
     public static JsonParser parser(byte[] body) throws IOException {
-        return FACTORY.createParser(body);
+        return DEFAULT_FACTORY.createParser(body);
     }
 
     private static JsonNode object(JsonFactory factory, byte[] body) throws BadMessageException {
-        try (JsonParser in = factory.createParser(body)) {
-            if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadMessageException("not an object");
+        try (JsonParser parser = factory.createParser(body)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new BadMessageException("not a JSON object");
             }
-            JsonNode object = JsonTrees.read(in);
-            if (in.nextToken() != null) {
-                throw new BadMessageException("something follows the object");
+            JsonNode object = JsonTrees.read(parser);
+            if (parser.nextToken() != null) {
+                throw new BadMessageException("unexpected data after the JSON object");
             }
             return object;
         } catch (JsonProcessingException e) {
-            throw new BadMessageException("not JSON: " + e.getOriginalMessage());
+            throw new BadMessageException("invalid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new BadMessageException("not JSON");
+            throw new BadMessageException("invalid JSON");
         }
     }
 
-    /** The tree as UTF-8. */
+    /** The tree as JSON text, encoded in UTF-8. */
     public static byte[] bytes(JsonNode node) {
-        try (ByteArrayBuilder bytes = new ByteArrayBuilder()) {
-            try (JsonGenerator out = FACTORY.createGenerator(bytes)) {
-                JsonTrees.write(node, out);
+        try (ByteArrayBuilder buffer = new ByteArrayBuilder()) {
+            try (JsonGenerator generator = DEFAULT_FACTORY.createGenerator(buffer)) {
+                JsonTrees.write(node, generator);
             }
-            return bytes.toByteArray();
+            return buffer.toByteArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -72,49 +75,49 @@
         return JsonNodeFactory.instance.objectNode();
     }
 
-    /** An empty list. */
+    /** An empty array. */
     public static ArrayNode array() {
         return JsonNodeFactory.instance.arrayNode();
     }
 
-    /** A field that holds a text. */
+    /** Reads a field whose value is a string. */
     public static String text(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isTextual()) {
-            throw new BadMessageException(name + " is not a text");
+            throw new BadMessageException(name + " is not a string");
         }
         return child.textValue();
     }
 
-    /** A field that holds bytes as Base64. */
+    /** Reads a field whose value is a string of Base64. */
     public static byte[] bytes(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         try {
-            byte[] bytes = child == null ? null : child.binaryValue();
-            if (bytes != null) {
-                return bytes;
+            byte[] decoded = child == null ? null : child.binaryValue();
+            if (decoded != null) {
+                return decoded;
             }
         } catch (IOException e) {
-            // not Base64
+            // reported below
         }
         throw new BadMessageException(name + " is not Base64");
     }
 
-    /** A field that holds a text, or null if it is absent or null. */
+    /** Reads a field whose value is a string; returns null if it is absent or null. */
     public static String textOrNull(JsonNode node, String name) throws BadMessageException {
         return node.hasNonNull(name) ? text(node, name) : null;
     }
 
-    /** A field that holds a whole number of at least 0. */
+    /** Reads a field whose value is an integer of at least 0. */
     public static long nonNegativeLong(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isIntegralNumber() || !child.canConvertToLong() || child.longValue() < 0) {
-            throw new BadMessageException(name + " is not a count");
+            throw new BadMessageException(name + " is not a non-negative integer");
         }
         return child.longValue();
     }
 
-    /** A field that holds a finite number. */
+    /** Reads a field whose value is a finite number. */
     public static double number(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isNumber() || !Double.isFinite(child.doubleValue())) {
@@ -123,7 +126,7 @@
         return child.doubleValue();
     }
 
-    /** A field that holds true or false. */
+    /** Reads a field whose value is true or false. */
     public static boolean bool(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isBoolean()) {
@@ -132,11 +135,11 @@
         return child.booleanValue();
     }
 
-    /** A field that holds a list. */
+    /** Reads a field whose value is an array. */
     public static JsonNode list(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         if (child == null || !child.isArray()) {
-            throw new BadMessageException(name + " is not a list");
+            throw new BadMessageException(name + " is not an array");
         }
         return child;
     }
--- a/src/main/java/org/spruceridge/net/JsonTrees.java
+++ b/src/main/java/org/spruceridge/net/JsonTrees.java
@@ -10,76 +10,76 @@
 import java.io.IOException;
 
 /**
- * Builds trees from Jackson's parser and writes them to its generator. ObjectMapper does the same, and takes 50 ms of
- * processor time to construct, for dates, types and annotations that are not used here: most of a second of the start-up
- * time on the smallest machine.
+ * Builds trees from Jackson's parser and writes them to its generator. ObjectMapper does the same, but its construction
+ * takes 50 ms of CPU time for dates, types and annotations that are not used here. On the smallest machine that is most
+ * of a second of the start-up time.
  */
 final class JsonTrees {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     private JsonTrees() {}
 
-    /** Reads the value at which the parser stands; it stands at its last token afterwards. */
-    static JsonNode read(JsonParser in) throws IOException {
-        return switch (in.currentToken()) {
+    /** Reads the value that starts at the current token; afterwards the current token is the last one of the value. */
+    static JsonNode read(JsonParser parser) throws IOException {
+        return switch (parser.currentToken()) {
             case START_OBJECT -> {
                 ObjectNode object = NODES.objectNode();
-                for (String field = in.nextFieldName(); field != null; field = in.nextFieldName()) {
-                    in.nextToken();
-                    object.set(field, read(in));
+                for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+                    parser.nextToken();
+                    object.set(field, read(parser));
                 }
                 yield object;
             }
             case START_ARRAY -> {
                 ArrayNode array = NODES.arrayNode();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(read(in));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    array.add(read(parser));
                 }
                 yield array;
             }
-            case VALUE_STRING -> NODES.textNode(in.getText());
-            case VALUE_NUMBER_INT -> switch (in.getNumberType()) {
-                case INT -> NODES.numberNode(in.getIntValue());
-                case LONG -> NODES.numberNode(in.getLongValue());
-                default -> NODES.numberNode(in.getBigIntegerValue());
+            case VALUE_STRING -> NODES.textNode(parser.getText());
+            case VALUE_NUMBER_INT -> switch (parser.getNumberType()) {
+                case INT -> NODES.numberNode(parser.getIntValue());
+                case LONG -> NODES.numberNode(parser.getLongValue());
+                default -> NODES.numberNode(parser.getBigIntegerValue());
             };
-            case VALUE_NUMBER_FLOAT -> NODES.numberNode(in.getDoubleValue());
+            case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
             default -> NODES.nullNode();
         };
     }
 
-    static void write(JsonNode node, JsonGenerator out) throws IOException {
+    static void write(JsonNode node, JsonGenerator generator) throws IOException {
         switch (node.getNodeType()) {
             case OBJECT -> {
-                out.writeStartObject();
+                generator.writeStartObject();
                 for (var field : node.properties()) {
-                    out.writeFieldName(field.getKey());
-                    write(field.getValue(), out);
+                    generator.writeFieldName(field.getKey());
+                    write(field.getValue(), generator);
                 }
-                out.writeEndObject();
+                generator.writeEndObject();
             }
             case ARRAY -> {
-                out.writeStartArray();
+                generator.writeStartArray();
                 for (JsonNode item : node) {
-                    write(item, out);
+                    write(item, generator);
                 }
-                out.writeEndArray();
+                generator.writeEndArray();
             }
-            case STRING -> out.writeString(node.textValue());
-            case BINARY -> out.writeBinary(node.binaryValue());
-            case NUMBER -> writeNumber(node, out);
-            case BOOLEAN -> out.writeBoolean(node.booleanValue());
-            default -> out.writeNull();
+            case STRING -> generator.writeString(node.textValue());
+            case BINARY -> generator.writeBinary(node.binaryValue());
+            case NUMBER -> writeNumber(node, generator);
+            case BOOLEAN -> generator.writeBoolean(node.booleanValue());
+            default -> generator.writeNull();
         }
     }
 
-    private static void writeNumber(JsonNode node, JsonGenerator out) throws IOException {
+    private static void writeNumber(JsonNode node, JsonGenerator generator) throws IOException {
         switch (node.numberType()) {
-            case INT, LONG -> out.writeNumber(node.longValue());
-            case BIG_INTEGER -> out.writeNumber(node.bigIntegerValue());
-            default -> out.writeNumber(node.doubleValue());
+            case INT, LONG -> generator.writeNumber(node.longValue());
+            case BIG_INTEGER -> generator.writeNumber(node.bigIntegerValue());
+            default -> generator.writeNumber(node.doubleValue());
         }
     }
 }
--- a/src/main/java/org/spruceridge/net/Latencies.java
+++ b/src/main/java/org/spruceridge/net/Latencies.java
@@ -11,13 +11,13 @@
 
 /** Latency histograms since the start of the process; logged periodically and part of {@code GET /metrics}. */
 public final class Latencies {
-    /** What is timed; the names in lower case are keys of {@code GET /metrics}. */
+    /** The measured operations; their names in lower case are keys of {@code GET /metrics}. */
     public enum Kind {
         /** From a user's submission, poll or cancellation to its response. */
         USERS,
         /** From a worker's heartbeat to its response. */
         HEARTBEATS,
-        /** From a call of the state service to its response, without the wait for the rate limiter. */
+        /** From a call of the state service to its response, excluding the time in the rate limiter. */
         STATE,
         /** One scheduling cycle. */
         SCHEDULING_CYCLES,
@@ -33,7 +33,7 @@
     private final CancellationScope scope;
     private final Map<Kind, Histogram> histograms = new EnumMap<>(Kind.class);
 
-    /** The log line is written by a timer of this loop. */
+    /** Creates empty histograms; the periodic log line runs on timers of this loop. */
     public Latencies(Loop loop) {
         this.scope = new CancellationScope(loop);
         for (Kind kind : Kind.values()) {
@@ -51,20 +51,20 @@
         scope.close();
     }
 
-    /** Records one duration, in nanoseconds. */
+    /** Records one duration in nanoseconds; durations over 2 minutes count as 2 minutes. */
     public void record(Kind kind, long nanos) {
         histograms.get(kind).recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, nanos / 1000)));
     }
 
-    /** Counts and percentiles in milliseconds, by kind. */
+    /** The count, percentiles and maximum of each kind; latencies are in milliseconds. */
     public ObjectNode toJson() {
-        ObjectNode out = Json.object();
-        histograms.forEach((kind, histogram) -> out.putObject(key(kind))
+        ObjectNode json = Json.object();
+        histograms.forEach((kind, histogram) -> json.putObject(key(kind))
                 .put("count", histogram.getTotalCount())
                 .put("p50Ms", millisAt(histogram, 50))
                 .put("p99Ms", millisAt(histogram, 99))
                 .put("maxMs", histogram.getMaxValue() / 1000.0));
-        return out;
+        return json;
     }
 
     private static String key(Kind kind) {
--- a/src/main/java/org/spruceridge/net/Loop.java
+++ b/src/main/java/org/spruceridge/net/Loop.java
@@ -1,17 +1,17 @@
 package org.spruceridge.net;
 
-/** The event loop, whose one thread owns all state: its clocks and its timers. */
+/** The clocks and timers of the event loop, whose single thread owns all state. */
 public interface Loop {
-    /** The monotonic clock, in nanoseconds from an arbitrary moment. */
+    /** The monotonic clock, in nanoseconds since an arbitrary origin. */
     long nanos();
 
-    /** The time of day, in milliseconds of the epoch. */
+    /** The wall-clock time, in milliseconds since the epoch. */
     long wallMillis();
 
     /** Runs the task on this loop after a delay in nanoseconds. */
     Cancellable after(long delayNanos, Runnable task);
 
-    /** True while requests are queued for this loop: background work should be put off until they are handled. */
+    /** True while requests are queued for this loop; background work should be postponed until they are handled. */
     default boolean busy() {
         return false;
     }
--- a/src/main/java/org/spruceridge/net/ManualLoop.java
+++ b/src/main/java/org/spruceridge/net/ManualLoop.java
@@ -3,50 +3,53 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A loop on virtual time: nothing runs until time is advanced. */
+/** An event loop on virtual time: tasks run only when time is advanced. */
 public final class ManualLoop implements Loop {
     private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
-    private long now;
-    private long scheduled;
+            new PriorityQueue<>(Comparator.comparingLong(Task::dueNanos).thenComparingLong(Task::sequenceNumber));
+    private long nowNanos;
+    private long scheduledCount;
 
-    private record Task(long at, long number, Runnable work) {}
+    private record Task(long dueNanos, long sequenceNumber, Runnable work) {}
 
     @Override
     public long nanos() {
-        return now;
+        return nowNanos;
     }
 
     @Override
     public long wallMillis() {
-        return now / 1_000_000;
+        return nowNanos / 1_000_000;
     }
 
     @Override
     public Cancellable after(long delayNanos, Runnable work) {
-        Task task = new Task(now + Math.max(0, delayNanos), ++scheduled, work);
+        Task task = new Task(nowNanos + Math.max(0, delayNanos), ++scheduledCount, work);
         tasks.add(task);
         return () -> tasks.remove(task);
     }
 
-    /** The number of tasks that are still to run. */
+    /** The number of tasks that have not run yet. */
     public int pending() {
         return tasks.size();
     }
 
-    /** Lets time pass within a task; what falls due meanwhile runs late. */
+    /**
+     * Advances time by this many nanoseconds without running tasks, as if a running task took that long. Tasks that
+     * become due run late.
+     */
     public void pass(long nanos) {
-        now += nanos;
+        nowNanos += nanos;
     }
 
-    /** Advances time by this many nanoseconds and runs what falls due, in order. */
+    /** Advances time by this many nanoseconds and runs the tasks that become due, in order. */
     public void advance(long nanos) {
-        long end = now + nanos;
-        while (!tasks.isEmpty() && tasks.peek().at <= end) {
+        long endNanos = nowNanos + nanos;
+        while (!tasks.isEmpty() && tasks.peek().dueNanos <= endNanos) {
             Task task = tasks.remove();
-            now = Math.max(now, task.at);
+            nowNanos = Math.max(nowNanos, task.dueNanos);
             task.work.run();
         }
-        now = Math.max(now, end);
+        nowNanos = Math.max(nowNanos, endNanos);
     }
 }
--- a/src/main/java/org/spruceridge/net/NettyHttpClient.java
+++ b/src/main/java/org/spruceridge/net/NettyHttpClient.java
@@ -14,13 +14,14 @@
 import org.spruceridge.config.Address;
 
 /**
- * The HTTP client on Netty: persistent connections, one request at a time on each. The connection of a request that timed
- * out or was cancelled is closed, so that no response is ever taken for that of another request. Runs on the event loop.
+ * The HTTP client, based on Netty: persistent connections with one request at a time on each. The connection of a
+ * request that timed out or was cancelled is closed, so that its late response cannot be mistaken for the response to
+ * another request. Runs on the event loop.
  */
 public final class NettyHttpClient implements HttpClient {
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    /** A timer that fires later than this was delayed by a busy loop, not by the timer's resolution. */
+    /** A timer that fires later than this after its deadline was delayed by a busy loop, not by its resolution. */
     private static final long MAX_TIMER_DELAY_NANOS = Durations.millis(50);
 
     private final NettyLoop loop;
@@ -32,15 +33,15 @@
         this.loop = loop;
         this.connectionLimiter = connectionLimiter;
         this.pool = new ConnectionPool(loop, connectionLimiter);
-        connectionLimiter.makeRoomBy(pool::closeLeastRecentlyUsed);
+        connectionLimiter.setIdleConnectionCloser(pool::closeLeastRecentlyUsed);
     }
 
     @Override
-    public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> done) {
-        HttpExchange exchange = new HttpExchange(to, call, done);
-        long deadline = loop.nanos() + timeoutNanos;
-        exchange.timeout(loop.after(timeoutNanos, () -> timedOut(exchange, deadline)));
-        Optional<ClientConnection> pooled = pool.take(to);
+    public Cancellable call(Address address, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> onComplete) {
+        HttpExchange exchange = new HttpExchange(address, call, onComplete);
+        long deadlineNanos = loop.nanos() + timeoutNanos;
+        exchange.setTimeoutTimer(loop.after(timeoutNanos, () -> handleTimeout(exchange, deadlineNanos)));
+        Optional<ClientConnection> pooled = pool.take(address);
         if (pooled.isPresent()) {
             pooled.get().send(exchange);
         } else if (connectionLimiter.isExhausted()) {
@@ -52,28 +53,29 @@
     }
 
     /**
-     * A timer that fires late says that this loop was busy, not that the peer is silent: what has arrived meanwhile is read
-     * first. Otherwise a node flooded with requests would never see a response of the state service.
+     * A timer that fires late indicates that this loop was busy, not that the peer did not respond. Input that has
+     * arrived in the meantime is therefore read first. Otherwise a node flooded with requests would never see a
+     * response of the state service.
      */
-    private void timedOut(HttpExchange exchange, long deadline) {
-        if (loop.nanos() - deadline > MAX_TIMER_DELAY_NANOS) {
-            exchange.timeout(loop.after(0, exchange::timeOut)); // runs after pending network input has been read
+    private void handleTimeout(HttpExchange exchange, long deadlineNanos) {
+        if (loop.nanos() - deadlineNanos > MAX_TIMER_DELAY_NANOS) {
+            exchange.setTimeoutTimer(loop.after(0, exchange::onTimeout)); // runs after pending input has been read
         } else {
-            exchange.timeOut();
+            exchange.onTimeout();
         }
     }
 
     private void connect(HttpExchange exchange) {
-        ClientConnection connection = new ClientConnection(exchange.to(), pool, connectionLimiter);
-        ChannelFuture connecting = bootstrap(connection)
+        ClientConnection connection = new ClientConnection(exchange.address(), pool, connectionLimiter);
+        ChannelFuture connectFuture = bootstrap(connection)
                 .connect(new InetSocketAddress(
-                        exchange.to().host(), exchange.to().port()));
-        connection.opened(connecting.channel());
-        exchange.connection(connection);
-        connecting.addListener(result -> {
-            if (!result.isSuccess()) {
+                        exchange.address().host(), exchange.address().port()));
+        connection.attach(connectFuture.channel());
+        exchange.setConnection(connection);
+        connectFuture.addListener(future -> {
+            if (!future.isSuccess()) {
                 exchange.complete(HttpAnswer.notSent());
-            } else if (exchange.isOver()) {
+            } else if (exchange.isFinished()) {
                 connection.close();
             } else {
                 connection.send(exchange);
--- a/src/main/java/org/spruceridge/net/NettyLoop.java
+++ b/src/main/java/org/spruceridge/net/NettyLoop.java
@@ -11,28 +11,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The loop on Netty's NIO transport: one thread for all connections and components. */
+/** The event loop on Netty's NIO transport: one thread for all connections and components. */
 public final class NettyLoop implements Loop {
     private static final Logger LOG = LoggerFactory.getLogger(NettyLoop.class);
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private BooleanSupplier requestsWaiting = () -> false;
+    private BooleanSupplier busyCheck = () -> false;
 
-    /** The event loop group on which channels are opened. */
+    /** The event loop group that channels are registered with. */
     public EventLoopGroup group() {
         return group;
     }
 
-    /** Sets how {@link #busy} finds out whether requests are queued. */
-    void busyWhile(BooleanSupplier hasQueuedRequests) {
-        requestsWaiting = hasQueuedRequests;
+    /** Sets the check behind {@link #busy}, which returns true while requests are queued. */
+    void setBusyCheck(BooleanSupplier check) {
+        busyCheck = check;
     }
 
     @Override
     public boolean busy() {
-        return requestsWaiting.getAsBoolean();
+        return busyCheck.getAsBoolean();
     }
 
     /** Runs the task on the loop, from any thread. */
@@ -52,20 +52,20 @@
 
     @Override
     public Cancellable after(long delayNanos, Runnable task) {
-        Future<?> pending = loop.schedule(() -> runLogged(task), Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
-        return () -> pending.cancel(false);
+        Future<?> scheduledTask = loop.schedule(() -> runLogged(task), Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
+        return () -> scheduledTask.cancel(false);
     }
 
-    /** Waits until the loop ends, which it does only with the process. */
+    /** Blocks until the loop terminates, which happens only when the process exits. */
     public void join() throws InterruptedException {
         group.terminationFuture().await();
     }
 
-    /** An exception of one task must not stop the others: it is logged and the loop goes on. */
+    /** Logs an exception of a task, so that it does not affect the other tasks of the loop. */
     private static void runLogged(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | Error e) { // the future of the task, which is discarded, would swallow it
+        } catch (RuntimeException | Error e) { // otherwise lost in the discarded future of the task
             LOG.error("event loop task failed", e);
         }
     }
--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -7,60 +7,63 @@
 import java.util.function.IntSupplier;
 
 /**
- * Limits the rates of requests to a service and of changes within them, by priority. Work beyond the rate waits in a bounded
- * queue, so the service never gets more than its published limit. Work that only reads never waits for changes, and users'
- * changes have a token bucket of their own: however much a leader has to write, users of its node are served like those of
- * other nodes. Used on the event loop only.
+ * Limits the rate of requests to a service, and the rate of the changes that they contain, by priority. Work beyond the
+ * rate waits in a bounded queue, so the service never receives more than its published limit. Work that only reads
+ * never waits for changes. Users' changes have a separate token bucket, so that users of the leader's node are served
+ * like those of other nodes however much the leader writes. Used on the event loop only.
  */
 public final class RateLimiter {
-    /** What the work is for; the first has the highest priority. */
+    /** The purpose of the work, the highest priority first. */
     public enum Priority {
         /** Renewal of the leader's lease, elections and recovery. */
         LEASE_RENEWAL,
-        /** Writes that follow from workers' heartbeats. */
+        /** Writes caused by workers' heartbeats. */
         HEARTBEATS,
-        /** Writes that follow from scheduling and scaling. */
+        /** Writes caused by scheduling and scaling. */
         SCHEDULING,
-        /** Requests of users; rejected rather than queued for long. */
+        /** Requests of users; rejected instead of being queued for a long time. */
         SUBMISSIONS
     }
 
     private static final int MAX_QUEUED_PER_PRIORITY = 256;
-    /** A user's request that would wait longer is rejected at once, for the user to retry. */
+    /** A user's request with a longer expected wait is rejected immediately; the user should retry. */
     private static final double MAX_SUBMISSION_WAIT_S = 1;
 
     private final Loop loop;
-    private final TokenBucket requests;
-    private final TokenBucket changes;
-    private final TokenBucket userChanges;
+    private final TokenBucket requestTokens;
+    private final TokenBucket changeTokens;
+    private final TokenBucket userChangeTokens;
     private final Map<Priority, Queue> queues = new EnumMap<>(Priority.class);
     private Cancellable wakeUp;
     private long submittedCount;
 
-    /** Rates per second of requests, of changes and of users' changes; users have no burst at first. */
+    /** Takes the rates per second of requests, of changes and of users' changes; initially without a user burst. */
     public RateLimiter(Loop loop, double requestsPerS, double changesPerS, double userChangesPerS) {
         this.loop = loop;
-        this.requests = new TokenBucket(requestsPerS, 1, loop.nanos());
-        this.changes = new TokenBucket(changesPerS, 1, loop.nanos());
-        this.userChanges = new TokenBucket(userChangesPerS, 1, loop.nanos());
+        this.requestTokens = new TokenBucket(requestsPerS, 1, loop.nanos());
+        this.changeTokens = new TokenBucket(changesPerS, 1, loop.nanos());
+        this.userChangeTokens = new TokenBucket(userChangesPerS, 1, loop.nanos());
         for (Priority priority : Priority.values()) {
             queues.put(priority, new Queue());
         }
     }
 
     /**
-     * Changes the rates, as when this node begins or ceases to lead. Users' requests come in bursts: a node that has been
-     * idle takes {@code userBurst} changes of theirs at once.
+     * Changes the rates, for example when this node becomes the leader or steps down. Because users' requests arrive in
+     * bursts, a node that has been idle allows {@code userBurst} changes by users at once.
      */
     public void setRates(double requestsPerS, double changesPerS, double userChangesPerS, double userBurst) {
         long now = loop.nanos();
-        requests.setRate(requestsPerS, now);
-        changes.setRate(changesPerS, now);
-        userChanges.setRate(userChangesPerS, now);
-        userChanges.setMinCapacity(userBurst);
+        requestTokens.setRate(requestsPerS, now);
+        changeTokens.setRate(changesPerS, now);
+        userChangeTokens.setRate(userChangesPerS, now);
+        userChangeTokens.setMinCapacity(userBurst);
     }
 
-    /** Runs the work when the rate permits; false if the queue is full, and then it never runs. */
+    /**
+     * Runs the work when the rates allow it. Returns false, and never runs it, if the queue of this priority is full or
+     * if the expected wait of a user's request is too long.
+     */
     public boolean submit(Priority priority, int changeCount, Runnable work) {
         return submit(priority, changeCount, () -> {
             work.run();
@@ -68,33 +71,37 @@
         });
     }
 
-    /** The same for work that knows only when it runs how many changes it makes, at most {@code maxChanges}. */
+    /**
+     * Like {@link #submit(Priority, int, Runnable)}, for work whose number of changes is only known when it runs. The
+     * work returns that number, which is at most {@code maxChanges}; the unused tokens are returned.
+     */
     public boolean submit(Priority priority, int maxChanges, IntSupplier work) {
         Queue queue = queues.get(priority);
         if (queue.size() >= MAX_QUEUED_PER_PRIORITY
                 || (priority == Priority.SUBMISSIONS && expectedWaitS(queue) > MAX_SUBMISSION_WAIT_S)) {
             return false;
         }
-        (maxChanges > 0 ? queue.changes : queue.reads).add(new Pending(++submittedCount, maxChanges, work));
+        (maxChanges > 0 ? queue.changes : queue.reads).add(new PendingWork(++submittedCount, maxChanges, work));
         drain();
         return true;
     }
 
     private double expectedWaitS(Queue queue) {
-        int queued = queue.changes.stream().mapToInt(Pending::maxChanges).sum();
-        return Math.max(queue.size() / requests.ratePerS(), queued / userChanges.ratePerS());
+        int queuedChanges =
+                queue.changes.stream().mapToInt(PendingWork::maxChanges).sum();
+        return Math.max(queue.size() / requestTokens.ratePerS(), queuedChanges / userChangeTokens.ratePerS());
     }
 
     private void drain() {
         cancelWakeUp();
-        Next next = next();
-        while (next instanceof Run run) {
-            run(run.queue.remove(), run.changeBucket);
-            next = next();
+        NextStep step = nextStep();
+        while (step instanceof Run runStep) {
+            run(runStep.queue.remove(), runStep.changeBucket);
+            step = nextStep();
         }
-        cancelWakeUp(); // set by work that submitted more work
-        if (next instanceof WaitFor wait) {
-            wakeUp = loop.after(wait.nanos, this::drain);
+        cancelWakeUp(); // set again if the work submitted more work
+        if (step instanceof WaitFor waitStep) {
+            wakeUp = loop.after(waitStep.nanos, this::drain);
         }
     }
 
@@ -105,65 +112,65 @@
         }
     }
 
-    /** What is to be done next. */
-    private sealed interface Next permits Run, WaitFor, Nothing {}
+    /** The next step of {@link #drain}. */
+    private sealed interface NextStep permits Run, WaitFor, Idle {}
 
-    /** The first work of the queue may run now; its changes are taken from the bucket. */
-    private record Run(Deque<Pending> queue, TokenBucket changeBucket) implements Next {}
+    /** Run the head of the queue now, with its changes taken from the bucket. */
+    private record Run(Deque<PendingWork> queue, TokenBucket changeBucket) implements NextStep {}
 
-    /** Work is queued and the rates permit none of it before this time is over. */
-    private record WaitFor(long nanos) implements Next {}
+    /** Wait for this long: work is queued, but the rates do not allow any of it earlier. */
+    private record WaitFor(long nanos) implements NextStep {}
 
-    private enum Nothing implements Next {
-        QUEUED
+    private enum Idle implements NextStep {
+        NOTHING_QUEUED
     }
 
-    private Next next() {
+    private NextStep nextStep() {
         long now = loop.nanos();
-        long requestWait = requests.waitNanos(1, now);
+        long requestWait = requestTokens.waitNanos(1, now);
         long minChangeWait = Long.MAX_VALUE;
-        boolean changesShort = false;
+        boolean isShortOfChangeTokens = false;
         for (Priority priority : Priority.values()) {
             Queue queue = queues.get(priority);
-            TokenBucket bucket = priority == Priority.SUBMISSIONS ? userChanges : changes;
+            TokenBucket bucket = priority == Priority.SUBMISSIONS ? userChangeTokens : changeTokens;
             boolean mayChange = !queue.changes.isEmpty();
             if (mayChange) {
                 long changeWait = bucket.waitNanos(queue.changes.peek().maxChanges, now);
                 minChangeWait = changeWait > 0 ? Math.min(minChangeWait, changeWait) : minChangeWait;
-                // Once changes are short for a priority, none below it may take what it waits for.
-                mayChange = changeWait == 0 && !(changesShort && bucket == changes);
-                changesShort |= changeWait > 0 && bucket == changes;
+                // While a priority waits for change tokens, lower priorities must not take them.
+                mayChange = changeWait == 0 && !(isShortOfChangeTokens && bucket == changeTokens);
+                isShortOfChangeTokens |= changeWait > 0 && bucket == changeTokens;
             }
             if (mayChange || !queue.reads.isEmpty()) {
-                return requestWait > 0 ? new WaitFor(requestWait) : new Run(queue.first(mayChange), bucket);
+                return requestWait > 0 ? new WaitFor(requestWait) : new Run(queue.dequeOfEarliest(mayChange), bucket);
             }
         }
-        return minChangeWait == Long.MAX_VALUE ? Nothing.QUEUED : new WaitFor(minChangeWait);
+        return minChangeWait == Long.MAX_VALUE ? Idle.NOTHING_QUEUED : new WaitFor(minChangeWait);
     }
 
-    private void run(Pending pending, TokenBucket changeBucket) {
-        requests.take(1);
+    private void run(PendingWork pending, TokenBucket changeBucket) {
+        requestTokens.take(1);
         changeBucket.take(pending.maxChanges);
         changeBucket.take(pending.work.getAsInt() - pending.maxChanges);
     }
 
-    private record Pending(long number, int maxChanges, IntSupplier work) {}
+    private record PendingWork(long sequenceNumber, int maxChanges, IntSupplier work) {}
 
     /** The queued work of one priority, in the order of submission. */
     private static final class Queue {
-        private final Deque<Pending> changes = new ArrayDeque<>();
-        private final Deque<Pending> reads = new ArrayDeque<>();
+        private final Deque<PendingWork> changes = new ArrayDeque<>();
+        private final Deque<PendingWork> reads = new ArrayDeque<>();
 
         int size() {
             return changes.size() + reads.size();
         }
 
-        /** Where the work submitted first is, of what may run; there must be some. */
-        Deque<Pending> first(boolean mayChange) {
+        /** The deque with the earliest submitted work among that which may run. At least one item must be runnable. */
+        Deque<PendingWork> dequeOfEarliest(boolean mayChange) {
             if (!mayChange) {
                 return reads;
             }
-            return reads.isEmpty() || changes.peek().number < reads.peek().number ? changes : reads;
+            return reads.isEmpty() || changes.peek().sequenceNumber < reads.peek().sequenceNumber ? changes : reads;
         }
     }
 }
--- a/src/main/java/org/spruceridge/net/Request.java
+++ b/src/main/java/org/spruceridge/net/Request.java
@@ -1,4 +1,4 @@
 package org.spruceridge.net;
 
-/** A complete request that was received; the path is without the query. */
+/** A complete request received by the server; {@code path} excludes the query. */
 public record Request(String method, String path, byte[] body) {}
--- a/src/main/java/org/spruceridge/net/RequestHandler.java
+++ b/src/main/java/org/spruceridge/net/RequestHandler.java
@@ -4,12 +4,12 @@
 
 /** Handles the requests of the HTTP server, on the event loop. */
 public interface RequestHandler {
-    /** Handles a request; {@code answer} is called exactly once, at once or later, on the loop. */
-    void handle(Request request, Consumer<Response> answer);
+    /** Handles a request. {@code onResponse} is called exactly once, on the event loop, immediately or later. */
+    void handle(Request request, Consumer<Response> onResponse);
 
-    /** The priority of the request under overload. */
+    /** The priority at which the request is handled under overload. */
     RequestQueue.Priority priority(Request request);
 
-    /** The response to a request that could not be handled in time. */
+    /** The response to a request that is rejected because it could not be handled in time. */
     Response refusal(Request request);
 }
--- a/src/main/java/org/spruceridge/net/RequestQueue.java
+++ b/src/main/java/org/spruceridge/net/RequestQueue.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * Queue of received requests under overload. With processor time to spare each request is handled at once. When requests
- * arrive faster than they can be handled they wait here, by priority, and those whose sender has disconnected or timed out
- * are rejected unhandled: a node busy with responses that nobody waits for would answer nobody in time, and senders retry.
- * Used on the event loop only.
+ * The queue of received requests under overload. With CPU time to spare, each request is handled immediately. Requests
+ * that arrive faster than they can be handled are queued by priority, and those whose sender has disconnected or timed
+ * out are rejected unhandled: a node that spends its time on responses that nobody is waiting for would answer no
+ * request in time, because senders retry. Used on the event loop only.
  */
 public final class RequestQueue {
-    /** The order in which requests are handled under overload, each with the time after which it is rejected. */
+    /** The priority of requests under overload, the highest first, with the time after which they are rejected. */
     public enum Priority {
-        /** Health checks: otherwise the load balancer takes a busy node for a dead one. */
+        /** Health checks; if they are delayed, the load balancer considers a busy node dead. */
         HEALTH(1),
-        /** Workers' heartbeats, which time out at the worker after 4 s. */
+        /** Workers' heartbeats; the worker times out after 4 s. */
         HEARTBEAT(3),
-        /** Requests of users, who are told to retry rather than kept waiting. */
+        /** Requests of users; they receive a response that asks them to retry instead of waiting longer. */
         USER(1);
 
         private final long timeoutNanos;
@@ -29,47 +29,47 @@
     }
 
     /** A request in the queue. */
-    interface Work {
-        /** Handles it. */
+    interface PendingRequest {
+        /** Handles the request. */
         void run();
 
-        /** It has waited longer than its priority allows, or longer than its sender, and is not handled. */
+        /** Rejects the request unhandled, because its queue timeout has expired or its sender has disconnected. */
         void reject();
 
-        /** True if its sender has disconnected. */
+        /** True if the sender has disconnected. */
         boolean isAbandoned();
     }
 
-    /** Time spent on requests before the network is polled again: more may have arrived, or disconnected. */
+    /** The maximum time spent on requests before the network is polled for new requests and disconnects. */
     private static final long MAX_SLICE_NANOS = Durations.millis(50);
 
     private final Loop loop;
-    private final Map<Priority, Deque<QueuedWork>> queues = new EnumMap<>(Priority.class);
-    private long idleSince;
-    private long spentNanos;
+    private final Map<Priority, Deque<QueueEntry>> queues = new EnumMap<>(Priority.class);
+    private long idleSinceNanos;
+    private long busyNanos;
     private boolean isDraining;
 
-    private record QueuedWork(Work work, long queuedAt) {}
+    private record QueueEntry(PendingRequest request, long queuedAtNanos) {}
 
     RequestQueue(Loop loop) {
         this.loop = loop;
-        this.idleSince = loop.nanos();
+        this.idleSinceNanos = loop.nanos();
         for (Priority priority : Priority.values()) {
             queues.put(priority, new ArrayDeque<>());
         }
     }
 
-    void add(Priority priority, Work work) {
+    void add(Priority priority, PendingRequest request) {
         long now = loop.nanos();
-        spentNanos = Math.max(0, spentNanos - (now - idleSince)); // idle time pays time spent back
-        if (isDraining || spentNanos > MAX_SLICE_NANOS) {
-            queues.get(priority).add(new QueuedWork(work, now));
-            drainSoon();
+        busyNanos = Math.max(0, busyNanos - (now - idleSinceNanos)); // idle time offsets busy time
+        if (isDraining || busyNanos > MAX_SLICE_NANOS) {
+            queues.get(priority).add(new QueueEntry(request, now));
+            scheduleDrain();
         } else {
-            work.run();
-            spentNanos += loop.nanos() - now;
+            request.run();
+            busyNanos += loop.nanos() - now;
         }
-        idleSince = loop.nanos();
+        idleSinceNanos = loop.nanos();
     }
 
     /** True while requests are queued. */
@@ -77,7 +77,7 @@
         return isDraining;
     }
 
-    private void drainSoon() {
+    private void scheduleDrain() {
         if (!isDraining) {
             isDraining = true;
             loop.after(0, this::drain); // runs after the network has been polled
@@ -85,23 +85,23 @@
     }
 
     private void drain() {
-        long sliceStart = loop.nanos();
-        for (var queue : queues.entrySet()) {
-            while (!queue.getValue().isEmpty()) {
+        long sliceStartNanos = loop.nanos();
+        for (var priorityQueue : queues.entrySet()) {
+            while (!priorityQueue.getValue().isEmpty()) {
                 long now = loop.nanos();
-                if (now - sliceStart > MAX_SLICE_NANOS) {
+                if (now - sliceStartNanos > MAX_SLICE_NANOS) {
                     loop.after(0, this::drain);
                     return;
                 }
-                QueuedWork next = queue.getValue().remove();
-                if (next.work.isAbandoned() || now - next.queuedAt > queue.getKey().timeoutNanos) {
-                    next.work.reject();
+                QueueEntry entry = priorityQueue.getValue().remove();
+                if (entry.request.isAbandoned() || now - entry.queuedAtNanos > priorityQueue.getKey().timeoutNanos) {
+                    entry.request.reject();
                 } else {
-                    next.work.run();
+                    entry.request.run();
                 }
             }
         }
         isDraining = false;
-        spentNanos = 0;
+        busyNanos = 0;
     }
 }
--- a/src/main/java/org/spruceridge/net/Response.java
+++ b/src/main/java/org/spruceridge/net/Response.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** A response to a request; {@code retryAfterS} of 0 sends no {@code Retry-After} header. */
+/** A response to a request; a {@code retryAfterS} of 0 omits the {@code Retry-After} header. */
 public record Response(int status, byte[] body, int retryAfterS) {
     /** A response with a JSON body. */
     public static Response of(int status, JsonNode body) {
@@ -14,7 +14,7 @@
         return of(status, Json.object().put("error", reason));
     }
 
-    /** Status 503: the request cannot be handled now and should be retried after this many seconds. */
+    /** Status 503: the request cannot be handled now; the client should retry after {@code retryAfterS} seconds. */
     public static Response unavailable(int retryAfterS, String reason) {
         return new Response(503, Json.bytes(Json.object().put("error", reason)), retryAfterS);
     }
--- a/src/main/java/org/spruceridge/net/ServerConnection.java
+++ b/src/main/java/org/spruceridge/net/ServerConnection.java
@@ -19,10 +19,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One inbound connection: queues its requests, one at a time, and writes their responses. */
+/** One inbound connection: queues its requests, one at a time, and writes the responses. */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final Logger LOG = LoggerFactory.getLogger(ServerConnection.class);
-    /** Headers that this server writes itself need no validation. */
+    /** The response headers are written by this server itself and need no validation. */
     private static final HttpHeadersFactory UNVALIDATED_HEADERS =
             DefaultHttpHeadersFactory.headersFactory().withValidation(false);
 
@@ -39,37 +39,37 @@
         this.handler = handler;
     }
 
-    /** Set once, when the connection is set up. */
-    void watchdog(ConnectionWatchdog ofThisConnection) {
-        watchdog = ofThisConnection;
+    /** Sets the watchdog; called once, when the pipeline is created. */
+    void setWatchdog(ConnectionWatchdog connectionWatchdog) {
+        watchdog = connectionWatchdog;
     }
 
-    /** True from a request to its response. */
+    /** True from the receipt of a request until its response is written. */
     boolean isBusy() {
         return isBusy;
     }
 
-    /** Closes a connection on which a request has come before. */
+    /** Closes the connection, on which a heartbeat must have been received before. */
     void close() {
         watchdog.release();
         context.close();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest received) {
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
         watchdog.requestReceived();
         if (isBusy) {
-            ctx.close(); // the protocol has no pipelining
+            ctx.close(); // pipelining is not supported
             return;
         }
-        if (received.decoderResult().isFailure()) {
+        if (httpRequest.decoderResult().isFailure()) {
             write(ctx, Response.error(400, "malformed request"), false);
             return;
         }
         isBusy = true;
-        boolean keepAlive = HttpUtil.isKeepAlive(received);
-        Request request =
-                new Request(received.method().name(), path(received.uri()), ByteBufUtil.getBytes(received.content()));
+        boolean keepAlive = HttpUtil.isKeepAlive(httpRequest);
+        Request request = new Request(
+                httpRequest.method().name(), path(httpRequest.uri()), ByteBufUtil.getBytes(httpRequest.content()));
         RequestQueue.Priority priority = handler.priority(request);
         if (priority == RequestQueue.Priority.HEARTBEAT) {
             context = ctx;
@@ -83,7 +83,7 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    private final class QueuedRequest implements RequestQueue.Work {
+    private final class QueuedRequest implements RequestQueue.PendingRequest {
         private final ChannelHandlerContext ctx;
         private final Request request;
         private final boolean keepAlive;
@@ -122,28 +122,28 @@
         if (!ctx.channel().isActive()) {
             return;
         }
-        FullHttpResponse out = encode(response);
+        FullHttpResponse httpResponse = encode(response);
         if (!keepAlive) {
-            out.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        watchdog.responseSent();
-        ctx.writeAndFlush(out)
+        watchdog.responseReady();
+        ctx.writeAndFlush(httpResponse)
                 .addListener(keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
     }
 
     private static FullHttpResponse encode(Response response) {
-        FullHttpResponse out = new DefaultFullHttpResponse(
+        FullHttpResponse httpResponse = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(response.status()),
                 Unpooled.wrappedBuffer(response.body()),
                 UNVALIDATED_HEADERS,
                 UNVALIDATED_HEADERS);
-        out.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
-        out.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        httpResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+        httpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         if (response.retryAfterS() > 0) {
-            out.headers().set(HttpHeaderNames.RETRY_AFTER, response.retryAfterS());
+            httpResponse.headers().set(HttpHeaderNames.RETRY_AFTER, response.retryAfterS());
         }
-        return out;
+        return httpResponse;
     }
 
     @Override
@@ -151,7 +151,7 @@
         if (cause instanceof IOException) {
             LOG.debug("inbound connection closed reason={}", cause.toString());
         } else {
-            LOG.error("inbound connection failed by an internal error", cause);
+            LOG.error("inbound connection failed with an internal error", cause);
         }
         ctx.close();
     }
--- a/src/main/java/org/spruceridge/net/TokenBucket.java
+++ b/src/main/java/org/spruceridge/net/TokenBucket.java
@@ -1,21 +1,21 @@
 package org.spruceridge.net;
 
-/** A token bucket: fills at a rate and holds one second's worth, or a minimum capacity if that is more. */
+/** A token bucket with a capacity of one second's worth of tokens, or of a minimum capacity if that is larger. */
 final class TokenBucket {
-    /** Tokens missing below this are a rounding error. */
+    /** A smaller number of missing tokens is a rounding error. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private double minCapacity;
     private double ratePerS;
     private double tokens;
-    private long filledAt;
+    private long filledAtNanos;
 
-    /** Full at first; {@code now} is a moment of the monotonic clock, in nanoseconds. */
+    /** Creates a full bucket; {@code now} is a reading of the monotonic clock in nanoseconds. */
     TokenBucket(double ratePerS, double minCapacity, long now) {
         this.minCapacity = minCapacity;
         this.ratePerS = ratePerS;
         this.tokens = capacity();
-        this.filledAt = now;
+        this.filledAtNanos = now;
     }
 
     private double capacity() {
@@ -32,27 +32,27 @@
         tokens = Math.min(tokens, capacity());
     }
 
-    /** Holds at least so many tokens when full; capacity that is gained is filled at once. */
-    void setMinCapacity(double amount) {
-        double before = capacity();
-        minCapacity = Math.max(1, amount);
-        tokens = Math.min(tokens + Math.max(0, capacity() - before), capacity());
+    /** Sets the minimum capacity, at least 1. Added capacity is filled with tokens immediately. */
+    void setMinCapacity(double newMinCapacity) {
+        double oldCapacity = capacity();
+        minCapacity = Math.max(1, newMinCapacity);
+        tokens = Math.min(tokens + Math.max(0, capacity() - oldCapacity), capacity());
     }
 
-    /** Nanoseconds until so many tokens are there; of more than the capacity, until the bucket is full. */
+    /** Nanoseconds until {@code count} tokens are available, or until the bucket is full if its capacity is smaller. */
     long waitNanos(int count, long now) {
         fill(now);
-        double missing = Math.min(count, capacity()) - tokens;
-        return missing <= ROUNDING_TOLERANCE ? 0 : Math.max(1, (long) (missing / ratePerS * 1e9));
+        double missingTokens = Math.min(count, capacity()) - tokens;
+        return missingTokens <= ROUNDING_TOLERANCE ? 0 : Math.max(1, (long) (missingTokens / ratePerS * 1e9));
     }
 
-    /** Takes tokens, also more than there are; a negative count gives some back. */
+    /** Takes tokens. The balance may become negative; a negative count returns tokens. */
     void take(int count) {
         tokens -= count;
     }
 
     private void fill(long now) {
-        tokens = Math.min(capacity(), tokens + ratePerS * (now - filledAt) / 1e9);
-        filledAt = now;
+        tokens = Math.min(capacity(), tokens + ratePerS * (now - filledAtNanos) / 1e9);
+        filledAtNanos = now;
     }
 }
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -19,12 +19,12 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.config.Address;
 
-/** That connections stay within the machine's sockets and that nobody is shut out, on loopback. */
+/** Connections stay within the socket limit, and users and health checks can always connect. Runs on loopback. */
 final class ConnectionLimiterTest {
-    private static final long REQUEST_TIMEOUT = Durations.nanos(10);
+    private static final long REQUEST_TIMEOUT_NANOS = Durations.nanos(10);
 
     private final NettyLoop loop = new NettyLoop();
-    private final List<Socket> opened = new ArrayList<>();
+    private final List<Socket> openSockets = new ArrayList<>();
     private final int port = freePort();
 
     private static int freePort() {
@@ -35,11 +35,11 @@
         }
     }
 
-    /** Answers everybody; workers send heartbeats to {@code /hello}. */
-    private static final class ServesAll implements RequestHandler {
+    /** Answers every request with status 200; requests to {@code /hello} have the priority of heartbeats. */
+    private static final class OkHandler implements RequestHandler {
         @Override
-        public void handle(Request request, Consumer<Response> answer) {
-            answer.accept(Response.of(200, Json.object()));
+        public void handle(Request request, Consumer<Response> onResponse) {
+            onResponse.accept(Response.of(200, Json.object()));
         }
 
         @Override
@@ -49,17 +49,18 @@
 
         @Override
         public Response refusal(Request request) {
-            throw new AssertionError("nothing here takes so long");
+            throw new AssertionError("no request should be rejected");
         }
     }
 
-    private void serve(ConnectionLimiter connectionLimiter, long workerIdle) {
-        new HttpServer(loop, connectionLimiter, workerIdle, new ServesAll()).start(new Address("0.0.0.0", port));
+    private void serve(ConnectionLimiter connectionLimiter, long workerIdleTimeoutNanos) {
+        new HttpServer(loop, connectionLimiter, workerIdleTimeoutNanos, new OkHandler())
+                .start(new Address("0.0.0.0", port));
     }
 
     @AfterEach
-    void end() throws IOException {
-        for (Socket socket : opened) {
+    void closeSockets() throws IOException {
+        for (Socket socket : openSockets) {
             socket.close();
         }
         loop.group().shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -67,80 +68,87 @@
 
     private <T> T onLoop(java.util.concurrent.Callable<T> work)
             throws InterruptedException, ExecutionException, TimeoutException {
-        CompletableFuture<T> done = new CompletableFuture<>();
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.execute(() -> {
             try {
-                done.complete(work.call());
+                result.complete(work.call());
             } catch (Exception e) {
-                done.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
-        return done.get(10, TimeUnit.SECONDS);
+        return result.get(10, TimeUnit.SECONDS);
     }
 
-    private int call(NettyHttpClient client, Address to)
+    private int call(NettyHttpClient client, Address address)
             throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<Integer> status = new CompletableFuture<>();
-        loop.execute(
-                () -> client.call(to, HttpCall.get("/"), REQUEST_TIMEOUT, answer -> status.complete(answer.status())));
+        loop.execute(() -> client.call(
+                address, HttpCall.get("/"), REQUEST_TIMEOUT_NANOS, answer -> status.complete(answer.status())));
         return status.get(10, TimeUnit.SECONDS);
     }
 
     @Test
-    void pushesToMoreMachinesThanThereAreSocketsAllArrive() throws Exception {
-        serve(new ConnectionLimiter(10_000), REQUEST_TIMEOUT);
-        ConnectionLimiter few = new ConnectionLimiter(40);
-        NettyHttpClient client = new NettyHttpClient(loop, few);
+    void requestsToMoreMachinesThanSocketsAllSucceed() throws Exception {
+        serve(new ConnectionLimiter(10_000), REQUEST_TIMEOUT_NANOS);
+        ConnectionLimiter limiter = new ConnectionLimiter(40);
+        NettyHttpClient client = new NettyHttpClient(loop, limiter);
         for (int round = 0; round < 2; round++) {
             for (int machine = 1; machine <= 60; machine++) {
                 assertEquals(200, call(client, new Address("127.0.0." + machine, port)));
-                assertTrue(onLoop(few::open) <= 36, "idle connections must leave room");
+                assertTrue(
+                        onLoop(limiter::openCount) <= 36, "idle connections must be closed above their allowed share");
             }
         }
-        // Those who come in take the room of idle connections too.
+        // Inbound connections cause idle outbound connections to be closed, too.
         onLoop(() -> {
             for (int i = 0; i < 30; i++) {
-                few.opened();
+                limiter.opened();
             }
             return null;
         });
-        assertEquals(36, onLoop(few::open));
+        assertEquals(36, onLoop(limiter::openCount));
     }
 
-    /** A flooded node once timed its calls of the state service out while their answers lay unread, and never led. */
+    /**
+     * A node flooded with requests let calls of the state service time out although the responses had arrived but were
+     * not read yet, so it never became the leader.
+     */
     @Test
-    void anAnswerThatCameWhileTheLoopWasBusyIsTaken() throws Exception {
-        NettyLoop other = new NettyLoop();
-        new HttpServer(other, new ConnectionLimiter(40), REQUEST_TIMEOUT, new ServesAll())
+    void responseReceivedWhileLoopIsBusyCompletesRequest() throws Exception {
+        NettyLoop serverLoop = new NettyLoop();
+        new HttpServer(serverLoop, new ConnectionLimiter(40), REQUEST_TIMEOUT_NANOS, new OkHandler())
                 .start(new Address("0.0.0.0", port));
         NettyHttpClient client = new NettyHttpClient(loop, new ConnectionLimiter(40));
         Address server = new Address("127.0.0.1", port);
-        assertEquals(200, call(client, server)); // its connection is kept
+        assertEquals(200, call(client, server)); // the connection stays in the pool
         CompletableFuture<Integer> status = new CompletableFuture<>();
         loop.execute(() -> {
             client.call(server, HttpCall.get("/"), Durations.millis(200), answer -> status.complete(answer.status()));
             sleep(600);
         });
         assertEquals(200, status.get(10, TimeUnit.SECONDS));
-        other.group().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        serverLoop.group().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    /** At Netty's default of 16 a turn, workers waited in the backlog of a busy leader until they had given up. */
+    /**
+     * With Netty's default of 16 accepted connections per loop iteration, workers timed out in the backlog of a busy
+     * leader.
+     */
     @Test
-    void allThatWaitAreAcceptedInOneTurn() throws Exception {
+    void connectionBacklogIsAcceptedInOneLoopIteration() throws Exception {
         ConnectionLimiter connectionLimiter = new ConnectionLimiter(10_000);
-        serve(connectionLimiter, REQUEST_TIMEOUT);
+        serve(connectionLimiter, REQUEST_TIMEOUT_NANOS);
         CountDownLatch connected = new CountDownLatch(1);
-        CompletableFuture<Integer> open = new CompletableFuture<>();
+        CompletableFuture<Integer> openCount = new CompletableFuture<>();
         loop.execute(() -> {
             await(connected);
-            loop.after(0, () -> loop.after(0, () -> open.complete(connectionLimiter.open())));
+            loop.after(0, () -> loop.after(0, () -> openCount.complete(connectionLimiter.openCount())));
         });
         for (int i = 0; i < 100; i++) {
             connect();
         }
         connected.countDown();
-        assertEquals(100, open.get(10, TimeUnit.SECONDS));
+        assertEquals(100, openCount.get(10, TimeUnit.SECONDS));
     }
 
     private static void await(CountDownLatch latch) {
@@ -162,18 +170,19 @@
     private Socket connect() throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout(10_000);
-        opened.add(socket);
+        openSockets.add(socket);
         return socket;
     }
 
-    /** True if the connection carried a request to its answer. */
-    private static boolean asks(Socket socket, String path) {
+    /** True if a request on this connection receives a response with status 200. */
+    private static boolean getsResponse(Socket socket, String path) {
         try {
             String request = "POST " + path + " HTTP/1.1\r\nhost: here\r\ncontent-length: 0\r\n\r\n";
             socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-            byte[] answer = new byte[1024];
-            int n = socket.getInputStream().read(answer);
-            return n > 0 && new String(answer, 0, n, StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200");
+            byte[] response = new byte[1024];
+            int byteCount = socket.getInputStream().read(response);
+            return byteCount > 0
+                    && new String(response, 0, byteCount, StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200");
         } catch (IOException e) {
             return false;
         }
@@ -181,28 +190,28 @@
 
     @Test
     void reconnectingFleetLeavesRoomForUsersAndHealthChecks() throws Exception {
-        serve(new ConnectionLimiter(40), REQUEST_TIMEOUT);
+        serve(new ConnectionLimiter(40), REQUEST_TIMEOUT_NANOS);
         Socket user = connect();
-        assertTrue(asks(user, "/api/jobs/j-1"));
+        assertTrue(getsResponse(user, "/api/jobs/j-1"));
         Socket first = connect();
-        assertTrue(asks(first, "/hello"));
-        // Four times as many workers' connections as there are sockets, all left open: as behind a cut.
+        assertTrue(getsResponse(first, "/hello"));
+        // Four times as many worker connections as sockets, all left open, as after a network partition.
         Socket last = first;
         for (int i = 0; i < 160; i++) {
             last = connect();
-            assertTrue(asks(last, "/hello"), "the newest heartbeat is answered");
+            assertTrue(getsResponse(last, "/hello"), "a heartbeat on a new connection must be answered");
         }
-        assertTrue(asks(user, "/api/jobs/j-1"), "a user's connection stays");
-        assertTrue(asks(connect(), "/healthz"), "a health check gets in");
-        assertTrue(asks(last, "/hello"));
-        assertTrue(!asks(first, "/hello"), "the connection that was silent longest is closed");
+        assertTrue(getsResponse(user, "/api/jobs/j-1"), "the connection of a user must stay open");
+        assertTrue(getsResponse(connect(), "/healthz"), "a health check must be able to connect");
+        assertTrue(getsResponse(last, "/hello"));
+        assertTrue(!getsResponse(first, "/hello"), "the worker connection that was idle longest must be closed");
     }
 
     @Test
-    void idleWorkerConnectionIsClosedAfterItsLastHeartbeat() throws Exception {
+    void idleWorkerConnectionIsClosedAfterTimeout() throws Exception {
         serve(new ConnectionLimiter(40), Durations.millis(200));
         Socket worker = connect();
-        assertTrue(asks(worker, "/hello"));
-        assertEquals(-1, worker.getInputStream().read(), "closed by the server");
+        assertTrue(getsResponse(worker, "/hello"));
+        assertEquals(-1, worker.getInputStream().read(), "the server must close the connection");
     }
 }
--- a/src/test/java/org/spruceridge/net/RequestQueueTest.java
+++ b/src/test/java/org/spruceridge/net/RequestQueueTest.java
@@ -8,31 +8,31 @@
 import org.spruceridge.net.RequestQueue.Priority;
 import org.spruceridge.sim.SimLoop;
 
-/** With too little processor, heartbeats come before users, and nothing is done for those who wait no more. */
+/** Under CPU overload heartbeats precede users' requests, and requests whose sender no longer waits are not handled. */
 final class RequestQueueTest {
     private final SimLoop loop = new SimLoop();
     private final RequestQueue requestQueue = new RequestQueue(loop);
-    private final List<String> done = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
 
-    private final class Request implements RequestQueue.Work {
+    private final class TestRequest implements RequestQueue.PendingRequest {
         private final String name;
         private final double costS;
         private boolean isAbandoned;
 
-        Request(String name, double costS) {
+        TestRequest(String name, double costS) {
             this.name = name;
             this.costS = costS;
         }
 
         @Override
         public void run() {
-            done.add(name);
+            outcomes.add(name);
             loop.pass(costS);
         }
 
         @Override
         public void reject() {
-            done.add("no " + name);
+            outcomes.add("no " + name);
         }
 
         @Override
@@ -42,36 +42,36 @@
     }
 
     @Test
-    void withProcessorToSpareEachRequestIsTakenAtOnce() {
+    void requestWithoutOverloadIsHandledAtOnce() {
         for (int i = 0; i < 5; i++) {
-            requestQueue.add(Priority.USER, new Request("user", 0.005));
-            assertEquals(i + 1, done.size());
+            requestQueue.add(Priority.USER, new TestRequest("user", 0.005));
+            assertEquals(i + 1, outcomes.size());
             loop.run(1);
         }
     }
 
     @Test
-    void underOverloadHealthGoesBeforeHeartbeatsAndHeartbeatsBeforeUsers() {
-        requestQueue.add(Priority.USER, new Request("first", 0.2));
-        requestQueue.add(Priority.USER, new Request("user", 0.2));
-        requestQueue.add(Priority.HEARTBEAT, new Request("heartbeat", 0.2));
-        requestQueue.add(Priority.HEALTH, new Request("health", 0.01));
+    void overloadedQueueServesHealthThenHeartbeatsThenUsers() {
+        requestQueue.add(Priority.USER, new TestRequest("first", 0.2));
+        requestQueue.add(Priority.USER, new TestRequest("user", 0.2));
+        requestQueue.add(Priority.HEARTBEAT, new TestRequest("heartbeat", 0.2));
+        requestQueue.add(Priority.HEALTH, new TestRequest("health", 0.01));
         loop.run(1);
-        assertEquals(List.of("first", "health", "heartbeat", "user"), done);
+        assertEquals(List.of("first", "health", "heartbeat", "user"), outcomes);
     }
 
     @Test
-    void expiredRequestsAreRejectedAndAbandonedOnesNotServed() {
-        requestQueue.add(Priority.HEARTBEAT, new Request("first", 2));
-        requestQueue.add(Priority.USER, new Request("user", 0.1));
-        Request gone = new Request("gone", 0.1);
-        requestQueue.add(Priority.HEARTBEAT, gone);
-        requestQueue.add(Priority.HEARTBEAT, new Request("heartbeat", 2.5));
-        gone.isAbandoned = true;
+    void expiredAndAbandonedRequestsAreRejectedUnhandled() {
+        requestQueue.add(Priority.HEARTBEAT, new TestRequest("first", 2));
+        requestQueue.add(Priority.USER, new TestRequest("user", 0.1));
+        TestRequest abandoned = new TestRequest("gone", 0.1);
+        requestQueue.add(Priority.HEARTBEAT, abandoned);
+        requestQueue.add(Priority.HEARTBEAT, new TestRequest("heartbeat", 2.5));
+        abandoned.isAbandoned = true;
         loop.run(10);
-        assertEquals(List.of("first", "no gone", "heartbeat", "no user"), done);
+        assertEquals(List.of("first", "no gone", "heartbeat", "no user"), outcomes);
         loop.run(1);
-        requestQueue.add(Priority.USER, new Request("later", 0.1));
-        assertEquals("later", done.get(4), "all is as before");
+        requestQueue.add(Priority.USER, new TestRequest("later", 0.1));
+        assertEquals("later", outcomes.get(4), "without queued requests, a request must be handled immediately again");
     }
 }
