--- a/src/main/java/org/spruceridge/config/Address.java
+++ b/src/main/java/org/spruceridge/config/Address.java
@@ -7,19 +7,19 @@
     /**
      * Parses {@code host:port}.
      *
-     * @throws IllegalArgumentException if the text is not of this form
+     * @throws IllegalArgumentException if the text does not have this form
      */
     public static Address parse(String text) {
-        HostAndPort parsed = HostAndPort.fromString(text);
-        if (!parsed.hasPort() || parsed.getHost().isEmpty()) {
+        HostAndPort hostAndPort = HostAndPort.fromString(text);
+        if (!hostAndPort.hasPort() || hostAndPort.getHost().isEmpty()) {
             throw new IllegalArgumentException("no port: " + text);
         }
-        return new Address(parsed.getHost(), parsed.getPort());
+        return new Address(hostAndPort.getHost(), hostAndPort.getPort());
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Address that && port == that.port && host.equals(that.host);
+        return other instanceof Address address && port == address.port && host.equals(address.host);
     }
 
     @Override
--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Reads the fields of one object of a settings file. Every error names the field with its path. */
+/** Reads the fields of one object of a settings file. Every error names the field with its full path. */
 final class Fields {
     private final JsonNode node;
     private final String path;
@@ -17,34 +17,34 @@
 
     static Fields root(JsonNode node) {
         if (node == null || !node.isObject()) {
-            throw new SettingsException("the file does not hold an object");
+            throw new SettingsException("the top level is not an object");
         }
         return new Fields(node, "");
     }
 
     Fields object(String name) {
-        JsonNode child = node.get(name);
-        if (child == null || !child.isObject()) {
-            throw invalid(name, child == null ? "is missing" : "is not an object");
+        JsonNode value = node.get(name);
+        if (value == null || !value.isObject()) {
+            throw invalid(name, value == null ? "is missing" : "is not an object");
         }
-        return new Fields(child, path + name + ".");
+        return new Fields(value, path + name + ".");
     }
 
-    /** True if the field is given and not null. */
+    /** True if the field is present and not null. */
     boolean has(String name) {
         return node.hasNonNull(name);
     }
 
-    String text(String name) {
-        JsonNode child = node.get(name);
-        if (child == null || !child.isTextual() || child.textValue().isBlank()) {
-            throw invalid(name, child == null ? "is missing" : "is not a text");
+    String string(String name) {
+        JsonNode value = node.get(name);
+        if (value == null || !value.isTextual() || value.textValue().isBlank()) {
+            throw invalid(name, value == null ? "is missing" : "must be a non-blank string");
         }
-        return child.textValue();
+        return value.textValue();
     }
 
-    String textOr(String name, String fallback) {
-        return has(name) ? text(name) : fallback;
+    String stringOr(String name, String defaultValue) {
+        return has(name) ? string(name) : defaultValue;
     }
 
     double positive(String name) {
@@ -55,13 +55,13 @@
         return value;
     }
 
-    double positiveOr(String name, double fallback) {
-        return has(name) ? positive(name) : fallback;
+    double positiveOr(String name, double defaultValue) {
+        return has(name) ? positive(name) : defaultValue;
     }
 
-    double atLeastZeroOr(String name, double fallback) {
+    double nonNegativeOr(String name, double defaultValue) {
         if (!has(name)) {
-            return fallback;
+            return defaultValue;
         }
         double value = number(name);
         if (value < 0) {
@@ -70,16 +70,16 @@
         return value;
     }
 
-    int positiveCount(String name) {
-        JsonNode child = node.get(name);
-        if (child == null || !child.isIntegralNumber() || !child.canConvertToInt() || child.intValue() < 1) {
-            throw invalid(name, child == null ? "is missing" : "must be a whole number above 0");
+    int positiveInt(String name) {
+        JsonNode value = node.get(name);
+        if (value == null || !value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < 1) {
+            throw invalid(name, value == null ? "is missing" : "must be an integer above 0");
         }
-        return child.intValue();
+        return value.intValue();
     }
 
     Address address(String name) {
-        String text = text(name);
+        String text = string(name);
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
@@ -87,34 +87,35 @@
         }
     }
 
-    ImmutableList<String> texts(String name) {
-        JsonNode child = array(name);
-        ImmutableList.Builder<String> out = ImmutableList.builder();
-        for (JsonNode item : child) {
+    ImmutableList<String> strings(String name) {
+        JsonNode list = array(name);
+        ImmutableList.Builder<String> strings = ImmutableList.builder();
+        for (JsonNode item : list) {
             if (!item.isTextual()) {
-                throw invalid(name, "must hold texts only");
+                throw invalid(name, "must contain only strings");
             }
-            out.add(item.textValue());
+            strings.add(item.textValue());
         }
-        return out.build();
+        return strings.build();
     }
 
     <T> ImmutableList<T> objects(String name, Function<Fields, T> reader) {
-        JsonNode child = array(name);
-        ImmutableList.Builder<T> out = ImmutableList.builder();
-        for (int i = 0; i < child.size(); i++) {
-            if (!child.get(i).isObject()) {
+        JsonNode list = array(name);
+        ImmutableList.Builder<T> objects = ImmutableList.builder();
+        for (int i = 0; i < list.size(); i++) {
+            if (!list.get(i).isObject()) {
                 throw invalid(name + "[" + i + "]", "is not an object");
             }
-            out.add(reader.apply(new Fields(child.get(i), path + name + "[" + i + "].")));
+            objects.add(reader.apply(new Fields(list.get(i), path + name + "[" + i + "].")));
         }
-        return out.build();
+        return objects.build();
     }
 
     /**
-     * The name under which a renamed field is given in the file: its name, or its former name. Both at once are an error.
+     * The name that the file uses for a renamed field: its former name if that is present, otherwise {@code name}. It
+     * is an error if both are present.
      */
-    String givenName(String name, String formerName) {
+    String usedName(String name, String formerName) {
         if (!node.has(formerName)) {
             return name;
         }
@@ -124,7 +125,7 @@
         return formerName;
     }
 
-    /** Refuses every field that is not among the known ones. */
+    /** Rejects every field whose name is not in {@code known}. */
     void rejectUnknown(Set<String> known) {
         node.fieldNames().forEachRemaining(name -> {
             if (!known.contains(name)) {
@@ -133,24 +134,24 @@
         });
     }
 
-    /** The error for a field; {@code problem} continues a sentence that begins with its name. */
+    /** The error for a field; {@code problem} is a phrase that follows the field name in the message. */
     SettingsException invalid(String name, String problem) {
         return new SettingsException(path + name + " " + problem);
     }
 
     private JsonNode array(String name) {
-        JsonNode child = node.get(name);
-        if (child == null || !child.isArray()) {
-            throw invalid(name, child == null ? "is missing" : "is not a list");
+        JsonNode value = node.get(name);
+        if (value == null || !value.isArray()) {
+            throw invalid(name, value == null ? "is missing" : "is not an array");
         }
-        return child;
+        return value;
     }
 
     private double number(String name) {
-        JsonNode child = node.get(name);
-        if (child == null || !child.isNumber() || !Double.isFinite(child.doubleValue())) {
-            throw invalid(name, child == null ? "is missing" : "is not a number");
+        JsonNode value = node.get(name);
+        if (value == null || !value.isNumber() || !Double.isFinite(value.doubleValue())) {
+            throw invalid(name, value == null ? "is missing" : "is not a number");
         }
-        return child.doubleValue();
+        return value.doubleValue();
     }
 }
--- a/src/main/java/org/spruceridge/config/Policy.java
+++ b/src/main/java/org/spruceridge/config/Policy.java
@@ -3,13 +3,13 @@
 import java.nio.file.Path;
 
 /**
- * The operators' own settings: the weights of the scheduling terms, and the ratios by which timeouts and intervals follow
- * from the platform's settings. Each field is a field of the policy file.
+ * The operators' own settings: the weights of the scheduling terms, and the ratios that derive timeouts and intervals
+ * from the platform's settings. Each component corresponds to a field of the policy file.
  */
 public record Policy(
         Weights weights, Scheduling scheduling, Preemption preemption, Leadership leadership, FleetTimeouts fleet) {
 
-    /** The weights of the design document's terms, and of the terms that were added to them. */
+    /** The weights of the scheduling terms in the design document, and of the terms added to these. */
     public record Weights(
             double deadline,
             double overhead,
@@ -21,12 +21,12 @@
             double packing) {}
 
     /**
-     * How scheduling cycles run.
+     * The parameters of scheduling cycles.
      *
-     * @param minCycleIntervalHeartbeats the least time between two cycles, in heartbeat intervals of the workers
-     * @param minRemainingTimeS the least remaining time that the scores assume for a task, in seconds
+     * @param minCycleIntervalHeartbeats the minimum time between two cycles, in heartbeat intervals of the workers
+     * @param minRemainingTimeS the minimum remaining time that the scores assume for a task, in seconds
      * @param reservedShare the share of all machines on which capacity may be reserved for large tasks
-     * @param targetStartDelayS within which time after its submission each job should have started, in seconds
+     * @param targetStartDelayS the time from submission within which each job should start, in seconds
      */
     public record Scheduling(
             double minCycleIntervalHeartbeats,
@@ -35,30 +35,31 @@
             double targetStartDelayS) {}
 
     /**
-     * How often running tasks are preempted.
+     * The limit on the preemption of running tasks.
      *
-     * @param minIntervalPerMachineS the least time between two preemptions on one machine, in seconds
+     * @param minIntervalPerMachineS the minimum time between two preemptions on one machine, in seconds
      */
     public record Preemption(double minIntervalPerMachineS) {}
 
     /**
-     * The lease behind the leader key.
+     * The lease that the leader key is bound to.
      *
-     * @param ttlWorkerLeases its time to live, in worker leases
-     * @param renewalsPerTtl how often it is renewed within its time to live
+     * @param ttlWorkerLeases the time to live of the lease, in worker leases
+     * @param renewalsPerTtl the number of renewals within the time to live
      */
     public record Leadership(double ttlWorkerLeases, double renewalsPerTtl) {}
 
     /**
-     * When machines are returned.
+     * The timeouts after which machines are deleted.
      *
-     * @param idleTimeoutBoots how long an idle machine of the cheapest kind is kept, in boot times
-     * @param bootTimeoutBoots how long a machine may take to come up, in boot times
-     * @param silenceTimeoutLeases how long a machine may be silent, in worker leases
+     * @param idleTimeoutBoots the time for which an idle machine of the cheapest kind is kept, in boot times
+     * @param bootTimeoutBoots the maximum time for a machine to boot, in boot times
+     * @param silenceTimeoutLeases the time without a heartbeat after which a machine is considered dead, in worker
+     *     leases
      */
     public record FleetTimeouts(double idleTimeoutBoots, double bootTimeoutBoots, double silenceTimeoutLeases) {}
 
-    /** The values that hold without a policy file. */
+    /** The values used without a policy file. */
     public static Policy defaults() {
         return new Policy(
                 new Weights(15, 40, 8, 5, 40, 40, 2, 3),
@@ -69,9 +70,9 @@
     }
 
     /**
-     * Reads and checks a policy file; what it leaves out keeps its default.
+     * Reads and checks a policy file; omitted fields keep their defaults.
      *
-     * @throws SettingsException if the file cannot be read, or holds an unknown field or an invalid value
+     * @throws SettingsException if the file cannot be read, or contains an unknown field or an invalid value
      */
     public static Policy load(Path file) {
         return PolicyReader.load(file);
--- a/src/main/java/org/spruceridge/config/PolicyReader.java
+++ b/src/main/java/org/spruceridge/config/PolicyReader.java
@@ -15,54 +15,54 @@
 import org.spruceridge.config.Policy.Weights;
 
 /**
- * Reads and checks a policy file, section by section. Sections and fields that the file leaves out keep their defaults;
- * unknown ones are refused. A renamed section or field is also accepted under its former name, but not under both at once.
+ * Reads and checks a policy file, section by section. Omitted sections and fields keep their defaults; unknown ones are
+ * rejected. A renamed section or field is also accepted under its former name, but not under both names at once.
  */
 final class PolicyReader {
     private static final double MAX_TTL_WORKER_LEASES = 0.5;
     private static final double MIN_RENEWALS_PER_TTL = 2;
 
     private final Policy defaults = Policy.defaults();
-    private final Fields top;
+    private final Fields root;
 
-    private PolicyReader(JsonNode root) {
-        this.top = Fields.root(root);
+    private PolicyReader(JsonNode document) {
+        this.root = Fields.root(document);
     }
 
     static Policy load(Path file) {
-        JsonNode root;
+        JsonNode document;
         try {
-            root = new YAMLMapper().readTree(Files.readAllBytes(file));
+            document = new YAMLMapper().readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            throw new SettingsException("not YAML: " + firstLine(e.getOriginalMessage()));
+            throw new SettingsException("invalid YAML: " + firstLine(e.getOriginalMessage()));
         } catch (IOException e) {
             throw SettingsException.unreadableFile(file, e);
         }
-        if (root == null || root.isMissingNode() || root.isNull()) {
+        if (document == null || document.isMissingNode() || document.isNull()) {
             return Policy.defaults();
         }
-        return new PolicyReader(root).read();
+        return new PolicyReader(document).read();
     }
 
     private Policy read() {
-        top.rejectUnknown(ImmutableSet.of(
+        root.rejectUnknown(ImmutableSet.of(
                 "weights", "scheduling", "rounds", "preemption", "stops", "leadership", "leading", "fleet"));
         return new Policy(
                 section("weights").map(this::weights).orElse(defaults.weights()),
-                section(top.givenName("scheduling", "rounds"))
+                section(root.usedName("scheduling", "rounds"))
                         .map(this::scheduling)
                         .orElse(defaults.scheduling()),
-                section(top.givenName("preemption", "stops"))
+                section(root.usedName("preemption", "stops"))
                         .map(this::preemption)
                         .orElse(defaults.preemption()),
-                section(top.givenName("leadership", "leading"))
+                section(root.usedName("leadership", "leading"))
                         .map(this::leadership)
                         .orElse(defaults.leadership()),
                 section("fleet").map(this::fleet).orElse(defaults.fleet()));
     }
 
     private Optional<Fields> section(String name) {
-        return top.has(name) ? Optional.of(top.object(name)) : Optional.empty();
+        return root.has(name) ? Optional.of(root.object(name)) : Optional.empty();
     }
 
     private Weights weights(Fields fields) {
@@ -79,14 +79,14 @@
                 "packing"));
         Weights weights = defaults.weights();
         return new Weights(
-                fields.atLeastZeroOr("deadline", weights.deadline()),
-                fields.atLeastZeroOr("overhead", weights.overhead()),
-                fields.atLeastZeroOr("wait", weights.waiting()),
-                fields.atLeastZeroOr("aging", weights.aging()),
-                fields.atLeastZeroOr(fields.givenName("starvation", "patience"), weights.starvation()),
-                fields.atLeastZeroOr("availability", weights.availability()),
-                fields.atLeastZeroOr(fields.givenName("spot", "thrift"), weights.spotPreference()),
-                fields.atLeastZeroOr("packing", weights.packing()));
+                fields.nonNegativeOr("deadline", weights.deadline()),
+                fields.nonNegativeOr("overhead", weights.overhead()),
+                fields.nonNegativeOr("wait", weights.waiting()),
+                fields.nonNegativeOr("aging", weights.aging()),
+                fields.nonNegativeOr(fields.usedName("starvation", "patience"), weights.starvation()),
+                fields.nonNegativeOr("availability", weights.availability()),
+                fields.nonNegativeOr(fields.usedName("spot", "thrift"), weights.spotPreference()),
+                fields.nonNegativeOr("packing", weights.packing()));
     }
 
     private Scheduling scheduling(Fields fields) {
@@ -102,25 +102,25 @@
         Scheduling scheduling = defaults.scheduling();
         return new Scheduling(
                 fields.positiveOr(
-                        fields.givenName("min_cycle_interval_heartbeats", "spacing_of_report"),
+                        fields.usedName("min_cycle_interval_heartbeats", "spacing_of_report"),
                         scheduling.minCycleIntervalHeartbeats()),
                 fields.positiveOr(
-                        fields.givenName("min_remaining_time_s", "remaining_floor_s"), scheduling.minRemainingTimeS()),
-                fields.atLeastZeroOr(fields.givenName("reserved_share", "held_share"), scheduling.reservedShare()),
+                        fields.usedName("min_remaining_time_s", "remaining_floor_s"), scheduling.minRemainingTimeS()),
+                fields.nonNegativeOr(fields.usedName("reserved_share", "held_share"), scheduling.reservedShare()),
                 fields.positiveOr(
-                        fields.givenName("target_start_delay_s", "begin_within_s"), scheduling.targetStartDelayS()));
+                        fields.usedName("target_start_delay_s", "begin_within_s"), scheduling.targetStartDelayS()));
     }
 
     private Preemption preemption(Fields fields) {
         fields.rejectUnknown(ImmutableSet.of("min_interval_per_machine_s", "per_machine_s"));
         return new Preemption(fields.positiveOr(
-                fields.givenName("min_interval_per_machine_s", "per_machine_s"),
+                fields.usedName("min_interval_per_machine_s", "per_machine_s"),
                 defaults.preemption().minIntervalPerMachineS()));
     }
 
     private Leadership leadership(Fields fields) {
         fields.rejectUnknown(ImmutableSet.of("ttl_worker_leases", "ttl_of_lease", "renewals_per_ttl"));
-        String ttlName = fields.givenName("ttl_worker_leases", "ttl_of_lease");
+        String ttlName = fields.usedName("ttl_worker_leases", "ttl_of_lease");
         Leadership leadership = new Leadership(
                 fields.positiveOr(ttlName, defaults.leadership().ttlWorkerLeases()),
                 fields.positiveOr("renewals_per_ttl", defaults.leadership().renewalsPerTtl()));
@@ -143,10 +143,10 @@
                 "silent_of_lease"));
         FleetTimeouts fleet = defaults.fleet();
         return new FleetTimeouts(
-                fields.positiveOr(fields.givenName("idle_timeout_boots", "idle_of_boot"), fleet.idleTimeoutBoots()),
-                fields.positiveOr(fields.givenName("boot_timeout_boots", "stuck_of_boot"), fleet.bootTimeoutBoots()),
+                fields.positiveOr(fields.usedName("idle_timeout_boots", "idle_of_boot"), fleet.idleTimeoutBoots()),
+                fields.positiveOr(fields.usedName("boot_timeout_boots", "stuck_of_boot"), fleet.bootTimeoutBoots()),
                 fields.positiveOr(
-                        fields.givenName("silence_timeout_leases", "silent_of_lease"), fleet.silenceTimeoutLeases()));
+                        fields.usedName("silence_timeout_leases", "silent_of_lease"), fleet.silenceTimeoutLeases()));
     }
 
     private static String firstLine(String text) {
--- a/src/main/java/org/spruceridge/config/Settings.java
+++ b/src/main/java/org/spruceridge/config/Settings.java
@@ -9,7 +9,7 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** The settings that the platform provides. The field names of the file are the platform's; unknown ones are ignored. */
+/** The settings that the platform provides. The platform defines the fields of the file; unknown ones are ignored. */
 public record Settings(
         String hostName,
         String zone,
@@ -30,17 +30,20 @@
     /** Another controller node. */
     public record Member(String hostName, String zone, Address address) {}
 
-    /** The quota of a team: its guarantee ({@code cpus}, {@code gpus}) and its limit; a limit of 0 means no limit. */
+    /**
+     * The quota of a team: its guarantee ({@code cpus}, {@code gpus}) and its limit ({@code cpusMax}, {@code gpusMax});
+     * a limit of 0 means no limit.
+     */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-    /** A service-level objective for a class of jobs: the given share of them meets {@code withinS}. */
+    /** A service-level objective: this share of the jobs of a class must meet the time {@code withinS}. */
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
     /** The heartbeat interval and the lease of workers, and the deadline for a cancellation, in seconds. */
     public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {
         private static final double MAX_DECISION_DELAY_LEASES = 0.1;
 
-        /** For how long a leader delays scheduling decisions at most while requests wait, in seconds. */
+        /** The maximum time for which a leader delays scheduling decisions while requests are queued, in seconds. */
         public double maxDecisionDelayS() {
             return MAX_DECISION_DELAY_LEASES * leaseS;
         }
@@ -50,22 +53,22 @@
     public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
     /**
-     * The current and the upcoming limits of the state service. The moment of the change is not announced. The current
+     * The current and the upcoming limits of the state service. The time of the change is not announced. The current
      * rates are used until the service rejects a request; sizes respect both sets of limits from the start.
      */
     public record State(StateLimits current, StateLimits next) {
-        /** Records stay smaller than a large value limit would allow, because a transaction holds several of them. */
+        /** Limits records even if the service allows larger values, because a transaction contains several records. */
         private static final double MAX_RECORD_KB = 8;
 
         private static final int BYTES_PER_KB = 1024;
 
-        /** Below this, a record page with a single machine does not fit. */
+        /** With a lower limit, a record page of a single machine does not fit into a value. */
         static final double MIN_VALUE_KB = 1;
 
-        /** Below this, a transaction cannot end a job and release its last task. */
+        /** With a lower limit, one transaction cannot end a job and release its last task. */
         static final int MIN_TXN_OPS = 3;
 
-        /** Limits that do not change. */
+        /** Takes limits that do not change. */
         public State(double rps, double writeRps, double valueKb, int txnOps) {
             this(new StateLimits(rps, writeRps, valueKb, txnOps), new StateLimits(rps, writeRps, valueKb, txnOps));
         }
@@ -80,22 +83,22 @@
             return (int) (valueKb() * BYTES_PER_KB);
         }
 
-        /** The most writes in a transaction that both sets of limits allow. */
+        /** The maximum number of writes in a transaction that both sets of limits allow. */
         public int txnOps() {
             return Math.min(current.txnOps, next.txnOps);
         }
 
-        /** The largest size of the records of this service, in kilobytes. */
+        /** The maximum size of the records of this scheduler, in kilobytes. */
         public double recordKb() {
             return Math.min(valueKb(), MAX_RECORD_KB);
         }
 
-        /** The largest size of records written by a version that does not know the upcoming limits, in kilobytes. */
+        /** The maximum size of records written by a version that ignores the upcoming limits, in kilobytes. */
         public double currentRecordKb() {
             return Math.min(current.valueKb, MAX_RECORD_KB);
         }
 
-        /** True if the upcoming rates are lower, so that a rejected request may mean that they hold already. */
+        /** True if an upcoming rate is lower; a rejected request may then mean that the upcoming limits apply. */
         public boolean ratesWillFall() {
             return next.rps < current.rps || next.writeRps < current.writeRps;
         }
@@ -132,7 +135,7 @@
     }
 
     /**
-     * Checks settings that are parsed already.
+     * Checks settings that have already been parsed.
      *
      * @throws SettingsException if a field is missing or invalid
      */
--- a/src/main/java/org/spruceridge/config/SettingsReader.java
+++ b/src/main/java/org/spruceridge/config/SettingsReader.java
@@ -14,19 +14,19 @@
 import org.spruceridge.config.Settings.Team;
 import org.spruceridge.config.Settings.Workers;
 
-/** Reads and checks the platform's settings, section by section. The first invalid field ends it with an exception. */
+/** Reads and checks the platform's settings, section by section. Throws an exception at the first invalid field. */
 final class SettingsReader {
-    private final Fields top;
+    private final Fields root;
     private final Fields endpoints;
     private final Fields facts;
     private final Fields workers;
     private final Fields cloud;
     private final Fields resources;
 
-    SettingsReader(JsonNode root) {
-        this.top = Fields.root(root);
-        this.endpoints = top.object("endpoints");
-        this.facts = top.object("facts");
+    SettingsReader(JsonNode document) {
+        this.root = Fields.root(document);
+        this.endpoints = root.object("endpoints");
+        this.facts = root.object("facts");
         this.workers = facts.object("workers");
         this.cloud = facts.object("cloud");
         this.resources = facts.object("resources");
@@ -34,26 +34,26 @@
 
     Settings read() {
         ImmutableMap<String, Team> teams = teams();
-        Workers periods = workers();
+        Workers workerSettings = workers();
         return new Settings(
-                top.text("host_name"),
-                top.text("domain"),
-                top.address("serve_on"),
-                top.address("peer_listen"),
-                top.objects("members", SettingsReader::member),
+                root.string("host_name"),
+                root.string("domain"),
+                root.address("serve_on"),
+                root.address("peer_listen"),
+                root.objects("members", SettingsReader::member),
                 endpoints.address("cloud"),
                 endpoints.address("state"),
-                facts.texts("zones"),
+                facts.strings("zones"),
                 teams,
                 facts.has("objectives") ? facts.objects("objectives", SettingsReader::objective) : ImmutableList.of(),
-                periods,
+                workerSettings,
                 state(facts.object("state")),
-                new Cloud(cloud.positive("rps"), cloud.atLeastZeroOr("list_lag_s", 0)),
+                new Cloud(cloud.positive("rps"), cloud.nonNegativeOr("list_lag_s", 0)),
                 new Resources(
                         resources.positive("core_share"),
                         resources.positive("mem_mb"),
-                        resources.positiveCount("max_sockets")),
-                facts.atLeastZeroOr("time_bound_ms", 0));
+                        resources.positiveInt("max_sockets")),
+                facts.nonNegativeOr("time_bound_ms", 0));
     }
 
     private ImmutableMap<String, Team> teams() {
@@ -61,7 +61,7 @@
         Set<String> names = new HashSet<>();
         for (Team team : facts.objects("teams", SettingsReader::team)) {
             if (!names.add(team.name())) {
-                throw facts.invalid("teams", "names a team twice: " + team.name());
+                throw facts.invalid("teams", "contains a duplicate team name: " + team.name());
             }
             teams.put(team.name(), team);
         }
@@ -69,36 +69,36 @@
     }
 
     private Workers workers() {
-        Workers periods =
+        Workers workerSettings =
                 new Workers(workers.positive("report_s"), workers.positive("lease_s"), workers.positive("cancel_s"));
-        if (periods.leaseS() <= periods.heartbeatIntervalS()) {
+        if (workerSettings.leaseS() <= workerSettings.heartbeatIntervalS()) {
             throw workers.invalid("lease_s", "must be above report_s");
         }
-        if (periods.cancelS() <= periods.leaseS()) {
+        if (workerSettings.cancelS() <= workerSettings.leaseS()) {
             throw workers.invalid("cancel_s", "must be above lease_s");
         }
-        return periods;
+        return workerSettings;
     }
 
     private static Member member(Fields fields) {
-        return new Member(fields.text("host_name"), fields.text("domain"), fields.address("peer_addr"));
+        return new Member(fields.string("host_name"), fields.string("domain"), fields.address("peer_addr"));
     }
 
     private static Team team(Fields fields) {
         return new Team(
-                fields.text("name"),
-                fields.atLeastZeroOr("cpus", 0),
-                fields.atLeastZeroOr("cpus_max", 0),
-                fields.atLeastZeroOr("gpus", 0),
-                fields.atLeastZeroOr("gpus_max", 0));
+                fields.string("name"),
+                fields.nonNegativeOr("cpus", 0),
+                fields.nonNegativeOr("cpus_max", 0),
+                fields.nonNegativeOr("gpus", 0),
+                fields.nonNegativeOr("gpus_max", 0));
     }
 
     private static Objective objective(Fields fields) {
         return new Objective(
-                fields.text("kind"),
-                fields.textOr("class", ""),
-                fields.atLeastZeroOr("within_s", 0),
-                fields.atLeastZeroOr("share", 0));
+                fields.string("kind"),
+                fields.stringOr("class", ""),
+                fields.nonNegativeOr("within_s", 0),
+                fields.nonNegativeOr("share", 0));
     }
 
     private static State state(Fields fields) {
@@ -106,23 +106,23 @@
                 fields.positive("rps"),
                 fields.positive("write_rps"),
                 fields.positive("value_kb"),
-                fields.positiveCount("txn_ops"));
+                fields.positiveInt("txn_ops"));
         requireMinimumSizes(fields, current);
         return new State(current, fields.has("next") ? nextLimits(fields.object("next"), current) : current);
     }
 
-    /** The limits to come; those that are left out stay as they are. */
+    /** The upcoming limits; omitted ones keep their current value. */
     private static StateLimits nextLimits(Fields fields, StateLimits current) {
         StateLimits next = new StateLimits(
                 fields.positiveOr("rps", current.rps()),
                 fields.positiveOr("write_rps", current.writeRps()),
                 fields.positiveOr("value_kb", current.valueKb()),
-                fields.has("txn_ops") ? fields.positiveCount("txn_ops") : current.txnOps());
+                fields.has("txn_ops") ? fields.positiveInt("txn_ops") : current.txnOps());
         requireMinimumSizes(fields, next);
         return next;
     }
 
-    /** Refuses limits that are too small for the scheduler's own records: it could not keep its guarantees under them. */
+    /** Rejects limits that are too small for the scheduler's records, under which it could not keep its guarantees. */
     private static void requireMinimumSizes(Fields fields, StateLimits limits) {
         if (limits.valueKb() < State.MIN_VALUE_KB) {
             throw fields.invalid("value_kb", "must be at least " + State.MIN_VALUE_KB);
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.spruceridge.net.Durations;
 
-/** The sums of docs/safety.md for many settings: each path of a cancellation ends within {@code cancel_s}. */
+/** The sums of docs/safety.md for various settings: each path of a cancellation ends within {@code cancel_s}. */
 final class CancellationTimesTest {
     @ParameterizedTest
     @CsvSource({
@@ -20,27 +20,29 @@
         "1, 5, 120",
         "2, 30, 32"
     })
-    void everyCancellationPathEndsBeforeTheDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
+    void everyCancellationPathEndsBeforeDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
 
-        // A machine that is unreachable: last answered by a leader that did not know the cancellation, then one lease.
+        // Unreachable machine: the last answer comes from a leader without the cancellation, then one lease passes.
         assertTrue(times.maxStalenessS() + times.fullLeaseS() < cancelS);
-        // The leader receives the cancellation from its watch well before its view becomes too old.
+        // The leader receives the cancellation from its watch well before its view exceeds the maximum staleness.
         assertTrue(times.watchTimeoutS() > 0 && times.watchTimeoutS() < times.maxStalenessS() / 2);
-        // The lease is never counted shorter than it is on the slowest clock of a worker.
+        // The assumed lease is not shorter than the lease on the slowest clock of a worker.
         assertTrue(times.fullLeaseS() >= leaseS * (1 + Durations.MAX_CLOCK_DRIFT_RATIO));
     }
 
     @ParameterizedTest
     @CsvSource({"3, 22, 42", "1.5, 12, 32", "5, 22, 42", "4, 22, 42"})
-    void withDeployedSettingsStopsAndDeletionsMeetTheDeadline(
-            double heartbeatIntervalS, double leaseS, double cancelS) {
+    void deployedSettingsLetStopsAndDeletionsMeetDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
-        // A machine that is reachable: the stop is in the answer to its next heartbeat, up to a quarter late.
+        // Reachable machine: the stop is in the answer to its next heartbeat, which is up to a quarter interval late.
         assertTrue(times.maxStalenessS() + 1.25 * heartbeatIntervalS < cancelS);
         double checkIntervalS = heartbeatIntervalS / 3;
-        double decidedS = Math.max(times.unprovenStopTimeoutS(), times.maxStalenessS() + times.stopProofTimeoutS())
-                + checkIntervalS;
-        assertTrue(cancelS - decidedS > 0.1 * cancelS, "what is left for the cloud: " + (cancelS - decidedS));
+        double latestDeletionDecisionS =
+                Math.max(times.unprovenStopTimeoutS(), times.maxStalenessS() + times.stopProofTimeoutS())
+                        + checkIntervalS;
+        assertTrue(
+                cancelS - latestDeletionDecisionS > 0.1 * cancelS,
+                "time left for the cloud in seconds: " + (cancelS - latestDeletionDecisionS));
     }
 }
--- a/src/test/java/org/spruceridge/config/PolicyNamesTest.java
+++ b/src/test/java/org/spruceridge/config/PolicyNamesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The names of the policy file: former names stay valid, but not beside the name that replaced them. */
+/** The field names of the policy file. Former names stay valid, but not together with the name that replaced them. */
 final class PolicyNamesTest {
     private static final Policy ALL_CHANGED = new Policy(
             new Policy.Weights(1, 2, 3, 4, 5, 6, 7, 8),
@@ -29,7 +29,7 @@
             fleet: {idle_of_boot: 0.35, stuck_of_boot: 5, silent_of_lease: 0.6}
             """;
 
-    private static final String NAMES =
+    private static final String CURRENT_NAMES =
             """
             weights: {deadline: 1, overhead: 2, wait: 3, aging: 4, starvation: 5, availability: 6, spot: 7, packing: 8}
             scheduling:
@@ -54,8 +54,8 @@
     }
 
     @Test
-    void everyFieldIsReadUnderItsName() throws IOException {
-        assertEquals(ALL_CHANGED, policy(NAMES));
+    void everyFieldIsReadUnderItsCurrentName() throws IOException {
+        assertEquals(ALL_CHANGED, policy(CURRENT_NAMES));
     }
 
     @Test
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void sectionsAndFieldsMayMixNamesAndFormerNames() throws IOException {
+    void currentAndFormerNamesMayBeMixed() throws IOException {
         assertEquals(0.3, policy("rounds: {reserved_share: 0.3}\n").scheduling().reservedShare());
         assertEquals(0.3, policy("scheduling: {held_share: 0.3}\n").scheduling().reservedShare());
         assertEquals(7, policy("weights: {spot: 7, patience: 5}\n").weights().spotPreference());
@@ -84,7 +84,7 @@
         "fleet, boot_timeout_boots, stuck_of_boot",
         "fleet, silence_timeout_leases, silent_of_lease"
     })
-    void aFieldUnderBothNamesIsRejectedAndBothAreNamed(String section, String name, String former) {
+    void fieldUnderBothNamesIsRejectedNamingBoth(String section, String name, String former) {
         String path = section + ".";
         String message = path + name + " and " + path + former + " are names of the same field; only one may be given";
         assertEquals(message, rejection(section + ": {" + name + ": 0.5, " + former + ": 0.5}\n"));
@@ -94,7 +94,7 @@
 
     @ParameterizedTest
     @CsvSource({"scheduling, rounds", "preemption, stops", "leadership, leading"})
-    void aSectionUnderBothNamesIsRejectedAndBothAreNamed(String name, String former) {
+    void sectionUnderBothNamesIsRejectedNamingBoth(String name, String former) {
         assertEquals(
                 name + " and " + former + " are names of the same field; only one may be given",
                 rejection(name + ": {}\n" + former + ": {}\n"));
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void limitsHoldUnderNamesAndFormerNames() {
+    void limitsApplyToCurrentAndFormerNames() {
         assertEquals(
                 "leadership.ttl_worker_leases must not be above 0.5",
                 rejection("leadership: {ttl_worker_leases: 0.9}\n"));
--- a/src/test/java/org/spruceridge/config/SettingsTest.java
+++ b/src/test/java/org/spruceridge/config/SettingsTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is read from the settings, and the messages about invalid ones. */
+/** Settings are read completely, and invalid ones are rejected with a message that names the field. */
 final class SettingsTest {
-    private static final String GOOD =
+    private static final String VALID_SETTINGS =
             """
             {"host_name":"n0","domain":"a","serve_on":"10.0.0.1:8080","peer_listen":"10.0.0.1:8081","new":1,
              "members":[{"host_name":"n1","domain":"b","peer_addr":"10.0.0.2:8081","colour":"red"}],
@@ -31,8 +31,8 @@
               "resources":{"core_share":0.25,"mem_mb":263.0,"max_sockets":3000},"time_bound_ms":25.0}}
             """;
 
-    /** Every field that is read, each with a value of its own. */
-    private static final String COMPLETE =
+    /** Settings with every field that is read, each with a distinct value. */
+    private static final String COMPLETE_SETTINGS =
             """
             {"host_name":"n0","domain":"a","serve_on":"10.0.0.1:8080","peer_listen":"10.0.0.2:8081",
              "members":[{"host_name":"n1","domain":"b","peer_addr":"10.0.0.3:8082"}],
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void unknownFieldsOfThePlatformSettingsAreIgnored() throws IOException {
-        Settings settings = Settings.read(json(GOOD));
+    void unknownPlatformSettingsAreIgnored() throws IOException {
+        Settings settings = Settings.read(json(VALID_SETTINGS));
         assertEquals(2, settings.nodeCount());
         assertEquals(22, settings.workers().leaseS());
         assertEquals(new Address("10.2.0.1", 2379), settings.stateAddress());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void completeSettingsYieldEachValueUnderItsName() throws IOException {
+    void completeSettingsYieldEachValueInItsField() throws IOException {
         Settings expected = new Settings(
                 "n0",
                 "a",
@@ -86,19 +86,19 @@
                 new Settings.Cloud(9.5, 10.5),
                 new Settings.Resources(0.25, 263.5, 3000),
                 25.5);
-        assertEquals(expected, Settings.read(json(COMPLETE)));
+        assertEquals(expected, Settings.read(json(COMPLETE_SETTINGS)));
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
             value = {
-                "\"host_name\":\"n0\"; \"host_name\":7; host_name is not a text",
+                "\"host_name\":\"n0\"; \"host_name\":7; host_name must be a non-blank string",
                 "\"serve_on\":\"10.0.0.1:8080\"; \"serve_on\":\"here\"; "
                         + "serve_on is not an address of the form host:port: here",
                 "\"report_s\":3.0; \"report_s\":0; facts.workers.report_s must be above 0",
                 "\"lease_s\":22.0; \"lease_s\":2; facts.workers.lease_s must be above report_s",
-                "\"txn_ops\":24; \"txn_ops\":1.5; facts.state.txn_ops must be a whole number above 0",
+                "\"txn_ops\":24; \"txn_ops\":1.5; facts.state.txn_ops must be an integer above 0",
                 "\"rps\":6.0; \"rpm\":6.0; facts.cloud.rps is missing",
                 "\"peer_addr\":\"10.0.0.2:8081\"; \"at\":1; members[0].peer_addr is missing",
                 "\"value_kb\":8.0; \"value_kb\":0.5; facts.state.value_kb must be at least 1.0",
@@ -107,49 +107,61 @@
                 "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"txn_ops\":2}; facts.state.next.txn_ops must be at least 3",
                 "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"value_kb\":\"2\"}; facts.state.next.value_kb is not a number",
                 "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"write_rps\":0}; facts.state.next.write_rps must be above 0",
-                "\"zones\":[\"a\",\"b\"]; \"zones\":[1]; facts.zones must hold texts only",
+                "\"zones\":[\"a\",\"b\"]; \"zones\":[1]; facts.zones must contain only strings",
+                "\"zones\":[\"a\",\"b\"]; \"zones\":1; facts.zones is not an array",
+                "\"teams\":[{; \"teams\":[{\"name\":\"red\"},{; facts.teams contains a duplicate team name: red",
             })
-    void aRejectedSettingIsNamedInTheMessage(String from, String to, String message) throws IOException {
-        JsonNode broken = json(GOOD.replace(from, to));
+    void invalidSettingIsNamedInMessage(String original, String replacement, String message) throws IOException {
+        JsonNode invalidSettings = json(VALID_SETTINGS.replace(original, replacement));
         assertEquals(
                 message,
-                assertThrows(SettingsException.class, () -> Settings.read(broken))
+                assertThrows(SettingsException.class, () -> Settings.read(invalidSettings))
                         .getMessage());
     }
 
-    /** Sizes respect both sets of limits from the start; the current rates are kept until the service rejects a request. */
     @Test
-    void upcomingLimitsAreReadBesideTheCurrentOnes() throws IOException {
-        Settings.State now = Settings.read(json(GOOD)).state();
-        assertEquals(now.current(), now.next());
-        Settings.State both = Settings.read(json(GOOD.replace(
+    void settingsOtherThanAnObjectAreRejected() throws IOException {
+        JsonNode array = json("[]");
+        assertEquals(
+                "the top level is not an object",
+                assertThrows(SettingsException.class, () -> Settings.read(array))
+                        .getMessage());
+        assertRejected("the top level is not an object", "[]");
+    }
+
+    /**
+     * Sizes respect both sets of limits from the start; the current rates apply until the service rejects a request.
+     */
+    @Test
+    void upcomingLimitsAreReadAlongsideCurrentOnes() throws IOException {
+        Settings.State withoutChange = Settings.read(json(VALID_SETTINGS)).state();
+        assertEquals(withoutChange.current(), withoutChange.next());
+        Settings.State withChange = Settings.read(json(VALID_SETTINGS.replace(
                         "\"txn_ops\":24",
                         "\"txn_ops\":24,\"next\":{\"value_kb\":2,\"txn_ops\":4,\"write_rps\":35,\"x\":1}")))
                 .state();
-        assertEquals(2, both.valueKb());
-        assertEquals(4, both.txnOps());
-        assertEquals(50, both.current().writeRps());
-        assertEquals(35, both.next().writeRps());
-        assertEquals(200, both.next().rps());
-        assertTrue(both.ratesWillFall());
+        assertEquals(2, withChange.valueKb());
+        assertEquals(4, withChange.txnOps());
+        assertEquals(50, withChange.current().writeRps());
+        assertEquals(35, withChange.next().writeRps());
+        assertEquals(200, withChange.next().rps());
+        assertTrue(withChange.ratesWillFall());
     }
 
     @Test
-    void theShippedPolicyHoldsTheDefaults() {
+    void shippedPolicyFileEqualsDefaults() {
         assertEquals(Policy.defaults(), Policy.load(Path.of("deploy/spruceridge.yaml")));
     }
 
     @Test
-    void aPolicyMayOmitFieldsButUnknownOnesAreRejected() throws IOException {
+    void policyMayOmitFieldsButNotNameUnknownOnes() throws IOException {
         assertEquals(20, policy("weights: {deadline: 20}\n").weights().deadline());
         assertEquals(Policy.defaults(), policy(""));
         assertRejected("weights.speed is not a known field", "weights: {speed: 1}\n");
         assertRejected("colour is not a known field", "colour: red\n");
         assertRejected("rounds.spacing_of_report must be above 0", "rounds: {spacing_of_report: -1}\n");
         assertRejected("leading.ttl_of_lease must not be above 0.5", "leading: {ttl_of_lease: 0.9}\n");
-        assertTrue(assertThrows(SettingsException.class, () -> policy("{ a"))
-                .getMessage()
-                .startsWith("not YAML"));
+        assertRejected("invalid YAML: while parsing a flow mapping", "{ a");
     }
 
     private void assertRejected(String message, String yaml) {
