--- a/src/main/java/org/spruceridge/cli/CheckConfigCommand.java
+++ b/src/main/java/org/spruceridge/cli/CheckConfigCommand.java
@@ -4,14 +4,14 @@
 import org.spruceridge.config.Settings;
 import picocli.CommandLine.Model.CommandSpec;
 
-/** Checks the settings files and starts nothing. */
+/** Checks the settings files without starting a node. */
 final class CheckConfigCommand implements Callable<Integer> {
     private final SettingsFiles files = new SettingsFiles();
     private CommandSpec spec;
 
-    static CommandSpec describe() {
+    static CommandSpec createSpec() {
         CheckConfigCommand command = new CheckConfigCommand();
-        command.spec = command.files.addTo(Commands.describe("check-config", "Checks settings files.", command));
+        command.spec = command.files.addOptionsTo(Commands.newSpec("check-config", "Checks settings files.", command));
         return command.spec;
     }
 
--- a/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
+++ b/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
@@ -30,18 +30,18 @@
 import picocli.CommandLine.Model.CommandSpec;
 
 /**
- * Runs a node on the loopback interface for a moment, without the services that it needs, so that the build can write the
- * class data sharing archive for a fast start.
+ * Runs a node on the loopback interface for a short time, without the services that it needs, so that the build can
+ * write the class data sharing archive that speeds up startup.
  */
 final class ClassArchiveCommand implements Callable<Integer> {
     private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** Time for peer heartbeats and retries, so that their classes are in the archive too. */
-    private static final long BACKGROUND_DUTIES_MILLIS = 1500;
+    /** Time for peer heartbeats and retries to run, so that their classes are included in the archive. */
+    private static final long BACKGROUND_RUN_MILLIS = 1500;
 
-    static CommandSpec describe() {
-        CommandSpec spec =
-                Commands.describe("rehearse", "Loads what a start needs, and ends.", new ClassArchiveCommand());
+    static CommandSpec createSpec() {
+        CommandSpec spec = Commands.newSpec(
+                "rehearse", "Loads the classes that a start needs and exits.", new ClassArchiveCommand());
         spec.usageMessage().hidden(true);
         return spec;
     }
@@ -60,7 +60,7 @@
         new HttpServer(loop, connectionLimiter, REQUEST_TIMEOUT_NANOS, node.handler()).start(settings.serveOn());
         loop.execute(() -> node.start(() -> {}));
         sendRequests(loop, client, settings.serveOn());
-        TimeUnit.MILLISECONDS.sleep(BACKGROUND_DUTIES_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(BACKGROUND_RUN_MILLIS);
         loadOwnClasses();
         return 0;
     }
@@ -72,11 +72,11 @@
                 HttpCall.post("/hello", Json.bytes(heartbeat())),
                 HttpCall.post("/api/jobs", Json.bytes(job())),
                 HttpCall.get("/api/jobs/j-000001"));
-        CountDownLatch answered = new CountDownLatch(calls.size());
+        CountDownLatch responses = new CountDownLatch(calls.size());
         for (HttpCall call : calls) {
-            loop.execute(() -> client.call(server, call, REQUEST_TIMEOUT_NANOS, answer -> answered.countDown()));
+            loop.execute(() -> client.call(server, call, REQUEST_TIMEOUT_NANOS, answer -> responses.countDown()));
         }
-        answered.await();
+        responses.await();
     }
 
     private static void loadOwnClasses() throws IOException, URISyntaxException, ClassNotFoundException {
@@ -96,15 +96,15 @@
     }
 
     private static Settings settings() throws IOException {
-        Address serve = new Address("127.0.0.1", freePort());
-        ObjectNode root = Json.object()
+        Address serveAddress = new Address("127.0.0.1", freePort());
+        ObjectNode settings = Json.object()
                 .put("host_name", "rehearsal")
                 .put("domain", "here")
-                .put("serve_on", serve.toString())
+                .put("serve_on", serveAddress.toString())
                 .put("peer_listen", new Address("127.0.0.1", freePort()).toString());
-        root.putArray("members");
-        root.putObject("endpoints").put("cloud", serve.toString()).put("state", serve.toString());
-        ObjectNode facts = root.putObject("facts");
+        settings.putArray("members");
+        settings.putObject("endpoints").put("cloud", serveAddress.toString()).put("state", serveAddress.toString());
+        ObjectNode facts = settings.putObject("facts");
         facts.putArray("zones");
         facts.putArray("teams");
         facts.putObject("workers").put("report_s", 1).put("lease_s", 10).put("cancel_s", 30);
@@ -115,7 +115,7 @@
                 .put("txn_ops", 8);
         facts.putObject("cloud").put("rps", 10);
         facts.putObject("resources").put("core_share", 1).put("mem_mb", 100).put("max_sockets", 100);
-        return Settings.read(root);
+        return Settings.read(settings);
     }
 
     private static int freePort() throws IOException {
--- a/src/main/java/org/spruceridge/cli/Commands.java
+++ b/src/main/java/org/spruceridge/cli/Commands.java
@@ -6,15 +6,15 @@
 import picocli.CommandLine.Model.OptionSpec;
 
 /**
- * Builds the command line of the program. It uses picocli's programmatic model and not its annotations: these cost a tenth
- * of a second of processor time in each start, which is more than a second on the smallest machines.
+ * Builds the command line of the program. It uses picocli's programmatic model, because its annotations cost 0.1 s of
+ * CPU time at each start, which is more than 1 s on the smallest machines.
  */
 final class Commands {
     private Commands() {}
 
-    /** A command with the options that all commands have. */
-    static CommandSpec describe(String name, String description, Callable<Integer> work) {
-        CommandSpec spec = CommandSpec.wrapWithoutInspection(work).name(name);
+    /** Creates the specification of a command, with the options that all commands have. */
+    static CommandSpec newSpec(String name, String description, Callable<Integer> action) {
+        CommandSpec spec = CommandSpec.wrapWithoutInspection(action).name(name);
         spec.usageMessage().description(description);
         return spec.addOption(flag("-h", "--help", "Show this help message and exit.")
                         .usageHelp(true)
@@ -32,18 +32,18 @@
                 .description(description);
     }
 
-    /** The version of the jar. */
+    /** The version of the jar, as printed by {@code --version}. */
     private static String[] version() {
         String version = Main.class.getPackage().getImplementationVersion();
         return new String[] {"spruceridge " + (version == null ? "(unpackaged)" : version)};
     }
 
-    /** The program with all its commands. */
+    /** Creates the command line of the program with all its commands. */
     static CommandLine commandLine() {
-        CommandSpec root = describe("spruceridge", "A cluster scheduler after Convergent Scheduling 2.0.", null);
-        root.addSubcommand("serve", ServeCommand.describe());
-        root.addSubcommand("check-config", CheckConfigCommand.describe());
-        root.addSubcommand("rehearse", ClassArchiveCommand.describe());
+        CommandSpec root = newSpec("spruceridge", "A cluster scheduler based on Convergent Scheduling 2.0.", null);
+        root.addSubcommand("serve", ServeCommand.createSpec());
+        root.addSubcommand("check-config", CheckConfigCommand.createSpec());
+        root.addSubcommand("rehearse", ClassArchiveCommand.createSpec());
         return new CommandLine(root).setExecutionExceptionHandler(new SettingsErrorHandler());
     }
 }
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -19,14 +19,14 @@
 
 /** Runs a controller node until the process is killed. */
 final class ServeCommand implements Callable<Integer> {
-    /** The server listens after this time at the latest: in an outage of the state service no leader is known. */
+    /** The maximum delay before the server listens; during an outage of the state service no leader can be found. */
     private static final double MAX_LISTEN_DELAY_LEASES = 0.125;
 
     private final SettingsFiles files = new SettingsFiles();
 
-    static CommandSpec describe() {
+    static CommandSpec createSpec() {
         ServeCommand command = new ServeCommand();
-        return command.files.addTo(Commands.describe("serve", "Runs a controller node.", command));
+        return command.files.addOptionsTo(Commands.newSpec("serve", "Runs a controller node.", command));
     }
 
     @Override
@@ -44,10 +44,9 @@
                 new ConnectionLimiter(settings.resources().maxSockets());
         Node node = new Node(
                 loop, new NettyHttpClient(loop, connectionLimiter), transport, random(settings), settings, policy);
-        // The lease of a worker that sent no heartbeat for this time has expired: it is gone, or uses another
-        // connection.
-        long workerIdleNanos = Durations.nanos(settings.workers().leaseS());
-        HttpServer server = new HttpServer(loop, connectionLimiter, workerIdleNanos, node.handler());
+        // After this time without a heartbeat the worker's lease has expired: it is gone or uses another connection.
+        long workerIdleTimeoutNanos = Durations.nanos(settings.workers().leaseS());
+        HttpServer server = new HttpServer(loop, connectionLimiter, workerIdleTimeoutNanos, node.handler());
         transport.listen();
         startNode(node, loop, settings);
         server.start(settings.serveOn());
@@ -55,13 +54,14 @@
         return 0;
     }
 
-    /** Returns when the node is ready, or when it has to listen all the same. */
+    /** Starts the node and returns when it is ready, or after the maximum delay before the server must listen. */
     private static void startNode(Node node, NettyLoop loop, Settings settings) throws InterruptedException {
-        CountDownLatch ready = new CountDownLatch(1);
-        loop.execute(() -> node.start(ready::countDown));
-        // Until this node knows the leader it could only refuse workers. All would retry a second later, and take the
-        // processor time it needs to find the leader. A refused connection is free, and workers try the next node.
-        ready.await(Durations.nanos(settings.workers().leaseS() * MAX_LISTEN_DELAY_LEASES), TimeUnit.NANOSECONDS);
+        CountDownLatch nodeStarted = new CountDownLatch(1);
+        loop.execute(() -> node.start(nodeStarted::countDown));
+        // Until this node has found the leader, it could only reject requests of workers. All workers would retry 1 s
+        // later and use the CPU time that the node needs to find the leader. A refused connection costs no CPU time,
+        // and the worker tries the next node.
+        nodeStarted.await(Durations.nanos(settings.workers().leaseS() * MAX_LISTEN_DELAY_LEASES), TimeUnit.NANOSECONDS);
     }
 
     private static SplittableRandom random(Settings settings) {
--- a/src/main/java/org/spruceridge/cli/SettingsErrorHandler.java
+++ b/src/main/java/org/spruceridge/cli/SettingsErrorHandler.java
@@ -3,15 +3,15 @@
 import org.spruceridge.config.SettingsException;
 import picocli.CommandLine;
 
-/** Prints an error in the settings in one line and maps it to its exit code. Other exceptions are passed on. */
+/** Prints a settings error on one line and returns its exit code. Other exceptions are rethrown. */
 final class SettingsErrorHandler implements CommandLine.IExecutionExceptionHandler {
     @Override
-    public int handleExecutionException(Exception e, CommandLine line, CommandLine.ParseResult parsed)
-            throws Exception {
-        if (e instanceof SettingsException) {
-            line.getErr().println("spruceridge: " + e.getMessage());
-            return Main.BAD_SETTINGS;
+    public int handleExecutionException(
+            Exception exception, CommandLine commandLine, CommandLine.ParseResult parseResult) throws Exception {
+        if (exception instanceof SettingsException) {
+            commandLine.getErr().println("spruceridge: " + exception.getMessage());
+            return Main.INVALID_SETTINGS_EXIT_CODE;
         }
-        throw e;
+        throw exception;
     }
 }
--- a/src/main/java/org/spruceridge/cli/SettingsFiles.java
+++ b/src/main/java/org/spruceridge/cli/SettingsFiles.java
@@ -9,9 +9,9 @@
 
 /** The options for the two settings files: the platform's settings and the operators' policy. */
 final class SettingsFiles {
-    private final OptionSpec config =
+    private final OptionSpec configOption =
             file("--config", "the platform's settings, JSON").required(true).build();
-    private final OptionSpec policy =
+    private final OptionSpec policyOption =
             file("--policy", "the operators' own settings, YAML").build();
 
     private static OptionSpec.Builder file(String name, String description) {
@@ -19,12 +19,12 @@
     }
 
     /** Adds the options to a command. */
-    CommandSpec addTo(CommandSpec spec) {
-        return spec.addOption(config).addOption(policy);
+    CommandSpec addOptionsTo(CommandSpec spec) {
+        return spec.addOption(configOption).addOption(policyOption);
     }
 
     Settings settings() {
-        Path file = config.getValue();
+        Path file = configOption.getValue();
         try {
             return Settings.load(file);
         } catch (SettingsException e) {
@@ -33,7 +33,7 @@
     }
 
     Policy policy() {
-        Path file = policy.getValue();
+        Path file = policyOption.getValue();
         if (file == null) {
             return Policy.defaults();
         }
--- a/src/test/java/org/spruceridge/cli/CommandLineNamesTest.java
+++ b/src/test/java/org/spruceridge/cli/CommandLineNamesTest.java
@@ -24,7 +24,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Model.OptionSpec;
 
-/** The names of commands, options, the environment variable and the logging properties, letter for letter. */
+/** The exact names of commands, options, the environment variable and the logging properties. */
 final class CommandLineNamesTest {
     private static final String LOGGING_PREFIX = "org.slf4j.simpleLogger.";
 
@@ -37,22 +37,22 @@
               "resources":{"core_share":1,"mem_mb":200,"max_sockets":100}}}
             """;
 
-    private final Properties saved = new Properties();
+    private final Properties savedProperties = new Properties();
 
     @TempDir
     private Path folder;
 
     @BeforeEach
     void saveSystemProperties() {
-        saved.putAll(System.getProperties());
+        savedProperties.putAll(System.getProperties());
     }
 
     @AfterEach
     void restoreSystemProperties() {
-        System.setProperties(saved);
+        System.setProperties(savedProperties);
     }
 
-    /** The options of a command, each as its names in order; an option that must be given is marked. */
+    /** The options of a command, each as its names in order; required options are marked. */
     private static Set<String> options(CommandLine command) {
         Set<String> options = new TreeSet<>();
         for (OptionSpec option : command.getCommandSpec().options()) {
@@ -62,15 +62,21 @@
     }
 
     @Test
-    void programHasExactlyTheseCommandsAndOptions() {
+    void programHasExactlyExpectedCommandsAndOptions() {
         CommandLine program = Commands.commandLine();
         assertEquals("spruceridge", program.getCommandName());
         assertEquals(Set.of("-V --version", "-h --help"), options(program));
         Map<String, Set<String>> commands = new TreeMap<>();
         program.getSubcommands().forEach((name, command) -> commands.put(name, options(command)));
-        Set<String> withFiles = Set.of("--config (required)", "--policy", "-V --version", "-h --help");
+        Set<String> optionsWithFiles = Set.of("--config (required)", "--policy", "-V --version", "-h --help");
         assertEquals(
-                Map.of("serve", withFiles, "check-config", withFiles, "rehearse", Set.of("-V --version", "-h --help")),
+                Map.of(
+                        "serve",
+                        optionsWithFiles,
+                        "check-config",
+                        optionsWithFiles,
+                        "rehearse",
+                        Set.of("-V --version", "-h --help")),
                 commands);
         program.getSubcommands().forEach((name, command) -> {
             assertEquals(name, command.getCommandName());
@@ -80,12 +86,12 @@
 
     @ParameterizedTest
     @CsvSource({", info", "debug, debug", "' DEBUG ', debug", "info, info", "error, error", "trace, info"})
-    void requestedLevelSetsExactlyTheseProperties(String requested, String level) {
+    void requestedLevelSetsExactlyExpectedProperties(String requested, String level) {
         System.getProperties().keySet().removeIf(key -> key.toString().startsWith(LOGGING_PREFIX));
-        Set<Object> before = Set.copyOf(System.getProperties().keySet());
+        Set<Object> initialProperties = Set.copyOf(System.getProperties().keySet());
         LogLevel.apply(requested);
         Map<Object, Object> added = new TreeMap<>(System.getProperties());
-        added.keySet().removeAll(before);
+        added.keySet().removeAll(initialProperties);
         assertEquals(
                 Map.of(
                         "org.slf4j.simpleLogger.defaultLogLevel", "error",
@@ -97,13 +103,13 @@
                 added);
     }
 
-    /** Starts the program in a process of its own. It ends at once, because its address for peers is not of this host. */
+    /** Starts the program in a separate process, which exits because its address for peers is not of this host. */
     @ParameterizedTest
     @CsvSource({"info, 1", "error, 0"})
-    void levelInEnvironmentDecidesWhetherTheStartIsLogged(String level, int lines)
+    void logLevelVariableControlsStartupLogging(String level, int expectedLineCount)
             throws IOException, InterruptedException {
         Path settings = Files.writeString(folder.resolve("settings.json"), SETTINGS);
-        Path errors = folder.resolve("errors");
+        Path output = folder.resolve("errors");
         ProcessBuilder program = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp",
@@ -114,7 +120,7 @@
                 settings.toString());
         program.environment().put("LOG_LEVEL", level);
         Process process = program.redirectErrorStream(true)
-                .redirectOutput(errors.toFile())
+                .redirectOutput(output.toFile())
                 .start();
         try {
             assertTrue(process.waitFor(60, TimeUnit.SECONDS));
@@ -123,8 +129,8 @@
             process.destroyForcibly();
         }
         assertEquals(
-                lines,
-                Files.readString(errors, StandardCharsets.UTF_8)
+                expectedLineCount,
+                Files.readString(output, StandardCharsets.UTF_8)
                         .lines()
                         .filter(line -> line.endsWith("INFO ServeCommand - controller starting node=n0 zone=a"))
                         .count());
