--- a/src/test/java/org/spruceridge/docs/DocumentationTest.java
+++ b/src/test/java/org/spruceridge/docs/DocumentationTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What the pages name exists: the tests that the safety page names for each rule, and the types that other pages name. A
- * renamed or dropped one fails here.
+ * The tests that the safety page names for each rule exist, and so do the types that other pages name. Guards against
+ * pages that still name a renamed or deleted test or type.
  */
 final class DocumentationTest {
-    /** Names of test methods have at least four words; nothing else in the tables is written like that. */
-    private static final Pattern METHOD = Pattern.compile("(?<![\\w`.])[a-z]+(?:[A-Z][a-z0-9]*){3,}\\b(?![`.(])");
+    /** A name of a test method: camel case with at least four words, which no other text in the tables has. */
+    private static final Pattern TEST_METHOD = Pattern.compile("(?<![\\w`.])[a-z]+(?:[A-Z][a-z0-9]*){3,}\\b(?![`.(])");
 
     private static final Pattern CODE_QUOTE = Pattern.compile("`([^`\\n]+)`");
-    /** With at least one lower-case letter: names in capitals alone are constants. */
+    /** A name with at least one lower-case letter; names in capitals are constants. */
     private static final Pattern TYPE_NAME =
             Pattern.compile("(?:[a-z]+\\.)?[A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*\\b(?![-/ ])");
 
@@ -35,19 +35,19 @@
     private static final Pattern TEST_CLASS = Pattern.compile("\\b[A-Z]\\w+Test\\b");
 
     @Test
-    void everyTestThatTheSafetyPageNamesExists() throws IOException {
+    void testsNamedInSafetyPageExist() throws IOException {
         String tables = String.join(
                 "\n",
                 Files.readAllLines(Path.of("docs/safety.md")).stream()
                         .filter(line -> line.startsWith("|"))
                         .toList());
         String sources = testSources();
-        Set<String> named = names(METHOD, tables).collect(Collectors.toSet());
+        Set<String> testNames = names(TEST_METHOD, tables).collect(Collectors.toSet());
         Stream<String> missing = Stream.concat(
-                named.stream().filter(name -> !sources.contains("void " + name + "(")),
+                testNames.stream().filter(name -> !sources.contains("void " + name + "(")),
                 names(TEST_CLASS, tables).filter(name -> !sources.contains("class " + name + " ")));
         assertEquals(Set.of(), missing.collect(Collectors.toSet()));
-        assertTrue(named.size() > 50, "names found: " + named.size());
+        assertTrue(testNames.size() > 50, "number of test names found: " + testNames.size());
     }
 
     @ParameterizedTest
@@ -60,7 +60,7 @@
                 "README.md",
                 "CONTRIBUTING.md"
             })
-    void everyTypeThatAPageNamesExists(String page) throws IOException {
+    void typesNamedInPagesExist(String page) throws IOException {
         Set<String> types = declaredTypes();
         Set<String> missing = typesNamedIn(Files.readString(Path.of(page)))
                 .filter(name -> !types.contains(name))
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aTypeThatDoesNotExistIsFound() throws IOException {
+    void nonexistentTypeIsReported() throws IOException {
         Set<String> types = declaredTypes();
         assertTrue(types.containsAll(Set.of("Leader", "leader.Leader", "cluster.Binding", "DocumentationTest")));
         assertEquals(
@@ -89,11 +89,12 @@
                 .map(Matcher::group);
     }
 
-    /** All types of the sources, nested ones included, by their simple name and by package and name. */
+    /** All types of the sources including nested ones, by simple name and by package and name. */
     private static Set<String> declaredTypes() throws IOException {
         Set<String> types = new HashSet<>();
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".java")).toList()) {
                 String packageName = file.getParent().getFileName().toString();
                 TYPE_DECLARATION.matcher(Files.readString(file)).results().forEach(match -> {
                     types.add(match.group(1));
@@ -109,12 +110,13 @@
     }
 
     private static String testSources() throws IOException {
-        StringBuilder all = new StringBuilder();
+        StringBuilder sources = new StringBuilder();
         try (Stream<Path> files = Files.walk(Path.of("src/test/java"))) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java")).toList()) {
-                all.append(Files.readString(file));
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".java")).toList()) {
+                sources.append(Files.readString(file));
             }
         }
-        return all.toString();
+        return sources.toString();
     }
 }
--- a/src/test/java/org/spruceridge/docs/VocabularyTest.java
+++ b/src/test/java/org/spruceridge/docs/VocabularyTest.java
@@ -18,21 +18,21 @@
 final class VocabularyTest {
     private static final Path GLOSSARY = Path.of("docs/glossary.md");
     private static final String WITHDRAWN_HEADING = "## Withdrawn words";
-    private static final int FEWEST_WORDS = 30;
+    private static final int MIN_WITHDRAWN_WORDS = 30;
 
-    /** Text blocks, string and character literals and comments: everything that is not code. */
+    /** Text blocks, string and character literals, and comments. */
     private static final Pattern NOT_CODE = Pattern.compile(
             "\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\n])*\"|'(?:\\\\.|[^'\\\\\n])*'|//[^\n]*|/\\*.*?\\*/", Pattern.DOTALL);
 
-    /** The keyword of sealed types, which is also a withdrawn word. */
+    /** The clause of sealed types, whose keyword is also a withdrawn word. */
     private static final String PERMITS_CLAUSE = "\\bpermits(?= [A-Z])";
 
-    /** A constant named like a phrase says neither what it is nor its unit: CEILING_OF_X. */
+    /** A constant named like a phrase, such as CEILING_OF_X, which states neither what it is nor its unit. */
     private static final Pattern PHRASE_CONSTANT = Pattern.compile("[A-Z0-9_]+_OF_[A-Z0-9_]+");
 
     private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_$][\\w$]*");
 
-    /** A statement that logs, up to its end; the texts in it are what an operator reads. */
+    /** A complete log statement; the string literals in it are read by operators. */
     private static final Pattern LOG_STATEMENT = Pattern.compile(
             "\\b(?:LOG\\.(?:error|warn|info|debug)|warnings\\.warn)\\((?:\"(?:\\\\.|[^\"\\\\])*\"|[^;\"])*;");
 
@@ -41,12 +41,12 @@
     private final Pattern withdrawnWord = Pattern.compile("\\b(" + String.join("|", withdrawnWords()) + ")s?\\b");
 
     @Test
-    void noSourceUsesAWithdrawnWord() throws IOException {
+    void sourcesContainNoWithdrawnWord() throws IOException {
         List<String> violations = new ArrayList<>();
-        // This test plants withdrawn words, and is left out.
+        // This test contains withdrawn words as examples and is excluded.
         String ownName = VocabularyTest.class.getSimpleName() + ".java";
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".java") && !f.endsWith(ownName))
+            for (Path file : files.filter(path -> path.toString().endsWith(".java") && !path.endsWith(ownName))
                     .sorted()
                     .toList()) {
                 for (String violation : violations(Files.readString(file))) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aPlantedWordIsFoundInIdentifiersOfEveryCase() {
+    void withdrawnWordInIdentifierOfAnyCaseIsReported() {
         assertEquals(List.of("grant in endGrant"), violations("void endGrant() {}"));
         assertEquals(List.of("grant in LAST_GRANTS"), violations("int LAST_GRANTS = 1;"));
         assertEquals(List.of("hold back in holdBackUntil"), violations("long holdBackUntil;"));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aPlantedWordIsFoundInLogTexts() {
+    void withdrawnWordInLogTextIsReported() {
         assertEquals(
                 List.of("cut off in \"node cut off node={}\""),
                 violations("LOG.info(\n    \"node cut off node={}\", name);"));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void wireNamesAndCommentsMayUseThem() {
+    void withdrawnWordsInWireNamesAndCommentsAreAllowed() {
         assertEquals(List.of(), violations("out.put(\"warrant\", fencingToken); // the grant of the protocol"));
         assertEquals(List.of(), violations("/** A permit, on the wire. */ long leaseId;"));
         assertEquals(List.of(), violations("sealed interface Step permits Run, Wait {}"));
@@ -107,7 +107,7 @@
                 .filter(identifier -> PHRASE_CONSTANT.matcher(identifier).matches())
                 .map(identifier -> "phrase in " + identifier);
         return Stream.of(inIdentifiers, inLogTexts, phraseConstants)
-                .flatMap(found -> found)
+                .flatMap(stream -> stream)
                 .toList();
     }
 
@@ -135,7 +135,7 @@
                 .filter(line -> line.startsWith("| ") && !line.startsWith("| withdrawn"))
                 .map(line -> line.split("\\|", -1)[1].strip())
                 .toList();
-        assertTrue(words.size() >= FEWEST_WORDS, "words found: " + words);
+        assertTrue(words.size() >= MIN_WITHDRAWN_WORDS, "withdrawn words found: " + words);
         return words;
     }
 }
