--- a/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
+++ b/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
@@ -50,16 +50,16 @@
     public Integer call() throws Exception {
         Settings settings = settings();
         NettyLoop loop = new NettyLoop();
-        NettyPeerTransport transport =
-                new NettyPeerTransport(loop.group(), settings.peerListen(), List.of(settings.peerListen()));
+        NettyPeerTransport transport = new NettyPeerTransport(
+                loop.group(), settings.peerListenAddress(), List.of(settings.peerListenAddress()));
         ConnectionLimiter connectionLimiter =
                 new ConnectionLimiter(settings.resources().maxSockets());
         NettyHttpClient client = new NettyHttpClient(loop, connectionLimiter);
         Node node = new Node(loop, client, transport, new SplittableRandom(1), settings, Policy.defaults());
         transport.listen();
-        new HttpServer(loop, connectionLimiter, REQUEST_TIMEOUT_NANOS, node.handler()).start(settings.serveOn());
+        new HttpServer(loop, connectionLimiter, REQUEST_TIMEOUT_NANOS, node.handler()).start(settings.serveAddress());
         loop.execute(() -> node.start(() -> {}));
-        sendRequests(loop, client, settings.serveOn());
+        sendRequests(loop, client, settings.serveAddress());
         TimeUnit.MILLISECONDS.sleep(BACKGROUND_RUN_MILLIS);
         loadOwnClasses();
         return 0;
--- a/src/main/java/org/spruceridge/cli/Commands.java
+++ b/src/main/java/org/spruceridge/cli/Commands.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Model.OptionSpec;
 
 /**
- * Builds the command line of the program. It uses picocli's programmatic model, because its annotations cost 0.1 s of
- * CPU time at each start, which is more than 1 s on the smallest machines.
+ * Builds the command line of the program. It uses picocli's programmatic model instead of its annotations, which cost
+ * 0.1 s of CPU time at each start, more than 1 s on the smallest machines.
  */
 final class Commands {
     private Commands() {}
--- a/src/main/java/org/spruceridge/cli/LogLevel.java
+++ b/src/main/java/org/spruceridge/cli/LogLevel.java
@@ -8,7 +8,7 @@
 
     private LogLevel() {}
 
-    /** {@code requested} is the value of LOG_LEVEL; null or an unknown level means info. */
+    /** {@code requestedLevel} is the value of LOG_LEVEL; null or an unknown level means info. */
     static void apply(String requestedLevel) {
         String level = requestedLevel == null ? "info" : requestedLevel.trim().toLowerCase(Locale.ROOT);
         boolean isKnown = level.equals("error") || level.equals("info") || level.equals("debug");
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -19,7 +19,7 @@
 
 /** Runs a controller node until the process is killed. */
 final class ServeCommand implements Callable<Integer> {
-    /** The maximum delay before the server listens; during an outage of the state service no leader can be found. */
+    /** The maximum delay before the server listens, for outages of the state service, when no leader is found. */
     private static final double MAX_LISTEN_DELAY_LEASES = 0.125;
 
     private final SettingsFiles files = new SettingsFiles();
@@ -38,7 +38,7 @@
         NettyLoop loop = new NettyLoop();
         NettyPeerTransport transport = new NettyPeerTransport(
                 loop.group(),
-                settings.peerListen(),
+                settings.peerListenAddress(),
                 settings.members().stream().map(Settings.Member::address).toList());
         ConnectionLimiter connectionLimiter =
                 new ConnectionLimiter(settings.resources().maxSockets());
@@ -49,7 +49,7 @@
         HttpServer server = new HttpServer(loop, connectionLimiter, workerIdleTimeoutNanos, node.handler());
         transport.listen();
         startNode(node, loop, settings);
-        server.start(settings.serveOn());
+        server.start(settings.serveAddress());
         loop.join();
         return 0;
     }
--- a/src/main/java/org/spruceridge/config/Settings.java
+++ b/src/main/java/org/spruceridge/config/Settings.java
@@ -13,8 +13,8 @@
 public record Settings(
         String hostName,
         String zone,
-        Address serveOn,
-        Address peerListen,
+        Address serveAddress,
+        Address peerListenAddress,
         ImmutableList<Member> members,
         Address cloudAddress,
         Address stateAddress,
