--- a/src/main/java/org/spruceridge/net/ClientConnection.java
+++ b/src/main/java/org/spruceridge/net/ClientConnection.java
@@ -125,7 +125,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            LOG.error("outbound connection failed with an internal error", cause);
+            LOG.error("outbound connection failed by an internal error", cause);
         }
         ctx.close();
         failCurrent();
--- a/src/main/java/org/spruceridge/net/ServerConnection.java
+++ b/src/main/java/org/spruceridge/net/ServerConnection.java
@@ -151,7 +151,7 @@
         if (cause instanceof IOException) {
             LOG.debug("inbound connection closed reason={}", cause.toString());
         } else {
-            LOG.error("inbound connection failed with an internal error", cause);
+            LOG.error("inbound connection failed by an internal error", cause);
         }
         ctx.close();
     }
