--- a/src/main/java/org/spruceridge/api/AdmissionControl.java
+++ b/src/main/java/org/spruceridge/api/AdmissionControl.java
@@ -28,18 +28,18 @@
         }
         Resources limit = limitOf(team);
         if (!spec.isService()) {
-            return spec.task().fitsIn(limit)
+            return spec.taskResources().fitsIn(limit)
                     ? Optional.empty()
                     : Optional.of("a task needs more than the team's limit");
         }
         // All replicas of a service run at the same time and none completes, so the limit must cover all of them at
         // once.
-        Resources allReplicas = spec.task().times(spec.tasks());
+        Resources allReplicas = spec.taskResources().times(spec.taskCount());
         return allReplicas.fitsIn(limit) ? Optional.empty() : Optional.of("the job needs more than the team's limit");
     }
 
     private static boolean fits(JobSpec spec, MachineType type) {
-        return spec.task().fitsIn(type.capacity())
+        return spec.taskResources().fitsIn(type.capacity())
                 && type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
     }
 
--- a/src/main/java/org/spruceridge/api/JobLookup.java
+++ b/src/main/java/org/spruceridge/api/JobLookup.java
@@ -29,7 +29,7 @@
 
     private record EndedJob(JobRecord.Stage stage, int tasks) {
         static EndedJob of(JobRecord record) {
-            return new EndedJob(record.stage(), record.spec().tasks());
+            return new EndedJob(record.stage(), record.spec().taskCount());
         }
     }
 
@@ -81,6 +81,6 @@
             return JobResponses.open(id, progress.apply(id));
         }
         cache(record);
-        return JobResponses.ended(id, record.stage(), record.spec().tasks());
+        return JobResponses.ended(id, record.stage(), record.spec().taskCount());
     }
 }
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public Response refusal(Request request) {
+    public Response overloadResponse(Request request) {
         if (request.path().equals(HEARTBEATS_PATH)) {
             onHeartbeatDropped.run();
         }
--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -76,7 +76,7 @@
     }
 
     private void refreshCatalogue() {
-        cloud.catalogue(scope.guard(response -> {
+        cloud.fetchMachineTypes(scope.guard(response -> {
             response.ifPresent(types -> {
                 cluster.updateTypes(types);
                 requestSchedulingCycle.run();
@@ -88,7 +88,7 @@
     }
 
     private void refreshMachineList() {
-        cloud.machines(scope.guard(response -> {
+        cloud.listMachines(scope.guard(response -> {
             response.ifPresent(machineListReconciler::reconcile);
             scope.after(
                     Math.max(
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
@@ -61,7 +61,7 @@
         List<String> names = batch.stream().map(Machine::name).toList();
         LOG.info("deleting machines machines={} reason={}", names, reason);
         long requestedAt = context.loop().nanos();
-        context.cloud().delete(names, context.scope().guard(confirmed -> {
+        context.cloud().deleteMachines(names, context.scope().guard(confirmed -> {
             names.forEach(deletionsInFlight::remove);
             LOG.info(
                     "machine deletion answered machine={} count={} outcome={} ageS={}",
@@ -85,7 +85,7 @@
         List<String> newNames =
                 failedNames.stream().filter(removedFromCloudList::add).toList();
         for (List<String> batch : Lists.partition(newNames, CloudClient.MAX_DELETE_BATCH)) {
-            context.cloud().delete(batch, context.scope().guard(confirmed -> {
+            context.cloud().deleteMachines(batch, context.scope().guard(confirmed -> {
                 if (!confirmed) {
                     batch.forEach(removedFromCloudList::remove);
                 }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
@@ -52,7 +52,7 @@
         Stream<JobSpec> specs = Stream.concat(
                 plan.unplaced().keySet().stream().map(Job::spec),
                 reserves.stream().map(WarmCapacity.Reserve::example));
-        return Resources.minOf(specs.map(JobSpec::task));
+        return Resources.minOf(specs.map(JobSpec::taskResources));
     }
 
     /** Adds the booting machines, and returns the running ones. */
@@ -94,7 +94,7 @@
             double remainingS = binding.job().spec().estimateS() - binding.elapsedS(now);
             boolean isRunning = binding.phase() == Binding.Phase.RUNNING;
             if (isRunning && binding.isExpectedToEnd() && remainingS < bootS && !binding.isProvenGone()) {
-                freed = freed.plus(binding.job().spec().task());
+                freed = freed.plus(binding.job().spec().taskResources());
             }
         }
         return freed;
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
@@ -105,7 +105,7 @@
     private Optional<MachineKind> cheapestKind(JobSpec spec, ZoneAllowance zoneAllowance) {
         List<MachineKind> candidates = new ArrayList<>();
         for (MachineType type : cluster.types().values()) {
-            if (!spec.task().fitsIn(type.capacity())) {
+            if (!spec.taskResources().fitsIn(type.capacity())) {
                 continue;
             }
             for (String zone : type.zones()) {
@@ -128,7 +128,7 @@
 
     private double pricePerTask(MachineKind kind, JobSpec spec) {
         MachineType type = cluster.types().get(kind.type());
-        int tasksPerMachine = Math.min(spec.tasks(), type.capacity().holds(spec.task()));
+        int tasksPerMachine = Math.min(spec.taskCount(), type.capacity().fittingTasks(spec.taskResources()));
         return type.price(kind.spot()) / Math.max(1, tasksPerMachine);
     }
 
@@ -144,14 +144,15 @@
         }
 
         int place(JobSpec spec, int maxCount, ZoneAllowance zoneAllowance) {
-            if (!spec.task().fitsIn(freeCapacity) || !spec.allows(kind.type(), kind.zone(), kind.spot())) {
+            if (!spec.taskResources().fitsIn(freeCapacity) || !spec.allows(kind.type(), kind.zone(), kind.spot())) {
                 return 0;
             }
-            int count =
-                    Math.min(Math.min(maxCount, zoneAllowance.remaining(kind.zone())), freeCapacity.holds(spec.task()));
+            int count = Math.min(
+                    Math.min(maxCount, zoneAllowance.remaining(kind.zone())),
+                    freeCapacity.fittingTasks(spec.taskResources()));
             zoneAllowance.add(kind.zone(), count);
             for (int i = 0; i < count; i++) {
-                freeCapacity = freeCapacity.minus(spec.task());
+                freeCapacity = freeCapacity.minus(spec.taskResources());
             }
             if (count > 0 && machine != null) {
                 neededMachines.add(machine);
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -112,9 +112,9 @@
         JobSpec spec = job.spec();
         if (spec.isService()) {
             boolean isRecent = job.submittedMs() > submittedAfterMs;
-            demands.computeIfAbsent(spec.jobClass(), c -> new Demand()).add(spec, isRecent ? spec.tasks() : 0);
+            demands.computeIfAbsent(spec.jobClass(), c -> new Demand()).add(spec, isRecent ? spec.taskCount() : 0);
         } else if (demands.containsKey(spec.jobClass())) {
-            demands.get(spec.jobClass()).add(spec, spec.tasks() - job.doneCount());
+            demands.get(spec.jobClass()).add(spec, spec.taskCount() - job.doneCount());
         }
     }
 
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -45,7 +45,7 @@
     }
 
     /** Fetches the machine types and their current prices, by name; empty if there was no usable response. */
-    public void catalogue(Consumer<Optional<ImmutableMap<String, MachineType>>> onResponse) {
+    public void fetchMachineTypes(Consumer<Optional<ImmutableMap<String, MachineType>>> onResponse) {
         send(Priority.SCHEDULING, HttpCall.get("/flavors"), response -> onResponse.accept(readCatalogue(response)));
     }
 
@@ -68,7 +68,7 @@
     }
 
     /** Deletes machines. True confirms that the machines and everything on them are deleted. */
-    public void delete(List<String> machines, Consumer<Boolean> onResult) {
+    public void deleteMachines(List<String> machines, Consumer<Boolean> onResult) {
         ArrayNode names = Json.array();
         machines.forEach(names::add);
         byte[] body = Json.bytes(Json.object().set("hosts", names));
@@ -82,7 +82,7 @@
      * Lists all machines, page by page; empty if there was no usable response. The list lags, and a later list may be
      * older than an earlier one.
      */
-    public void machines(Consumer<Optional<ImmutableList<CloudMachine>>> onResponse) {
+    public void listMachines(Consumer<Optional<ImmutableList<CloudMachine>>> onResponse) {
         listPage("", new ArrayList<>(), onResponse);
     }
 
--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -104,7 +104,7 @@
     public void bind(Binding binding) {
         binding.job().bind(binding);
         binding.machine().bind(binding);
-        teamUsage.merge(binding.job().spec().team(), binding.job().spec().task(), Resources::plus);
+        teamUsage.merge(binding.job().spec().team(), binding.job().spec().taskResources(), Resources::plus);
     }
 
     /**
@@ -125,6 +125,6 @@
         binding.job().unbind(binding, now);
         binding.machine().unbind(binding, now);
         JobSpec spec = binding.job().spec();
-        teamUsage.merge(spec.team(), spec.task(), Resources::minus);
+        teamUsage.merge(spec.team(), spec.taskResources(), Resources::minus);
     }
 }
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -116,7 +116,7 @@
         int index = binding.task().index();
         if (bindings.get(index) == binding) {
             bindings.remove(index);
-            if (waiting() == 0) {
+            if (waitingCount() == 0) {
                 incompleteSince = now;
             }
             if (!done.get(index)) {
@@ -126,8 +126,8 @@
     }
 
     /** The number of tasks that are neither done nor bound; 0 if the job is cancelled. */
-    public int waiting() {
-        return isCancelled() ? 0 : spec.tasks() - doneOrBound.cardinality();
+    public int waitingCount() {
+        return isCancelled() ? 0 : spec.taskCount() - doneOrBound.cardinality();
     }
 
     /**
@@ -135,7 +135,7 @@
      */
     public int nextWaiting(int fromIndex) {
         int next = doneOrBound.nextClearBit(fromIndex);
-        return next < spec.tasks() ? next : -1;
+        return next < spec.taskCount() ? next : -1;
     }
 
     /** True if any task is bound or has completed. */
@@ -179,7 +179,7 @@
     }
 
     /** The number of tasks that the latest heartbeats reported as running. */
-    public int running() {
+    public int runningCount() {
         int count = 0;
         for (Binding binding : bindings.values()) {
             if (binding.phase() == Binding.Phase.RUNNING || binding.phase() == Binding.Phase.CHECKPOINTING) {
@@ -199,7 +199,7 @@
      * running replicas the machines are the likely cause instead.
      */
     public boolean failsOnManyMachines() {
-        return failedMachines.size() >= FAILED_MACHINES_BEFORE_BACKOFF && !(spec.isService() && running() > 0);
+        return failedMachines.size() >= FAILED_MACHINES_BEFORE_BACKOFF && !(spec.isService() && runningCount() > 0);
     }
 
     /** The time before which no task of the job is placed, after failures; in monotonic nanoseconds. */
--- a/src/main/java/org/spruceridge/cluster/JobSpec.java
+++ b/src/main/java/org/spruceridge/cluster/JobSpec.java
@@ -8,7 +8,7 @@
  * A job as submitted by its user.
  *
  * @param jobClass the name that service-level objectives refer to
- * @param task the resources that each task requests
+ * @param taskResources the resources that each task requests
  * @param types the allowed machine types; all are allowed if empty
  * @param zone the only allowed zone; all are allowed if empty
  * @param oneZone whether all tasks must be in the same zone
@@ -26,8 +26,8 @@
         String team,
         JobKind kind,
         JobPriority priority,
-        int tasks,
-        Resources task,
+        int taskCount,
+        Resources taskResources,
         Optional<ImmutableSet<String>> types,
         Optional<String> zone,
         boolean oneZone,
@@ -52,7 +52,7 @@
 
     /** The maximum number of tasks in one zone at a time. */
     public int zoneLimit() {
-        return spread ? (tasks + 1) / 2 : tasks;
+        return spread ? (taskCount + 1) / 2 : taskCount;
     }
 
     /** A copy with other allowed machine types. */
@@ -72,8 +72,8 @@
                 team,
                 kind,
                 priority,
-                tasks,
-                task,
+                taskCount,
+                taskResources,
                 newTypes,
                 zone,
                 oneZone,
--- a/src/main/java/org/spruceridge/cluster/MachineAllocation.java
+++ b/src/main/java/org/spruceridge/cluster/MachineAllocation.java
@@ -42,7 +42,7 @@
     void bind(Binding binding) {
         bindings.put(binding.task(), binding);
         replicas += binding.job().spec().isService() ? 1 : 0;
-        used = used.plus(binding.job().spec().task());
+        used = used.plus(binding.job().spec().taskResources());
     }
 
     void unbind(Binding binding, long now) {
@@ -59,7 +59,7 @@
     void releaseCapacity(Binding binding) {
         if (!binding.isProvenGone()) {
             binding.markProvenGone();
-            used = used.minus(binding.job().spec().task());
+            used = used.minus(binding.job().spec().taskResources());
         }
     }
 }
--- a/src/main/java/org/spruceridge/cluster/Resources.java
+++ b/src/main/java/org/spruceridge/cluster/Resources.java
@@ -47,7 +47,7 @@
     }
 
     /** The number of tasks of the given size that fit into this capacity. */
-    public int holds(Resources task) {
+    public int fittingTasks(Resources task) {
         double count = Integer.MAX_VALUE;
         count = task.cpus > 0 ? Math.min(count, (cpus + ROUNDING_TOLERANCE) / task.cpus) : count;
         count = task.gpus > 0 ? Math.min(count, (gpus + ROUNDING_TOLERANCE) / task.gpus) : count;
--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -91,7 +91,7 @@
     Set<String> jobsWithoutOpenEntry(List<RecordedMachine> machines) {
         Set<String> jobIds = new TreeSet<>();
         for (RecordedMachine machine : machines) {
-            for (BindingsRecord.BoundTask boundTask : machine.record().bound()) {
+            for (BindingsRecord.BoundTask boundTask : machine.record().tasks()) {
                 if (cluster.job(boundTask.task().job()) == null) {
                     jobIds.add(boundTask.task().job());
                 }
@@ -136,7 +136,7 @@
             cluster.add(machine);
         }
         records.bindings().assign(machine, recorded.page());
-        for (BindingsRecord.BoundTask boundTask : record.bound()) {
+        for (BindingsRecord.BoundTask boundTask : record.tasks()) {
             bind(machine, boundTask);
         }
     }
@@ -144,7 +144,7 @@
     private void bind(Machine machine, BindingsRecord.BoundTask boundTask) {
         int index = boundTask.task().index();
         Job job = cluster.job(boundTask.task().job());
-        if (job == null || index >= job.spec().tasks()) {
+        if (job == null || index >= job.spec().taskCount()) {
             warnings.warn("binding of an unknown task", "task=" + boundTask.task() + " machine=" + machine.name());
             return;
         }
--- a/src/main/java/org/spruceridge/leader/ClusterStatus.java
+++ b/src/main/java/org/spruceridge/leader/ClusterStatus.java
@@ -21,7 +21,7 @@
         cluster.machines().forEach(counter::add);
         int waitingTasks = 0;
         for (Job job : cluster.jobs()) {
-            waitingTasks += job.waiting();
+            waitingTasks += job.waitingCount();
         }
         return new ClusterStatus(
                 cluster.jobs().size(), waitingTasks, counter.counts(), counter.usedCpus, counter.totalCpus);
--- a/src/main/java/org/spruceridge/leader/HeartbeatResponder.java
+++ b/src/main/java/org/spruceridge/leader/HeartbeatResponder.java
@@ -26,7 +26,7 @@
         this.term = context.term().term();
         this.metrics = context.metrics();
         this.heartbeatHandler = heartbeatHandler;
-        this.responseWithoutCommands = WorkerCommand.answer(term, List.of());
+        this.responseWithoutCommands = WorkerCommand.heartbeatResponse(term, List.of());
     }
 
     /** Starts to reconcile heartbeats with the cluster state, which is now complete. */
@@ -65,7 +65,7 @@
                     outcome,
                     stopCount);
         }
-        return commands.isEmpty() ? responseWithoutCommands : WorkerCommand.answer(term, commands);
+        return commands.isEmpty() ? responseWithoutCommands : WorkerCommand.heartbeatResponse(term, commands);
     }
 
     private HeartbeatOutcome outcome(long stopCount) {
--- a/src/main/java/org/spruceridge/net/ManualLoop.java
+++ b/src/main/java/org/spruceridge/net/ManualLoop.java
@@ -30,7 +30,7 @@
     }
 
     /** The number of tasks that have not run yet. */
-    public int pending() {
+    public int pendingTaskCount() {
         return tasks.size();
     }
 
@@ -38,7 +38,7 @@
      * Advances time by this many nanoseconds without running tasks, as if a running task took that long. Tasks that
      * become due run late.
      */
-    public void pass(long nanos) {
+    public void advanceClock(long nanos) {
         nowNanos += nanos;
     }
 
--- a/src/main/java/org/spruceridge/net/RequestHandler.java
+++ b/src/main/java/org/spruceridge/net/RequestHandler.java
@@ -11,5 +11,5 @@
     RequestQueue.Priority priority(Request request);
 
     /** The response to a request that is rejected because it could not be handled in time. */
-    Response refusal(Request request);
+    Response overloadResponse(Request request);
 }
--- a/src/main/java/org/spruceridge/net/ServerConnection.java
+++ b/src/main/java/org/spruceridge/net/ServerConnection.java
@@ -108,7 +108,7 @@
 
         @Override
         public void reject() {
-            write(ctx, handler.refusal(request), keepAlive);
+            write(ctx, handler.overloadResponse(request), keepAlive);
         }
 
         @Override
--- a/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
+++ b/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
@@ -64,7 +64,7 @@
     }
 
     private void fetchFromCloud() {
-        cloud.catalogue(scope.guard(fetchedTypes -> {
+        cloud.fetchMachineTypes(scope.guard(fetchedTypes -> {
             if (fetchedTypes.isPresent()) {
                 update(fetchedTypes.get());
                 persist(new CatalogueRecord(fetchedTypes.get()));
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -165,7 +165,7 @@
     public void leadershipAcquired(LeaderTerm term) {
         warmUp.stop();
         rateBudget.apply(RateBudget.Role.LEADER);
-        LeaderContext context = LeaderContext.begin(
+        LeaderContext context = LeaderContext.forNewTerm(
                 new LeaderServices(loop, warnings, latencies, leaderMetrics),
                 settings,
                 policy,
--- a/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -60,6 +60,6 @@
     }
 
     static PeerHeartbeat.Progress progress(Job job) {
-        return new PeerHeartbeat.Progress(job.doneCount(), job.running());
+        return new PeerHeartbeat.Progress(job.doneCount(), job.runningCount());
     }
 }
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -45,7 +45,7 @@
         this.pageBytes = (int) (limits.recordKb() * 1024);
         this.level = level;
         int capacity = PackedValue.capacity(limits.recordKb());
-        this.bindings = new PageIndex<>(StateKeys.BINDINGS_PREFIX, capacity, BindingsRecord::bytes);
+        this.bindings = new PageIndex<>(StateKeys.BINDINGS_PREFIX, capacity, BindingsRecord::maxPageBytes);
         this.finishedTasks = new PageIndex<>(StateKeys.FINISHED_TASKS_PREFIX, capacity, this::maxBytes);
     }
 
@@ -83,7 +83,7 @@
         int baseEnd = (chunk.firstIndex / baseChunkSize + 1) * baseChunkSize;
         return Math.min(
                 Math.min(chunk.firstIndex + chunkSize(), baseEnd),
-                chunk.job.spec().tasks());
+                chunk.job.spec().taskCount());
     }
 
     /** The number of tasks per chunk in records of the base level. */
@@ -106,7 +106,7 @@
         previousPages.forEach((chunk, page) -> {
             finishedTasks.remove(chunk);
             int chunkEnd =
-                    Math.min(chunk.firstIndex + baseChunkSize, chunk.job.spec().tasks());
+                    Math.min(chunk.firstIndex + baseChunkSize, chunk.job.spec().taskCount());
             for (int start = chunk.firstIndex; start < chunkEnd; start = endIndex(new TaskChunk(chunk.job, start))) {
                 finishedTasks.assign(new TaskChunk(chunk.job, start), page);
             }
@@ -148,7 +148,7 @@
 
     /** Removes the finished tasks of a job that has ended. */
     void removeFinishedTasks(Job job) {
-        for (int start = 0; start < job.spec().tasks(); start = endIndex(new TaskChunk(job, start))) {
+        for (int start = 0; start < job.spec().taskCount(); start = endIndex(new TaskChunk(job, start))) {
             finishedTasks.remove(new TaskChunk(job, start));
         }
     }
@@ -184,7 +184,7 @@
     private int maxBytes(Collection<TaskChunk> chunks) {
         int totalBytes = 5;
         for (TaskChunk chunk : chunks) {
-            totalBytes += FinishedTasksRecord.bytes(chunk.job.id(), endIndex(chunk) - chunk.firstIndex);
+            totalBytes += FinishedTasksRecord.maxChunkBytes(chunk.job.id(), endIndex(chunk) - chunk.firstIndex);
         }
         return totalBytes;
     }
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -140,7 +140,7 @@
     }
 
     /** Removes a cancelled job's pending bindings, except those in flight, and its finished tasks. */
-    public void withdrawCancelled(Job job) {
+    public void discardCancelledJob(Job job) {
         for (Binding binding : ImmutableList.copyOf(job.bindings())) {
             if (pending.removeBind(binding)) {
                 cluster.unbind(binding, loop.nanos());
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -108,7 +108,7 @@
         }
         int newlyDoneCount = newlyDoneCounts.getOrDefault(job, 0)
                 + (job.isDone(binding.task().index()) ? 0 : 1);
-        boolean completesJob = job.doneCount() + newlyDoneCount == job.spec().tasks();
+        boolean completesJob = job.doneCount() + newlyDoneCount == job.spec().taskCount();
         boolean added = completesJob ? completeJob(binding, page) : completeTask(binding, page);
         if (added) {
             newlyDoneCounts.put(job, newlyDoneCount);
--- a/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
+++ b/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
@@ -87,7 +87,7 @@
         }
         recordFailure(job, machine, now);
         job.countEarlyExit(now, Durations.nanos(EARLY_EXIT_WINDOW_IN_CANCEL_TIMES * workers.cancelS()));
-        int excessExits = job.earlyExits() - job.spec().tasks();
+        int excessExits = job.earlyExits() - job.spec().taskCount();
         if (excessExits > 0) {
             backOff(job, Math.min(excessExits, MAX_BACKOFF_DOUBLINGS), now);
         }
--- a/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
@@ -43,7 +43,7 @@
             return;
         }
         job.cancel(view.completeUpTo(), loop.nanos());
-        recordWriter.withdrawCancelled(job);
+        recordWriter.discardCancelledJob(job);
         List<Machine> machines =
                 job.bindings().stream().map(Binding::machine).distinct().toList();
         log(job, source, machines.size());
--- a/src/main/java/org/spruceridge/reconciliation/OrphanBindings.java
+++ b/src/main/java/org/spruceridge/reconciliation/OrphanBindings.java
@@ -29,7 +29,7 @@
         Job job = cluster.job(task.job());
         if (job == null
                 || job.binding(task.index()) != null
-                || task.index() >= job.spec().tasks()) {
+                || task.index() >= job.spec().taskCount()) {
             return;
         }
         Binding orphan = new Binding(job, task.index(), status.attempt(), machine, Binding.Stage.ORPHANED, now);
--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -42,7 +42,7 @@
     public record BoundTask(TaskId task, long attempt) {}
 
     /** A machine and the tasks bound to it. */
-    public record MachineBindings(String name, MachineKind kind, ImmutableList<BoundTask> bound) {}
+    public record MachineBindings(String name, MachineKind kind, ImmutableList<BoundTask> tasks) {}
 
     /** The maximum number of bindings of one machine that fit into a page for values of {@code valueKb} kilobytes. */
     public static int maxBindingsPerMachine(double valueKb) {
@@ -52,7 +52,7 @@
     }
 
     /** The maximum size in bytes of a page with these machines and all their current bindings. */
-    public static int bytes(Collection<Machine> machines) {
+    public static int maxPageBytes(Collection<Machine> machines) {
         Set<MachineKind> kinds = new HashSet<>();
         int totalBytes = 5;
         for (Machine machine : machines) {
@@ -113,9 +113,9 @@
 
     private static void writeMachine(MessageBufferPacker out, MachineBindings machine) throws IOException {
         out.packString(machine.name);
-        out.packArrayHeader(machine.bound.size());
+        out.packArrayHeader(machine.tasks.size());
         String job = "";
-        for (BoundTask task : machine.bound) {
+        for (BoundTask task : machine.tasks) {
             if (task.task.job().equals(job)) {
                 out.packNil(); // the same job as in the previous binding
             } else {
--- a/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
@@ -35,7 +35,7 @@
     }
 
     /** The maximum size in bytes of a chunk with {@code tasks} tasks. */
-    public static int bytes(String job, int tasks) {
+    public static int maxChunkBytes(String job, int tasks) {
         return CHUNK_OVERHEAD_BYTES + job.length() + (tasks + 7) / 8;
     }
 
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -86,7 +86,7 @@
     Map<Job, WaitingJob> waitingJobs(long wallMs) {
         Map<Job, WaitingJob> waiting = new LinkedHashMap<>();
         for (Job job : cluster.jobs()) {
-            if (job.waiting() > 0 && job.retryAfter() <= now) {
+            if (job.waitingCount() > 0 && job.retryAfter() <= now) {
                 waiting.put(job, new WaitingJob(Candidate.waiting(job, now, wallMs), allowedKinds(job.spec())));
             }
         }
@@ -97,8 +97,9 @@
         boolean[] allowed = new boolean[kinds.size()];
         for (int i = 0; i < allowed.length; i++) {
             MachineKind kind = kinds.get(i);
-            allowed[i] = spec.task().fitsIn(cluster.types().get(kind.type()).capacity())
-                    && spec.allows(kind.type(), kind.zone(), kind.spot());
+            allowed[i] =
+                    spec.taskResources().fitsIn(cluster.types().get(kind.type()).capacity())
+                            && spec.allows(kind.type(), kind.zone(), kind.spot());
         }
         return allowed;
     }
@@ -176,8 +177,8 @@
         for (MachineCapacity capacity : machines) {
             boolean isZonePermitted = capacity.machine().zone().equals(zone)
                     || zoneConstraints.allows(job, capacity.machine().zone());
-            if (isZonePermitted && capacity.fits(job.spec().task()) && canRunOn(replica, capacity)) {
-                capacity.allocateReplica(job.spec().task());
+            if (isZonePermitted && capacity.fits(job.spec().taskResources()) && canRunOn(replica, capacity)) {
+                capacity.allocateReplica(job.spec().taskResources());
                 return true;
             }
         }
@@ -194,9 +195,9 @@
     void place(Job job, MachineCapacity capacity) {
         JobSpec spec = job.spec();
         if (spec.isService()) {
-            capacity.allocateReplica(spec.task());
+            capacity.allocateReplica(spec.taskResources());
         } else {
-            capacity.allocate(spec.task());
+            capacity.allocate(spec.taskResources());
         }
         quotas.add(spec);
         if (spec.isService()) {
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -41,7 +41,7 @@
      * and run fewer than {@code maxReplicas} of it. Null if there is none: Optional would allocate on the hot path.
      */
     MachineCapacity mostReplicatedMachineFor(WaitingJob service, CycleState state, int maxReplicas) {
-        Resources task = service.job().spec().task();
+        Resources task = service.job().spec().taskResources();
         MachineCapacity best = null;
         for (MachineCapacity capacity : machinesWithRoom) {
             boolean isBetter = best == null || capacity.replicas() > best.replicas();
@@ -57,7 +57,7 @@
 
     /** The fullest machine with room for a task of the job, or null: Optional would allocate on the hot path. */
     MachineCapacity fullestMachineFor(WaitingJob waiting, CycleState state) {
-        Resources task = waiting.job().spec().task();
+        Resources task = waiting.job().spec().taskResources();
         MachineCapacity best = null;
         for (MachineCapacity capacity : machinesWithRoom) {
             boolean isFuller =
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -123,7 +123,7 @@
             if (!binding.isProvenGone() && binding.isExpectedToEnd()) {
                 double remainingS = estimator.remainingS(binding.job().spec().estimateS(), binding.elapsedS(now));
                 expectedReleases.add(
-                        new ExpectedRelease(remainingS, binding.job().spec().task()));
+                        new ExpectedRelease(remainingS, binding.job().spec().taskResources()));
             }
         }
         expectedReleases.sort(Comparator.comparingDouble(ExpectedRelease::delayS));
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -44,7 +44,7 @@
      */
     private void findTargets(Collection<WaitingJob> urgentJobs) {
         smallestTask = Resources.minOf(
-                urgentJobs.stream().map(waiting -> waiting.job().spec().task()));
+                urgentJobs.stream().map(waiting -> waiting.job().spec().taskResources()));
         for (WaitingJob waiting : urgentJobs) {
             JobPriority priority = waiting.job().spec().priority();
             highestPriority = priority.outranks(highestPriority) ? priority : highestPriority;
@@ -73,7 +73,7 @@
             if (!state.isEligible(waiting, target.capacity())) {
                 continue;
             }
-            int claimed = target.claim(spec.task(), wanted);
+            int claimed = target.claim(spec.taskResources(), wanted);
             wanted -= claimed;
             Victim victim = claimed > 0 ? null : target.cheapestVictim(spec);
             if (victim != null) {
@@ -98,7 +98,7 @@
                 break;
             }
             preempted.add(victim.binding());
-            remaining -= victim.target().preempt(victim, spec.task(), remaining);
+            remaining -= victim.target().preempt(victim, spec.taskResources(), remaining);
         }
         targets.removeIf(target -> !target.canHost(smallestTask, highestPriority));
     }
--- a/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -32,7 +32,7 @@
         for (Binding binding : capacity.machine().bindings()) {
             boolean isReleasing = binding.stopMode() != Binding.StopMode.NONE || binding.phase() == Binding.Phase.ENDED;
             expected = isReleasing && !binding.isProvenGone()
-                    ? expected.plus(binding.job().spec().task())
+                    ? expected.plus(binding.job().spec().taskResources())
                     : expected;
         }
         return expected;
@@ -84,7 +84,7 @@
         if (!task.fitsIn(expectedFree)) {
             return 0;
         }
-        int count = Math.min(wanted, expectedFree.holds(task));
+        int count = Math.min(wanted, expectedFree.fittingTasks(task));
         for (int i = 0; i < count; i++) {
             expectedFree = expectedFree.minus(task);
         }
@@ -98,7 +98,8 @@
     Victim cheapestVictim(JobSpec spec) {
         for (int i = 0; i < victims.size(); i++) {
             JobSpec victimSpec = victims.get(i).binding.job().spec();
-            if (spec.priority().outranks(victimSpec.priority()) && fitsAfter(spec.task(), victimSpec.task())) {
+            if (spec.priority().outranks(victimSpec.priority())
+                    && fitsAfter(spec.taskResources(), victimSpec.taskResources())) {
                 return victims.get(i);
             }
         }
@@ -117,7 +118,7 @@
      * No other task on this machine is preempted in this cycle.
      */
     int preempt(Victim victim, Resources task, int wanted) {
-        expectedFree = expectedFree.plus(victim.binding.job().spec().task());
+        expectedFree = expectedFree.plus(victim.binding.job().spec().taskResources());
         victims.clear();
         return claim(task, wanted);
     }
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -40,13 +40,13 @@
         }
         int wanted = Math.min(waiting.remainingTasks(), admissibleTasks);
         List<FutureFit> futureFits = new ArrayList<>();
-        Resources task = waiting.job().spec().task();
+        Resources task = waiting.job().spec().taskResources();
         for (MachineCapacity capacity : state.machines()) {
             if (!state.isEligible(waiting, capacity)) {
                 continue;
             }
             if (capacity.fits(task)) {
-                wanted -= capacity.free().holds(task);
+                wanted -= capacity.free().fittingTasks(task);
                 if (wanted <= 0) {
                     return;
                 }
@@ -78,7 +78,7 @@
         if (maxReservations == 0 || state.quotas().isReserved(team)) {
             return;
         }
-        Resources task = waiting.job().spec().task();
+        Resources task = waiting.job().spec().taskResources();
         for (MachineCapacity capacity : state.machines()) {
             if (capacity.fits(task) && state.isEligible(waiting, capacity)) {
                 state.quotas().reserve(team);
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -72,7 +72,7 @@
     /** The minimum of each resource over all waiting tasks: a machine without room for this has room for no task. */
     private Resources smallestTask() {
         return Resources.minOf(
-                waitingJobs.keySet().stream().map(job -> job.spec().task()));
+                waitingJobs.keySet().stream().map(job -> job.spec().taskResources()));
     }
 
     private List<Entry> entries() {
@@ -83,7 +83,7 @@
                         .get(candidate.job())
                         .allows(groups.get(group).kindIndex()),
                 (candidate, group) ->
-                        groups.get(group).hasRoomFor(candidate.job().spec().task()));
+                        groups.get(group).hasRoomFor(candidate.job().spec().taskResources()));
         entries.sort(DESCENDING_SCORE);
         return entries;
     }
@@ -114,7 +114,7 @@
                 .filter(entry -> entry.candidate().job() == service.job())
                 .map(entry -> groups.get(entry.group()))
                 .toList();
-        int tasks = service.job().spec().tasks();
+        int tasks = service.job().spec().taskCount();
         for (int maxReplicas = 1; canPlace(service) && maxReplicas < 2 * tasks; maxReplicas *= 2) {
             MachineCapacity next = nextMachineFor(service, rankedGroups, maxReplicas);
             while (next != null) {
@@ -150,7 +150,9 @@
                 return;
             }
             // Each placement keeps this machine the fullest, so it is used until no more of these tasks fit.
-            while (canPlace(waiting) && fullest.fits(job.spec().task()) && state.isEligible(waiting, fullest)) {
+            while (canPlace(waiting)
+                    && fullest.fits(job.spec().taskResources())
+                    && state.isEligible(waiting, fullest)) {
                 place(waiting, fullest);
             }
             group.dropFull(smallestTask);
--- a/src/main/java/org/spruceridge/schedule/TeamQuotas.java
+++ b/src/main/java/org/spruceridge/schedule/TeamQuotas.java
@@ -39,7 +39,7 @@
                 team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.MAX_VALUE,
                 team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.MAX_VALUE,
                 Double.MAX_VALUE);
-        return remaining.holds(spec.task());
+        return remaining.fittingTasks(spec.taskResources());
     }
 
     /** Reserves the rest of a team's quota, so that later candidates of this cycle cannot use it. */
@@ -53,6 +53,6 @@
 
     /** Counts one more task of the job. */
     void add(JobSpec spec) {
-        usage.computeIfPresent(spec.team(), (team, used) -> used.plus(spec.task()));
+        usage.computeIfPresent(spec.team(), (team, used) -> used.plus(spec.taskResources()));
     }
 }
--- a/src/main/java/org/spruceridge/schedule/WaitingJob.java
+++ b/src/main/java/org/spruceridge/schedule/WaitingJob.java
@@ -14,7 +14,7 @@
     WaitingJob(Candidate candidate, boolean[] allowedKinds) {
         this.candidate = candidate;
         this.allowedKinds = allowedKinds;
-        this.remainingTasks = candidate.job().waiting();
+        this.remainingTasks = candidate.job().waitingCount();
     }
 
     Candidate candidate() {
--- a/src/main/java/org/spruceridge/term/LeaderContext.java
+++ b/src/main/java/org/spruceridge/term/LeaderContext.java
@@ -29,7 +29,7 @@
         LeaderMetrics metrics) {
 
     /** Creates the context of a new term, with an empty cluster state. */
-    public static LeaderContext begin(
+    public static LeaderContext forNewTerm(
             LeaderServices services, Settings settings, Policy policy, LeaderTerm term, BooleanSupplier isLeader) {
         return new LeaderContext(
                 services.loop(),
--- a/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
@@ -55,7 +55,7 @@
         this.settings = settings;
         LeaderServices services =
                 new LeaderServices(loop, new RateLimitedWarnings(loop), new Latencies(loop), new LeaderMetrics());
-        this.context = LeaderContext.begin(services, settings, policy, new LeaderTerm(TERM, 1, 0), () -> true);
+        this.context = LeaderContext.forNewTerm(services, settings, policy, new LeaderTerm(TERM, 1, 0), () -> true);
         this.cluster = new SyntheticCluster(settings, context.cluster(), loop, TERM);
         this.state = new StateClient(
                 loop,
@@ -117,7 +117,7 @@
     private void handle(WorkerHeartbeat heartbeat) {
         try {
             WorkerHeartbeat decoded = WorkerHeartbeat.read(Json.bytes(heartbeat.toJson()));
-            WorkerCommand.answer(TERM, heartbeatHandler.handle(decoded));
+            WorkerCommand.heartbeatResponse(TERM, heartbeatHandler.handle(decoded));
         } catch (BadMessageException e) {
             throw new IllegalStateException("the warm-up's own heartbeat cannot be read", e);
         }
--- a/src/main/java/org/spruceridge/worker/WorkerCommand.java
+++ b/src/main/java/org/spruceridge/worker/WorkerCommand.java
@@ -47,7 +47,7 @@
     }
 
     /** The response to a heartbeat: the fencing token and the commands. */
-    public static Response answer(long fencingToken, List<WorkerCommand> commands) {
+    public static Response heartbeatResponse(long fencingToken, List<WorkerCommand> commands) {
         return Response.of(200, toJson(fencingToken, commands));
     }
 
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -39,7 +39,7 @@
 import org.spruceridge.schedule.Matching;
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
-import org.spruceridge.sim.SimState;
+import org.spruceridge.sim.SimStateService;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderMetrics;
@@ -77,7 +77,7 @@
             new Settings.Resources(1, 414, 3203));
 
     private final SimLoop loop = new SimLoop();
-    private final SimState state = new SimState(loop, TRANSACTION_OPERATIONS, 1000);
+    private final SimStateService state = new SimStateService(loop, TRANSACTION_OPERATIONS, 1000);
     private final Matching matching = new Matching(
             SETTINGS,
             Policy.defaults(),
@@ -94,7 +94,7 @@
         private final SchedulingLoop schedulingLoop;
 
         Term(long number) {
-            context = LeaderContext.begin(
+            context = LeaderContext.forNewTerm(
                     new LeaderServices(loop, new RateLimitedWarnings(loop), new Latencies(loop), new LeaderMetrics()),
                     SETTINGS,
                     Policy.defaults(),
@@ -237,11 +237,11 @@
             loop.run(1);
         }
         assertEquals(TASKS, term.committedBindings(), "committed bindings");
-        assertEquals(0, state.rejectedTransactions());
+        assertEquals(0, state.rejectedTransactionCount());
         // Each write of a page contains all pending changes, so a page is written only a few times.
         assertTrue(
-                state.transactions() <= 4 * pageCount(),
-                state.transactions() + " transactions, " + pageCount() + " pages");
+                state.transactionCount() <= 4 * pageCount(),
+                state.transactionCount() + " transactions, " + pageCount() + " pages");
         assertTrue(
                 usedHeapBytes() - heapBefore < MAX_HEAP_BYTES,
                 "heap growth in bytes: " + (usedHeapBytes() - heapBefore));
@@ -249,13 +249,13 @@
     }
 
     private void assertBurstOfExitsIsRecorded(Term term) {
-        int transactionsBefore = state.transactions();
+        int transactionsBefore = state.transactionCount();
         sendBurstOfExits(term);
         for (int second = 0; second < 60 && term.recordWriter.backlog() > 0; second++) {
             loop.run(1);
         }
         assertEquals(TASKS - MACHINES, term.committedBindings(), "committed bindings after the burst");
-        int burstTransactions = state.transactions() - transactionsBefore;
+        int burstTransactions = state.transactionCount() - transactionsBefore;
         assertTrue(
                 burstTransactions <= 4 * pageCount(), burstTransactions + " transactions, " + pageCount() + " pages");
     }
@@ -288,7 +288,7 @@
                 MACHINES,
                 secondTerm.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
                 "completed tasks after the failover");
-        assertEquals(0, state.rejectedTransactions());
+        assertEquals(0, state.rejectedTransactionCount());
     }
 
     /** The attempt counter of a term has 24 bits; the leader resigns before it overflows. */
--- a/src/test/java/org/spruceridge/election/ElectionTest.java
+++ b/src/test/java/org/spruceridge/election/ElectionTest.java
@@ -24,7 +24,7 @@
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
-import org.spruceridge.sim.SimState;
+import org.spruceridge.sim.SimStateService;
 import org.spruceridge.state.StateClient;
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.ClusterFeatureLevel;
@@ -50,7 +50,7 @@
     private static final long LATENCY_NANOS = Durations.millis(5);
 
     private final SimLoop loop = new SimLoop();
-    private final SimState state = new SimState(loop, 100, 1000);
+    private final SimStateService state = new SimStateService(loop, 100, 1000);
     private final List<LeaderTerm> wonTerms = new ArrayList<>();
     private final List<Long> lostAtNanos = new ArrayList<>();
     private long leaseCreationSentAtNanos;
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public Response refusal(Request request) {
+        public Response overloadResponse(Request request) {
             throw new AssertionError("no request should be rejected");
         }
     }
--- a/src/test/java/org/spruceridge/net/RequestQueueTest.java
+++ b/src/test/java/org/spruceridge/net/RequestQueueTest.java
@@ -27,7 +27,7 @@
         @Override
         public void run() {
             outcomes.add(name);
-            loop.pass(costS);
+            loop.advanceClock(costS);
         }
 
         @Override
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -140,7 +140,7 @@
                 var value = records.bindingsPage("w", page, b -> true);
                 assertTrue(Json.bytes(value).length <= limits.valueKb() * 1024);
                 recordedCount += BindingsRecord.read(value).stream()
-                        .mapToInt(machineBindings -> machineBindings.bound().size())
+                        .mapToInt(machineBindings -> machineBindings.tasks().size())
                         .sum();
             }
         }
--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -10,7 +10,7 @@
 import org.spruceridge.net.Response;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
-import org.spruceridge.sim.SimState;
+import org.spruceridge.sim.SimStateService;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
@@ -27,7 +27,7 @@
     private void startLongJob() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
     }
 
     private static boolean readsOpenJobs(String target) {
@@ -52,7 +52,7 @@
                 cluster.loop.run(beforeOutageS / 2);
                 assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
                 cluster.loop.run(beforeOutageS / 2);
-                cluster.state.outage(outageS);
+                cluster.state.startOutage(outageS);
                 cluster.loop.run(Math.max(outageS, SimulatedCluster.CANCELLATION_DEADLINE_S));
                 cluster.verifyRecovery(120);
             }
@@ -66,12 +66,12 @@
         cluster.net.refuseStateRequests(cluster.leader(), 10);
         cluster.loop.run(1);
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
-        cluster.state.outage(SimulatedCluster.LEASE_S - 1);
+        cluster.state.startOutage(SimulatedCluster.LEASE_S - 1);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         String leader = cluster.leader() == null ? cluster.follower() : cluster.leader();
         cluster.net.refuseStateRequests(leader, 10);
         cluster.loop.run(1);
-        cluster.state.outage(SimulatedCluster.CANCELLATION_DEADLINE_S + 5);
+        cluster.state.startOutage(SimulatedCluster.CANCELLATION_DEADLINE_S + 5);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 5);
         cluster.verifyRecovery(120);
     }
@@ -80,7 +80,7 @@
     void stuckWatchWithWorkingLeaseRenewalsLosesNoTask() {
         startLongJob();
         cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
-        cluster.await(() -> cluster.running().size() == 3, 20);
+        cluster.await(() -> cluster.runningTasks().size() == 3, 20);
         String leader = cluster.leader();
         cluster.nodes.isolateFromPeers(leader);
         cluster.net.injectFaults(
@@ -108,7 +108,7 @@
         // Lease renewals keep succeeding, so the leader lease alone would allow it to answer workers indefinitely.
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 1);
         assertEquals(leader, cluster.leader());
-        assertTrue(cluster.running().isEmpty());
+        assertTrue(cluster.runningTasks().isEmpty());
         cluster.verifyRecovery(60);
     }
 
@@ -127,7 +127,7 @@
                     call.target().startsWith("/store?starts=" + unreadablePrefix) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.nodes.crash(oldLeader);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-            assertTrue(cluster.running().isEmpty(), unreadablePrefix);
+            assertTrue(cluster.runningTasks().isEmpty(), unreadablePrefix);
             cluster.verifyRecovery(60);
         }
     }
@@ -139,7 +139,7 @@
         cluster.loop.run(0.1);
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
         cluster.loop.run(2);
-        assertTrue(cluster.running().isEmpty());
+        assertTrue(cluster.runningTasks().isEmpty());
         cluster.verifyRecovery(60);
     }
 
@@ -170,7 +170,7 @@
         });
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.6);
-        assertTrue(cluster.running().isEmpty(), "tasks must stop before the leases of their machines expire");
+        assertTrue(cluster.runningTasks().isEmpty(), "tasks must stop before the leases of their machines expire");
         cluster.verifyRecovery(60);
     }
 
@@ -204,7 +204,7 @@
             cluster = new SimulatedCluster(3);
             cluster.awaitLeader(10);
             cluster.submit(SimJobs.array(1, 1).put("expectS", 5.0));
-            cluster.await(() -> cluster.running().size() == 1, 40);
+            cluster.await(() -> cluster.runningTasks().size() == 1, 40);
             cluster.loop.run(4.9);
             // The steps of 5 ms, a message or two, range from before the end of the task to after the write of its
             // record.
@@ -227,7 +227,7 @@
         Response response = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         assertEquals("cancelled", SimulatedCluster.stage(response));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-        assertTrue(cluster.running().isEmpty());
+        assertTrue(cluster.runningTasks().isEmpty());
         assertFalse(cluster.hasBinding("j-000001"), "bindings of a cancelled job must be released");
         assertEquals("cancelled", cluster.poll("j-000001"));
     }
@@ -236,8 +236,10 @@
     void cancellationDuringBindingTransactionDelaysNoOtherJob() {
         cluster.awaitLeader(10);
         String leader = cluster.leader();
-        cluster.net.injectFaults((from, to, call) ->
-                from.equals(leader) && SimState.isTransactionOn(call, "bound/") ? Delivery.HELD : Delivery.DELIVERED);
+        cluster.net.injectFaults(
+                (from, to, call) -> from.equals(leader) && SimStateService.isTransactionOn(call, "bound/")
+                        ? Delivery.HELD
+                        : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
         cluster.net.clearFaults();
@@ -273,19 +275,19 @@
     void cancellationWithoutLeaderIsExecutedByNextLeader() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         cluster.nodes.crash(cluster.leader());
         Response response = cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         assertEquals("cancelled", SimulatedCluster.stage(response));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-        assertTrue(cluster.running().isEmpty());
+        assertTrue(cluster.runningTasks().isEmpty());
     }
 
     @Test
     void machineWithUnansweredStartCommandOfCancelledJobIsDeleted() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 600.0));
-        cluster.await(() -> cluster.running().size() == 1, 30);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         cluster.net.injectFaults((from, to, call) -> call.target().equals("/do") ? Delivery.HELD : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(2, 1).put("expectS", 600.0));
         while (cluster.net.heldCount() == 0) {
@@ -299,6 +301,6 @@
         cluster.net.deliverHeld();
         cluster.loop.run(5);
         assertTrue(cluster.starts().stream().noneMatch(start -> start.startsWith("j-000002")));
-        assertEquals(1, cluster.running().size(), "the other task runs on another machine");
+        assertEquals(1, cluster.runningTasks().size(), "the other task runs on another machine");
     }
 }
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
-import org.spruceridge.sim.SimState;
+import org.spruceridge.sim.SimStateService;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
@@ -35,9 +35,9 @@
     }
 
     private void startTasks(int jobNumber, int tasks, double durationS) {
-        int runningBefore = cluster.running().size();
+        int runningBefore = cluster.runningTasks().size();
         cluster.submit(SimJobs.array(jobNumber, tasks).put("expectS", durationS));
-        cluster.await(() -> cluster.running().size() == runningBefore + tasks, 40);
+        cluster.await(() -> cluster.runningTasks().size() == runningBefore + tasks, 40);
     }
 
     private static boolean isMachine(String host) {
@@ -165,11 +165,11 @@
             cluster.loop.run(2.6 * SimulatedCluster.HEARTBEAT_INTERVAL_S);
             // Their answers to the stop commands show that they receive commands, but their leases still expire.
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
-            cluster.await(() -> cluster.running().isEmpty(), 2);
+            cluster.await(() -> cluster.runningTasks().isEmpty(), 2);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 5.0));
             cluster.await(() -> cluster.starts().size() == 5, 40);
-            assertFalse(silentMachines.contains(cluster.running().get("j-000002/0")));
-            assertFalse(silentMachines.contains(cluster.running().get("j-000002/1")));
+            assertFalse(silentMachines.contains(cluster.runningTasks().get("j-000002/0")));
+            assertFalse(silentMachines.contains(cluster.runningTasks().get("j-000002/1")));
         });
     }
 
@@ -183,17 +183,17 @@
     void tasksPushedToUnacknowledgedIncarnationAreNotReleased() {
         forEachStep(30, step -> {
             startTasks(1, 1, 3);
-            cluster.await(() -> cluster.running().isEmpty(), 10);
+            cluster.await(() -> cluster.runningTasks().isEmpty(), 10);
             cluster.cloud.limitCapacity(cluster.cloud.machineCount());
             String leader = cluster.leader();
-            cluster.net.injectFaults(
-                    (from, to, call) -> SimState.isTransactionOn(call, "bound/") ? Delivery.LOST : Delivery.DELIVERED);
+            cluster.net.injectFaults((from, to, call) ->
+                    SimStateService.isTransactionOn(call, "bound/") ? Delivery.LOST : Delivery.DELIVERED);
             cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
             cluster.loop.run(0.3);
             cluster.submit(SimJobs.array(3, 1).put("expectS", 60.0));
             cluster.loop.run(0.3);
             double outageS = 2.5 * SimulatedCluster.LEASE_S + 0.07 * step;
-            cluster.state.outage(outageS);
+            cluster.state.startOutage(outageS);
             cluster.loop.run(outageS - 1);
             List<String> silentMachines = cluster.cloud.machineNames();
             cluster.net.injectFaults((from, to, call) -> silentMachines.contains(from)
@@ -280,7 +280,7 @@
             for (int i = 0; i < 10; i++) {
                 cluster.loop.run(9 + step);
                 if (i == 4) {
-                    cluster.state.outage(10);
+                    cluster.state.startOutage(10);
                     cluster.loop.run(2);
                 }
                 cluster.nodes.crashLeader(1 + 0.5 * step);
@@ -297,7 +297,7 @@
         forEachStep(4, step -> {
             cluster.submit(SimJobs.array(1, 3).put("samePlace", true).put("expectS", 15.0));
             cluster.submit(SimJobs.array(2, 1).put("grove", "z2").put("expectS", 15.0));
-            cluster.await(() -> cluster.running().size() == 4, 60);
+            cluster.await(() -> cluster.runningTasks().size() == 4, 60);
             cluster.loop.run(step);
             List.copyOf(cluster.cloud.workers()).forEach(cluster.cloud::crash);
             if (step % 2 == 1) {
@@ -376,9 +376,9 @@
                 cluster.cancel(cluster.follower(), "j-000001");
                 cluster.poll("j-000001");
             }
-            cluster.state.outage(SimulatedCluster.CANCELLATION_DEADLINE_S + 3);
+            cluster.state.startOutage(SimulatedCluster.CANCELLATION_DEADLINE_S + 3);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 3);
-            assertFalse(cluster.running().containsKey("j-000001/0"));
+            assertFalse(cluster.runningTasks().containsKey("j-000001/0"));
         });
     }
 }
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -9,7 +9,7 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
-import org.spruceridge.sim.SimState;
+import org.spruceridge.sim.SimStateService;
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
@@ -22,7 +22,7 @@
         cluster.awaitLeader(10);
         // The binding is committed, but its leader crashes before it receives the answer.
         cluster.net.injectFaults((from, to, call) ->
-                SimState.isTransactionOn(call, "bound/") ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
+                SimStateService.isTransactionOn(call, "bound/") ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
         String firstLeader = cluster.leader();
@@ -38,7 +38,7 @@
     void failoverWaitsForLeaseExpiryOfSilentWorker() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 25.0));
-        cluster.await(() -> cluster.running().size() == 1, 30);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
         // Its task keeps running while its heartbeats and all requests to the cloud are lost, and the leader crashes.
         cluster.net.injectFaults((from, to, call) ->
@@ -46,7 +46,7 @@
         cluster.nodes.crash(cluster.leader());
         cluster.awaitLeader(30);
         cluster.loop.run(4);
-        assertEquals(1, cluster.running().size(), "the silent worker still runs the task");
+        assertEquals(1, cluster.runningTasks().size(), "the silent worker still runs the task");
         assertEquals(1, cluster.starts().size());
         cluster.net.clearFaults();
         cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.LOST : Delivery.DELIVERED);
@@ -58,7 +58,7 @@
     void quotaHoldsDuringFailoverWithSilentWorkers() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 30.0));
-        cluster.await(() -> cluster.running().size() == 4, 40); // the team's quota
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40); // the team's quota
         cluster.net.injectFaults((from, to, call) ->
                 from.startsWith("i-") || SimulatedCluster.isCloud(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.nodes.crash(cluster.leader());
@@ -68,7 +68,7 @@
         cluster.net.clearFaults();
         cluster.loop.run(200);
         // The simulated cluster checks the quota at every start.
-        assertEquals(8, cluster.completed().size());
+        assertEquals(8, cluster.completedTasks().size());
     }
 
     @Test
@@ -76,7 +76,7 @@
         cluster.awaitLeader(10);
         // One task fills the memory of a machine, so the zone has four machines, most of which send heartbeats.
         cluster.submit(SimJobs.array(1, 4).put("memGb", 20.0).put("grove", "z1").put("expectS", 40.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         int machinesBefore = cluster.cloud.machineCount();
         SimWorker silentWorker = cluster.cloud.workers().get(0);
         cluster.net.injectFaults((from, to, call) ->
@@ -101,15 +101,15 @@
     void leasesRenewedDuringFailoverDelayTaskRelease() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 90.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
-        Set<String> unreachableMachines = Set.copyOf(cluster.running().values());
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
+        Set<String> unreachableMachines = Set.copyOf(cluster.runningTasks().values());
         cluster.submit(SimJobs.array(2, 2).put("expectS", 10.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         cluster.net.injectFaults((from, to, call) -> listsMachines(call) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.nodes.crashLeader(1);
         cluster.awaitLeader(10);
         cluster.loop.run(SimulatedCluster.LEASE_S - 2);
-        assertTrue(cluster.completed().contains("j-000002/0"), "there is capacity on a reachable machine");
+        assertTrue(cluster.completedTasks().contains("j-000002/0"), "there is capacity on a reachable machine");
         cluster.net.injectFaults((from, to, call) ->
                 unreachableMachines.contains(from) || listsMachines(call) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(4);
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -19,7 +19,7 @@
         for (int i = 0; i < 12; i++) {
             submitUrgent(++jobNumber);
         }
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         cluster.submit(SimJobs.array(1, 30).put("rank", "best_effort").put("expectS", 60.0));
         long submittedAtNanos = cluster.loop.nanos();
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
@@ -37,7 +37,7 @@
         for (int i = 0; i < 32; i++) {
             submitSmall(++jobNumber);
         }
-        cluster.await(() -> cluster.running().size() == (int) SimulatedCluster.TEAM_CPUS, 40);
+        cluster.await(() -> cluster.runningTasks().size() == (int) SimulatedCluster.TEAM_CPUS, 40);
         cluster.submit(SimJobs.array(1, 2).put("cpus", 8.0).put("expectS", 10.0));
         long submittedAtNanos = cluster.loop.nanos();
         while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
@@ -53,10 +53,10 @@
     void schedulingYieldsToPendingRequestsForBoundedTime() {
         cluster.awaitLeader(10);
         submitSmall(1);
-        cluster.await(() -> cluster.running().size() == 1, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 40);
         submitSmall(2);
         cluster.await(() -> hasStarted("j-000002"), 1);
-        cluster.loop.busy(true);
+        cluster.loop.setBusy(true);
         submitSmall(3);
         cluster.loop.run(0.08 * SimulatedCluster.LEASE_S);
         assertFalse(hasStarted("j-000003"), "heartbeats have priority");
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -29,7 +29,7 @@
         cluster.awaitLeader(10);
         cluster.await(() -> List.of("n0", "n1", "n2").stream().allMatch(cluster.nodes::isReady), 5);
         List.of("n0", "n1", "n2").forEach(cluster.nodes::crash);
-        cluster.state.outage(8);
+        cluster.state.startOutage(8);
         cluster.nodes.start("n1");
         cluster.loop.run(7);
         assertFalse(cluster.nodes.isReady("n1"), "a node without state service and peers knows no leader");
@@ -49,7 +49,7 @@
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(oldLeader) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.awaitLeaderOtherThan(oldLeader, 30);
-        cluster.await(() -> cluster.running().size() == 2, 60);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 60);
         JsonNode leaderRecord = cluster.state.value("leader");
         List<BindingsRecord.MachineBindings> bindings = cluster.recordedBindings();
         cluster.net.deliverHeld();
@@ -75,8 +75,8 @@
     void stateServiceOutageLosesNoTask() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 30.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
-        cluster.state.outage(8);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
+        cluster.state.startOutage(8);
         assertEquals("503", cluster.poll("j-000001"));
         assertEquals(
                 503,
@@ -90,7 +90,7 @@
     void crashOfAllNodesLosesNoTask() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 20.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         for (String node : new String[] {"n0", "n1", "n2"}) {
             cluster.nodes.crash(node);
         }
@@ -107,7 +107,7 @@
     void leaderUnreachableByWorkersStepsDown() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 40.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         String oldLeader = cluster.leader();
         cluster.net.injectFaults((from, to, call) -> {
             boolean isHeartbeat = from.startsWith("i-") && to.equals(SimulatedCluster.address(oldLeader));
@@ -178,7 +178,7 @@
     void nodeWithoutStateServiceAndPeersRedirectsNoWorker() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         String oldLeader = cluster.leader();
         String isolatedNode = cluster.follower();
         cluster.nodes.isolateFromPeers(isolatedNode);
@@ -200,7 +200,7 @@
     void leaderThatLosesStateServiceAndPeersReleasesItsWorkers() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         String isolatedLeader = cluster.leader();
         cluster.nodes.isolateFromPeers(isolatedLeader);
         cluster.net.injectFaults((from, to, call) -> from.equals(isolatedLeader) && SimulatedCluster.isStateService(to)
@@ -239,9 +239,9 @@
         for (int i = 1; i <= 4; i++) {
             cluster.submit(SimJobs.array(i, 2).put("expectS", 10.0));
         }
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         // All nodes crash during an outage; then each node in turn loses the state service.
-        cluster.state.outage(20);
+        cluster.state.startOutage(20);
         cluster.loop.run(5);
         for (String node : new String[] {"n0", "n1", "n2"}) {
             cluster.nodes.crash(node);
@@ -266,7 +266,7 @@
                         200, cluster.request(node, "GET", "/api/jobs/" + id).status());
             }
         }
-        cluster.await(() -> cluster.completed().size() == 8, 120);
+        cluster.await(() -> cluster.completedTasks().size() == 8, 120);
     }
 
     @Test
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -23,7 +23,7 @@
     void olderHeartbeatOfSameIncarnationChangesNothing() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 30.0));
-        cluster.await(() -> cluster.running().size() == 1, 30);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         cluster.loop.run(3);
         BindingsRecord.MachineBindings machine = cluster.recordedBindings().get(0);
         ObjectNode staleHeartbeat = SimJobs.heartbeat(machine.name(), 1);
@@ -32,7 +32,7 @@
                 .withArray("parts")
                 .addObject()
                 .put("part", "j-000001/0")
-                .put("try", machine.bound().get(0).attempt())
+                .put("try", machine.tasks().get(0).attempt())
                 .put("stage", "ended")
                 .put("cause", "done");
         cluster.request(cluster.leader(), "POST", "/hello", staleHeartbeat);
@@ -44,7 +44,7 @@
     void lateHeartbeatAfterLeaseExpiryChangesNothing() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
-        cluster.await(() -> cluster.running().size() == 1, 30);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
         // The worker's heartbeats are held until its lease has expired and the task runs on another machine.
         cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.HELD : Delivery.DELIVERED);
@@ -77,7 +77,7 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 3.0));
         cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(1, cluster.running().size(), "the other task is still on the machine");
+        assertEquals(1, cluster.runningTasks().size(), "the other task is still on the machine");
         cluster.loop.run(6);
         assertTrue(cluster.net.heldCount() > 0);
         cluster.net.clearFaults();
@@ -90,7 +90,7 @@
     void crashedMachineIsReplacedAndItsTaskRunsAgain() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
-        cluster.await(() -> cluster.running().size() == 1, 30);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         cluster.cloud.crash(cluster.cloud.workers().get(0));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 120);
         assertEquals(2, cluster.starts().size());
@@ -141,7 +141,7 @@
     void machineThatReceivesNothingLosesItsTasksAndIsReplaced() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         dropMessagesTo(unreachable);
         // Its lease expires although its heartbeats arrive; a received heartbeat must not count as a renewed lease.
@@ -166,7 +166,7 @@
     void machineThatReceivesNothingDuringFailoverIsReplaced() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
-        cluster.await(() -> cluster.running().size() == 1, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         dropMessagesTo(unreachable);
         cluster.nodes.crash(cluster.leader());
@@ -179,7 +179,7 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 5.0));
         cluster.submit(SimJobs.array(2, 3).put("expectS", 30.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         SimWorker unreachable = cluster.cloud.workers().get(0);
         cluster.net.injectFaults((from, to, call) -> {
             if (from.equals(unreachable.name())) {
@@ -188,14 +188,14 @@
             boolean isLost = to.equals(SimWorker.address(unreachable.name())) || SimulatedCluster.isCloud(to);
             return isLost ? Delivery.LOST : Delivery.DELIVERED;
         });
-        cluster.await(() -> cluster.completed().size() == 4, 150);
+        cluster.await(() -> cluster.completedTasks().size() == 4, 150);
     }
 
     @Test
     void duplicateHeartbeatsOfCrashedMachineDoNotKeepItAliveAfterFailover() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
-        cluster.await(() -> cluster.running().size() == 1, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 40);
         SimWorker worker = cluster.cloud.workers().get(0);
         cluster.net.injectFaults(
                 (from, to, call) -> from.equals(worker.name()) ? Delivery.DUPLICATED : Delivery.DELIVERED);
@@ -247,7 +247,7 @@
     void restartedMachineRunsItsTasksAgain() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 20.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         cluster.cloud.workers().get(0).restart();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(4, cluster.starts().size());
@@ -257,7 +257,7 @@
     void machineHungShorterThanLeaseExecutesPendingCommands() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 40.0));
-        cluster.await(() -> cluster.running().size() == 1, 30);
+        cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
         worker.hang();
         cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0));
@@ -265,24 +265,24 @@
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.4);
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000003/abort");
         worker.resume();
-        cluster.await(() -> cluster.completed().size() == 2, 120);
+        cluster.await(() -> cluster.completedTasks().size() == 2, 120);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertEquals("done", cluster.poll("j-000001"));
         assertEquals("done", cluster.poll("j-000002"));
-        assertTrue(cluster.running().isEmpty());
+        assertTrue(cluster.runningTasks().isEmpty());
     }
 
     @Test
     void machinesHungLongerThanLeaseStartNoTaskTwice() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 3).put("expectS", 40.0));
-        cluster.await(() -> cluster.running().size() == 3, 30);
+        cluster.await(() -> cluster.runningTasks().size() == 3, 30);
         List<SimWorker> hungMachines = List.copyOf(cluster.cloud.workers());
         hungMachines.forEach(SimWorker::hang);
         cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // its start command is in flight to a hung machine
         cluster.loop.run(2 * SimulatedCluster.LEASE_S + 5);
         hungMachines.forEach(SimWorker::resume);
-        cluster.await(() -> cluster.completed().size() == 4, 200);
+        cluster.await(() -> cluster.completedTasks().size() == 4, 200);
         // The simulated cluster fails the scenario when a task is on two machines.
         assertEquals("done", cluster.poll("j-000001"));
         assertEquals("done", cluster.poll("j-000002"));
@@ -294,12 +294,12 @@
         cluster.cloud.limitCapacity(1);
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 30.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         cluster.submit(SimJobs.array(2, 1));
         cluster.loop.run(2);
         cluster.cloud.workers().get(0).startUnboundTask("j-000002/0", 7);
         cluster.loop.run(5);
-        assertEquals(2, cluster.running().size(), "the unrecorded copy must be stopped");
+        assertEquals(2, cluster.runningTasks().size(), "the unrecorded copy must be stopped");
         cluster.verifyRecovery(120);
     }
 }
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -49,7 +49,7 @@
                 .mapToObj(i -> SimJobs.array(i, tasksPerJob).put("expectS", TASK_DURATION_S))
                 .toList();
         cluster.users.submit(jobs, cluster.nodes.running(node -> true));
-        cluster.await(() -> cluster.running().size() == JOBS * tasksPerJob, 200);
+        cluster.await(() -> cluster.runningTasks().size() == JOBS * tasksPerJob, 200);
     }
 
     /** Partitions the leader from the state service and from the other nodes; returns its name. */
@@ -100,7 +100,7 @@
         cluster.loop.run(6);
         cluster.nodes.crash(secondLeader);
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-        assertTrue(cluster.running().isEmpty());
+        assertTrue(cluster.runningTasks().isEmpty());
         double failoverS = cluster.metrics(cluster.leader())
                 .path("failovers")
                 .path("lastS")
@@ -173,8 +173,8 @@
         }
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertEquals(0, cluster.users.unansweredCount(), "unconfirmed cancellations");
-        Set<String> cancelledJobs = Set.copyOf(jobIds(0, MASS_CANCELLATIONS));
-        assertTrue(cluster.running().keySet().stream().noneMatch(task -> cancelledJobs.contains(task.split("/")[0])));
+        Set<String> cancelled = Set.copyOf(jobIds(0, MASS_CANCELLATIONS));
+        assertTrue(cluster.runningTasks().keySet().stream().noneMatch(task -> cancelled.contains(task.split("/")[0])));
     }
 
     private static boolean isInGroup(SimWorker worker, int group) {
--- a/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
@@ -16,7 +16,7 @@
     void leaderPausedLongerThanLeaseIsReplaced() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         String oldLeader = cluster.leader();
         // A job is accepted, and its binding is about to be written, when the leader is paused.
         cluster.submit(SimJobs.array(2, 1).put("expectS", 5.0));
@@ -46,7 +46,7 @@
     void leaderPausedShorterThanLeaseKeepsLeading() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         String leader = cluster.leader();
         int deletionRequests = cluster.cloud.deletionRequests();
         cluster.nodes.pause(leader, SimulatedCluster.LEASE_S * 0.4);
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -25,17 +25,17 @@
 /** Replicas of services run until the job is cancelled, on any machine with capacity, and never twice concurrently. */
 final class ServiceScenarioTest {
     private static final String SERVICE_ID = "j-000001";
-    private final SimulatedCluster cluster = SimulatedCluster.withFallingLimits(3);
+    private final SimulatedCluster cluster = SimulatedCluster.withAnnouncedLowerLimits(3);
 
     private void startService(int replicas) {
         cluster.awaitLeader(10);
         cluster.await(() -> cluster.state.value("feature-level") != null, 10);
         assertEquals(201, cluster.submit(SimJobs.service(1, replicas)));
-        cluster.await(() -> cluster.replicas(1) == replicas, 40);
+        cluster.await(() -> cluster.runningReplicaCount(1) == replicas, 40);
     }
 
     private SimWorker workerOf(String replica) {
-        String machine = cluster.running().get(replica);
+        String machine = cluster.runningTasks().get(replica);
         return cluster.cloud.workers().stream()
                 .filter(w -> w.name().equals(machine))
                 .findFirst()
@@ -54,7 +54,7 @@
         assertEquals(3, cluster.starts().size(), "no replica was stopped");
         assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeated submission is idempotent");
         assertEquals("cancelled", cluster.cancel("n1", SERVICE_ID));
-        cluster.await(() -> cluster.replicas(1) == 0, SimulatedCluster.CANCELLATION_DEADLINE_S);
+        cluster.await(() -> cluster.runningReplicaCount(1) == 0, SimulatedCluster.CANCELLATION_DEADLINE_S);
         cluster.verifyRecovery(60);
     }
 
@@ -68,8 +68,8 @@
         if (underNextLeader) {
             cluster.nodes.crashLeader(3);
         }
-        cluster.await(() -> cluster.replicas(1) < 2, 10);
-        cluster.await(() -> cluster.replicas(1) == 2, 60);
+        cluster.await(() -> cluster.runningReplicaCount(1) < 2, 10);
+        cluster.await(() -> cluster.runningReplicaCount(1) == 2, 60);
         cluster.loop.run(10);
         assertEquals("running", cluster.poll(SERVICE_ID));
         cluster.verifyRecovery(60);
@@ -87,7 +87,7 @@
                 .filter(s -> s.endsWith("@" + faulty.name()))
                 .count();
         assertTrue(startsOnFaultyMachine <= 4, "starts on the faulty machine: " + startsOnFaultyMachine);
-        cluster.await(() -> cluster.replicas(1) == 2, 40);
+        cluster.await(() -> cluster.runningReplicaCount(1) == 2, 40);
     }
 
     /** A misconfigured service ends immediately on every machine: its restarts must not overload the leader. */
@@ -101,7 +101,7 @@
         int starts = cluster.starts().size() - startsBefore;
         assertTrue(starts > 2 && starts < 60, starts + " starts in 300 s");
         cluster.submit(SimJobs.array(2, 2));
-        cluster.await(() -> cluster.completed().size() >= 2, 60);
+        cluster.await(() -> cluster.completedTasks().size() >= 2, 60);
         assertEquals("cancelled", cluster.cancel("n0", SERVICE_ID));
         cluster.verifyRecovery(120);
     }
@@ -111,8 +111,8 @@
         startService(2);
         SimWorker crashed = workerOf(SERVICE_ID + "/0");
         cluster.cloud.crash(crashed);
-        cluster.await(() -> cluster.replicas(1) == 2, 60);
-        assertFalse(cluster.running().containsValue(crashed.name()));
+        cluster.await(() -> cluster.runningReplicaCount(1) == 2, 60);
+        assertFalse(cluster.runningTasks().containsValue(crashed.name()));
         cluster.verifyRecovery(60);
     }
 
@@ -121,10 +121,13 @@
     void replicaMovesOnInterruptionNoticeOnceCapacityExists() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimJobs.service(1, 1).put("windfall", true));
-        cluster.await(() -> cluster.replicas(1) == 1, 40);
+        cluster.await(() -> cluster.runningReplicaCount(1) == 1, 40);
         SimWorker interrupted = workerOf(SERVICE_ID + "/0");
         interrupted.announceInterruption(60);
-        cluster.await(() -> cluster.replicas(1) == 1 && !cluster.running().containsValue(interrupted.name()), 50);
+        cluster.await(
+                () -> cluster.runningReplicaCount(1) == 1
+                        && !cluster.runningTasks().containsValue(interrupted.name()),
+                50);
         assertEquals(2, cluster.starts().size());
     }
 
@@ -134,12 +137,12 @@
     void replicaMoveSurvivesLeaderCrash(double crashDelayS) {
         startService(2);
         cluster.submit(SimJobs.service(2, 2).put("windfall", true));
-        cluster.await(() -> cluster.replicas(2) == 2, 40);
+        cluster.await(() -> cluster.runningReplicaCount(2) == 2, 40);
         SimWorker interrupted = workerOf("j-000002/0");
         interrupted.announceInterruption(40);
         cluster.loop.run(crashDelayS);
         cluster.nodes.crashLeader(3);
-        cluster.await(() -> !cluster.running().containsValue(interrupted.name()), 60);
+        cluster.await(() -> !cluster.runningTasks().containsValue(interrupted.name()), 60);
         cluster.verifyRecovery(90);
     }
 
@@ -152,7 +155,7 @@
         cluster.loop.run(cancelDelayS);
         assertEquals("cancelled", cluster.cancel("n2", SERVICE_ID));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-        assertEquals(0, cluster.replicas(1));
+        assertEquals(0, cluster.runningReplicaCount(1));
         cluster.verifyRecovery(60);
     }
 
@@ -164,9 +167,9 @@
             cluster.nodes.crash(node);
         }
         cluster.loop.run(SimulatedCluster.LEASE_S + 6);
-        assertEquals(0, cluster.replicas(1));
+        assertEquals(0, cluster.runningReplicaCount(1));
         cluster.verifyRecovery(90);
-        assertEquals(3, cluster.replicas(1));
+        assertEquals(3, cluster.runningReplicaCount(1));
     }
 
     /** A machine sends no heartbeats but receives commands: its replica must not start elsewhere while it runs. */
@@ -188,18 +191,18 @@
                 .put("expectS", 500.0)
                 .put("rank", "best_effort")
                 .put("windfall", false));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         assertEquals(422, cluster.submit(SimJobs.service(3, 9)), "18 CPUs of 16");
         cluster.cancel("n0", "j-000005");
-        cluster.await(() -> cluster.running().isEmpty(), 40);
+        cluster.await(() -> cluster.runningTasks().isEmpty(), 40);
         cluster.submit(SimJobs.array(6, 3)
                 .put("expectS", 500.0)
                 .put("rank", "best_effort")
                 .put("windfall", false));
-        cluster.await(() -> cluster.running().size() == 3, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 3, 40);
         cluster.cloud.limitCapacity(1);
         cluster.submit(SimJobs.service(1, 2));
-        cluster.await(() -> cluster.replicas(1) == 2, 40);
+        cluster.await(() -> cluster.runningReplicaCount(1) == 2, 40);
     }
 
     /** Replicas are spread over zones, as the job requests, and over machines. */
@@ -208,11 +211,11 @@
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(
                 SimJobs.array(9, 8).put("cpus", 2.0).put("windfall", false).put("expectS", 20.0));
-        cluster.await(() -> cluster.running().size() == 8, 40);
-        cluster.await(() -> cluster.running().isEmpty(), 60);
+        cluster.await(() -> cluster.runningTasks().size() == 8, 40);
+        cluster.await(() -> cluster.runningTasks().isEmpty(), 60);
         cluster.submit(SimJobs.service(1, 4).put("scatter", true));
-        cluster.await(() -> cluster.replicas(1) == 4, 60);
-        Set<String> machines = new TreeSet<>(cluster.running().values());
+        cluster.await(() -> cluster.runningReplicaCount(1) == 4, 60);
+        Set<String> machines = new TreeSet<>(cluster.runningTasks().values());
         assertTrue(machines.size() >= 2, machines.toString());
     }
 
@@ -227,9 +230,9 @@
         cluster.submit("n1", SimJobs.service(3, 2));
         cluster.cloud.crash(workerOf(SERVICE_ID + "/1"));
         cluster.verifyRecovery(120);
-        assertEquals(0, cluster.state.rejectedTransactions());
-        assertTrue(cluster.state.largestTransactionOps() <= 4);
-        assertTrue(cluster.state.largestValueBytes() <= 2048);
+        assertEquals(0, cluster.state.rejectedTransactionCount());
+        assertTrue(cluster.state.takeLargestTransactionOps() <= 4);
+        assertTrue(cluster.state.takeLargestValueBytes() <= 2048);
     }
 
     @ParameterizedTest
@@ -254,14 +257,16 @@
         startService(4);
         cluster.submit(SimJobs.array(2, 6).put("rank", "best_effort"));
         cluster.await(
-                () -> cluster.completed().stream()
+                () -> cluster.completedTasks().stream()
                                 .filter(t -> t.startsWith("j-000002"))
                                 .count()
                         == 6,
                 90);
-        assertEquals(4, cluster.replicas(1));
+        assertEquals(4, cluster.runningReplicaCount(1));
         assertEquals(
                 Set.of(SERVICE_ID),
-                cluster.running().keySet().stream().map(t -> t.split("/")[0]).collect(Collectors.toSet()));
+                cluster.runningTasks().keySet().stream()
+                        .map(t -> t.split("/")[0])
+                        .collect(Collectors.toSet()));
     }
 }
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -23,7 +23,7 @@
  */
 final class UpgradeScenarioTest {
     private static final String FEATURE_LEVEL_KEY = "feature-level";
-    private final SimulatedCluster cluster = SimulatedCluster.inProduction(3);
+    private final SimulatedCluster cluster = SimulatedCluster.withProductionVersion(3);
 
     private void awaitLeader() {
         cluster.awaitLeader(30);
@@ -56,7 +56,7 @@
         awaitLeader();
         cluster.submit(SimJobs.array(1, 2).put("expectS", 70.0));
         cluster.submit(SimJobs.array(2, 12).put("expectS", 6.0));
-        cluster.await(() -> !cluster.completed().isEmpty(), 40);
+        cluster.await(() -> !cluster.completedTasks().isEmpty(), 40);
         for (String node : nodesWithLeaderAt(leaderIndex)) {
             cluster.nodes.upgrade(node, 3);
             cluster.loop.run(10);
@@ -100,14 +100,14 @@
     void cancellationSurvivesLeaderVersionChange() {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 4).put("expectS", 300.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         String oldLeader = cluster.leader();
         assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
         cluster.nodes.upgrade(oldLeader, 1);
         awaitLeader();
-        cluster.await(() -> cluster.running().isEmpty(), 30);
+        cluster.await(() -> cluster.runningTasks().isEmpty(), 30);
         cluster.submit(SimJobs.array(2, 4).put("expectS", 300.0));
-        cluster.await(() -> cluster.running().size() == 4, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         for (String node : List.of("n0", "n1", "n2")) {
             if (cluster.nodes.runsProductionVersion(node)) {
                 cluster.nodes.upgrade(node, 2);
@@ -133,7 +133,7 @@
         cluster.nodes.upgrade("n2", 2);
         cluster.await(this::isFeatureLevelRaised, 30);
         assertEquals(201, cluster.submit("n1", SimJobs.service(1, 3)));
-        cluster.await(() -> cluster.replicas(1) == 3, 40);
+        cluster.await(() -> cluster.runningReplicaCount(1) == 3, 40);
         cluster.verifyRecovery(60);
     }
 
@@ -156,7 +156,7 @@
     void stoppedNodePreventsFeatureLevelIncrease() {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 2).put("expectS", 300.0)); // so that workers send heartbeats to the leader
-        cluster.await(() -> cluster.running().size() == 2, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         cluster.nodes.upgrade("n0", 1);
         cluster.nodes.upgrade("n1", 1);
         cluster.loop.run(8);
@@ -191,7 +191,7 @@
         cluster.nodes.upgrade("n1", 1);
         cluster.loop.run(10);
         cluster.nodes.upgrade("n2", 1);
-        cluster.state.outage(25);
+        cluster.state.startOutage(25);
         cluster.loop.run(20);
         assertFalse(isFeatureLevelRaised());
         cluster.await(this::isFeatureLevelRaised, 40);
@@ -232,8 +232,8 @@
     void largePagesOfProductionAreSplitBeforeLimitsDrop() {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 90.0));
-        cluster.await(() -> cluster.running().size() == 320, 40);
-        assertTrue(cluster.state.largestValueBytes() > 2048, "production writes large pages");
+        cluster.await(() -> cluster.runningTasks().size() == 320, 40);
+        assertTrue(cluster.state.takeLargestValueBytes() > 2048, "production writes large pages");
         upgradeAll(5);
         cluster.await(this::isFeatureLevelRaised, 20);
         cluster.loop.run(5);
@@ -243,7 +243,7 @@
         cluster.lowerLimits();
         cluster.verifyRecovery(240);
         assertEquals(320, cluster.starts().size(), "each task started once");
-        assertEquals(0, cluster.state.rejectedTransactions());
+        assertEquals(0, cluster.state.rejectedTransactionCount());
     }
 
     /** Large pages are also split if the limits drop during the failover, before the pages could be split. */
@@ -252,7 +252,7 @@
     void largePagesOfProductionAreSplitWhileLimitsDrop(double limitDropDelayS) {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 60.0));
-        cluster.await(() -> cluster.running().size() == 320, 40);
+        cluster.await(() -> cluster.runningTasks().size() == 320, 40);
         for (String node : List.of("n0", "n1", "n2")) {
             cluster.nodes.crash(node);
         }
@@ -263,7 +263,7 @@
         cluster.loop.run(limitDropDelayS);
         cluster.lowerLimits();
         cluster.verifyRecovery(240);
-        assertEquals(0, cluster.state.rejectedTransactions());
+        assertEquals(0, cluster.state.rejectedTransactionCount());
         assertNotNull(cluster.state.value(FEATURE_LEVEL_KEY));
     }
 }
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -17,7 +17,7 @@
 import org.spruceridge.net.Response;
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimNet.Delivery;
-import org.spruceridge.sim.SimState;
+import org.spruceridge.sim.SimStateService;
 import org.spruceridge.sim.SimulatedCluster;
 
 /** Submission, polling and cancellation of jobs, and metrics, through the interfaces that users and operators use. */
@@ -39,7 +39,7 @@
     @Test
     void jobIsDoneOnceAllTasksComplete() {
         assertEquals(201, cluster.submit(SimJobs.array(1, 6)));
-        while (cluster.completed().size() < 6) {
+        while (cluster.completedTasks().size() < 6) {
             assertTrue(List.of("pending", "running").contains(cluster.poll("j-000001")));
             cluster.loop.run(0.25);
         }
@@ -64,7 +64,7 @@
         smallPageCluster.loop.run(20);
         smallPageCluster.nodes.crash(smallPageCluster.leader());
         smallPageCluster.loop.run(200);
-        assertEquals(40, smallPageCluster.completed().size());
+        assertEquals(40, smallPageCluster.completedTasks().size());
         assertEquals("done", smallPageCluster.poll("j-000007"));
         assertTrue(smallPageCluster.recordedBindings().isEmpty());
         assertTrue(smallPageCluster.state.keys("open/").isEmpty());
@@ -101,7 +101,7 @@
     void lostStateServiceAnswerIsResolvedBeforeUserResponse() {
         AtomicInteger transactionCalls = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) ->
-                SimState.isTransactionOn(call, "job/j-000001") && transactionCalls.getAndIncrement() == 0
+                SimStateService.isTransactionOn(call, "job/j-000001") && transactionCalls.getAndIncrement() == 0
                         ? Delivery.ANSWER_LOST
                         : Delivery.DELIVERED);
         assertEquals(200, cluster.submit(SimJobs.array(1, 1)));
@@ -238,7 +238,7 @@
         assertEquals(503, cluster.request("n1", "GET", "/healthz").status());
         assertEquals(200, cluster.request("n2", "GET", "/healthz").status());
         cluster.net.clearFaults();
-        cluster.state.outage(10);
+        cluster.state.startOutage(10);
         cluster.loop.run(6);
         assertEquals(
                 200,
--- a/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
@@ -88,7 +88,7 @@
             machines.add(machine);
             int runningTasks = random.nextInt(4);
             for (int task = 0;
-                    task < runningTasks && running.spec().task().fitsIn(cluster.freeCapacity(machine));
+                    task < runningTasks && running.spec().taskResources().fitsIn(cluster.freeCapacity(machine));
                     task++) {
                 int index = running.nextWaiting(0);
                 cluster.bind(new Binding(running, index, 1, machine, Binding.Stage.COMMITTED, NOW));
--- a/src/test/java/org/spruceridge/schedule/ReferenceMatching.java
+++ b/src/test/java/org/spruceridge/schedule/ReferenceMatching.java
@@ -60,7 +60,7 @@
             longestRemainingS = job.isCancelled()
                     ? longestRemainingS
                     : Math.max(longestRemainingS, estimator.remainingS(candidate(job)));
-            waitingTasks.put(job, job.isCancelled() ? 0 : job.spec().tasks());
+            waitingTasks.put(job, job.isCancelled() ? 0 : job.spec().taskCount());
         }
         blueCpus = cluster.usedBy("blue").cpus();
     }
@@ -85,7 +85,9 @@
             for (Machine machine : machines) {
                 if (!job.isCancelled()
                         && job.spec().allows(machine.type(), machine.zone(), machine.isSpot())
-                        && job.spec().task().fitsIn(types.get(machine.type()).capacity())) {
+                        && job.spec()
+                                .taskResources()
+                                .fitsIn(types.get(machine.type()).capacity())) {
                     pairs.add(new Pair(job, machine, Math.rint(score(job, machine) * 1e6) / 1e6));
                 }
             }
@@ -111,7 +113,7 @@
     }
 
     private void placeOn(List<Machine> tiedMachines, Job job) {
-        Resources task = job.spec().task();
+        Resources task = job.spec().taskResources();
         boolean isBlue = job.spec().team().equals("blue");
         while (waitingTasks.get(job) > 0) {
             Optional<Machine> fullest = tiedMachines.stream()
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -63,7 +63,7 @@
             machine.lease().fence();
             cluster.add(machine);
             Job running = i % 2 == 0 ? small : large;
-            while (running.spec().task().fitsIn(cluster.freeCapacity(machine))) {
+            while (running.spec().taskResources().fitsIn(cluster.freeCapacity(machine))) {
                 Binding binding =
                         new Binding(running, running.nextWaiting(0), 1, machine, Binding.Stage.COMMITTED, NOW);
                 binding.recordPhase(Binding.Phase.RUNNING, NOW);
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -12,7 +12,7 @@
 
     /** Starts the monotonic clock at 1000 s, because its origin is arbitrary. */
     public SimLoop() {
-        time.pass(Durations.nanos(1000));
+        time.advanceClock(Durations.nanos(1000));
     }
 
     @Override
@@ -36,18 +36,18 @@
     }
 
     /** Sets whether the loop reports that requests are queued for it. */
-    public void busy(boolean value) {
+    public void setBusy(boolean value) {
         isBusy = value;
     }
 
     /** The number of tasks that have not run yet. */
-    public int pending() {
-        return time.pending();
+    public int pendingTaskCount() {
+        return time.pendingTaskCount();
     }
 
     /** Advances the clock within a task, as if the task used this much CPU time; due tasks then run late. */
-    public void pass(double seconds) {
-        time.pass(Durations.nanos(seconds));
+    public void advanceClock(double seconds) {
+        time.advanceClock(Durations.nanos(seconds));
     }
 
     /** Advances the time by {@code seconds} and runs the tasks that become due. */
--- a/src/test/java/org/spruceridge/sim/SimState.java
+++ b/src/test/java/org/spruceridge/sim/SimStateService.java
@@ -18,14 +18,14 @@
 import org.spruceridge.net.Json;
 
 /** A simulated state service, implemented from its published protocol. */
-public final class SimState implements SimNet.Server {
+public final class SimStateService implements SimNet.Server {
     private static final int MAX_TRANSACTION_BYTES = 64 << 10;
 
     private final SimLoop loop;
     private int maxOps;
     private double maxValueKb = SimulatedCluster.VALUE_KB;
-    private int rejectedTransactions;
-    private int transactions;
+    private int rejectedTransactionCount;
+    private int transactionCount;
     private int maxValueBytes;
     private int maxTransactionOps;
     private final int pageSize;
@@ -68,7 +68,7 @@
      * Accepts values of up to 4 KiB and up to {@code maxOps} changes in a transaction; a page of a listing has up to
      * {@code pageSize} keys.
      */
-    public SimState(SimLoop loop, int maxOps, int pageSize) {
+    public SimStateService(SimLoop loop, int maxOps, int pageSize) {
         this.loop = loop;
         this.maxOps = maxOps;
         this.pageSize = pageSize;
@@ -78,7 +78,7 @@
     }
 
     /** Refuses all requests with 503 for {@code seconds}; after that every lease gets its full TTL again. */
-    public void outage(double seconds) {
+    public void startOutage(double seconds) {
         outageUntil = loop.nanos() + Durations.nanos(seconds);
         loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.expiresAt = loop.nanos() + g.ttl));
     }
@@ -97,19 +97,19 @@
     }
 
     /** The number of transactions rejected because they, or a value in them, were too large. */
-    public int rejectedTransactions() {
-        return rejectedTransactions;
+    public int rejectedTransactionCount() {
+        return rejectedTransactionCount;
     }
 
     /** The size in bytes of the largest value in transactions since the last call of this method; resets it. */
-    public int largestValueBytes() {
+    public int takeLargestValueBytes() {
         int largest = maxValueBytes;
         maxValueBytes = 0;
         return largest;
     }
 
     /** The largest number of changes in one transaction since the last call of this method; resets it. */
-    public int largestTransactionOps() {
+    public int takeLargestTransactionOps() {
         int largest = maxTransactionOps;
         maxTransactionOps = 0;
         return largest;
@@ -122,8 +122,8 @@
     }
 
     /** The number of transactions requested so far. */
-    public int transactions() {
-        return transactions;
+    public int transactionCount() {
+        return transactionCount;
     }
 
     /** The value of a key, or null. */
@@ -255,7 +255,7 @@
         }
         writeLimit.take(ops.size());
         maxTransactionOps = Math.max(maxTransactionOps, ops.size());
-        transactions++;
+        transactionCount++;
         checkSizes(ops, body.path("guards").size());
         for (JsonNode op : ops) {
             if (op.has("permit") && !leases.containsKey(op.get("permit").asLong())) {
@@ -276,14 +276,14 @@
 
     private void checkSizes(JsonNode ops, int guards) throws BadMessageException {
         if (ops.size() > maxOps || guards > 4 * maxOps) {
-            rejectedTransactions++;
+            rejectedTransactionCount++;
             throw new BadMessageException("too many");
         }
         for (JsonNode op : ops) {
             int bytes = Json.bytes(Json.object().set("v", op.path("v"))).length;
             maxValueBytes = Math.max(maxValueBytes, bytes);
             if (bytes > maxValueKb * 1024) {
-                rejectedTransactions++;
+                rejectedTransactionCount++;
                 throw new BadMessageException("too large");
             }
         }
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -41,7 +41,7 @@
 
     public final SimLoop loop = new SimLoop();
     public final SimNet net = new SimNet(loop);
-    public final SimState state;
+    public final SimStateService state;
     public final SimCloud cloud;
     public final SimNodes nodes;
     public final SimUsers users;
@@ -61,12 +61,12 @@
     }
 
     /** A cluster whose nodes all run the version in production; its settings announce lower limits of the state service. */
-    public static SimulatedCluster inProduction(int nodeCount) {
+    public static SimulatedCluster withProductionVersion(int nodeCount) {
         return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL_SIZE, true);
     }
 
     /** A cluster of this version whose settings announce lower limits of the state service. */
-    public static SimulatedCluster withFallingLimits(int nodeCount) {
+    public static SimulatedCluster withAnnouncedLowerLimits(int nodeCount) {
         return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL_SIZE, false);
     }
 
@@ -91,7 +91,7 @@
         this.nodes = new SimNodes(loop, net, settings, names);
         this.rules = new RuleChecker(loop::nanos, size.teamCpus, CANCELLATION_DEADLINE_S);
         this.users = new SimUsers(loop, rules, this::send);
-        this.state = new SimState(loop, limits.txnOps, limits.pageSize);
+        this.state = new SimStateService(loop, limits.txnOps, limits.pageSize);
         this.cloud = new SimCloud(this);
         net.serve(STATE_ADDRESS, state);
         net.serve(CLOUD_ADDRESS, cloud);
@@ -276,9 +276,11 @@
     }
 
     /** The number of replicas of a service that run. */
-    public long replicas(int jobNumber) {
+    public long runningReplicaCount(int jobNumber) {
         String id = SimJobs.id(jobNumber);
-        return running().keySet().stream().filter(p -> p.startsWith(id + "/")).count();
+        return runningTasks().keySet().stream()
+                .filter(p -> p.startsWith(id + "/"))
+                .count();
     }
 
     /** The bindings of each machine as recorded in the state service. */
@@ -297,7 +299,7 @@
     /** True if the records bind a task of this job to a machine. */
     public boolean hasBinding(String jobId) {
         return recordedBindings().stream()
-                .flatMap(m -> m.bound().stream())
+                .flatMap(m -> m.tasks().stream())
                 .anyMatch(b -> b.task().job().equals(jobId));
     }
 
@@ -307,12 +309,12 @@
     }
 
     /** The ids of the tasks that have completed. */
-    public Set<String> completed() {
+    public Set<String> completedTasks() {
         return rules.completedTasks();
     }
 
     /** The running tasks, with the machine of each. */
-    public Map<String, String> running() {
+    public Map<String, String> runningTasks() {
         return rules.runningTasks();
     }
 
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
@@ -256,7 +256,7 @@
         JobRecord read = JobRecord.read(written);
         assertEquals(JobRecord.Stage.CANCELLED, read.stage());
         assertEquals(8, read.endedMs());
-        assertEquals(TASK_RESOURCES, read.spec().task());
+        assertEquals(TASK_RESOURCES, read.spec().taskResources());
         assertEquals("red", read.spec().team());
     }
 }
--- a/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
@@ -28,16 +28,16 @@
         warmUp.start();
         loop.run(120);
         assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.stepsTaken());
-        assertEquals(0, loop.pending());
+        assertEquals(0, loop.pendingTaskCount());
     }
 
     @Test
     void warmUpPausesWhileRequestsWait() {
-        loop.busy(true);
+        loop.setBusy(true);
         warmUp.start();
         loop.run(60);
         assertEquals(0, warmUp.stepsTaken());
-        loop.busy(false);
+        loop.setBusy(false);
         loop.run(120);
         assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.stepsTaken());
     }
@@ -52,7 +52,7 @@
         warmUp.start();
         loop.run(60);
         assertEquals(steps, warmUp.stepsTaken());
-        assertEquals(0, loop.pending());
+        assertEquals(0, loop.pendingTaskCount());
     }
 
     /**
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -237,7 +237,7 @@
                         + "\"rate\":0.2,\"lowPrice\":0.06,\"startupS\":20,\"groves\":[\"a\",\"b\"]}]}");
         MachineType type =
                 new MachineType("t4", new Resources(4, 1, 16), 0.5, 0.2, 0.06, 20, ImmutableList.of("a", "b"));
-        cloud.catalogue(types -> assertEquals(
+        cloud.fetchMachineTypes(types -> assertEquals(
                 ImmutableList.of(type), types.orElseThrow().values().asList()));
         assertRequest("GET /flavors");
     }
@@ -261,7 +261,7 @@
         cloud.launch(
                 "3-3", "t4", "a", true, 2, expect(new LaunchResult(LaunchResult.Kind.REFUSED, ImmutableList.of())));
         http.setResponse(200, "{}");
-        cloud.delete(List.of("i-1", "i-2"), expect(true));
+        cloud.deleteMachines(List.of("i-1", "i-2"), expect(true));
         loop.advance(1);
         assertEquals("POST /hosts/delete {\"hosts\":[\"i-1\",\"i-2\"]}", http.requests.get(3));
     }
@@ -273,7 +273,7 @@
                 "{\"hosts\":[{\"nameId\":\"i-1\",\"endpoint\":\"10.0.0.1:9000\",\"build\":\"t4\",\"grove\":\"a\","
                         + "\"windfall\":true,\"stage\":\"booting\",\"heldS\":3.5}],\"truncated\":false}");
         CloudMachine host = new CloudMachine("i-1", "10.0.0.1:9000", "t4", "a", true, CloudMachine.Stage.BOOTING, 3.5);
-        cloud.machines(expect(Optional.of(ImmutableList.of(host))));
+        cloud.listMachines(expect(Optional.of(ImmutableList.of(host))));
         assertRequest("GET /hosts?limit=500");
     }
 
@@ -285,7 +285,7 @@
         http.enqueueBody("{\"hosts\":[" + String.format(host, "i-2", "running") + ","
                 + String.format(host, "i-3", "failed") + "],\"truncated\":false}");
         List<Optional<ImmutableList<CloudMachine>>> results = new ArrayList<>();
-        cloud.machines(results::add);
+        cloud.listMachines(results::add);
         loop.advance(1);
         assertEquals(
                 List.of(Optional.of(ImmutableList.of(
@@ -353,7 +353,7 @@
         String expected = "{\"warrant\":9,\"orders\":[{\"verb\":\"start\",\"part\":\"j-1/3\",\"try\":8},"
                 + "{\"verb\":\"halt\",\"part\":\"j-1/3\",\"try\":7,\"leewayS\":1.5},"
                 + "{\"verb\":\"forget\",\"part\":\"j-1/3\",\"try\":6}]";
-        assertEquals("200 " + expected + "}", text(WorkerCommand.answer(9, commands)));
+        assertEquals("200 " + expected + "}", text(WorkerCommand.heartbeatResponse(9, commands)));
         WorkerClient workers = new WorkerClient(http, warnings);
         http.setResponse(400, "{}");
         workers.send(
