--- a/src/main/java/org/spruceridge/api/JobSubmission.java
+++ b/src/main/java/org/spruceridge/api/JobSubmission.java
@@ -18,7 +18,7 @@
 
 /**
  * Submits jobs. Submission is idempotent: once a job id has been accepted, every further submission with that id
- * returns the state of the existing job, whatever its body contains. A submission with a readable id is therefore
+ * returns the state of the existing job, regardless of the body. A submission with a readable id is therefore
  * rejected only after checking that the job does not exist.
  */
 final class JobSubmission {
--- a/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
+++ b/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
@@ -74,7 +74,7 @@
                 HttpCall.get("/api/jobs/j-000001"));
         CountDownLatch responses = new CountDownLatch(calls.size());
         for (HttpCall call : calls) {
-            loop.execute(() -> client.call(server, call, REQUEST_TIMEOUT_NANOS, answer -> responses.countDown()));
+            loop.execute(() -> client.call(server, call, REQUEST_TIMEOUT_NANOS, response -> responses.countDown()));
         }
         responses.await();
     }
--- a/src/main/java/org/spruceridge/config/CancellationTimes.java
+++ b/src/main/java/org/spruceridge/config/CancellationTimes.java
@@ -29,7 +29,7 @@
 
     /**
      * The maximum age of a leader's view of the cancellations while it answers workers. Tasks of a job whose
-     * cancellation has not reached the leader can run for that long, and for one more lease after the last answer.
+     * cancellation has not reached the leader can run for that long, and for one more lease after the last response.
      */
     public double maxStalenessS() {
         return Math.min(leaseS, (1 - SAFETY_MARGIN_SHARE) * (cancelS - fullLeaseS()));
--- a/src/main/java/org/spruceridge/dispatch/CommandBatch.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandBatch.java
@@ -11,7 +11,7 @@
 
 /** The commands of one direct request to a worker, and the bindings that the request starts and stops. */
 record CommandBatch(List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
-    /** A batch without commands, which only requests a reply. */
+    /** A batch without commands, which only requests a response. */
     static final CommandBatch PROBE = new CommandBatch(List.of(), List.of(), List.of());
 
     /** Collects the due commands of a machine that have not been sent directly yet, and records them as sent. */
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -22,8 +22,8 @@
  * <p>A direct command can arrive minutes late and still be executed if the fencing token and the incarnation match. A
  * late stop is harmless, because it names an attempt. A late start is not: its binding may have been released in the
  * meantime. Therefore, while a direct start is unresolved, the absence of its task from a heartbeat proves nothing, and
- * the worker gets no command to forget the attempt. A machine that does not answer a direct start gets no more tasks
- * and is terminated. A new incarnation or a newer fencing token invalidates all commands in flight.
+ * the worker gets no command to forget the attempt. A machine that does not respond to a direct start gets no more
+ * tasks and is terminated. A new incarnation or a newer fencing token invalidates all commands in flight.
  */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
@@ -33,28 +33,28 @@
     private final WorkerClient workers;
     private final HeartbeatHandler heartbeatHandler;
     private final BooleanSupplier isLeader;
-    private final Runnable onReply;
+    private final Runnable onComplete;
     private final long term;
     private final long timeoutNanos;
     /** Machines with a request in flight. */
-    private final Set<Machine> awaitingReply = new HashSet<>();
+    private final Set<Machine> awaitingResponse = new HashSet<>();
     /** Machines with a request in flight for which commands may have become due since it was sent. */
-    private final Set<Machine> sendAfterReply = new HashSet<>();
+    private final Set<Machine> sendAfterResponse = new HashSet<>();
 
     /** {@code onReply} is called after each request has completed, also if it timed out or failed. */
     public CommandSender(
-            LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onReply) {
+            LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onComplete) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.workers = workers;
         this.heartbeatHandler = heartbeatHandler;
         this.isLeader = context.isLeader();
-        this.onReply = onReply;
+        this.onComplete = onComplete;
         this.term = context.term().term();
         this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
-    /** Sends a request without commands to a suspect machine; a reply shows that commands reach the machine. */
+    /** Sends a request without commands to a suspect machine; a response shows that commands reach the machine. */
     public void probe(Machine machine) {
         if (isLeader.getAsBoolean()) {
             send(machine, CommandBatch.PROBE);
@@ -66,8 +66,8 @@
         if (!machine.lease().isFenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
             return; // heartbeat responses carry the commands instead
         }
-        if (awaitingReply.contains(machine)) {
-            sendAfterReply.add(machine);
+        if (awaitingResponse.contains(machine)) {
+            sendAfterResponse.add(machine);
             return;
         }
         CommandBatch batch = CommandBatch.collect(machine, heartbeatHandler, loop);
@@ -83,7 +83,7 @@
         } catch (IllegalArgumentException e) {
             return; // heartbeat responses carry the commands instead
         }
-        awaitingReply.add(machine);
+        awaitingResponse.add(machine);
         long incarnation = machine.incarnation();
         for (Binding binding : batch.starts()) {
             machine.directCommands().startSent(binding.attempt());
@@ -98,7 +98,7 @@
     }
 
     private void handleResult(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
-        awaitingReply.remove(machine);
+        awaitingResponse.remove(machine);
         resolveStarts(machine, incarnation, batch, result);
         retryStops(machine, batch, result);
         if (result.heartbeat().isPresent()) {
@@ -106,11 +106,11 @@
         } else if (machine.suspicion().isSuspect() && !machine.isTerminating()) {
             scope.after(timeoutNanos, () -> probe(machine));
         }
-        result.heartbeat().ifPresent(heartbeatHandler::handleReply);
-        if (sendAfterReply.remove(machine)) {
+        result.heartbeat().ifPresent(heartbeatHandler::handleCommandResponse);
+        if (sendAfterResponse.remove(machine)) {
             sendDueCommands(machine);
         }
-        onReply.run();
+        onComplete.run();
     }
 
     private void resolveStarts(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
--- a/src/main/java/org/spruceridge/net/HttpExchange.java
+++ b/src/main/java/org/spruceridge/net/HttpExchange.java
@@ -62,11 +62,11 @@
     }
 
     /** Calls the callback with the outcome, unless the exchange has already finished. */
-    void complete(HttpAnswer answer) {
+    void complete(HttpAnswer response) {
         if (!isFinished) {
             isFinished = true;
             timeoutTimer.cancel();
-            onComplete.accept(answer);
+            onComplete.accept(response);
         }
     }
 
--- a/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
+++ b/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
@@ -58,7 +58,7 @@
             return redirectOrRefuse(HeartbeatOutcome.STALE_VIEW);
         }
         try {
-            return answer(leader.get(), WorkerHeartbeat.read(body));
+            return respond(leader.get(), WorkerHeartbeat.read(body));
         } catch (BadMessageException e) {
             metrics.count(HeartbeatOutcome.UNREADABLE);
             warnings.warn("unreadable worker heartbeat", "reason=" + e.getMessage());
@@ -74,7 +74,7 @@
         currentLeader.get().ifPresent(Leader::heartbeatsDropped);
     }
 
-    private Response answer(Leader leader, WorkerHeartbeat heartbeat) {
+    private Response respond(Leader leader, WorkerHeartbeat heartbeat) {
         if (heartbeat.fencingToken() > leader.term()) {
             metrics.count(HeartbeatOutcome.NEWER_TERM);
             return Response.error(503, "a newer leader was seen");
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
@@ -54,7 +54,7 @@
         long incarnation = heartbeat.incarnation();
         switch (origin) {
             case WORKER_REQUEST -> machine.recordHeartbeat(incarnation, heartbeat.sequence(), heartbeat.address(), now);
-            case COMMAND_REPLY -> machine.recordStatus(incarnation, heartbeat.sequence(), heartbeat.address(), now);
+            case COMMAND_RESPONSE -> machine.recordStatus(incarnation, heartbeat.sequence(), heartbeat.address(), now);
             default -> throw new IllegalStateException("no such origin: " + origin);
         }
         machine.lease().fence();
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -59,8 +59,8 @@
     }
 
     /** Handles a heartbeat that arrived with the result of a direct command, which gets no response. */
-    public void handleReply(WorkerHeartbeat heartbeat) {
-        apply(heartbeat, HeartbeatOrigin.COMMAND_REPLY);
+    public void handleCommandResponse(WorkerHeartbeat heartbeat) {
+        apply(heartbeat, HeartbeatOrigin.COMMAND_RESPONSE);
     }
 
     /** Called when the failover is complete: all recorded machines are known from now on. */
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatOrigin.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatOrigin.java
@@ -5,5 +5,5 @@
     /** The worker sent the heartbeat, which shows that the worker can reach a controller. */
     WORKER_REQUEST,
     /** The heartbeat arrived with the result of a direct command. */
-    COMMAND_REPLY
+    COMMAND_RESPONSE
 }
--- a/src/main/java/org/spruceridge/state/ListRequest.java
+++ b/src/main/java/org/spruceridge/state/ListRequest.java
@@ -36,8 +36,8 @@
     }
 
     private void requestPageAfter(String key) {
-        sender.send(StateRequests.list(prefix, key), answer -> {
-            StateResult<StateResponses.ListingPage> page = responses.listingPage(answer);
+        sender.send(StateRequests.list(prefix, key), response -> {
+            StateResult<StateResponses.ListingPage> page = responses.listingPage(response);
             if (page.isOk()) {
                 addPage(page.value());
             } else {
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -77,7 +77,7 @@
 
     /** Reads one key. */
     public void get(String key, Priority priority, Consumer<StateResult<Entry>> onResult) {
-        send(priority, 0, StateRequests.get(key), answer -> onResult.accept(responses.entry(key, answer)));
+        send(priority, 0, StateRequests.get(key), response -> onResult.accept(responses.entry(key, response)));
     }
 
     /** Reads all keys with a prefix, page by page. */
@@ -119,7 +119,7 @@
                 Priority.LEASE_RENEWAL,
                 0,
                 StateRequests.createLease(ttlMillis),
-                answer -> onResult.accept(responses.createdLease(answer)));
+                response -> onResult.accept(responses.createdLease(response)));
     }
 
     /**
@@ -133,7 +133,7 @@
                     address,
                     StateRequests.renewLease(leaseId),
                     timeoutNanos,
-                    recordingAvailability(answer -> onResult.accept(StateResponses.renewedLease(answer, sentAt))));
+                    recordingAvailability(response -> onResult.accept(StateResponses.renewedLease(response, sentAt))));
         });
         if (!queued) {
             onResult.accept(StateResult.failed(StateResult.Outcome.UNAVAILABLE));
@@ -142,7 +142,7 @@
 
     /** Revokes a lease, which deletes the keys attached to it. This is best effort: the result is ignored. */
     public void revokeLease(long leaseId) {
-        send(Priority.LEASE_RENEWAL, 0, StateRequests.revokeLease(leaseId), answer -> {});
+        send(Priority.LEASE_RENEWAL, 0, StateRequests.revokeLease(leaseId), response -> {});
     }
 
     /** Waits up to {@code blockS} seconds for changes after {@code fromRevision} to keys with the prefix. */
@@ -155,7 +155,7 @@
                         address,
                         StateRequests.watch(prefix, fromRevision, blockMs),
                         Durations.millis((double) blockMs) + WATCH_TIMEOUT_SLACK_NANOS,
-                        recordingAvailability(answer -> onResult.accept(responses.changes(answer)))));
+                        recordingAvailability(response -> onResult.accept(responses.changes(response)))));
             }
         });
         if (!queued) {
@@ -166,10 +166,10 @@
     }
 
     private Consumer<HttpAnswer> transactionCallback(Consumer<TransactionResult> onResult) {
-        return answer -> {
-            TransactionResult result = responses.transaction(answer);
+        return response -> {
+            TransactionResult result = responses.transaction(response);
             if (result.outcome() == TransactionResult.Outcome.MALFORMED) {
-                LOG.error("transaction rejected as malformed reason={}", StateResponses.text(answer));
+                LOG.error("transaction rejected as malformed reason={}", StateResponses.text(response));
             }
             onResult.accept(result);
         };
@@ -189,20 +189,20 @@
     /** Records the latency, excluding the wait for the rate limiter. Watches and lease renewals are not recorded. */
     private Consumer<HttpAnswer> recordingLatency(Consumer<HttpAnswer> onResponse) {
         long sentAt = loop.nanos();
-        return answer -> {
+        return response -> {
             latencies.record(Latencies.Kind.STATE, loop.nanos() - sentAt);
-            onResponse.accept(answer);
+            onResponse.accept(response);
         };
     }
 
     /** Records whether the service is available, and reports when its rate limit was exceeded. */
     private Consumer<HttpAnswer> recordingAvailability(Consumer<HttpAnswer> onResponse) {
-        return answer -> {
-            availability.record(answer);
-            if (answer.status() == StateResponses.TOO_MANY_REQUESTS) {
+        return response -> {
+            availability.record(response);
+            if (response.status() == StateResponses.TOO_MANY_REQUESTS) {
                 rateExceededListener.run();
             }
-            onResponse.accept(answer);
+            onResponse.accept(response);
         };
     }
 }
--- a/src/main/java/org/spruceridge/state/StateResponses.java
+++ b/src/main/java/org/spruceridge/state/StateResponses.java
@@ -33,43 +33,43 @@
         T read(JsonNode body) throws BadMessageException;
     }
 
-    StateResult<Entry> entry(String key, HttpAnswer answer) {
-        if (answer.status() == NOT_FOUND) {
+    StateResult<Entry> entry(String key, HttpAnswer response) {
+        if (response.status() == NOT_FOUND) {
             return StateResult.failed(StateResult.Outcome.NOT_FOUND);
         }
-        return read(answer, body -> new Entry(key, body.path("v"), Json.nonNegativeLong(body, "stamp")));
+        return read(response, body -> new Entry(key, body.path("v"), Json.nonNegativeLong(body, "stamp")));
     }
 
-    StateResult<ListingPage> listingPage(HttpAnswer answer) {
-        return read(answer, body -> {
+    StateResult<ListingPage> listingPage(HttpAnswer response) {
+        return read(response, body -> {
             ImmutableList.Builder<Entry> entries = ImmutableList.builder();
             for (JsonNode item : Json.list(body, "entries")) {
                 entries.add(new Entry(Json.text(item, "k"), item.path("v"), Json.nonNegativeLong(item, "stamp")));
             }
             long revision = Json.nonNegativeLong(body, "ring");
             boolean truncated = body.path("truncated").asBoolean();
-            return new ListingPage(entries.build(), revision, truncated, answer.body().length);
+            return new ListingPage(entries.build(), revision, truncated, response.body().length);
         });
     }
 
-    StateResult<Long> createdLease(HttpAnswer answer) {
-        return read(answer, body -> Json.nonNegativeLong(body, "permit"));
+    StateResult<Long> createdLease(HttpAnswer response) {
+        return read(response, body -> Json.nonNegativeLong(body, "permit"));
     }
 
     /** The value of a successful renewal is {@code sentAtNanos}, the time at which the request was sent. */
-    static StateResult<Long> renewedLease(HttpAnswer answer, long sentAtNanos) {
-        return switch (answer.status()) {
+    static StateResult<Long> renewedLease(HttpAnswer response, long sentAtNanos) {
+        return switch (response.status()) {
             case OK -> StateResult.ok(sentAtNanos);
             case NOT_FOUND -> StateResult.failed(StateResult.Outcome.NOT_FOUND);
             default -> StateResult.failed(StateResult.Outcome.UNAVAILABLE);
         };
     }
 
-    StateResult<Changes> changes(HttpAnswer answer) {
-        if (answer.status() == GONE) {
+    StateResult<Changes> changes(HttpAnswer response) {
+        if (response.status() == GONE) {
             return StateResult.failed(StateResult.Outcome.REVISION_COMPACTED);
         }
-        return read(answer, body -> {
+        return read(response, body -> {
             ImmutableList.Builder<Change> changes = ImmutableList.builder();
             for (JsonNode item : Json.list(body, "log")) {
                 changes.add(change(item));
@@ -85,13 +85,13 @@
         return new Change.Delete(Json.text(item, "drop"), Json.nonNegativeLong(item, "stamp"));
     }
 
-    TransactionResult transaction(HttpAnswer answer) {
+    TransactionResult transaction(HttpAnswer response) {
         try {
-            return switch (answer.status()) {
-                case OK -> TransactionResult.committed(Json.nonNegativeLong(Json.object(answer.body()), "ring"));
-                case CONFLICT -> TransactionResult.conflict(conflictingKeys(answer));
+            return switch (response.status()) {
+                case OK -> TransactionResult.committed(Json.nonNegativeLong(Json.object(response.body()), "ring"));
+                case CONFLICT -> TransactionResult.conflict(conflictingKeys(response));
                 case BAD_REQUEST -> TransactionResult.of(
-                        text(answer).contains("no such lease")
+                        text(response).contains("no such lease")
                                 ? TransactionResult.Outcome.LEASE_NOT_FOUND
                                 : TransactionResult.Outcome.MALFORMED);
                 case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> TransactionResult.of(
@@ -104,23 +104,23 @@
         }
     }
 
-    private static ImmutableList<String> conflictingKeys(HttpAnswer answer) throws BadMessageException {
+    private static ImmutableList<String> conflictingKeys(HttpAnswer response) throws BadMessageException {
         ImmutableList.Builder<String> keys = ImmutableList.builder();
-        Json.list(Json.object(answer.body()), "failed").forEach(key -> keys.add(key.asText()));
+        Json.list(Json.object(response.body()), "failed").forEach(key -> keys.add(key.asText()));
         return keys.build();
     }
 
     /** The body as text, for error messages. */
-    static String text(HttpAnswer answer) {
-        return new String(answer.body(), StandardCharsets.UTF_8);
+    static String text(HttpAnswer response) {
+        return new String(response.body(), StandardCharsets.UTF_8);
     }
 
-    private <T> StateResult<T> read(HttpAnswer answer, BodyReader<T> reader) {
-        if (answer.status() != OK) {
+    private <T> StateResult<T> read(HttpAnswer response, BodyReader<T> reader) {
+        if (response.status() != OK) {
             return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
         }
         try {
-            return StateResult.ok(reader.read(Json.object(answer.body())));
+            return StateResult.ok(reader.read(Json.object(response.body())));
         } catch (BadMessageException e) {
             warnUnreadable(e);
             return StateResult.failed(StateResult.Outcome.UNAVAILABLE);
--- a/src/main/java/org/spruceridge/state/StateServiceAvailability.java
+++ b/src/main/java/org/spruceridge/state/StateServiceAvailability.java
@@ -17,8 +17,8 @@
         this.lastServedNanos = loop.nanos();
     }
 
-    void record(HttpAnswer answer) {
-        if (answer.hasResponse() && answer.status() != StateResponses.SERVICE_UNAVAILABLE) {
+    void record(HttpAnswer response) {
+        if (response.hasResponse() && response.status() != StateResponses.SERVICE_UNAVAILABLE) {
             lastServedNanos = loop.nanos();
             everServed = true;
         }
--- a/src/main/java/org/spruceridge/worker/CommandResult.java
+++ b/src/main/java/org/spruceridge/worker/CommandResult.java
@@ -5,7 +5,7 @@
 /**
  * The result of commands that were sent directly to a worker.
  *
- * @param heartbeat the worker's status, if its reply contained one: after the commands, or instead of executing them
+ * @param heartbeat the worker's status, if its response contained one: after the commands, or instead of executing them
  */
 public record CommandResult(Kind kind, Optional<WorkerHeartbeat> heartbeat) {
     /** The outcome of the commands. */
@@ -19,7 +19,7 @@
         REFUSED,
         /** The commands were not sent. */
         UNSENT,
-        /** No usable reply: the commands may have been executed, or may still arrive minutes later. */
+        /** No usable response: the commands may have been executed, or may still arrive minutes later. */
         UNKNOWN
     }
 
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -20,7 +20,7 @@
     private final HttpClient http;
     private final RateLimitedWarnings warnings;
 
-    /** Sends commands through {@code http}, and logs unreadable replies to {@code warnings}. */
+    /** Sends commands through {@code http}, and logs unreadable responses to {@code warnings}. */
     public WorkerClient(HttpClient http, RateLimitedWarnings warnings) {
         this.http = http;
         this.warnings = warnings;
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
@@ -17,7 +17,7 @@
  * @param machine the name of the machine
  * @param address the address for direct commands; empty if the worker does not accept them
  * @param incarnation the number of the worker's current lease; it increases whenever the worker starts a new lease
- * @param sequence the sequence number, which increases with every heartbeat and every reply to a direct command
+ * @param sequence the sequence number, which increases with every heartbeat and every response to a direct command
  * @param fencingToken the highest fencing token that the worker has seen
  * @param reclaimNoticeS the time until the cloud reclaims the machine, in seconds; empty without a reclaim notice
  */
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -23,7 +23,7 @@
     void everyCancellationPathEndsBeforeDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
 
-        // Unreachable machine: the last answer comes from a leader without the cancellation, then one lease passes.
+        // Unreachable machine: the last response comes from a leader without the cancellation, then one lease passes.
         assertTrue(times.maxStalenessS() + times.fullLeaseS() < cancelS);
         // The leader receives the cancellation from its watch well before its view exceeds the maximum staleness.
         assertTrue(times.watchTimeoutS() > 0 && times.watchTimeoutS() < times.maxStalenessS() / 2);
@@ -35,7 +35,7 @@
     @CsvSource({"3, 22, 42", "1.5, 12, 32", "5, 22, 42", "4, 22, 42"})
     void deployedSettingsLetStopsAndDeletionsMeetDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
-        // Reachable machine: the stop is in the answer to its next heartbeat, which is up to a quarter interval late.
+        // Reachable machine: the stop is in the response to its next heartbeat, which is up to a quarter interval late.
         assertTrue(times.maxStalenessS() + 1.25 * heartbeatIntervalS < cancelS);
         double checkIntervalS = heartbeatIntervalS / 3;
         double latestDeletionDecisionS =
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -83,7 +83,7 @@
             throws InterruptedException, ExecutionException, TimeoutException {
         CompletableFuture<Integer> status = new CompletableFuture<>();
         loop.execute(() -> client.call(
-                address, HttpCall.get("/"), REQUEST_TIMEOUT_NANOS, answer -> status.complete(answer.status())));
+                address, HttpCall.get("/"), REQUEST_TIMEOUT_NANOS, response -> status.complete(response.status())));
         return status.get(10, TimeUnit.SECONDS);
     }
 
@@ -123,7 +123,8 @@
         assertEquals(200, call(client, server)); // the connection stays in the pool
         CompletableFuture<Integer> status = new CompletableFuture<>();
         loop.execute(() -> {
-            client.call(server, HttpCall.get("/"), Durations.millis(200), answer -> status.complete(answer.status()));
+            client.call(
+                    server, HttpCall.get("/"), Durations.millis(200), response -> status.complete(response.status()));
             sleep(600);
         });
         assertEquals(200, status.get(10, TimeUnit.SECONDS));
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -72,7 +72,7 @@
                     List.of(cluster.cloud.workers().get(0).name());
             cluster.net.injectFaults((from, to, call) -> {
                 if (unreachableMachines.contains(from)) {
-                    return step % 2 == 0 ? Delivery.ANSWER_LOST : Delivery.LOST;
+                    return step % 2 == 0 ? Delivery.RESPONSE_LOST : Delivery.LOST;
                 }
                 return isMachine(to.host())
                                 && unreachableMachines.contains(to.host().substring(7))
@@ -91,7 +91,7 @@
             cluster.cloud.limitCapacity(2);
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.injectFaults(
-                    (from, to, call) -> random.nextInt(10) < 2 ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
+                    (from, to, call) -> random.nextInt(10) < 2 ? Delivery.RESPONSE_LOST : Delivery.DELIVERED);
             for (int i = 1; i <= 12; i++) {
                 String priority = i % 3 == 0 ? "production" : i % 3 == 1 ? "best_effort" : "normal";
                 cluster.submit(SimJobs.array(i, 3).put("rank", priority).put("expectS", 4.0 + i));
@@ -163,7 +163,7 @@
             cluster.net.injectFaults(
                     (from, to, call) -> silentMachines.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(2.6 * SimulatedCluster.HEARTBEAT_INTERVAL_S);
-            // Their answers to the stop commands show that they receive commands, but their leases still expire.
+            // Their responses to the stop commands show that they receive commands, but their leases still expire.
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
             cluster.await(() -> cluster.runningTasks().isEmpty(), 2);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 5.0));
@@ -351,7 +351,7 @@
     void delayedCommandOrAcknowledgementStartsNoTaskTwice() {
         forEachStep(6, step -> {
             cluster.net.injectFaults((from, to, call) -> call.target().equals("/do")
-                    ? step % 2 == 0 ? Delivery.HELD : Delivery.ANSWER_LOST
+                    ? step % 2 == 0 ? Delivery.HELD : Delivery.RESPONSE_LOST
                     : Delivery.DELIVERED);
             cluster.submit(SimJobs.array(1, 2).put("expectS", 8.0));
             cluster.submit(SimJobs.array(2, 2).put("expectS", 300.0));
@@ -369,7 +369,7 @@
             startTasks(1, 2, 600);
             SplittableRandom random = new SplittableRandom(step);
             cluster.net.injectFaults((from, to, call) -> SimulatedCluster.isStateService(to) && random.nextInt(10) < 3
-                    ? Delivery.ANSWER_LOST
+                    ? Delivery.RESPONSE_LOST
                     : Delivery.DELIVERED);
             cluster.net.refuseStateRequests(cluster.leader(), 8);
             for (int i = 0; i < 4; i++) {
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -20,9 +20,9 @@
     @Test
     void leaderCrashBetweenCommitAndCommandStartsTaskOnce() {
         cluster.awaitLeader(10);
-        // The binding is committed, but its leader crashes before it receives the answer.
+        // The binding is committed, but its leader crashes before it receives the response.
         cluster.net.injectFaults((from, to, call) ->
-                SimStateService.isTransactionOn(call, "bound/") ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
+                SimStateService.isTransactionOn(call, "bound/") ? Delivery.RESPONSE_LOST : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
         String firstLeader = cluster.leader();
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -7,7 +7,7 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Starvation prevention: the largest jobs and tasks start as well, whatever else is submitted. */
+/** Starvation prevention: the largest jobs and tasks start as well, regardless of the other submissions. */
 final class FairnessScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -286,7 +286,7 @@
             return isDeletionRequest || isIsolated ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.submit(SimJobs.array(1, 1));
-        cluster.await(() -> deletionRequested.get(), 120); // the leader retries, as no answer arrives
+        cluster.await(() -> deletionRequested.get(), 120); // the leader retries, as no response arrives
         cluster.awaitLeaderOtherThan(oldLeader, 30);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         assertFalse(deletionRequestedWithoutLease.get());
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -56,12 +56,12 @@
     }
 
     @Test
-    void lostLaunchAnswerLaunchesNoMachineTwice() {
+    void lostLaunchResponseLaunchesNoMachineTwice() {
         cluster.awaitLeader(10);
         AtomicInteger launchCalls = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) ->
                 call.target().equals("/hosts") && call.method().equals("POST") && launchCalls.getAndIncrement() < 2
-                        ? Delivery.ANSWER_LOST
+                        ? Delivery.RESPONSE_LOST
                         : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
@@ -83,7 +83,7 @@
         cluster.net.clearFaults();
         cluster.net.deliverHeld();
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 120);
-        assertEquals(2, cluster.starts().size(), "each task started once, by the answer to a heartbeat");
+        assertEquals(2, cluster.starts().size(), "each task started once, by the response to a heartbeat");
     }
 
     @Test
@@ -127,11 +127,11 @@
         assertFalse(cluster.starts().get(1).endsWith(worker.name()));
     }
 
-    /** Drops all answers and commands to the worker; its heartbeats still arrive. */
+    /** Drops all responses and commands to the worker; its heartbeats still arrive. */
     private void dropMessagesTo(SimWorker worker) {
         cluster.net.injectFaults((from, to, call) -> {
             if (from.equals(worker.name())) {
-                return Delivery.ANSWER_LOST;
+                return Delivery.RESPONSE_LOST;
             }
             return to.equals(SimWorker.address(worker.name())) ? Delivery.LOST : Delivery.DELIVERED;
         });
@@ -183,7 +183,7 @@
         SimWorker unreachable = cluster.cloud.workers().get(0);
         cluster.net.injectFaults((from, to, call) -> {
             if (from.equals(unreachable.name())) {
-                return Delivery.ANSWER_LOST;
+                return Delivery.RESPONSE_LOST;
             }
             boolean isLost = to.equals(SimWorker.address(unreachable.name())) || SimulatedCluster.isCloud(to);
             return isLost ? Delivery.LOST : Delivery.DELIVERED;
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Guards against answers that renew a lease without stopping cancelled tasks: the first heartbeat of a worker to a
+     * Guards against responses that renew a lease without stopping cancelled tasks: the first heartbeat of a worker to a
      * new leader carries an older fencing token, and if leaders change within each heartbeat interval, every heartbeat
      * is the first to its leader. Only a few jobs are cancelled, which keeps each failover short.
      */
@@ -157,7 +157,7 @@
                 return Delivery.LOST;
             }
             if (machinesReceivingNothing.contains(from)) {
-                return Delivery.ANSWER_LOST;
+                return Delivery.RESPONSE_LOST;
             }
             return SimulatedCluster.isStateService(to) ? Delivery.SLOW : Delivery.DELIVERED;
         });
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -251,7 +251,7 @@
         assertEquals(status == 201, cluster.state.value("job/" + SERVICE_ID) != null);
     }
 
-    /** Batch jobs complete beside running services. */
+    /** Batch jobs complete while services run. */
     @Test
     void batchJobsAreNotStarvedByServices() {
         startService(4);
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -98,11 +98,11 @@
     }
 
     @Test
-    void lostStateServiceAnswerIsResolvedBeforeUserResponse() {
+    void lostStateServiceResponseIsResolvedBeforeUserResponse() {
         AtomicInteger transactionCalls = new AtomicInteger();
         cluster.net.injectFaults((from, to, call) ->
                 SimStateService.isTransactionOn(call, "job/j-000001") && transactionCalls.getAndIncrement() == 0
-                        ? Delivery.ANSWER_LOST
+                        ? Delivery.RESPONSE_LOST
                         : Delivery.DELIVERED);
         assertEquals(200, cluster.submit(SimJobs.array(1, 1)));
         runUntilDone("j-000001");
--- a/src/test/java/org/spruceridge/sim/ProductionVersion.java
+++ b/src/test/java/org/spruceridge/sim/ProductionVersion.java
@@ -164,8 +164,8 @@
     }
 
     private static Object toProduction(Object value) {
-        if (value instanceof HttpAnswer answer) {
-            return createRecord("net.HttpAnswer", answer.status(), answer.body(), answer.sent());
+        if (value instanceof HttpAnswer response) {
+            return createRecord("net.HttpAnswer", response.status(), response.body(), response.sent());
         }
         if (value instanceof Request request) {
             return createRecord("net.Request", request.method(), request.path(), request.body());
--- a/src/test/java/org/spruceridge/sim/RuleChecker.java
+++ b/src/test/java/org/spruceridge/sim/RuleChecker.java
@@ -13,11 +13,11 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Checks the protocol's rules for one cluster. It keeps its own record of submitted jobs, placed tasks and answers to users,
- * and fails the scenario as soon as a rule is violated.
+ * Checks the protocol's rules for one cluster. It keeps its own record of submitted jobs, placed tasks and responses to
+ * users, and fails the scenario as soon as a rule is violated.
  */
 final class RuleChecker {
-    /** Workers drop answers after this time, so a later start of a cancelled task was sent too late or delayed. */
+    /** Workers drop responses after this time, so a later start of a cancelled task was sent too late or delayed. */
     private static final double MAX_IN_FLIGHT_S = 4;
 
     /** The longest time for which a job may wait despite free capacity, once all faults have been cleared. */
@@ -68,8 +68,8 @@
         cancelRequested.add(id);
     }
 
-    /** Records an answer to a user about a job; {@code stage} is empty unless the status is 200 or 201. */
-    void recordAnswer(String id, int status, String stage) {
+    /** Records a response to a user about a job; {@code stage} is empty unless the status is 200 or 201. */
+    void recordResponse(String id, int status, String stage) {
         boolean known = status == 200 || status == 201;
         if (known && !submittedJobs.containsKey(id)) {
             throwViolation("invented", id);
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -20,12 +20,12 @@
 
     private void accept(ObjectNode job) {
         rules.recordSubmission(job);
-        rules.recordAnswer(job.path("nameId").asText(), 201, "pending");
+        rules.recordResponse(job.path("nameId").asText(), 201, "pending");
     }
 
     private void cancel(String id) {
         rules.recordCancelRequest(id);
-        rules.recordAnswer(id, 200, "cancelled");
+        rules.recordResponse(id, 200, "cancelled");
     }
 
     private static void assertViolates(String rule, Runnable step) {
@@ -44,9 +44,9 @@
         rules.recordCompletion(TASK);
         rules.recordStop("j-000001/1", "m2");
         rules.recordCompletion("j-000001/1");
-        rules.recordAnswer(JOB, 200, "done");
-        rules.recordAnswer(JOB, 503, "");
-        rules.recordAnswer(JOB, 200, "done");
+        rules.recordResponse(JOB, 200, "done");
+        rules.recordResponse(JOB, 503, "");
+        rules.recordResponse(JOB, 200, "done");
         accept(SimJobs.array(2, 1));
         rules.recordStart("j-000002/0", "m1", "z1", true);
         cancel("j-000002");
@@ -114,29 +114,29 @@
     void unknownAcceptedJobViolatesForgotten() {
         accept(SimJobs.array(1, 1));
         for (int status : new int[] {404, 400, 422}) {
-            assertViolates("forgotten", () -> rules.recordAnswer(JOB, status, ""));
+            assertViolates("forgotten", () -> rules.recordResponse(JOB, status, ""));
         }
     }
 
     @Test
     void unsubmittedJobViolatesInvented() {
-        assertViolates("invented", () -> rules.recordAnswer(JOB, 200, "pending"));
+        assertViolates("invented", () -> rules.recordResponse(JOB, 200, "pending"));
     }
 
     @Test
     void doneBeforeAllTasksCompleteViolatesNotDone() {
         accept(SimJobs.array(1, 2));
         rules.recordCompletion(TASK);
-        assertViolates("not_done", () -> rules.recordAnswer(JOB, 200, "done"));
+        assertViolates("not_done", () -> rules.recordResponse(JOB, 200, "done"));
     }
 
     @Test
     void changedOrUnrequestedTerminalStageViolatesWentBack() {
         accept(SimJobs.array(1, 1));
-        assertViolates("went_back", () -> rules.recordAnswer(JOB, 200, "cancelled"));
+        assertViolates("went_back", () -> rules.recordResponse(JOB, 200, "cancelled"));
         rules.recordCancelRequest(JOB);
-        rules.recordAnswer(JOB, 200, "cancelled");
-        assertViolates("went_back", () -> rules.recordAnswer(JOB, 200, "running"));
+        rules.recordResponse(JOB, 200, "cancelled");
+        assertViolates("went_back", () -> rules.recordResponse(JOB, 200, "running"));
     }
 
     @Test
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -24,15 +24,15 @@
         SLOW,
         /** The request never arrives. */
         LOST,
-        /** The request is processed, but its answer never arrives. */
-        ANSWER_LOST,
+        /** The request is processed, but its response never arrives. */
+        RESPONSE_LOST,
         /** The sender times out; the request arrives when held messages are delivered. */
         HELD,
         /** The request arrives, and a duplicate of it arrives when held messages are delivered. */
         DUPLICATED,
         /** The request arrives, and a duplicate of it arrives 2 s to 1.5 lease durations later. */
         DUPLICATED_LATE,
-        /** The sender gets no answer; the request arrives 2 s to 12 s later. */
+        /** The sender gets no response; the request arrives 2 s to 12 s later. */
         DELAYED,
         /** The request is answered with 503 and does not arrive. */
         REFUSED;
@@ -40,7 +40,7 @@
         private boolean isAnswered() {
             return switch (this) {
                 case DELIVERED, SLOW, DUPLICATED, DUPLICATED_LATE, REFUSED -> true;
-                case LOST, ANSWER_LOST, HELD, DELAYED -> false;
+                case LOST, RESPONSE_LOST, HELD, DELAYED -> false;
             };
         }
     }
@@ -69,7 +69,7 @@
         faultPolicy = policy;
     }
 
-    /** Refuses only this node's requests to the state service for {@code seconds}; its open watches get no answer. */
+    /** Refuses only this node's requests to the state service for {@code seconds}; its open watches get no response. */
     public void refuseStateRequests(String node, double seconds) {
         refusedUntil.put(node, loop.nanos() + Durations.nanos(seconds));
     }
@@ -122,7 +122,7 @@
         };
     }
 
-    /** One request of one process, until its answer, its timeout or its cancellation. */
+    /** One request of one process, until its response, its timeout or its cancellation. */
     private final class Exchange {
         private final String from;
         private final Address to;
@@ -143,10 +143,10 @@
             isComplete = true;
         }
 
-        void complete(HttpAnswer answer) {
+        void complete(HttpAnswer response) {
             if (!isComplete) {
                 isComplete = true;
-                onResponse.accept(answer);
+                onResponse.accept(response);
             }
         }
 
@@ -154,7 +154,7 @@
             Delivery delivery = isRefused(from, to) ? Delivery.REFUSED : faultPolicy.deliveryOf(from, to, call);
             Runnable arrival = () -> arrive(delivery);
             switch (delivery) {
-                case DELIVERED, ANSWER_LOST -> loop.after(LATENCY_NANOS, arrival);
+                case DELIVERED, RESPONSE_LOST -> loop.after(LATENCY_NANOS, arrival);
                 case SLOW -> loop.after(Durations.millis(100), arrival);
                 case HELD -> held.add(arrival);
                 case DUPLICATED -> {
@@ -166,7 +166,7 @@
                     loop.after(Durations.nanos(random.nextDouble(2, 1.5 * SimulatedCluster.LEASE_S)), arrival);
                 }
                 case DELAYED -> loop.after(Durations.nanos(random.nextDouble(2, 12)), arrival);
-                case REFUSED -> deliverAnswer(delivery, new HttpAnswer(503, new byte[0]));
+                case REFUSED -> deliverResponse(delivery, new HttpAnswer(503, new byte[0]));
                 case LOST -> {}
                 default -> throw new IllegalStateException("unknown delivery: " + delivery);
             }
@@ -175,23 +175,23 @@
         private void arrive(Delivery delivery) {
             Server server = servers.get(to);
             if (server != null) {
-                server.accept(call, answer -> onServerAnswer(delivery, answer));
+                server.accept(call, response -> onServerResponse(delivery, response));
             }
         }
 
-        /** Withholds the answer to a watch while its node is refused, as the state service does in an outage. */
-        private void onServerAnswer(Delivery delivery, HttpAnswer answer) {
+        /** Withholds the response to a watch while its node is refused, as the state service does in an outage. */
+        private void onServerResponse(Delivery delivery, HttpAnswer response) {
             if (call.target().startsWith("/follow") && isRefused(from, to)) {
-                loop.after(Durations.millis(50), () -> onServerAnswer(delivery, answer));
+                loop.after(Durations.millis(50), () -> onServerResponse(delivery, response));
             } else {
-                deliverAnswer(delivery, answer);
+                deliverResponse(delivery, response);
             }
         }
 
-        private void deliverAnswer(Delivery delivery, HttpAnswer answer) {
+        private void deliverResponse(Delivery delivery, HttpAnswer response) {
             process.after(LATENCY_NANOS, () -> {
                 if (delivery.isAnswered()) {
-                    complete(answer);
+                    complete(response);
                 }
             });
         }
--- a/src/test/java/org/spruceridge/sim/SimNode.java
+++ b/src/test/java/org/spruceridge/sim/SimNode.java
@@ -38,8 +38,8 @@
                 Policy.defaults());
         return new SimNode() {
             @Override
-            public void start(Runnable ready) {
-                node.start(ready);
+            public void start(Runnable onLeaderKnown) {
+                node.start(onLeaderKnown);
             }
 
             @Override
@@ -48,8 +48,8 @@
             }
 
             @Override
-            public void handle(Request request, Consumer<Response> answer) {
-                node.handler().handle(request, answer);
+            public void handle(Request request, Consumer<Response> onResponse) {
+                node.handler().handle(request, onResponse);
             }
         };
     }
--- a/src/test/java/org/spruceridge/sim/SimUsers.java
+++ b/src/test/java/org/spruceridge/sim/SimUsers.java
@@ -11,7 +11,7 @@
 
 /**
  * Many concurrent users, implemented from the published protocol. Each user retries its request at the next node: 1 s after
- * an answer other than 200 or 201, or after 5 s without an answer.
+ * a response other than 200 or 201, or after 5 s without a response.
  */
 public final class SimUsers {
     private static final double ANSWER_TIMEOUT_S = 5;
@@ -77,14 +77,14 @@
             });
             sender.accept(new Call(nodes.get(attempt % nodes.size()), request, response -> {
                 if (!isOver.getAndSet(true)) {
-                    onAnswer(response, attempt);
+                    onResponse(response, attempt);
                 }
             }));
         }
 
-        private void onAnswer(Response response, int attempt) {
+        private void onResponse(Response response, int attempt) {
             boolean accepted = response.status() == 200 || response.status() == 201;
-            rules.recordAnswer(job, response.status(), accepted ? SimulatedCluster.stage(response) : "");
+            rules.recordResponse(job, response.status(), accepted ? SimulatedCluster.stage(response) : "");
             if (accepted) {
                 unanswered--;
             } else {
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -33,7 +33,7 @@
     private long leaseStartedAt;
     private long lastSentAt = Long.MIN_VALUE / 2;
     private long tokenAnnouncedAt = Long.MIN_VALUE / 2;
-    private boolean isAwaitingAnswer;
+    private boolean isAwaitingResponse;
     private boolean isHung;
     private final List<Runnable> deferred = new ArrayList<>();
     private Double interruptionNoticeS;
@@ -97,14 +97,14 @@
     }
 
     /**
-     * Makes the machine hang: commands and answers that arrive are deferred until {@link #resume}. It may run its tasks
+     * Makes the machine hang: commands and responses that arrive are deferred until {@link #resume}. It may run its tasks
      * only within its lease, so they count as stopped once the lease expires.
      */
     public void hang() {
         isHung = true;
     }
 
-    /** Ends {@link #hang}: the machine handles the commands, answers and task ends that were deferred. */
+    /** Ends {@link #hang}: the machine handles the commands, responses and task ends that were deferred. */
     public void resume() {
         isHung = false;
         List<Runnable> deferredWork = List.copyOf(deferred);
@@ -209,18 +209,18 @@
     }
 
     private void sendHeartbeat() {
-        if (isAwaitingAnswer || isHung) {
+        if (isAwaitingResponse || isHung) {
             return;
         }
-        isAwaitingAnswer = true;
+        isAwaitingResponse = true;
         sequence++;
         long sentAt = cluster.loop.nanos();
         lastSentAt = sentAt;
         long sentIncarnation = incarnation;
         Address to = SimulatedCluster.address(nodeNames.get(nodeIndex));
-        http.call(to, HttpCall.post("/hello", Json.bytes(heartbeatBody())), Durations.nanos(4), answer -> {
-            isAwaitingAnswer = false;
-            onAnswer(answer, sentAt, sentIncarnation);
+        http.call(to, HttpCall.post("/hello", Json.bytes(heartbeatBody())), Durations.nanos(4), response -> {
+            isAwaitingResponse = false;
+            onResponse(response, sentAt, sentIncarnation);
         });
     }
 
@@ -246,19 +246,19 @@
         return out;
     }
 
-    private void onAnswer(HttpAnswer answer, long sentAt, long sentIncarnation) {
+    private void onResponse(HttpAnswer response, long sentAt, long sentIncarnation) {
         if (isHung) {
-            // The answer is too old by the time the machine resumes.
-            deferred.add(() -> onAnswer(HttpAnswer.noResponse(), sentAt, sentIncarnation));
+            // The response is too old by the time the machine resumes.
+            deferred.add(() -> onResponse(HttpAnswer.noResponse(), sentAt, sentIncarnation));
             return;
         }
-        if (answer.status() != 200) {
-            nodeIndex = nextNode(answer);
-            process.after(Durations.millis(answer.status() == 421 ? 100 : 1000), this::sendHeartbeat);
+        if (response.status() != 200) {
+            nodeIndex = nextNode(response);
+            process.after(Durations.millis(response.status() == 421 ? 100 : 1000), this::sendHeartbeat);
             return;
         }
         try {
-            JsonNode body = Json.object(answer.body());
+            JsonNode body = Json.object(response.body());
             long receivedToken = Json.nonNegativeLong(body, "warrant");
             if (receivedToken < fencingToken || sentIncarnation != incarnation) {
                 return;
@@ -276,10 +276,10 @@
         }
     }
 
-    private int nextNode(HttpAnswer answer) {
-        if (answer.status() == 421) {
+    private int nextNode(HttpAnswer response) {
+        if (response.status() == 421) {
             try {
-                JsonNode leaderName = Json.object(answer.body()).path("steward");
+                JsonNode leaderName = Json.object(response.body()).path("steward");
                 if (nodeNames.contains(leaderName.asText())) {
                     return nodeNames.indexOf(leaderName.asText());
                 }
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -163,7 +163,7 @@
         }
         Response response = received.get();
         if (response != null && path.startsWith("/api/jobs/")) {
-            rules.recordAnswer(id, response.status(), response.status() == 200 ? stage(response) : "");
+            rules.recordResponse(id, response.status(), response.status() == 200 ? stage(response) : "");
         }
         return response;
     }
@@ -197,22 +197,22 @@
         await(() -> leader() != null && !leader().equals(previousLeader), timeoutS);
     }
 
-    /** Submits a job through the first node; returns the HTTP status, or 0 if there is no answer. */
+    /** Submits a job through the first node; returns the HTTP status, or 0 if there is no response. */
     public int submit(ObjectNode job) {
         return submit(nodes.names().get(0), job);
     }
 
-    /** Submits a job through a node; returns the HTTP status, or 0 if there is no answer. */
+    /** Submits a job through a node; returns the HTTP status, or 0 if there is no response. */
     public int submit(String node, ObjectNode job) {
         rules.recordSubmission(job);
         Response response = request(node, "POST", "/api/jobs", job);
         int status = response == null ? 0 : response.status();
         boolean isAccepted = status == 200 || status == 201;
-        rules.recordAnswer(job.path("nameId").asText(), status, isAccepted ? stage(response) : "");
+        rules.recordResponse(job.path("nameId").asText(), status, isAccepted ? stage(response) : "");
         return status;
     }
 
-    /** Cancels a job through a node; returns the stage in the answer, the status if it is not 200, or "none". */
+    /** Cancels a job through a node; returns the stage in the response, the status if it is not 200, or "none". */
     public String cancel(String node, String id) {
         Response response = request(node, "POST", "/api/jobs/" + id + "/abort");
         return stageOrStatus(response);
@@ -240,7 +240,7 @@
         }
     }
 
-    /** The stage of a job as the leader or else a follower answers it, the status if it is not 200, or "none". */
+    /** The stage of a job as the leader, or else a follower, returns it, the status if it is not 200, or "none". */
     public String poll(String id) {
         Response response = request(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id);
         return stageOrStatus(response);
@@ -262,7 +262,7 @@
         return response.status() == 200 ? stage(response) : String.valueOf(response.status());
     }
 
-    /** The stage of the job in an answer about it. */
+    /** The stage of the job in a response about it. */
     public static String stage(Response response) {
         return json(response).path("stage").asText();
     }
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormsTest.java
@@ -78,9 +78,9 @@
         public Cancellable call(Address to, HttpCall call, long timeoutNanos, Consumer<HttpAnswer> onResponse) {
             String text = call.method() + " " + call.target() + " " + new String(call.body(), StandardCharsets.UTF_8);
             requests.add(text.strip());
-            HttpAnswer answer = new HttpAnswer(status, body.getBytes(StandardCharsets.UTF_8), sent);
+            HttpAnswer response = new HttpAnswer(status, body.getBytes(StandardCharsets.UTF_8), sent);
             body = queuedBodies.isEmpty() ? body : queuedBodies.remove();
-            onResponse.accept(answer);
+            onResponse.accept(response);
             return () -> {};
         }
 
