--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -5,8 +5,14 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Reads the fields of one object of a settings file. Every error names the field with its full path. */
+/**
+ * Reads the fields of one object of a settings file. Every error names the field with its full path, and what is wrong
+ * with its value.
+ */
 final class Fields {
+    /** Longer values are not repeated in error messages. */
+    private static final int MAX_SHOWN_LENGTH = 100;
+
     private final JsonNode node;
     private final String path;
 
@@ -25,7 +31,7 @@
     Fields object(String name) {
         JsonNode value = node.get(name);
         if (value == null || !value.isObject()) {
-            throw invalid(name, value == null ? "is missing" : "is not an object");
+            throw value == null ? invalid(name, "is missing") : invalidValue(name, "must be an object");
         }
         return new Fields(value, path + name + ".");
     }
@@ -38,7 +44,7 @@
     String string(String name) {
         JsonNode value = node.get(name);
         if (value == null || !value.isTextual() || value.textValue().isBlank()) {
-            throw invalid(name, value == null ? "is missing" : "must be a non-blank string");
+            throw value == null ? invalid(name, "is missing") : invalidValue(name, "must be a non-blank string");
         }
         return value.textValue();
     }
@@ -50,7 +56,7 @@
     double positive(String name) {
         double value = number(name);
         if (value <= 0) {
-            throw invalid(name, "must be above 0");
+            throw invalidValue(name, "must be above 0");
         }
         return value;
     }
@@ -65,7 +71,7 @@
         }
         double value = number(name);
         if (value < 0) {
-            throw invalid(name, "must not be below 0");
+            throw invalidValue(name, "must not be below 0");
         }
         return value;
     }
@@ -73,7 +79,7 @@
     int positiveInt(String name) {
         JsonNode value = node.get(name);
         if (value == null || !value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < 1) {
-            throw invalid(name, value == null ? "is missing" : "must be an integer above 0");
+            throw value == null ? invalid(name, "is missing") : invalidValue(name, "must be an integer above 0");
         }
         return value.intValue();
     }
@@ -83,7 +89,7 @@
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
-            throw invalid(name, "is not an address of the form host:port: " + text);
+            throw invalidValue(name, "must be an address of the form host:port");
         }
     }
 
@@ -92,7 +98,7 @@
         ImmutableList.Builder<String> strings = ImmutableList.builder();
         for (JsonNode item : list) {
             if (!item.isTextual()) {
-                throw invalid(name, "must contain only strings");
+                throw invalid(name, "must contain only strings, but contains " + describe(item));
             }
             strings.add(item.textValue());
         }
@@ -104,7 +110,7 @@
         ImmutableList.Builder<T> objects = ImmutableList.builder();
         for (int i = 0; i < list.size(); i++) {
             if (!list.get(i).isObject()) {
-                throw invalid(name + "[" + i + "]", "is not an object");
+                throw invalid(name + "[" + i + "]", "must be an object, but is " + describe(list.get(i)));
             }
             objects.add(reader.apply(new Fields(list.get(i), path + name + "[" + i + "].")));
         }
@@ -139,10 +145,27 @@
         return new SettingsException(path + name + " " + problem);
     }
 
+    /** The error for a field that is present; the message has {@code requirement} followed by the field's value. */
+    SettingsException invalidValue(String name, String requirement) {
+        return invalid(name, requirement + ", but is " + describe(node.get(name)));
+    }
+
+    /** A value as part of an error message: scalars up to a maximum length are repeated, others only named. */
+    private static String describe(JsonNode value) {
+        if (value.isContainerNode()) {
+            return value.isArray() ? "an array" : "an object";
+        }
+        String text = value.asText();
+        if (text.length() > MAX_SHOWN_LENGTH) {
+            return "a " + (value.isTextual() ? "string" : "value") + " of " + text.length() + " characters";
+        }
+        return value.isTextual() ? value.toString() : text; // toString quotes strings and escapes line ends
+    }
+
     private JsonNode array(String name) {
         JsonNode value = node.get(name);
         if (value == null || !value.isArray()) {
-            throw invalid(name, value == null ? "is missing" : "is not an array");
+            throw value == null ? invalid(name, "is missing") : invalidValue(name, "must be an array");
         }
         return value;
     }
@@ -150,7 +173,7 @@
     private double number(String name) {
         JsonNode value = node.get(name);
         if (value == null || !value.isNumber() || !Double.isFinite(value.doubleValue())) {
-            throw invalid(name, value == null ? "is missing" : "is not a number");
+            throw value == null ? invalid(name, "is missing") : invalidValue(name, "must be a number");
         }
         return value.doubleValue();
     }
--- a/src/main/java/org/spruceridge/config/PolicyReader.java
+++ b/src/main/java/org/spruceridge/config/PolicyReader.java
@@ -125,10 +125,10 @@
                 fields.positiveOr(ttlName, defaults.leadership().ttlWorkerLeases()),
                 fields.positiveOr("renewals_per_ttl", defaults.leadership().renewalsPerTtl()));
         if (leadership.ttlWorkerLeases() > MAX_TTL_WORKER_LEASES) {
-            throw fields.invalid(ttlName, "must not be above 0.5");
+            throw fields.invalidValue(ttlName, "must not be above 0.5");
         }
         if (leadership.renewalsPerTtl() < MIN_RENEWALS_PER_TTL) {
-            throw fields.invalid("renewals_per_ttl", "must be at least 2");
+            throw fields.invalidValue("renewals_per_ttl", "must be at least 2");
         }
         return leadership;
     }
--- a/src/main/java/org/spruceridge/config/SettingsReader.java
+++ b/src/main/java/org/spruceridge/config/SettingsReader.java
@@ -72,10 +72,11 @@
         Workers workerSettings =
                 new Workers(workers.positive("report_s"), workers.positive("lease_s"), workers.positive("cancel_s"));
         if (workerSettings.leaseS() <= workerSettings.heartbeatIntervalS()) {
-            throw workers.invalid("lease_s", "must be above report_s");
+            throw workers.invalidValue(
+                    "lease_s", "must be above report_s (" + workerSettings.heartbeatIntervalS() + ")");
         }
         if (workerSettings.cancelS() <= workerSettings.leaseS()) {
-            throw workers.invalid("cancel_s", "must be above lease_s");
+            throw workers.invalidValue("cancel_s", "must be above lease_s (" + workerSettings.leaseS() + ")");
         }
         return workerSettings;
     }
@@ -125,10 +126,10 @@
     /** Rejects limits that are too small for the scheduler's records, under which it could not keep its guarantees. */
     private static void requireMinimumSizes(Fields fields, StateLimits limits) {
         if (limits.valueKb() < State.MIN_VALUE_KB) {
-            throw fields.invalid("value_kb", "must be at least " + State.MIN_VALUE_KB);
+            throw fields.invalidValue("value_kb", "must be at least " + State.MIN_VALUE_KB);
         }
         if (limits.txnOps() < State.MIN_TXN_OPS) {
-            throw fields.invalid("txn_ops", "must be at least " + State.MIN_TXN_OPS);
+            throw fields.invalidValue("txn_ops", "must be at least " + State.MIN_TXN_OPS);
         }
     }
 }
--- a/src/main/java/org/spruceridge/record/JobSpecMessage.java
+++ b/src/main/java/org/spruceridge/record/JobSpecMessage.java
@@ -38,12 +38,13 @@
     public static JobSpec read(JsonNode body) throws BadMessageException {
         String id = Json.text(body, "nameId");
         if (!isId(id)) {
-            throw new BadMessageException("nameId is not of the form j-000412");
+            throw new BadMessageException(
+                    "nameId must be j- followed by 1 to 18 digits, but is " + BadMessageException.describe(id));
         }
         JobKind kind = kind(Json.text(body, "shape"));
         long tasks = Json.nonNegativeLong(body, "parts");
         if (tasks < 1 || tasks > MAX_TASKS) {
-            throw new BadMessageException("parts is out of range");
+            throw new BadMessageException("parts must be 1 to " + MAX_TASKS + ", but is " + tasks);
         }
         OptionalDouble deadline =
                 body.hasNonNull("dueS") ? OptionalDouble.of(requirePositive(body, "dueS")) : OptionalDouble.empty();
@@ -105,7 +106,7 @@
         ImmutableSet.Builder<String> out = ImmutableSet.builder();
         for (JsonNode item : Json.list(body, "builds")) {
             if (!item.isTextual()) {
-                throw new BadMessageException("builds holds something that is not a text");
+                throw new BadMessageException("builds contains a value that is not a string");
             }
             out.add(item.textValue());
         }
@@ -115,7 +116,8 @@
     private static String requireName(JsonNode body, String field) throws BadMessageException {
         String text = Json.text(body, field);
         if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
-            throw new BadMessageException(field + " is empty or too long");
+            throw new BadMessageException(
+                    field + " must have 1 to " + MAX_NAME_LENGTH + " characters, but has " + text.length());
         }
         return text;
     }
@@ -124,13 +126,15 @@
         return switch (shape) {
             case ARRAY -> JobKind.ARRAY;
             case SERVICE -> JobKind.SERVICE;
-            default -> throw new BadMessageException("shape must be sweep or standing, but is " + shape);
+            default -> throw new BadMessageException(
+                    "shape must be sweep or standing, but is " + BadMessageException.describe(shape));
         };
     }
 
     private static double requireZero(JsonNode body, String field) throws BadMessageException {
-        if (Json.number(body, field) != 0) {
-            throw new BadMessageException(field + " must be 0 for a job that does not end");
+        double value = Json.number(body, field);
+        if (value != 0) {
+            throw new BadMessageException(field + " must be 0 if shape is standing, but is " + value);
         }
         return 0;
     }
@@ -138,7 +142,7 @@
     private static double requirePositive(JsonNode body, String field) throws BadMessageException {
         double value = Json.number(body, field);
         if (value <= 0) {
-            throw new BadMessageException(field + " must be above 0");
+            throw new BadMessageException(field + " must be above 0, but is " + value);
         }
         return value;
     }
@@ -146,7 +150,7 @@
     private static double requireNonNegative(JsonNode body, String field) throws BadMessageException {
         double value = Json.number(body, field);
         if (value < 0) {
-            throw new BadMessageException(field + " must not be below 0");
+            throw new BadMessageException(field + " must not be below 0, but is " + value);
         }
         return value;
     }
@@ -157,8 +161,8 @@
             case "high" -> JobPriority.HIGH;
             case "normal" -> JobPriority.NORMAL;
             case "best_effort" -> JobPriority.LOW;
-            default -> throw new BadMessageException(
-                    "rank must be production, high, normal or best_effort, but is " + text);
+            default -> throw new BadMessageException("rank must be production, high, normal or best_effort, but is "
+                    + BadMessageException.describe(text));
         };
     }
 
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
@@ -52,7 +52,8 @@
                     return state;
                 }
             }
-            throw new BadMessageException("stage is not one of fetching, running, saving, ended");
+            throw new BadMessageException(
+                    "stage must be fetching, running, saving or ended, but is " + BadMessageException.describe(name));
         }
     }
 
@@ -108,7 +109,7 @@
             }
             return heartbeat;
         } catch (IOException e) {
-            throw new BadMessageException("not JSON");
+            throw new BadMessageException("invalid JSON");
         }
     }
 
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeatParser.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeatParser.java
@@ -36,12 +36,12 @@
     }
 
     WorkerHeartbeat read() throws IOException, BadMessageException {
-        require(parser.nextToken() == JsonToken.START_OBJECT, "not an object");
+        require(parser.nextToken() == JsonToken.START_OBJECT, "not a JSON object");
         for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
             parser.nextToken();
             readField(field);
         }
-        require(parser.currentToken() == JsonToken.END_OBJECT, "not an object");
+        require(parser.currentToken() == JsonToken.END_OBJECT, "not a JSON object");
         require(isComplete(), "host, endpoint, build, grove, windfall, watch, tally, warrant or parts is missing");
         return new WorkerHeartbeat(
                 machine,
@@ -76,7 +76,7 @@
     }
 
     private ImmutableList<TaskStatus> tasks() throws IOException, BadMessageException {
-        require(parser.currentToken() == JsonToken.START_ARRAY, "parts is not a list");
+        require(parser.currentToken() == JsonToken.START_ARRAY, "parts is not an array");
         ImmutableList.Builder<TaskStatus> statuses = ImmutableList.builder();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             statuses.add(taskStatus());
@@ -110,7 +110,8 @@
         try {
             return new TaskId(text.substring(0, slash), Integer.parseInt(text.substring(slash + 1)));
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            throw new BadMessageException("part is not a task id: " + text);
+            throw new BadMessageException(
+                    "part must be a job id, a slash and a task index, but is " + BadMessageException.describe(text));
         }
     }
 
@@ -119,7 +120,7 @@
     }
 
     private String text(String field) throws IOException, BadMessageException {
-        require(parser.currentToken() == JsonToken.VALUE_STRING, field + " is not a text");
+        require(parser.currentToken() == JsonToken.VALUE_STRING, field + " is not a string");
         return parser.getText();
     }
 
@@ -127,7 +128,7 @@
         boolean isNonNegativeLong = parser.currentToken() == JsonToken.VALUE_NUMBER_INT
                 && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER
                 && parser.getLongValue() >= 0;
-        require(isNonNegativeLong, field + " is not a count");
+        require(isNonNegativeLong, field + " is not a non-negative integer");
         return parser.getLongValue();
     }
 
--- a/src/test/java/org/spruceridge/config/PolicyNamesTest.java
+++ b/src/test/java/org/spruceridge/config/PolicyNamesTest.java
@@ -111,15 +111,17 @@
     @Test
     void limitsApplyToCurrentAndFormerNames() {
         assertEquals(
-                "leadership.ttl_worker_leases must not be above 0.5",
+                "leadership.ttl_worker_leases must not be above 0.5, but is 0.9",
                 rejection("leadership: {ttl_worker_leases: 0.9}\n"));
-        assertEquals("leading.ttl_of_lease must not be above 0.5", rejection("leading: {ttl_of_lease: 0.9}\n"));
         assertEquals(
-                "leadership.renewals_per_ttl must be at least 2", rejection("leadership: {renewals_per_ttl: 1}\n"));
-        assertEquals("weights.starvation must not be below 0", rejection("weights: {starvation: -1}\n"));
-        assertEquals("weights.patience must not be below 0", rejection("weights: {patience: -1}\n"));
+                "leading.ttl_of_lease must not be above 0.5, but is 0.9", rejection("leading: {ttl_of_lease: 0.9}\n"));
         assertEquals(
-                "preemption.min_interval_per_machine_s must be above 0",
+                "leadership.renewals_per_ttl must be at least 2, but is 1",
+                rejection("leadership: {renewals_per_ttl: 1}\n"));
+        assertEquals("weights.starvation must not be below 0, but is -1", rejection("weights: {starvation: -1}\n"));
+        assertEquals("weights.patience must not be below 0, but is -1", rejection("weights: {patience: -1}\n"));
+        assertEquals(
+                "preemption.min_interval_per_machine_s must be above 0, but is 0",
                 rejection("preemption: {min_interval_per_machine_s: 0}\n"));
     }
 }
--- a/src/test/java/org/spruceridge/config/SettingsTest.java
+++ b/src/test/java/org/spruceridge/config/SettingsTest.java
@@ -93,22 +93,31 @@
     @CsvSource(
             delimiter = ';',
             value = {
-                "\"host_name\":\"n0\"; \"host_name\":7; host_name must be a non-blank string",
+                "\"host_name\":\"n0\"; \"host_name\":7; host_name must be a non-blank string, but is 7",
+                "\"host_name\":\"n0\"; \"host_name\":\" \"; host_name must be a non-blank string, but is \" \"",
+                "\"host_name\":\"n0\"; \"host_name\":null; host_name must be a non-blank string, but is null",
+                "\"host_name\":\"n0\"; \"host_name\":[1]; host_name must be a non-blank string, but is an array",
+                "\"host_name\":\"n0\"; \"host_name\":{}; host_name must be a non-blank string, but is an object",
                 "\"serve_on\":\"10.0.0.1:8080\"; \"serve_on\":\"here\"; "
-                        + "serve_on is not an address of the form host:port: here",
-                "\"report_s\":3.0; \"report_s\":0; facts.workers.report_s must be above 0",
-                "\"lease_s\":22.0; \"lease_s\":2; facts.workers.lease_s must be above report_s",
-                "\"txn_ops\":24; \"txn_ops\":1.5; facts.state.txn_ops must be an integer above 0",
+                        + "serve_on must be an address of the form host:port, but is \"here\"",
+                "\"report_s\":3.0; \"report_s\":0; facts.workers.report_s must be above 0, but is 0",
+                "\"lease_s\":22.0; \"lease_s\":2; facts.workers.lease_s must be above report_s (3.0), but is 2",
+                "\"cancel_s\":42.0; \"cancel_s\":22; facts.workers.cancel_s must be above lease_s (22.0), but is 22",
+                "\"txn_ops\":24; \"txn_ops\":1.5; facts.state.txn_ops must be an integer above 0, but is 1.5",
                 "\"rps\":6.0; \"rpm\":6.0; facts.cloud.rps is missing",
+                "\"members\":[{; \"members\":[3,{; members[0] must be an object, but is 3",
                 "\"peer_addr\":\"10.0.0.2:8081\"; \"at\":1; members[0].peer_addr is missing",
-                "\"value_kb\":8.0; \"value_kb\":0.5; facts.state.value_kb must be at least 1.0",
-                "\"txn_ops\":24; \"txn_ops\":2; facts.state.txn_ops must be at least 3",
-                "\"txn_ops\":24; \"txn_ops\":24,\"next\":7; facts.state.next is not an object",
-                "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"txn_ops\":2}; facts.state.next.txn_ops must be at least 3",
-                "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"value_kb\":\"2\"}; facts.state.next.value_kb is not a number",
-                "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"write_rps\":0}; facts.state.next.write_rps must be above 0",
-                "\"zones\":[\"a\",\"b\"]; \"zones\":[1]; facts.zones must contain only strings",
-                "\"zones\":[\"a\",\"b\"]; \"zones\":1; facts.zones is not an array",
+                "\"value_kb\":8.0; \"value_kb\":0.5; facts.state.value_kb must be at least 1.0, but is 0.5",
+                "\"txn_ops\":24; \"txn_ops\":2; facts.state.txn_ops must be at least 3, but is 2",
+                "\"txn_ops\":24; \"txn_ops\":24,\"next\":7; facts.state.next must be an object, but is 7",
+                "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"txn_ops\":2}; "
+                        + "facts.state.next.txn_ops must be at least 3, but is 2",
+                "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"value_kb\":\"2\"}; "
+                        + "facts.state.next.value_kb must be a number, but is \"2\"",
+                "\"txn_ops\":24; \"txn_ops\":24,\"next\":{\"write_rps\":0}; "
+                        + "facts.state.next.write_rps must be above 0, but is 0",
+                "\"zones\":[\"a\",\"b\"]; \"zones\":[1]; facts.zones must contain only strings, but contains 1",
+                "\"zones\":[\"a\",\"b\"]; \"zones\":1; facts.zones must be an array, but is 1",
                 "\"teams\":[{; \"teams\":[{\"name\":\"red\"},{; facts.teams contains a duplicate team name: red",
             })
     void invalidSettingIsNamedInMessage(String original, String replacement, String message) throws IOException {
@@ -119,6 +128,27 @@
                         .getMessage());
     }
 
+    @Test
+    void longSettingIsNamedWithoutItsValue() throws IOException {
+        JsonNode longString =
+                json(VALID_SETTINGS.replace("\"mem_mb\":263.0", "\"mem_mb\":\"" + "x".repeat(101) + "\""));
+        assertEquals(
+                "facts.resources.mem_mb must be a number, but is a string of 101 characters",
+                assertThrows(SettingsException.class, () -> Settings.read(longString))
+                        .getMessage());
+        JsonNode longNumber = json(VALID_SETTINGS.replace("\"txn_ops\":24", "\"txn_ops\":" + "9".repeat(101)));
+        assertEquals(
+                "facts.state.txn_ops must be an integer above 0, but is a value of 101 characters",
+                assertThrows(SettingsException.class, () -> Settings.read(longNumber))
+                        .getMessage());
+        String longestShown = "x".repeat(100);
+        JsonNode shown = json(VALID_SETTINGS.replace("\"mem_mb\":263.0", "\"mem_mb\":\"" + longestShown + "\""));
+        assertEquals(
+                "facts.resources.mem_mb must be a number, but is \"" + longestShown + "\"",
+                assertThrows(SettingsException.class, () -> Settings.read(shown))
+                        .getMessage());
+    }
+
     @Test
     void settingsOtherThanAnObjectAreRejected() throws IOException {
         JsonNode array = json("[]");
@@ -159,8 +189,8 @@
         assertEquals(Policy.defaults(), policy(""));
         assertRejected("weights.speed is not a known field", "weights: {speed: 1}\n");
         assertRejected("colour is not a known field", "colour: red\n");
-        assertRejected("rounds.spacing_of_report must be above 0", "rounds: {spacing_of_report: -1}\n");
-        assertRejected("leading.ttl_of_lease must not be above 0.5", "leading: {ttl_of_lease: 0.9}\n");
+        assertRejected("rounds.spacing_of_report must be above 0, but is -1", "rounds: {spacing_of_report: -1}\n");
+        assertRejected("leading.ttl_of_lease must not be above 0.5, but is 0.9", "leading: {ttl_of_lease: 0.9}\n");
         assertRejected("invalid YAML: while parsing a flow mapping", "{ a");
     }
 
--- a/src/test/java/org/spruceridge/record/JobSpecMessageTest.java
+++ b/src/test/java/org/spruceridge/record/JobSpecMessageTest.java
@@ -158,6 +158,56 @@
                         .getMessage());
     }
 
+    private static String rejection(String text) throws BadMessageException {
+        JsonNode body = Json.object(text.getBytes(StandardCharsets.UTF_8));
+        return assertThrows(BadMessageException.class, () -> JobSpecMessage.read(body))
+                .getMessage();
+    }
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = ';',
+            value = {
+                "\"j-000412\"; \"j-x\"; nameId must be j- followed by 1 to 18 digits, but is j-x",
+                "\"j-000412\"; \"\"; "
+                        + "nameId must be j- followed by 1 to 18 digits, but is a string of 0 characters",
+                "\"j-000412\"; \"j-1\\n\"; "
+                        + "nameId must be j- followed by 1 to 18 digits, but is a string of 4 characters",
+                "\"parts\":7; \"parts\":0; parts must be 1 to 100000, but is 0",
+                "\"parts\":7; \"parts\":100001; parts must be 1 to 100000, but is 100001",
+                "\"parts\":7; \"parts\":-1; parts is not a non-negative integer",
+                "\"nightly\"; \"\"; lot must have 1 to 200 characters, but has 0",
+                "\"cpus\":2.0; \"cpus\":0; cpus must be above 0, but is 0.0",
+                "\"dueS\":90.0; \"dueS\":-1.5; dueS must be above 0, but is -1.5",
+                "\"pullGb\":1.5; \"pullGb\":-1; pullGb must not be below 0, but is -1.0",
+                "\"sweep\"; \"standing\"; expectS must be 0 if shape is standing, but is 60.0",
+                "[\"t4\",\"t8\"]; [\"t4\",8]; builds contains a value that is not a string",
+                "[\"t4\",\"t8\"]; \"t4\"; builds is not an array"
+            })
+    void invalidValueIsRejectedWithFieldAndAllowedRange(String original, String replacement, String message)
+            throws BadMessageException {
+        assertEquals(message, rejection(COMPLETE.replace(original, replacement)));
+    }
+
+    @Test
+    void longValueIsNotRepeatedInMessage() throws BadMessageException {
+        assertEquals(
+                "lot must have 1 to 200 characters, but has 201",
+                rejection(COMPLETE.replace("\"nightly\"", "\"" + "x".repeat(201) + "\"")));
+        assertEquals(
+                "nameId must be j- followed by 1 to 18 digits, but is a string of 101 characters",
+                rejection(COMPLETE.replace("\"j-000412\"", "\"" + "x".repeat(101) + "\"")));
+        assertEquals(
+                "rank must be production, high, normal or best_effort, but is a string of 101 characters",
+                rejection(COMPLETE.replace("\"high\"", "\"" + "x".repeat(101) + "\"")));
+        assertEquals(
+                "shape must be sweep or standing, but is a string of 101 characters",
+                rejection(COMPLETE.replace("\"sweep\"", "\"" + "x".repeat(101) + "\"")));
+        assertEquals(
+                "shape must be sweep or standing, but is " + "x".repeat(100),
+                rejection(COMPLETE.replace("\"sweep\"", "\"" + "x".repeat(100) + "\"")));
+    }
+
     @ParameterizedTest
     @ValueSource(strings = {"j-0", "j-000412", "j-123456789012345678"})
     void validJobIdIsAccepted(String id) {
--- a/src/test/java/org/spruceridge/wire/UserMessagesTest.java
+++ b/src/test/java/org/spruceridge/wire/UserMessagesTest.java
@@ -82,7 +82,7 @@
                 "POST; /healthz; 405 {\"error\":\"only GET\"}",
                 "POST; /metrics; 405 {\"error\":\"only GET\"}",
                 "GET; /healthz; 200 {\"status\":\"ok\"}",
-                "POST; /hello; 400 {\"error\":\"not an object\"}",
+                "POST; /hello; 400 {\"error\":\"not a JSON object\"}",
             })
     void requestWithoutBodyGetsExpectedResponse(String method, String path, String expected) {
         assertEquals(expected, text(cluster.request(cluster.leader(), method, path)));
@@ -91,7 +91,7 @@
     @Test
     void rejectedJobGetsReasonInResponse() {
         assertEquals(
-                "400 {\"error\":\"nameId is not of the form j-000412\"}",
+                "400 {\"error\":\"nameId must be j- followed by 1 to 18 digits, but is j-x\"}",
                 post("/api/jobs", SimJobs.array(1, 1).put("nameId", "j-x")));
         assertEquals(
                 "400 {\"error\":\"rank must be production, high, normal or best_effort, but is low\"}",
@@ -104,6 +104,16 @@
                 post("/api/jobs", SimJobs.array(1, 1).put("crew", "nobody")));
     }
 
+    @Test
+    void rejectedHeartbeatGetsReasonInResponse() {
+        assertEquals(
+                "400 {\"error\":\"host is not a string\"}",
+                post("/hello", SimJobs.heartbeat("i-000099", 1).put("host", 1)));
+        assertEquals(
+                "400 {\"error\":\"watch is not a non-negative integer\"}",
+                post("/hello", SimJobs.heartbeat("i-000099", 1).put("watch", -1)));
+    }
+
     @Test
     void workerIsAnsweredByLeaderAndRedirectedByFollower() {
         ObjectNode heartbeat = SimJobs.heartbeat("i-000099", 1);
--- a/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
@@ -128,24 +128,48 @@
         task(badStage, 0).put("stage", "paused");
         ObjectNode badEntry = completeHeartbeat();
         badEntry.putArray("parts").add(1);
+        ObjectNode longTaskId = completeHeartbeat();
+        task(longTaskId, 0).put("part", "x".repeat(101));
+        ObjectNode longStage = completeHeartbeat();
+        task(longStage, 0).put("stage", "x".repeat(101));
         return Stream.of(
                 Arguments.of(
                         withoutHost.toString(),
                         "host, endpoint, build, grove, windfall, watch, tally, warrant or parts is missing"),
                 Arguments.of(withoutAttempt.toString(), "part, try or stage of a task is missing"),
                 Arguments.of(withoutCause.toString(), "a task with stage ended has no cause"),
-                Arguments.of(badTaskId.toString(), "part is not a task id: j-000412"),
-                Arguments.of(badStage.toString(), "stage is not one of fetching, running, saving, ended"),
+                Arguments.of(badTaskId.toString(), "part must be a job id, a slash and a task index, but is j-000412"),
+                Arguments.of(badStage.toString(), "stage must be fetching, running, saving or ended, but is paused"),
                 Arguments.of(badEntry.toString(), "an entry of parts is not an object"),
+                Arguments.of(
+                        longTaskId.toString(),
+                        "part must be a job id, a slash and a task index, but is a string of 101 characters"),
+                Arguments.of(
+                        longStage.toString(),
+                        "stage must be fetching, running, saving or ended, but is a string of 101 characters"),
                 Arguments.of(completeHeartbeat() + "{}", "unexpected data after the heartbeat"));
     }
 
+    static Stream<Arguments> malformedHeartbeats() {
+        ObjectNode badAttempt = completeHeartbeat();
+        task(badAttempt, 0).put("try", 1.5);
+        return Stream.of(
+                Arguments.of(badAttempt.toString(), "try is not a non-negative integer"),
+                Arguments.of(completeHeartbeat().put("host", 1.5).toString(), "host is not a string"),
+                Arguments.of(completeHeartbeat().put("watch", -1).toString(), "watch is not a non-negative integer"),
+                Arguments.of(completeHeartbeat().put("parts", 1).toString(), "parts is not an array"),
+                Arguments.of("", "not a JSON object"),
+                Arguments.of("[]", "not a JSON object"),
+                Arguments.of("{", "invalid JSON"),
+                Arguments.of("{\"host\":", "invalid JSON"));
+    }
+
     private static ObjectNode task(ObjectNode heartbeat, int index) {
         return (ObjectNode) heartbeat.path("parts").get(index);
     }
 
     @ParameterizedTest
-    @MethodSource("rejectionReasons")
+    @MethodSource({"rejectionReasons", "malformedHeartbeats"})
     void rejectedHeartbeatReportsReason(String heartbeat, String reason) {
         byte[] body = heartbeat.getBytes(StandardCharsets.UTF_8);
         assertEquals(
