--- a/src/main/java/org/spruceridge/election/Campaign.java
+++ b/src/main/java/org/spruceridge/election/Campaign.java
@@ -16,8 +16,9 @@
 import org.spruceridge.upgrade.StoredFeatureLevel;
 
 /**
- * One attempt to become the leader. Creates a lease, reads the feature level and the last term, and then writes the
- * leader key and the next term in a transaction that is conditional on everything read.
+ * One attempt of this node to become the leader. Creates a lease, and reads the cluster feature level and the last
+ * term. Then writes the leader key and the next term in one transaction. The transaction is executed only if the
+ * feature level, the leader key and the term are still at their expected revisions.
  */
 final class Campaign {
     private static final long RETRY_DELAY_NANOS = Durations.millis(250);
@@ -39,7 +40,8 @@
 
     /**
      * Creates a campaign that succeeds only if the leader key is still at {@code expectedLeaderRevision} (0 if absent).
-     * {@code onComplete} receives the win, or empty if the campaign was lost or refused or its outcome remains unknown.
+     * {@code onComplete} receives the win. It receives empty if the campaign failed, or if its outcome was still
+     * unknown when the lease became invalid.
      */
     Campaign(
             ElectionContext context,
@@ -71,7 +73,7 @@
             if (levelResult.isOk()) {
                 readTerm(lease, levelResult.value());
             } else {
-                abandon(lease); // this node could misread records written by other nodes
+                abandon(lease); // at an unknown level, this node could misread records of other nodes
             }
         }));
     }
@@ -104,7 +106,7 @@
             } else if (result.outcome() == TransactionResult.Outcome.UNKNOWN && lease.isValid()) {
                 scope.after(RETRY_DELAY_NANOS, () -> compareAndSwap(transaction, record, lease, level));
             } else {
-                abandon(lease); // the leader key shows who leads, even if this transaction was executed
+                abandon(lease); // if the transaction was executed after all, the leader key will show it
             }
         }));
     }
--- a/src/main/java/org/spruceridge/election/Candidate.java
+++ b/src/main/java/org/spruceridge/election/Candidate.java
@@ -12,7 +12,7 @@
         return new LeaderRecord(hostName, incarnation, term);
     }
 
-    /** True if this host wrote the record, in this process or an earlier one. */
+    /** True if a process on this host wrote the record: this process or an earlier one. */
     boolean hasSameHost(LeaderRecord record) {
         return record.hostName().equals(hostName);
     }
--- a/src/main/java/org/spruceridge/election/Election.java
+++ b/src/main/java/org/spruceridge/election/Election.java
@@ -17,9 +17,9 @@
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 
 /**
- * Elects the leader. Watches the leader key, campaigns when the key is absent, and steps down when the key names
- * another leader or the lease has expired. The term that a campaign writes is the fencing token of all the leader's
- * commands.
+ * Elects the leader. Watches the leader key and campaigns when the key is absent. Steps down when the key no longer
+ * names this node and its term, or when the lease has expired. The term number that a campaign writes is the fencing
+ * token of all commands of the leader.
  */
 public final class Election {
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
@@ -29,7 +29,7 @@
         /** Called when this node has become the leader. */
         void leadershipAcquired(LeaderTerm leaderTerm);
 
-        /** Called when this node is no longer the leader. */
+        /** Called when this node has stopped being the leader, except after {@link Election#stop}. */
         void leadershipLost();
     }
 
@@ -75,21 +75,27 @@
         leadership = Optional.empty();
     }
 
-    /** True while this node may act as leader, that is, while its lease is guaranteed not to have expired. */
+    /**
+     * True while this node is the leader and its lease is guaranteed not to have expired. At any other time, this node
+     * must not act as the leader.
+     */
     public boolean isLeader() {
         return leadership.isPresent() && leadership.get().lease().isValid();
     }
 
-    /** The host name of the recorded leader, as last read; empty if there is none. */
+    /**
+     * The host name of the leader according to the last known leader key; empty if the key was absent or not yet read.
+     */
     public Optional<String> leaderName() {
         return knownLeader.map(LeaderRecord::hostName);
     }
 
     /**
-     * Ends this node's term voluntarily, for example because the stored records differ from what it last wrote. This
-     * node does not campaign again for one lease TTL, so that other nodes can be elected first.
+     * Ends this node's term before the lease expires, for example because stored records differ from those that this
+     * node last wrote. Does nothing if this node is not the leader. This node does not campaign again for one lease
+     * TTL, which gives other nodes time to be elected first.
      *
-     * @param reason the cause, for the log
+     * @param reason the cause, written to the log
      */
     public void resign(String reason) {
         if (leadership.isEmpty()) {
@@ -106,7 +112,7 @@
     private void leaderKeyObserved(LeaderKeyState keyState) {
         if (leadership.isPresent()
                 && keyState.revision() <= leadership.get().term().leaderRevision()) {
-            return; // observed before this node won
+            return; // the state is not newer than the key that this node wrote when it won
         }
         Optional<LeaderRecord> record = keyState.record();
         updateKnownLeader(record);
@@ -122,7 +128,8 @@
         if (record.isEmpty()) {
             campaign(0);
         } else if (candidate.hasSameIncarnation(record.get())) {
-            // A campaign with an unknown outcome did succeed. Its lease has been revoked or is about to expire.
+            // This process wrote the key in a campaign whose outcome was unknown. The lease of that campaign has been
+            // revoked or expires soon.
             campaign(keyState.modRevision());
         } else if (candidate.hasSameHost(record.get())) {
             deleteKeyOfEarlierIncarnation(keyState.modRevision());
@@ -145,9 +152,10 @@
     }
 
     /**
-     * Deletes a leader key that an earlier process on this host wrote. A host runs one process at a time, so that
-     * process has ended and there is no need to wait for its lease to expire. Nodes that did not restart campaign first
-     * because they can take over faster.
+     * Deletes a leader key that an earlier process on this host wrote. Only one process at a time runs on a host. The
+     * earlier process has therefore ended, and this node need not wait for its lease to expire. If there are other
+     * nodes, this node delays its own campaign by one renewal interval, because a node that did not restart can take
+     * over faster.
      */
     private void deleteKeyOfEarlierIncarnation(long modRevision) {
         long intervalNanos = context.leaseTimes().renewalIntervalNanos();
--- a/src/main/java/org/spruceridge/election/ElectionDependencies.java
+++ b/src/main/java/org/spruceridge/election/ElectionDependencies.java
@@ -9,9 +9,9 @@
 /**
  * The services that an election uses.
  *
- * @param state the state service, which holds the leader key and executes the compare-and-swap
- * @param featureLevel read by each campaign, so that a node leads only if it supports the current level
- * @param random generates this process's incarnation and the jitter of retries
+ * @param state the state service, which holds the leader key and executes the compare-and-swap of a campaign
+ * @param featureLevel the cluster feature level; each campaign reads it, because only a node that supports it can lead
+ * @param random generates the incarnation of this process and the jitter of retry delays
  */
 public record ElectionDependencies(
         Loop loop,
--- a/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
+++ b/src/main/java/org/spruceridge/election/LeaderKeyWatcher.java
@@ -17,13 +17,17 @@
 import org.spruceridge.state.Listing;
 import org.spruceridge.state.StateClient;
 
-/** Reads the leader key and watches it from the revision of that read; starts again with a read after a failure. */
+/**
+ * Reads the leader key and watches it from the revision of that read. Reads the key again after a failed read or watch.
+ */
 final class LeaderKeyWatcher {
     private static final double WATCH_TIMEOUT_S = 20;
-    /** A retry is delayed by this time plus a random jitter of up to the same length. */
+    /** The minimum delay of a retry; a random jitter of up to the same length is added to it. */
     private static final long RETRY_DELAY_NANOS = Durations.millis(250);
 
-    /** Replaces a record that cannot be parsed; no node has this host name. */
+    /**
+     * Stands for a leader record that cannot be parsed. No node has an empty host name, so the record names no node.
+     */
     private static final LeaderRecord UNREADABLE = new LeaderRecord("", "", 0);
 
     private final CancellationScope scope;
@@ -46,7 +50,7 @@
         this.observer = observer;
     }
 
-    /** Reads the key and starts watching it from that revision. */
+    /** Reads the key and watches it from the revision of this read. Ends any earlier watch. */
     void read() {
         watch.cancel();
         state.list(StateKeys.LEADER, Priority.LEASE_RENEWAL, scope.guard(listingResult -> {
--- a/src/main/java/org/spruceridge/election/LeaderLease.java
+++ b/src/main/java/org/spruceridge/election/LeaderLease.java
@@ -8,8 +8,8 @@
 import org.spruceridge.state.StateResult;
 
 /**
- * A state service lease to which the leader key is attached. It is treated as valid only until shortly before the
- * service could expire it, even if the clocks of the node and the service drift apart.
+ * A lease of the state service to which the leader key is attached. This node treats the lease as expired shortly
+ * before the state service can expire it, even if the clocks of the node and of the service drift apart.
  */
 final class LeaderLease {
     private final Loop loop;
@@ -29,7 +29,7 @@
         this.validUntilNanos = times.validUntilNanos(sentAtNanos);
     }
 
-    /** Creates a lease; {@code onCreated} receives empty if the state service did not confirm it. */
+    /** Creates a lease. {@code onCreated} receives empty if the state service did not confirm the creation. */
     static void create(ElectionContext context, Consumer<Optional<LeaderLease>> onCreated) {
         long sentAtNanos = context.loop().nanos();
         context.state()
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Renews the lease periodically until renewals are stopped or the state service reports that the lease has expired.
-     * {@code onExpired} runs in the latter case.
+     * Renews the lease periodically until {@link #stopRenewing} or {@link #revoke} is called. If the state service
+     * reports that the lease has expired, the renewals end and {@code onExpired} runs.
      */
     void keepRenewed(Runnable onExpired) {
         scope.after(times.renewalIntervalNanos(), () -> renew(onExpired));
@@ -79,7 +79,7 @@
         }));
     }
 
-    /** Stops renewing the lease and lets it expire. */
+    /** Stops renewing the lease without revoking it; the lease then expires in the state service. */
     void stopRenewing() {
         renewalsStopped = true;
     }
--- a/src/main/java/org/spruceridge/election/LeaseTimes.java
+++ b/src/main/java/org/spruceridge/election/LeaseTimes.java
@@ -11,7 +11,7 @@
  * @param renewalIntervalNanos the time between two renewals
  */
 record LeaseTimes(long ttlNanos, long renewalIntervalNanos) {
-    /** The fraction of the TTL left unused to allow for rounding and late timers. */
+    /** The fraction of the TTL that is left unused as a margin for rounding and late timers. */
     private static final double SAFETY_MARGIN_RATIO = 0.03;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -31,7 +31,10 @@
         return renewalIntervalNanos / 4;
     }
 
-    /** The end of the guaranteed validity of a lease whose creation or renewal was sent at {@code sentAtNanos}. */
+    /**
+     * The time until which a lease is guaranteed to be valid if its creation or renewal was sent at
+     * {@code sentAtNanos}.
+     */
     long validUntilNanos(long sentAtNanos) {
         return sentAtNanos + (long) (ttlNanos * (1 - Durations.MAX_CLOCK_DRIFT_RATIO - SAFETY_MARGIN_RATIO));
     }
--- a/src/test/java/org/spruceridge/election/ElectionTest.java
+++ b/src/test/java/org/spruceridge/election/ElectionTest.java
@@ -30,7 +30,8 @@
 import org.spruceridge.upgrade.ClusterFeatureLevel;
 
 /**
- * An election writes records in the production format, and the leader lease is valid for exactly its permitted time.
+ * Tests that a won election writes its records in the production format. Also tests that the leader lease is valid for
+ * exactly its TTL less the safety margins.
  */
 final class ElectionTest {
     private static final Settings SETTINGS = Fixtures.settings(
@@ -44,7 +45,7 @@
             Durations.nanos(22 * POLICY.leadership().ttlWorkerLeases());
     private static final long RENEWAL_INTERVAL_NANOS =
             (long) (TTL_NANOS / POLICY.leadership().renewalsPerTtl());
-    /** The TTL less 3% for late timers and 0.05% for clock drift. */
+    /** The TTL less 3% for rounding and late timers and less 0.05% for clock drift. */
     private static final long VALIDITY_NANOS = (long) (TTL_NANOS * (1 - 0.0005 - 0.03));
 
     private static final long LATENCY_NANOS = Durations.millis(5);
@@ -104,7 +105,7 @@
         assertTrue(election.isLeader());
     }
 
-    /** Asserts that the node may act as leader one nanosecond before the expiry and not at the expiry itself. */
+    /** Asserts that the node is the leader one nanosecond before the expiry and is not the leader at the expiry. */
     private void assertLeaseExpiresAt(long expiryNanos) {
         List<Boolean> leaderBeforeAndAtExpiry = new ArrayList<>();
         loop.after(expiryNanos - 1 - loop.nanos(), () -> leaderBeforeAndAtExpiry.add(election.isLeader()));
@@ -145,7 +146,7 @@
     }
 
     @Test
-    void unansweredRenewalIsRetriedAfterQuarterOfInterval() {
+    void failedRenewalIsRetriedAfterQuarterOfInterval() {
         runUntilElected();
         stateServiceUnreachable = true;
         loop.run(Durations.seconds(2 * RENEWAL_INTERVAL_NANOS));
