--- a/src/main/java/org/spruceridge/failover/CancelledJobsReader.java
+++ b/src/main/java/org/spruceridge/failover/CancelledJobsReader.java
@@ -11,9 +11,9 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.StateResult;
 
-/** Reads job records individually, with a bounded number of concurrent reads. */
+/** Reads job records with one request for each job and a limited number of concurrent requests. */
 final class CancelledJobsReader {
-    /** High enough for a slow state service, and low enough to let lease renewals through between the reads. */
+    /** High enough for a slow state service, and low enough that lease renewals are sent between the reads. */
     private static final int MAX_CONCURRENT_READS = 16;
 
     private final CancellationScope scope;
@@ -24,7 +24,8 @@
     private int pendingReads;
 
     /**
-     * {@code onJobRecord} receives the id and entry of each job that has a record; {@code onComplete} runs once, last.
+     * {@code onJobRecord} receives the id and entry of each job that has a record. {@code onComplete} runs once, after
+     * the last read.
      */
     CancelledJobsReader(
             CancellationScope scope, StateClient state, BiConsumer<String, Entry> onJobRecord, Runnable onComplete) {
--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -22,7 +22,10 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.term.LeaderTerm;
 
-/** Converts records to jobs, machines and bindings. Records that cannot be parsed are skipped with a warning. */
+/**
+ * Converts stored records to the jobs, machines and bindings of a new term. Logs a warning for a record that cannot be
+ * parsed and skips the record.
+ */
 final class ClusterStateBuilder {
     private final Loop loop;
     private final Cluster cluster;
@@ -68,7 +71,7 @@
                 records.finishedTasks().restorePage(entry.key(), entry.modRevision());
         for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(entry.value(), records.baseChunkSize())) {
             Job job = cluster.job(chunk.job());
-            if (job != null) { // otherwise the job has ended and the next write of the page omits it
+            if (job != null) { // otherwise the job has ended, and the next write of the page omits the chunk
                 records.restoreFinishedTasks(job, chunk.first(), chunk.tasks(), page);
             }
         }
@@ -87,7 +90,7 @@
         return machines;
     }
 
-    /** The sorted ids of the jobs that have bound tasks but no open entry. */
+    /** The ids of the jobs that have bound tasks but no open entry, in sorted order. */
     Set<String> jobsWithoutOpenEntry(List<RecordedMachine> machines) {
         Set<String> jobIds = new TreeSet<>();
         for (RecordedMachine machine : machines) {
@@ -101,8 +104,8 @@
     }
 
     /**
-     * Adds a job that has bound tasks but no open entry, which means that it was cancelled. The cancellation time is
-     * taken from the record so that a failover does not extend the time limit for stopping the job's tasks.
+     * Adds a job that has bound tasks but no open entry, which means that the job was cancelled. The cancellation time
+     * comes from the record. Otherwise, each failover would extend the time limit for stopping the tasks of the job.
      */
     void addCancelledJob(String jobId, Entry entry) {
         try {
@@ -117,7 +120,7 @@
         }
     }
 
-    /** Seconds since the earliest cancellation among the added cancelled jobs, 0 if there are none. */
+    /** The time since the earliest cancellation among the added cancelled jobs, in seconds; 0 if there are none. */
     double oldestCancellationAgeS() {
         return cancelledJobs.stream()
                 .mapToDouble(job -> Durations.secondsSince(job.cancelledAt(), loop.nanos()))
@@ -130,7 +133,7 @@
         BindingsRecord.MachineBindings record = recorded.record();
         Machine machine = cluster.machine(record.name());
         if (machine == null) {
-            // A previous leader may have answered this machine's heartbeats at any time until the election.
+            // A previous leader can have renewed the lease of this machine until the election.
             machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.electedAtNanos());
             machine.expectHeartbeats();
             cluster.add(machine);
@@ -152,8 +155,8 @@
     }
 
     /**
-     * Sets the time at which this leader learned of the cancellations to now. Only now that all bindings are known can
-     * a heartbeat prove that the tasks of a cancelled job have stopped.
+     * Sets the time at which this leader learned of the cancellations to the current time. A heartbeat can prove that
+     * the tasks of a cancelled job have stopped only after all bindings are known.
      */
     void markCancellationsLearned() {
         for (Job job : cancelledJobs) {
--- a/src/main/java/org/spruceridge/failover/Failover.java
+++ b/src/main/java/org/spruceridge/failover/Failover.java
@@ -17,7 +17,7 @@
 /**
  * Rebuilds the cluster state of a new term from the records in the state service. All reads are sent after the
  * election, so a previous leader can no longer change the records. Only submissions and cancellations by users can
- * still change them, and the job watch delivers those.
+ * still change the records. The job watch delivers those changes.
  */
 public final class Failover {
     /** The delay before a failed read is retried. */
@@ -37,11 +37,13 @@
 
         /**
          * Called when all jobs that were open at {@code asOfNanos} are in the cluster state. Tasks of any other job
-         * must be stopped.
+         * must be stopped. {@code asOfNanos} is on the monotonic clock.
          */
         void openJobsLoaded(long asOfNanos);
 
-        /** Called when the cluster state is complete; the caller must watch job changes from this revision. */
+        /**
+         * Called when the cluster state is complete. The listener must then watch job changes from {@code revision}.
+         */
         void completed(long revision);
     }
 
@@ -54,7 +56,7 @@
         this.clusterState = new ClusterStateBuilder(context, records);
     }
 
-    /** Reads all records, starting with the open jobs. */
+    /** Reads the open jobs first, then the finished tasks, the bindings and the cancelled jobs. */
     public void start(Listener progressListener) {
         listener = progressListener;
         long startedAtNanos = loop.nanos();
--- a/src/main/java/org/spruceridge/failover/FailoverStep.java
+++ b/src/main/java/org/spruceridge/failover/FailoverStep.java
@@ -5,13 +5,13 @@
     /** The duration of the step in nanoseconds. */
     long durationNanos();
 
-    /** The keys under a prefix were listed. */
-    record ListingRead(String prefix, int entries, long bytes, long durationNanos) implements FailoverStep {}
+    /** The entries under a key prefix were listed; {@code bytes} is the size of the listing. */
+    record ListingRead(String prefix, int entryCount, long bytes, long durationNanos) implements FailoverStep {}
 
     /**
      * The records of cancelled jobs that still have bound tasks were read.
      *
-     * @param oldestAgeS the seconds since the earliest of these cancellations, 0 if there is none
+     * @param oldestAgeS the time since the earliest of these cancellations, in seconds; 0 if there are none
      */
-    record CancelledJobsRead(int jobs, double oldestAgeS, long durationNanos) implements FailoverStep {}
+    record CancelledJobsRead(int jobCount, double oldestAgeS, long durationNanos) implements FailoverStep {}
 }
--- a/src/main/java/org/spruceridge/leader/ClusterStatus.java
+++ b/src/main/java/org/spruceridge/leader/ClusterStatus.java
@@ -5,14 +5,12 @@
 import org.spruceridge.cluster.Machine;
 import org.spruceridge.cluster.MachineType;
 
-/**
- * A snapshot of cluster statistics. Machines that have not sent a heartbeat yet are counted only as booting.
- */
-record ClusterStatus(int jobs, int waitingTasks, MachineCounts machines, double usedCpus, double totalCpus) {
+/** A snapshot of cluster statistics. A machine that has not sent a heartbeat yet is counted only as booting. */
+record ClusterStatus(int jobCount, int waitingTaskCount, MachineCounts machines, double usedCpus, double totalCpus) {
 
     /**
-     * Machine counts. Idle and leaving machines are also counted as on-demand or spot; leaving machines are those that
-     * are terminating or unschedulable.
+     * Machine counts. An idle or leaving machine is also counted as on-demand or spot. A machine is leaving if it is
+     * terminating or unschedulable.
      */
     record MachineCounts(int onDemand, int spot, int booting, int idle, int leaving) {}
 
--- a/src/main/java/org/spruceridge/leader/HeartbeatResponder.java
+++ b/src/main/java/org/spruceridge/leader/HeartbeatResponder.java
@@ -29,15 +29,15 @@
         this.responseWithoutCommands = WorkerCommand.heartbeatResponse(term, List.of());
     }
 
-    /** Starts to reconcile heartbeats with the cluster state, which is now complete. */
+    /** Called when the cluster state is complete. Later heartbeats are reconciled with it. */
     void failoverCompleted() {
         duringFailover = false;
         heartbeatHandler.failoverCompleted();
     }
 
     /**
-     * Handles a heartbeat. During the failover, a heartbeat only renews the worker's lease and stops tasks of jobs that
-     * are not open. Returns empty if the worker must not be answered, so that its lease expires.
+     * Handles a heartbeat. During the failover, the response only renews the lease of the worker and stops tasks of
+     * jobs that are not open. Returns empty if the worker must not be answered because its lease must expire.
      */
     Optional<Response> respond(WorkerHeartbeat heartbeat) {
         if (duringFailover) {
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -38,8 +38,8 @@
 import org.spruceridge.worker.WorkerHeartbeat;
 
 /**
- * The leader during one term. Connects the components, starts them when the failover is complete, and stops them at the
- * end of the term.
+ * The leader during one term. Creates and connects the components, starts them when the failover is complete, and stops
+ * them at the end of the term.
  */
 public final class Leader {
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
@@ -47,7 +47,7 @@
 
     /**
      * The maximum time between two scheduling cycles, in heartbeat intervals. Cycles are needed even without new
-     * events, because the passage of time alone changes scores and makes machines suspect.
+     * events, because scores change and machines become suspect as time passes.
      */
     private static final double MAX_CYCLE_INTERVAL_HEARTBEATS = 1.0;
 
@@ -110,10 +110,10 @@
     }
 
     /**
-     * Connects the components; nothing is sent before {@link #start}.
+     * Creates and connects the components. Sends nothing before {@link #start}.
      *
      * @param allMembersSupportNextLevel whether all members in the settings have announced this version's level
-     * @param resign ends the term; receives a reason for the log
+     * @param resign ends the term; its argument is the reason, written to the log
      */
     public Leader(
             LeaderContext context,
@@ -157,7 +157,7 @@
         return new Matching(context.settings(), context.policy(), maxBindingsPerMachine);
     }
 
-    /** Starts the failover, and all other components when it is complete. */
+    /** Starts the failover. All other components start when the failover is complete. */
     public void start() {
         failover.start(new FailoverListener());
     }
@@ -187,14 +187,14 @@
                     "failover listing read term={} path={} count={} bytes={} durationMs={}",
                     term.term(),
                     listing.prefix(),
-                    listing.entries(),
+                    listing.entryCount(),
                     listing.bytes(),
                     durationMs);
         } else if (step instanceof FailoverStep.CancelledJobsRead cancelled) {
             LOG.info(
                     "failover cancelled jobs read term={} count={} ageS={} durationMs={}",
                     term.term(),
-                    cancelled.jobs(),
+                    cancelled.jobCount(),
                     cancelled.oldestAgeS(),
                     durationMs);
         }
@@ -221,7 +221,7 @@
         return cluster;
     }
 
-    /** True while this leader's view of cancelled jobs is recent enough for it to answer workers. */
+    /** True while this leader's view of cancelled jobs is recent enough to answer worker heartbeats. */
     public boolean mayAnswerWorkers() {
         return jobWatcher.isUpToDate();
     }
@@ -231,13 +231,14 @@
         return heartbeatResponder.respond(heartbeat);
     }
 
-    /** Called when heartbeats arrive faster than this node can handle them and some were dropped unread. */
+    /** Called when this node has dropped heartbeats unread, because they arrived faster than it can handle them. */
     public void heartbeatsDropped() {
         autoscaler.recordOverload();
     }
 
     /**
-     * Called when another node has confirmed this job's cancellation to a user, which the job watch may deliver later.
+     * Called when another node has confirmed the cancellation of this job to a user. The job watch can deliver the same
+     * cancellation later. Does nothing before the failover is complete.
      */
     public void jobCancelled(String jobId) {
         Job job = cluster.job(jobId);
@@ -246,7 +247,10 @@
         }
     }
 
-    /** Adopts machine types known to this node, unless the autoscaler has already read them from the cloud. */
+    /**
+     * Adopts the machine types that this node already knows, unless the autoscaler has already read them from the
+     * cloud.
+     */
     public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
         if (cluster.types().isEmpty()) {
             cluster.updateTypes(types);
@@ -254,8 +258,10 @@
     }
 
     /**
-     * Writes the term, the age of the cancellation view, and the age of the oldest stop that is not yet proven; ages
-     * are in seconds.
+     * Writes the number of the term and two ages in seconds. {@code viewAgeS} is the age of the leader's view of
+     * cancelled jobs; it is omitted if the view has never been complete. {@code oldestUnprovenStopS} is the time since
+     * the earliest cancellation of a job that has a task not yet proven to be gone from its machine; 0 if there is
+     * none.
      */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
--- a/src/main/java/org/spruceridge/leader/StatusLogger.java
+++ b/src/main/java/org/spruceridge/leader/StatusLogger.java
@@ -8,7 +8,7 @@
 import org.spruceridge.persistence.RecordWriter;
 import org.spruceridge.term.LeaderContext;
 
-/** Periodically logs the cluster status on one line for on-call engineers. */
+/** Logs the cluster status periodically, on one line, for on-call engineers. */
 final class StatusLogger {
     private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
     private static final long INTERVAL_NANOS = Durations.nanos(15);
@@ -35,8 +35,8 @@
                 "cluster status term={} jobs={} waitingTasks={} onDemandMachines={} spotMachines={} bootingMachines={}"
                         + " idleMachines={} leavingMachines={} usedCpus={} totalCpus={} pendingWrites={}",
                 term,
-                status.jobs(),
-                status.waitingTasks(),
+                status.jobCount(),
+                status.waitingTaskCount(),
                 status.machines().onDemand(),
                 status.machines().spot(),
                 status.machines().booting(),
--- a/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
+++ b/src/main/java/org/spruceridge/term/HeartbeatOutcome.java
@@ -12,11 +12,11 @@
     REDIRECTED,
     /** Refused, because no leader is known. */
     NO_LEADER,
-    /** Refused by the leader, because its view of cancellations is too old. */
+    /** Refused by the leader, because its view of cancelled jobs is too old. */
     STALE_VIEW,
     /** Refused, because the worker has seen a newer term. */
     NEWER_TERM,
-    /** Refused, so that the lease of an unresponsive worker expires. */
+    /** Refused by the leader, to let the lease of an unresponsive worker expire. */
     RESPONSE_WITHHELD,
     /** Refused, because it cannot be parsed. */
     UNREADABLE
--- a/src/main/java/org/spruceridge/term/LeaderContext.java
+++ b/src/main/java/org/spruceridge/term/LeaderContext.java
@@ -44,7 +44,7 @@
                 services.metrics());
     }
 
-    /** Returns a copy of this context with another cluster state. */
+    /** Returns a copy of this context that has {@code other} as its cluster state. */
     public LeaderContext withCluster(Cluster other) {
         return new LeaderContext(loop, scope, settings, policy, other, term, isLeader, warnings, latencies, metrics);
     }
--- a/src/main/java/org/spruceridge/term/LeaderMetrics.java
+++ b/src/main/java/org/spruceridge/term/LeaderMetrics.java
@@ -7,7 +7,7 @@
 /** Counts worker heartbeats by outcome and measures failover durations, over all terms of this process. */
 public final class LeaderMetrics {
     private final long[] heartbeatsByOutcome = new long[HeartbeatOutcome.values().length];
-    private long failovers;
+    private long failoverCount;
     private long lastFailoverNanos;
     private long longestFailoverNanos;
 
@@ -16,9 +16,9 @@
         heartbeatsByOutcome[outcome.ordinal()]++;
     }
 
-    /** Records a completed failover; the duration is the time since the election. */
+    /** Records a completed failover; {@code durationNanos} is the time since this node won the election. */
     public void failoverCompleted(long durationNanos) {
-        failovers++;
+        failoverCount++;
         lastFailoverNanos = durationNanos;
         longestFailoverNanos = Math.max(longestFailoverNanos, durationNanos);
     }
@@ -31,7 +31,7 @@
             outcomes.put(name, heartbeatsByOutcome[outcome.ordinal()]);
         }
         out.putObject("failovers")
-                .put("count", failovers)
+                .put("count", failoverCount)
                 .put("lastS", Durations.seconds(lastFailoverNanos))
                 .put("longestS", Durations.seconds(longestFailoverNanos));
     }
--- a/src/main/java/org/spruceridge/term/LeaderTerm.java
+++ b/src/main/java/org/spruceridge/term/LeaderTerm.java
@@ -12,7 +12,9 @@
  * @param featureLevel the cluster feature level at the time of the election
  */
 public record LeaderTerm(long term, long leaderRevision, long electedAtNanos, StoredFeatureLevel featureLevel) {
-    /** Creates a term of a cluster in which all nodes run this version. */
+    /**
+     * Creates a term at the highest feature level that this version supports, as in a cluster of nodes of this version.
+     */
     public LeaderTerm(long term, long leaderRevision, long electedAtNanos) {
         this(term, leaderRevision, electedAtNanos, new StoredFeatureLevel(FeatureLevel.SUPPORTED, 1));
     }
