--- a/src/main/java/org/spruceridge/persistence/BatchSender.java
+++ b/src/main/java/org/spruceridge/persistence/BatchSender.java
@@ -8,8 +8,9 @@
 import org.spruceridge.state.TransactionResult;
 
 /**
- * Retries a transaction unchanged until its outcome is known. A conflict after an unknown outcome may be caused by an
- * earlier attempt of the same transaction; the value of one of its keys shows whether an attempt was committed.
+ * Retries a transaction unchanged until its outcome is known. After an attempt with an unknown outcome, a conflict can
+ * mean that this attempt was committed. The value of one of the written keys then shows whether any attempt was
+ * committed.
  */
 final class BatchSender {
     static final long INITIAL_RETRY_DELAY_NANOS = Durations.millis(100);
@@ -25,7 +26,7 @@
 
         void onBatchConflict(WriteBatch batch, ImmutableList<String> conflictingKeys);
 
-        /** Called when the state service rejects the transaction permanently. */
+        /** Called when the state service rejects the transaction and a retry cannot succeed. */
         void onBatchRejected();
     }
 
--- a/src/main/java/org/spruceridge/persistence/CompletedJobs.java
+++ b/src/main/java/org/spruceridge/persistence/CompletedJobs.java
@@ -9,12 +9,16 @@
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.state.Transaction;
 
-/** The jobs that one transaction records as done by replacing their records and deleting their open entries. */
+/**
+ * The jobs that one transaction records as done. The transaction replaces their records and deletes their open entries.
+ */
 final class CompletedJobs {
-    /** One operation for the job record and one for the open entry. */
+    /** One operation replaces the job record and one deletes the open entry. */
     static final int OPERATIONS_PER_JOB = 2;
-    /** The space in a transaction's body for the records of completed jobs, in addition to the pages. */
-    private static final int MAX_BYTES = 10 << 10;
+    /**
+     * The maximum total size of the records of completed jobs in one transaction, in addition to the size of its pages.
+     */
+    private static final int MAX_TOTAL_RECORD_BYTES = 10 << 10;
 
     private final Map<Job, JsonNode> records = new LinkedHashMap<>();
     private int bytes;
@@ -36,7 +40,7 @@
     }
 
     boolean hasRoomFor(int recordBytes) {
-        return bytes + recordBytes <= MAX_BYTES;
+        return bytes + recordBytes <= MAX_TOTAL_RECORD_BYTES;
     }
 
     void add(Job job, JsonNode record, int recordBytes) {
--- a/src/main/java/org/spruceridge/persistence/PageIndex.java
+++ b/src/main/java/org/spruceridge/persistence/PageIndex.java
@@ -12,7 +12,8 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Maps items to pages. A page is a record that holds many items, which share its mod revision.
+ * Maps items to pages. A page is a record that holds many items. All items of a page share the mod revision of the
+ * record.
  */
 public final class PageIndex<T> {
     private final String prefix;
@@ -20,7 +21,7 @@
     private final ToIntFunction<Collection<T>> measureBytes;
     private final Map<T, Page<T>> pageByItem = new HashMap<>();
     private final List<Page<T>> pages = new ArrayList<>();
-    private final Map<Page<T>, Integer> sizes = new HashMap<>();
+    private final Map<Page<T>, Integer> sizeByPage = new HashMap<>();
     private final Set<Page<T>> oversizedPages = new LinkedHashSet<>();
     private int lastPageNumber;
 
@@ -28,7 +29,7 @@
     public static final class Page<T> {
         private final String key;
         private final Set<T> items = new LinkedHashSet<>();
-        /** Cached so that lookups on the hot path do not allocate. */
+        /** Cached to avoid an allocation in each lookup on the hot path. */
         private final Optional<Page<T>> asOptional = Optional.of(this);
 
         private long modRevision;
@@ -46,7 +47,7 @@
             return items;
         }
 
-        /** The revision of the last write, 0 if the page has never been written. */
+        /** The revision of the last write of this page; 0 if the page has never been written. */
         long modRevision() {
             return modRevision;
         }
@@ -56,7 +57,10 @@
         }
     }
 
-    /** {@code measureBytes} returns the maximum encoded size of a page's items; {@code capacity} is in bytes. */
+    /**
+     * {@code measureBytes} returns the maximum encoded size of a collection of items. {@code capacity} is the maximum
+     * size of a page in bytes.
+     */
     PageIndex(String prefix, int capacity, ToIntFunction<Collection<T>> measureBytes) {
         this.prefix = prefix;
         this.capacity = capacity;
@@ -75,7 +79,7 @@
         return pages.size();
     }
 
-    /** The page that holds the item, if there is one. */
+    /** The page that holds the item; empty if the item is on no page. */
     Optional<Page<T>> pageOf(T item) {
         Page<T> page = pageByItem.get(item);
         return page == null ? Optional.empty() : page.asOptional;
@@ -89,42 +93,42 @@
         remove(item);
         pageByItem.put(item, page);
         page.items.add(item);
-        sizes.remove(page);
+        sizeByPage.remove(page);
     }
 
-    /** Removes an item that needs no record any more; the next write of its page omits it. */
+    /** Removes an item that no longer needs a record. The next write of its page omits the item. */
     void remove(T item) {
         Page<T> page = pageByItem.remove(item);
         if (page != null) {
             page.items.remove(item);
-            sizes.remove(page);
+            sizeByPage.remove(page);
         }
     }
 
     /**
-     * Discards the cached page sizes after the sizes of items have changed. Between two calls each page is measured
-     * once, however many items look for room. Measuring pages for each of thousands of bindings used more CPU time
-     * during bursts than the machine has.
+     * Discards the cached page sizes; called after the sizes of items have changed. Until the next call, a page is
+     * measured again only if its items change, however many items look for a page with room. Measuring the pages again
+     * for each of thousands of bindings used more CPU time during bursts than the machine has.
      */
     void invalidateSizes() {
-        sizes.clear();
+        sizeByPage.clear();
     }
 
     private int sizeBytes(Page<T> page) {
-        return sizes.computeIfAbsent(page, p -> measureBytes.applyAsInt(p.items));
+        return sizeByPage.computeIfAbsent(page, p -> measureBytes.applyAsInt(p.items));
     }
 
     boolean exceedsCapacity(Page<T> page) {
         return sizeBytes(page) > capacity;
     }
 
-    /** A copy of the mapping from items to pages. */
+    /** Returns a copy of the mapping from items to pages. */
     Map<T, Page<T>> pagesByItem() {
         return Map.copyOf(pageByItem);
     }
 
-    /** Finds the pages that exceed the capacity and can be split. */
-    void findOversizedPages() {
+    /** Marks the pages that exceed the capacity and can be split. */
+    void markOversizedPages() {
         invalidateSizes();
         pages.stream().filter(this::needsSplit).forEach(oversizedPages::add);
     }
@@ -137,7 +141,10 @@
         return oversizedPages.contains(page);
     }
 
-    /** The first page that must be split before anything else is written to it, if there is one. */
+    /**
+     * Returns the first marked page that must still be split before anything else is written to it; empty if there is
+     * none.
+     */
     Optional<Page<T>> firstOversizedPage() {
         oversizedPages.removeIf(page -> !needsSplit(page));
         return oversizedPages.isEmpty()
@@ -145,7 +152,7 @@
                 : oversizedPages.iterator().next().asOptional;
     }
 
-    /** The first of the candidate pages, other than the item's own, that has room for the item. */
+    /** Returns the first candidate page with room for the item, except the page that already holds the item. */
     Optional<Page<T>> firstPageWithRoom(T item, Iterable<Page<T>> candidates) {
         int maxUsedBytes = capacity - measureBytes.applyAsInt(List.of(item));
         for (Page<T> page : candidates) {
@@ -157,8 +164,8 @@
     }
 
     /**
-     * A page, other than the item's own, that has room for the item: the first preferred page that fits, else the first
-     * of all pages that fits, else a new page.
+     * Returns a page with room for the item, except the page that already holds the item. Prefers the first of
+     * {@code preferred} that has room, then the first of all pages that has room. Adds a new page if no page has room.
      */
     Page<T> pageWithRoomFor(T item, Collection<Page<T>> preferred) {
         Optional<Page<T>> existingPage = firstPageWithRoom(item, Iterables.concat(preferred, pages));
--- a/src/main/java/org/spruceridge/persistence/PageSplitter.java
+++ b/src/main/java/org/spruceridge/persistence/PageSplitter.java
@@ -6,18 +6,24 @@
 import java.util.Set;
 import org.spruceridge.persistence.PageIndex.Page;
 
-/** Moves as many items off an oversized page as one transaction can write. */
+/**
+ * Moves items from an oversized page to other pages until the page fits its capacity or one transaction cannot write
+ * more pages.
+ */
 final class PageSplitter {
     private final int maxPages;
     private final List<Runnable> rollbackActions;
 
-    /** For each move, an action that reverts it is appended to {@code rollbackActions}. */
+    /**
+     * {@code maxPages} is the maximum number of pages that one transaction can write. For each move, the splitter
+     * appends an action to {@code rollbackActions} that reverts the move.
+     */
     PageSplitter(int maxPages, List<Runnable> rollbackActions) {
         this.maxPages = maxPages;
         this.rollbackActions = rollbackActions;
     }
 
-    /** Splits a page and adds the changed pages to {@code writtenPages}. */
+    /** Splits the page {@code from} and adds each changed page to {@code writtenPages}. */
     <T> void split(PageIndex<T> index, Page<T> from, Set<Page<T>> writtenPages) {
         Set<Page<T>> targets = new LinkedHashSet<>();
         writtenPages.add(from);
--- a/src/main/java/org/spruceridge/persistence/PendingWrites.java
+++ b/src/main/java/org/spruceridge/persistence/PendingWrites.java
@@ -24,12 +24,12 @@
         writes.put(binding, WriteKind.BIND);
     }
 
-    /** Adds a release or a completion. An already pending completion is not replaced. */
+    /** Adds a release or a completion. Does not replace a completion that is already pending. */
     void addRelease(Binding binding, WriteKind kind) {
         writes.merge(binding, kind, (waiting, added) -> waiting == WriteKind.COMPLETE ? waiting : added);
     }
 
-    /** Removes the pending bind of this binding; false if there is none. */
+    /** Removes the pending bind of this binding. Returns false if there is none. */
     boolean removeBind(Binding binding) {
         return writes.remove(binding, WriteKind.BIND);
     }
@@ -38,7 +38,10 @@
         writes.remove(binding);
     }
 
-    /** Inserts writes ahead of those pending. If a binding already has a pending write, that one takes precedence. */
+    /**
+     * Inserts earlier writes ahead of the pending writes. If a binding already has a pending write, the pending write
+     * replaces the earlier one.
+     */
     void addFirst(Map<Binding, WriteKind> earlier) {
         Map<Binding, WriteKind> waitingWrites = new LinkedHashMap<>(writes);
         writes.clear();
@@ -47,18 +50,19 @@
     }
 
     /**
-     * Moves the writes that fit into the batch. Writes of services go first, because they are few and each second of
-     * delay matters. The remaining writes are added oldest first, so the oldest writes determine the pages. If releases
-     * went first, a steady stream of them would delay binds on other pages for as long as it lasts.
+     * Moves all writes for which the batch has room into the batch. Writes of services go first, because they are few
+     * and each second of delay matters. The other writes follow, oldest first, so the oldest writes determine which
+     * pages the transaction writes. If releases went first, a steady stream of releases would delay binds on other
+     * pages for as long as the stream lasts.
      */
     void moveInto(WriteBatch batch) {
         writes.entrySet()
                 .removeIf(write ->
-                        write.getKey().job().spec().isService() && add(batch, write.getKey(), write.getValue()));
-        writes.entrySet().removeIf(write -> add(batch, write.getKey(), write.getValue()));
+                        write.getKey().job().spec().isService() && tryAdd(batch, write.getKey(), write.getValue()));
+        writes.entrySet().removeIf(write -> tryAdd(batch, write.getKey(), write.getValue()));
     }
 
-    private static boolean add(WriteBatch batch, Binding binding, WriteKind kind) {
-        return kind == WriteKind.BIND ? batch.bind(binding) : batch.release(binding, kind);
+    private static boolean tryAdd(WriteBatch batch, Binding binding, WriteKind kind) {
+        return kind == WriteKind.BIND ? batch.tryBind(binding) : batch.tryRelease(binding, kind);
     }
 }
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -16,16 +16,21 @@
 import org.spruceridge.record.StateKeys;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** The record pages maintained by this leader: bindings by machine, and finished tasks of unfinished jobs. */
+/**
+ * The record pages that this leader maintains: the bindings of each machine, and the finished tasks of unfinished jobs.
+ */
 public final class RecordPages {
     private static final int MAX_BODY_BYTES = 48 << 10;
-    /** The estimated changes of a transaction besides its pages, for the records of a few completed jobs. */
+    /** The estimated number of changes for the records of a few completed jobs, in addition to the changes of pages. */
     private static final int CHANGES_FOR_COMPLETED_JOBS = 4;
 
     private final int txnOps;
     private final int valueBytes;
     private final int pageBytes;
-    /** The chunk size at the base level; version 0.1 derives it from the current value limit only. */
+    /**
+     * The number of tasks per chunk at the base level. Version 0.1 derives this number from the current value limit and
+     * ignores the next one.
+     */
     private final int baseChunkSize;
 
     private final int smallChunkSize;
@@ -36,7 +41,10 @@
     /** A contiguous range of a job's tasks, starting at {@code firstIndex}, whose completion is recorded together. */
     public record TaskChunk(Job job, int firstIndex) {}
 
-    /** Creates an empty set of pages in the format of a cluster feature level, within the state service's limits. */
+    /**
+     * Creates an empty set of pages. Records have the format of {@code level} and stay within {@code limits}, the
+     * limits of the state service.
+     */
     public RecordPages(Settings.State limits, FeatureLevel level) {
         this.txnOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
@@ -59,7 +67,10 @@
         return finishedTasks;
     }
 
-    /** Discards the cached page sizes, because bindings were added since the last batch. */
+    /**
+     * Discards the cached page sizes; called for each new batch, because bindings can have been added since the
+     * previous batch.
+     */
     void invalidateSizes() {
         bindings.invalidateSizes();
         finishedTasks.invalidateSizes();
@@ -70,8 +81,8 @@
     }
 
     /**
-     * Returns the chunk that contains a task. Chunks never span two base-level chunks, so all tasks of a chunk were on
-     * the same page when the feature level was raised.
+     * Returns the chunk that contains a task. A chunk never spans two chunks of the base level. All tasks of a chunk
+     * were therefore on the same page when the feature level was raised.
      */
     TaskChunk chunkOf(Job job, int taskIndex) {
         int baseChunkStart = taskIndex / baseChunkSize * baseChunkSize;
@@ -99,7 +110,7 @@
         }
     }
 
-    /** Switches new writes to the record format of this level. No transaction may be in flight. */
+    /** Switches new writes to the record format of this level. Must not be called while a transaction is in flight. */
     void raiseLevel(FeatureLevel raised) {
         Map<TaskChunk, Page<TaskChunk>> previousPages = finishedTasks.pagesByItem();
         level = raised;
@@ -111,13 +122,13 @@
                 finishedTasks.assign(new TaskChunk(chunk.job, start), page);
             }
         });
-        finishedTasks.findOversizedPages();
+        finishedTasks.markOversizedPages();
     }
 
-    /** Finds the pages written by an earlier version that are larger than the present limit for writes. */
-    void findOversizedPages() {
-        bindings.findOversizedPages();
-        finishedTasks.findOversizedPages();
+    /** Marks the pages of an earlier version that exceed the size limit for new writes. */
+    void markOversizedPages() {
+        bindings.markOversizedPages();
+        finishedTasks.markOversizedPages();
     }
 
     boolean hasOversizedPages() {
@@ -130,17 +141,18 @@
         return valueBytes;
     }
 
+    /** The maximum number of changes in a transaction. */
     int txnOps() {
         return txnOps;
     }
 
-    /** The maximum number of pages in the body of a transaction. */
+    /** The maximum number of pages that fit into the body of a transaction. */
     int maxPages() {
         return Math.max(2, MAX_BODY_BYTES / pageBytes);
     }
 
     /** The estimated maximum number of changes in the next transaction. */
-    int estimatedChanges() {
+    int estimatedChangeCount() {
         return Math.min(
                 txnOps,
                 Math.min(maxPages(), bindings.pageCount() + finishedTasks.pageCount()) + CHANGES_FOR_COMPLETED_JOBS);
@@ -153,7 +165,7 @@
         }
     }
 
-    /** Removes machines without remaining bindings; {@code released} contains the bindings that were just released. */
+    /** Removes the machines of released bindings from their pages if the machines have no other bindings. */
     void removeIdleMachines(Collection<Binding> released) {
         for (Binding binding : released) {
             if (binding.machine().bindings().isEmpty()) {
@@ -162,12 +174,12 @@
         }
     }
 
-    ObjectNode bindingsPage(String transactionId, Page<Machine> page, Predicate<Binding> isRecorded) {
+    ObjectNode bindingsJson(String transactionId, Page<Machine> page, Predicate<Binding> isRecorded) {
         return BindingsRecord.write(transactionId, page.items(), isRecorded);
     }
 
-    /** Serializes a page of finished tasks, including the tasks completed by this transaction. */
-    ObjectNode finishedPage(String transactionId, Page<TaskChunk> page, Map<TaskChunk, BitSet> completingTasks) {
+    /** Returns a page of finished tasks as JSON, including the tasks that this transaction completes. */
+    ObjectNode finishedJson(String transactionId, Page<TaskChunk> page, Map<TaskChunk, BitSet> completingTasks) {
         return FinishedTasksRecord.write(
                 transactionId,
                 level,
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -23,10 +23,11 @@
 import org.spruceridge.upgrade.FeatureLevel;
 
 /**
- * Records bindings, releases and completions. Writes are batched into transactions, of which one is in flight at a
- * time. A transaction is composed when the rate limiter admits it, from all writes pending at that time. It compares
- * the leader key and the mod revision of every key that it changes. A transaction with an unknown outcome is retried
- * unchanged until the outcome is known; until then the writer accounts for both possible outcomes.
+ * Records bindings, releases and completions. Batches the writes into transactions. Only one transaction is in flight
+ * at a time. When the rate limiter admits a transaction, the writer composes it from the writes that are then pending.
+ * A transaction compares the leader key and the mod revision of every key that it changes. A transaction with an
+ * unknown outcome is retried unchanged until the outcome is known. Until then, the writer allows for both possible
+ * outcomes.
  */
 public final class RecordWriter implements BindingReleaser {
     /** Receives the outcomes of writes on the event loop. */
@@ -34,12 +35,12 @@
         /** Called after a commit, with the machines to which the transaction bound tasks. */
         void onCommitted(ImmutableSet<Machine> boundMachines);
 
-        /** Called when a conflict shows that the job was cancelled. */
+        /** Called when a conflict shows that {@code job} was cancelled. */
         void onJobCancelled(Job job);
 
         /**
-         * Called when this leader must step down: a record differs from what it last wrote, another node leads, or the
-         * state service rejected the transaction.
+         * Called when this leader must step down. The cause is that a record differs from what this leader last wrote,
+         * that another node leads, or that the state service rejected the transaction.
          */
         void onWriteFailed(String reason);
     }
@@ -71,7 +72,7 @@
     private final RecordPages records;
     private final BatchSender batchSender;
     private final PendingWrites pending = new PendingWrites();
-    /** The last transaction sent, while its outcome is unknown; otherwise empty. */
+    /** The last batch sent, while its outcome is unknown; otherwise empty. */
     private Optional<WriteBatch> inFlight = Optional.empty();
 
     private boolean awaitingAdmission;
@@ -79,7 +80,7 @@
     private boolean lastBatchWasSplit;
     private long batchCount;
 
-    /** Creates a writer that keeps within the limits of the settings and passes write outcomes to the listener. */
+    /** Creates a writer that keeps within the limits in the settings; {@code listener} receives the outcomes. */
     public RecordWriter(LeaderContext context, StateClient state, Listener listener) {
         this.loop = context.loop();
         this.scope = context.scope();
@@ -99,28 +100,31 @@
     }
 
     /**
-     * Called when the failover is complete; starts to split oversized pages of an earlier version, one per transaction.
+     * Called when the failover is complete. Starts to split oversized pages of an earlier version, one per transaction.
      */
     public void failoverCompleted() {
-        records.findOversizedPages();
+        records.markOversizedPages();
         submitNext();
     }
 
-    /** Called when the cluster feature level is that of this version; records may use its formats from now on. */
+    /**
+     * Called when the cluster feature level has been raised to that of this version. Later records can use the formats
+     * of that level.
+     */
     public void levelRaised() {
         levelRaised = true;
         submitNext();
     }
 
-    /** Records a proposed binding that is already part of the cluster state. */
+    /** Records a proposed binding, which must already be part of the cluster state. */
     public void bind(Binding binding) {
         pending.addBind(binding);
         submitNext();
     }
 
     /**
-     * Removes the record of a binding whose task is proven to be gone. If {@code completed}, the task is also recorded
-     * as done, except for a replica of a service, which is never done.
+     * Removes the record of a binding whose task is proven not to be on its machine. If {@code completed}, also records
+     * the task as done, unless the task is a replica of a service. A replica is never done.
      */
     @Override
     public void release(Binding binding, boolean completed) {
@@ -129,7 +133,7 @@
             return;
         }
         if (pending.removeBind(binding)) {
-            cluster.unbind(binding, loop.nanos()); // was never recorded
+            cluster.unbind(binding, loop.nanos()); // the binding was never recorded
             removeIfCancelled(binding.job());
             return;
         }
@@ -139,7 +143,10 @@
         submitNext();
     }
 
-    /** Removes a cancelled job's pending bindings, except those in flight, and its finished tasks. */
+    /**
+     * Removes the pending bindings of a cancelled job, except bindings in flight. Also removes the finished tasks of
+     * the job.
+     */
     public void discardCancelledJob(Job job) {
         for (Binding binding : ImmutableList.copyOf(job.bindings())) {
             if (pending.removeBind(binding)) {
@@ -150,7 +157,10 @@
         removeIfCancelled(job);
     }
 
-    /** True if the transaction in flight completes this job, which means that this leader deletes its open entry. */
+    /**
+     * True if the transaction in flight records this job as done and deletes its open entry. That deletion does not
+     * mean that the job was cancelled.
+     */
     public boolean isCompleting(Job job) {
         return inFlight.isPresent() && inFlight.get().completes(job);
     }
@@ -168,14 +178,14 @@
         Priority priority = pending.hasOnlyBinds() ? Priority.SCHEDULING : Priority.HEARTBEATS;
         state.commitWhenAdmitted(
                 priority,
-                records.estimatedChanges(),
+                records.estimatedChangeCount(),
                 () -> {
                     awaitingAdmission = false;
                     inFlight = scope.isClosed() ? Optional.empty() : composeBatch();
                     return inFlight.map(WriteBatch::transaction);
                 },
                 scope.guard(result -> {
-                    if (inFlight.isEmpty()) { // the rate limiter did not admit it
+                    if (inFlight.isEmpty()) { // the rate limiter did not admit a transaction
                         scope.after(BatchSender.INITIAL_RETRY_DELAY_NANOS, () -> {
                             awaitingAdmission = false;
                             submitNext();
@@ -192,7 +202,8 @@
             records.raiseLevel(FeatureLevel.SUPPORTED);
         }
         WriteBatch batch = new WriteBatch(records, term, "w" + term.term() + "." + (++batchCount));
-        // Splits alternate with pending writes, which cannot go to an oversized page after the limits were lowered.
+        // Transactions that split a page alternate with transactions of pending writes. After the limits were lowered,
+        // pending writes cannot go to an oversized page.
         lastBatchWasSplit = (!lastBatchWasSplit || pending.isEmpty()) && batch.splitOversizedPage();
         if (lastBatchWasSplit) {
             return Optional.of(batch);
@@ -229,7 +240,10 @@
         listener.onCommitted(boundMachines.build());
     }
 
-    /** Handles a failed comparison, after which nothing was written. Unless jobs were cancelled, this ends the term. */
+    /**
+     * Handles a failed comparison. The transaction wrote nothing. Ends the term unless cancelled jobs explain the
+     * conflict.
+     */
     private void handleConflict(WriteBatch batch, ImmutableList<String> conflictingKeys) {
         if (conflictingKeys.contains(StateKeys.LEADER)) {
             listener.onWriteFailed("leader-key-changed");
@@ -251,7 +265,7 @@
         submitNext();
     }
 
-    /** The job whose record or open entry has this key, if it is in the cluster state. */
+    /** The job whose record or open entry has this key; empty if the cluster state contains no such job. */
     private Optional<Job> jobOf(String key) {
         if (key.startsWith(StateKeys.OPEN_JOBS_PREFIX)) {
             return Optional.ofNullable(cluster.job(key.substring(StateKeys.OPEN_JOBS_PREFIX.length())));
@@ -265,9 +279,9 @@
     private void requeue(WriteBatch batch) {
         Map<Binding, WriteKind> retriedWrites = new LinkedHashMap<>(batch.released());
         for (Binding binding : batch.bound()) {
-            // If the job was cancelled in the meantime, its pending bindings were removed, but not this one, which was
-            // in flight. Requeuing it would make the retry and every later transaction fail, so that nothing would ever
-            // be bound again.
+            // If the job was cancelled in the meantime, its pending bindings were removed, but this binding was in
+            // flight and was not removed. Requeuing it would make the retry and every later transaction fail, and no
+            // task would ever be bound again.
             if (binding.stage() == Binding.Stage.PROPOSED && !binding.job().isCancelled()) {
                 retriedWrites.put(binding, WriteKind.BIND);
             } else {
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -23,9 +23,9 @@
 import org.spruceridge.state.Transaction;
 import org.spruceridge.term.LeaderTerm;
 
-/** Composes one transaction within the state service's limits; its changes to the page index can be rolled back. */
+/** Composes one transaction within the limits of the state service. Moves of items between pages can be rolled back. */
 final class WriteBatch {
-    /** The number of keys that a transaction may compare per key that it may change. */
+    /** The number of keys that a transaction can compare for each key that it can change. */
     private static final int COMPARISONS_PER_OPERATION = 4;
 
     private final RecordPages records;
@@ -65,7 +65,7 @@
         return bound;
     }
 
-    /** The jobs that this transaction records as done because it completes their last task. */
+    /** The jobs that this transaction records as done because it completes their last tasks. */
     Set<Job> completedJobs() {
         return completedJobs.jobs();
     }
@@ -78,12 +78,12 @@
         return outcomeUnknown;
     }
 
-    /** Records that no response was received: the transaction may have been executed, or may still be executed. */
+    /** Records that an attempt got no response. The transaction can have been executed, or can still be executed. */
     void markOutcomeUnknown() {
         outcomeUnknown = true;
     }
 
-    /** Moves as many items off the first oversized page as one transaction can; false if no page is oversized. */
+    /** Moves as many items off the first oversized page as one transaction can. Returns false if there is none. */
     boolean splitOversizedPage() {
         Optional<Page<Machine>> oversizedBindings = records.bindings().firstOversizedPage();
         Optional<Page<TaskChunk>> oversizedTasks = records.finishedTasks().firstOversizedPage();
@@ -96,27 +96,27 @@
         return oversizedBindings.isPresent() || oversizedTasks.isPresent();
     }
 
-    /** Adds a release or a completion; false if there is no room for it or its page must be split first. */
-    boolean release(Binding binding, WriteKind kind) {
+    /** Adds a release or a completion. Returns false if the batch has no room or the page must be split first. */
+    boolean tryRelease(Binding binding, WriteKind kind) {
         Optional<Page<Machine>> page = records.bindings().pageOf(binding.machine());
         if (page.isPresent() && records.bindings().isOversized(page.get())) {
             return false;
         }
         Job job = binding.job();
         if (kind == WriteKind.RELEASE || job.isCancelled()) {
-            return releaseOnly(binding, page, WriteKind.RELEASE);
+            return tryReleaseOnly(binding, page, WriteKind.RELEASE);
         }
         int newlyDoneCount = newlyDoneCounts.getOrDefault(job, 0)
                 + (job.isDone(binding.task().index()) ? 0 : 1);
         boolean completesJob = job.doneCount() + newlyDoneCount == job.spec().taskCount();
-        boolean added = completesJob ? completeJob(binding, page) : completeTask(binding, page);
+        boolean added = completesJob ? tryCompleteJob(binding, page) : tryCompleteTask(binding, page);
         if (added) {
             newlyDoneCounts.put(job, newlyDoneCount);
         }
         return added;
     }
 
-    private boolean releaseOnly(Binding binding, Optional<Page<Machine>> page, WriteKind kind) {
+    private boolean tryReleaseOnly(Binding binding, Optional<Page<Machine>> page, WriteKind kind) {
         if (!hasRoom(newPageCount(page), 0, 0)) {
             return false;
         }
@@ -124,10 +124,10 @@
         return true;
     }
 
-    private boolean completeTask(Binding binding, Optional<Page<Machine>> page) {
+    private boolean tryCompleteTask(Binding binding, Optional<Page<Machine>> page) {
         int index = binding.task().index();
         TaskChunk chunk = records.chunkOf(binding.job(), index);
-        Page<TaskChunk> chunkPage = pageOf(chunk);
+        Page<TaskChunk> chunkPage = findOrAssignPage(chunk);
         if (records.finishedTasks().isOversized(chunkPage)) {
             return false;
         }
@@ -140,10 +140,10 @@
         return true;
     }
 
-    private boolean completeJob(Binding binding, Optional<Page<Machine>> page) {
+    private boolean tryCompleteJob(Binding binding, Optional<Page<Machine>> page) {
         Job job = binding.job();
         if (completedJobs.contains(job)) {
-            return releaseOnly(binding, page, WriteKind.COMPLETE);
+            return tryReleaseOnly(binding, page, WriteKind.COMPLETE);
         }
         JsonNode record = CompletedJobs.doneRecord(job, records.valueBytes());
         int recordBytes = Json.bytes(record).length;
@@ -160,7 +160,7 @@
         Machine machine = binding.machine();
         if (recordedPage.isPresent()) {
             pages.bindings().add(recordedPage.get());
-        } else { // an orphan without a record; a page must still contain the id of this transaction
+        } else { // an orphan on a machine without a record; some page must contain the id of this transaction
             Page<Machine> page = pageFor(machine);
             records.bindings().assign(machine, page);
             pages.bindings().add(page);
@@ -168,15 +168,15 @@
         released.put(binding, kind);
     }
 
-    /** Adds a new binding; false if there is no room for it or its page must be split first. */
-    boolean bind(Binding binding) {
+    /** Adds a new binding. Returns false if the batch has no room or the page must be split first. */
+    boolean tryBind(Binding binding) {
         Machine machine = binding.machine();
         Optional<Page<Machine>> recordedPage = records.bindings().pageOf(machine);
         if (recordedPage.isPresent() && records.bindings().isOversized(recordedPage.get())) {
             return false;
         }
         if (recordedPage.isPresent() && records.bindings().exceedsCapacity(recordedPage.get())) {
-            return moveAndBind(binding, recordedPage.get());
+            return tryMoveAndBind(binding, recordedPage.get());
         }
         Page<Machine> page = recordedPage.isPresent() ? recordedPage.get() : pageFor(machine);
         if (!hasRoom(newPageCount(page), 0, newGuardedJobCount(binding.job()))) {
@@ -189,8 +189,8 @@
         return true;
     }
 
-    /** Moves a machine whose page is full to another page and adds the binding; both pages are written together. */
-    private boolean moveAndBind(Binding binding, Page<Machine> fromPage) {
+    /** Moves a machine from its full page to another and adds the binding. The transaction writes both pages. */
+    private boolean tryMoveAndBind(Binding binding, Page<Machine> fromPage) {
         Machine machine = binding.machine();
         Page<Machine> toPage = records.bindings().pageWithRoomFor(machine, List.of());
         boolean fits = hasRoom(newPageCount(fromPage), 0, newGuardedJobCount(binding.job()))
@@ -202,7 +202,7 @@
         pages.bindings().add(fromPage);
         pages.bindings().add(toPage);
         records.bindings().assign(machine, toPage);
-        // If this write fails, the machine is still recorded on its previous page.
+        // If the transaction is not executed, the machine is still recorded on its previous page.
         rollbackActions.add(() -> records.bindings().assign(machine, fromPage));
         bound.add(binding);
         guardedJobs.add(binding.job());
@@ -213,7 +213,7 @@
         return records.bindings().pageWithRoomFor(machine, pages.bindings());
     }
 
-    private Page<TaskChunk> pageOf(TaskChunk chunk) {
+    private Page<TaskChunk> findOrAssignPage(TaskChunk chunk) {
         Optional<Page<TaskChunk>> recordedPage = records.finishedTasks().pageOf(chunk);
         if (recordedPage.isPresent()) {
             return recordedPage.get();
@@ -227,7 +227,7 @@
         return pages.count() + completedJobs.operationCount();
     }
 
-    /** Returns 1 if this transaction does not write the page yet, else 0. A missing page counts as not written yet. */
+    /** Returns 1 if the batch does not contain the page yet, else 0. A missing page counts as not contained. */
     private int newPageCount(Optional<Page<Machine>> page) {
         return page.isPresent() ? newPageCount(page.get()) : 1;
     }
@@ -240,11 +240,11 @@
         return guardedJobs.contains(job) ? 0 : 1;
     }
 
-    /** True if the additions stay within the limits of a transaction. An empty batch accepts any single write. */
+    /** True if the batch stays within the limits of a transaction. An empty batch accepts any single write. */
     private boolean hasRoom(int newPages, int newCompletedJobs, int newGuardedJobs) {
         int newOperations = newPages + CompletedJobs.OPERATIONS_PER_JOB * newCompletedJobs;
-        // One comparison is reserved for each page that may still be added. Otherwise the comparisons of many jobs'
-        // open entries would leave room for only one page.
+        // One comparison is reserved for each page that can still be added. Otherwise, comparing the open entries of
+        // many jobs would leave room for only one page.
         int comparisons = 1 + records.txnOps() + guardedJobs.size() + newGuardedJobs;
         boolean fits = operationCount() + newOperations <= records.txnOps()
                 && comparisons <= COMPARISONS_PER_OPERATION * records.txnOps()
@@ -264,10 +264,10 @@
         guardedJobs.forEach(job -> builder.compare(StateKeys.openJob(job.id()), job.modRevision()));
         pages.bindings()
                 .forEach(page -> builder.put(
-                        page.key(), page.modRevision(), records.bindingsPage(transactionId, page, this::isRecorded)));
+                        page.key(), page.modRevision(), records.bindingsJson(transactionId, page, this::isRecorded)));
         pages.finishedTasks()
                 .forEach(page -> builder.put(
-                        page.key(), page.modRevision(), records.finishedPage(transactionId, page, completingTasks)));
+                        page.key(), page.modRevision(), records.finishedJson(transactionId, page, completingTasks)));
         completedJobs.addTo(builder);
         return builder.build();
     }
@@ -277,7 +277,7 @@
         return bound.contains(binding) || (wasRecorded && !released.containsKey(binding));
     }
 
-    /** The key whose value shows whether this transaction was committed. */
+    /** The key of a written page; its value shows whether this transaction was committed. */
     String verificationKey() {
         return pages.verificationKey();
     }
@@ -287,12 +287,12 @@
         return PackedValue.transactionIdOf(value).equals(transactionId);
     }
 
-    /** Sets the mod revision of the written pages after the commit. */
+    /** Sets the mod revision of the written pages to the revision of the commit. */
     void markCommitted(long revision) {
         pages.updateModRevision(revision);
     }
 
-    /** Returns items to the pages on which they are recorded; the transaction was not and will not be executed. */
+    /** Returns items to their recorded pages, after the transaction has failed and can no longer be executed. */
     void rollBack() {
         rollbackActions.forEach(Runnable::run);
     }
--- a/src/main/java/org/spruceridge/persistence/WriteKind.java
+++ b/src/main/java/org/spruceridge/persistence/WriteKind.java
@@ -4,7 +4,7 @@
 enum WriteKind {
     /** Adds a proposed binding. */
     BIND,
-    /** Removes the binding so that its task is scheduled again. */
+    /** Removes the binding; its task is then scheduled again. */
     RELEASE,
     /** Removes the binding and records its task as done. */
     COMPLETE
--- a/src/main/java/org/spruceridge/persistence/WrittenPages.java
+++ b/src/main/java/org/spruceridge/persistence/WrittenPages.java
@@ -25,14 +25,14 @@
         return bindings.size() + finishedTasks.size();
     }
 
-    /** The key of one of the pages. */
+    /** The key of one of the pages; there must be at least one page. */
     String verificationKey() {
         return bindings.isEmpty()
                 ? finishedTasks.iterator().next().key()
                 : bindings.iterator().next().key();
     }
 
-    /** Sets the revision at which the transaction was committed on all pages. */
+    /** Sets the mod revision of all pages to the revision at which the transaction was committed. */
     void updateModRevision(long revision) {
         bindings.forEach(page -> page.updateModRevision(revision));
         finishedTasks.forEach(page -> page.updateModRevision(revision));
--- a/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -20,7 +20,10 @@
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** Finished tasks of the largest job stay on their page and fit it when the level is raised and limits are lowered. */
+/**
+ * Tests the pages of finished tasks of a job of the maximum size. Finished tasks stay on their page when the feature
+ * level is raised. Pages are split to fit when the limits are lowered.
+ */
 final class RecordPagesTest {
     private static final int TASKS = 100_000;
 
@@ -38,12 +41,12 @@
     }
 
     /**
-     * Guards against losing finished tasks if the leader stops between two page writes after the level was raised: each
-     * page must hold the same tasks as before.
+     * Each page must hold the same tasks before and after the level is raised. Otherwise, a leader that stops between
+     * two page writes would lose finished tasks.
      */
     @ParameterizedTest
     @CsvSource({"8, 2", "4, 2", "8, 3.3", "8, 8"})
-    void finishedTasksStayOnTheirPageWhenLevelRises(double currentKb, double nextKb) throws BadMessageException {
+    void finishedTasksStayOnTheirPageWhenLevelIsRaised(double currentKb, double nextKb) throws BadMessageException {
         RecordPages records = new RecordPages(limits(currentKb, nextKb), FeatureLevel.BASE);
         Job job = WriteBatchTest.job(1, TASKS);
         SplittableRandom random = new SplittableRandom(5);
@@ -63,19 +66,20 @@
         Map<String, BitSet> tasksBefore = new HashMap<>();
         for (var page : pages.values()) {
             tasksBefore.put(
-                    page.key(), finishedTasksOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize()));
+                    page.key(), finishedTasksOn(records.finishedJson("w", page, Map.of()), records.baseChunkSize()));
         }
         records.raiseLevel(FeatureLevel.SERVICES);
         BitSet allTasks = new BitSet();
         for (var page : pages.values()) {
-            BitSet tasksAfter = finishedTasksOn(records.finishedPage("w", page, Map.of()), records.baseChunkSize());
-            assertTrue(tasksBefore.get(page.key()).equals(tasksAfter), page.key());
+            BitSet tasksAfter = finishedTasksOn(records.finishedJson("w", page, Map.of()), records.baseChunkSize());
+            assertTrue(
+                    tasksBefore.get(page.key()).equals(tasksAfter), page.key() + " must hold the same tasks as before");
             allTasks.or(tasksAfter);
         }
-        assertTrue(job.done().equals(allTasks), "finished tasks on all pages");
+        assertTrue(job.done().equals(allTasks), "the pages together must hold exactly the finished tasks of the job");
     }
 
-    /** After the split, every page is within the next limit and no task is lost or duplicated. */
+    /** After the split, every page must be within the next limit, and each task must be on exactly one page. */
     @ParameterizedTest
     @CsvSource({"8, 2", "4, 2", "8, 3.3"})
     void oversizedPagesOfLargestJobAreSplitToFit(double currentKb, double nextKb) throws BadMessageException {
@@ -90,7 +94,7 @@
             tasks.set(0, Math.min(baseChunkSize, TASKS - first));
             records.restoreFinishedTasks(job, first, tasks, oversizedPage);
         }
-        records.findOversizedPages();
+        records.markOversizedPages();
         Set<PageIndex.Page<RecordPages.TaskChunk>> pages = new HashSet<>();
         for (int i = 0; i < 100 && records.hasOversizedPages(); i++) {
             WriteBatch batch = new WriteBatch(records, new LeaderTerm(9, 1, 0), "w" + i);
@@ -103,10 +107,10 @@
             pages.add(records.finishedTasks().pageOf(records.chunkOf(job, i)).orElseThrow());
         }
         for (var page : pages) {
-            ObjectNode value = records.finishedPage("w", page, Map.of());
-            assertTrue(Json.bytes(value).length <= limits.valueBytes(), page.key());
+            ObjectNode value = records.finishedJson("w", page, Map.of());
+            assertTrue(Json.bytes(value).length <= limits.valueBytes(), page.key() + " must fit into a value");
             BitSet tasks = finishedTasksOn(value, baseChunkSize);
-            assertTrue(!allTasks.intersects(tasks), "no task on two pages");
+            assertTrue(!allTasks.intersects(tasks), "a task must not be on two pages");
             allTasks.or(tasks);
         }
         assertEquals(TASKS, allTasks.cardinality());
--- a/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -33,7 +33,10 @@
 import org.spruceridge.term.LeaderMetrics;
 import org.spruceridge.term.LeaderTerm;
 
-/** Checks how long writes wait to be committed at fleet size when the rate limit for changes is low. */
+/**
+ * Tests how long writes wait for their commit. The cluster is as large as a production fleet, and the limit on the rate
+ * of changes is low.
+ */
 final class RecordWriterTest {
     private static final Address STATE_SERVICE_ADDRESS = new Address("10.0.0.1", 1);
     private static final Settings SETTINGS = Fixtures.settings(
@@ -120,7 +123,8 @@
         Job job = job();
         List<Machine> machines = machines(0, 1460);
         List<Binding> running = new ArrayList<>();
-        // Machines get one task per round, so that the pages to which they were assigned with one task become too full.
+        // Each round gives every machine one more task. Pages are assigned when each machine has only one task, and
+        // overflow in later rounds.
         for (int k = 0; k < 3; k++) {
             for (Machine machine : machines) {
                 running.add(bind(job, machine));
@@ -142,13 +146,14 @@
                         Durations.seconds(loop.nanos() - proposed.peek().boundAt()));
             }
         }
-        assertTrue(longestWaitS < 4, "a proposed binding waited " + longestWaitS + " s for its commit");
+        assertTrue(
+                longestWaitS < 4, "a proposed binding must be committed within 4 s but waited " + longestWaitS + " s");
         loop.run(4);
         assertEquals(0, recordWriter.backlog());
     }
 
     @Test
-    void thousandsOfBindingsReleasedAtOnceAreWrittenWithinSeconds() {
+    void thousandsOfSimultaneousReleasesAreCommittedWithinSeconds() {
         Job job = job();
         List<Binding> running = new ArrayList<>();
         for (Machine machine : machines(0, 1460)) {
@@ -158,7 +163,7 @@
         }
         loop.run(30);
         assertEquals(0, recordWriter.backlog());
-        // A zone with two thirds of the machines has been unreachable for the duration of a lease.
+        // Two thirds of the machines are in one zone, which has been unreachable for the duration of a lease.
         long revisionBefore = revision;
         running.subList(0, 4 * 970).forEach(b -> recordWriter.release(b, false));
         assertEquals(
@@ -166,7 +171,9 @@
                 job.bindings().stream().filter(b -> !b.isProvenGone()).count());
         loop.run(8);
         assertEquals(0, recordWriter.backlog());
-        assertTrue(revision - revisionBefore <= 20, (revision - revisionBefore) + " transactions");
+        assertTrue(
+                revision - revisionBefore <= 20,
+                "at most 20 transactions must suffice but " + (revision - revisionBefore) + " were sent");
         assertEquals(4 * 1460 - 4 * 970, job.bindings().size());
     }
 }
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -30,7 +30,10 @@
 import org.spruceridge.term.LeaderTerm;
 import org.spruceridge.upgrade.FeatureLevel;
 
-/** Transactions have the expected content and stay within the state service's limits at fleet size. */
+/**
+ * Tests that transactions have the expected content and stay within the limits of the state service. The clusters are
+ * as large as the production fleets.
+ */
 final class WriteBatchTest {
     private static final Settings.State LIMITS = new Settings.State(200, 50, 8, 24);
     private static final long ATTEMPT = 9L << 24;
@@ -78,7 +81,7 @@
         batch.bound().forEach(b -> b.advanceTo(Binding.Stage.COMMITTED));
     }
 
-    /** The fleets of both deployments, with 1.5 times their present number of machines. */
+    /** The machine counts are 1.5 times the present sizes of the fleets of both deployments. */
     @ParameterizedTest
     @CsvSource({"1640, 8, 24", "1460, 4, 12", "4400, 8, 24", "4400, 2, 8", "4400, 2, 4"})
     void fleetClusterStateFitsFewTransactionsWithinAllLimits(int machines, double valueKb, int txnOps)
@@ -86,26 +89,29 @@
         Settings.State limits = new Settings.State(200, 50, valueKb, txnOps);
         records = new RecordPages(limits, FeatureLevel.SUPPORTED);
         Deque<Binding> waiting = fourBindingsPerMachine(machines);
-        int transactions = 0;
+        int transactionCount = 0;
         Set<String> pageKeys = new HashSet<>();
         while (!waiting.isEmpty()) {
             WriteBatch batch = batch();
-            waiting.removeIf(batch::bind);
-            commit(batch, ++transactions);
+            waiting.removeIf(batch::tryBind);
+            commit(batch, ++transactionCount);
             assertWithinLimits(batch, limits);
             batch.bound()
                     .forEach(b -> pageKeys.add(
                             records.bindings().pageOf(b.machine()).orElseThrow().key()));
         }
         int pageCount = pageKeys.size();
-        // The number of jobs whose open entries one transaction can compare besides the leader key and its pages. The
-        // entries of all 60 jobs may not fit in one, so each page is written at most twice, or more often if the jobs
-        // need more transactions.
-        int guardedJobs = 4 * limits.txnOps() - 1 - limits.txnOps();
-        int maxWritesPerPage = Math.max(2, (JOBS + guardedJobs - 1) / guardedJobs);
+        // The number of jobs whose open entries one transaction can compare in addition to the leader key and its
+        // pages. If this number is less than 60, one transaction cannot bind tasks of all jobs. Each page is written at
+        // most twice, or as often as the jobs need transactions if that is more.
+        int maxGuardedJobs = 4 * limits.txnOps() - 1 - limits.txnOps();
+        int maxWritesPerPage = Math.max(2, (JOBS + maxGuardedJobs - 1) / maxGuardedJobs);
         int maxTransactions = maxWritesPerPage * (1 + pageCount / Math.min(records.maxPages(), limits.txnOps()));
-        assertTrue(transactions <= maxTransactions, transactions + " transactions for " + pageCount + " pages");
-        assertEquals(4 * machines, bindingsRecordedOn(pageKeys, limits));
+        assertTrue(
+                transactionCount <= maxTransactions,
+                "at most " + maxTransactions + " transactions must suffice for " + pageCount + " pages, not "
+                        + transactionCount);
+        assertEquals(4 * machines, countBindingsRecordedOn(pageKeys, limits));
     }
 
     private Deque<Binding> fourBindingsPerMachine(int machines) {
@@ -129,15 +135,15 @@
         assertTrue(batch.transaction().comparisonCount() <= 4 * limits.txnOps());
         assertTrue(
                 batch.transaction().bodyBytes() <= 64 << 10,
-                "body of " + batch.transaction().bodyBytes());
+                "the body must not exceed 64 KiB but has " + batch.transaction().bodyBytes() + " bytes");
     }
 
-    private int bindingsRecordedOn(Set<String> pageKeys, Settings.State limits) throws BadMessageException {
+    private int countBindingsRecordedOn(Set<String> pageKeys, Settings.State limits) throws BadMessageException {
         int recordedCount = 0;
         for (Machine machine : cluster.machines()) {
             PageIndex.Page<Machine> page = records.bindings().pageOf(machine).orElseThrow();
             if (pageKeys.remove(page.key())) {
-                var value = records.bindingsPage("w", page, b -> true);
+                var value = records.bindingsJson("w", page, b -> true);
                 assertTrue(Json.bytes(value).length <= limits.valueKb() * 1024);
                 recordedCount += BindingsRecord.read(value).stream()
                         .mapToInt(machineBindings -> machineBindings.tasks().size())
@@ -166,11 +172,12 @@
         }
         assertTrue(
                 measurements[0] <= 31,
-                measurements[0] + " measurements of pages; bursts used more CPU time than the machine has");
+                "each of 30 pages must be measured only once, but there were " + measurements[0]
+                        + " measurements; repeated ones" + " used more CPU time during bursts than the machine has");
     }
 
     @Test
-    void rolledBackMoveLeavesMachineOnItsPage() {
+    void rolledBackMoveReturnsMachineToItsPreviousPage() {
         Job job = job(1, 100_000);
         int nextTask = 0;
         List<Machine> machines = new ArrayList<>();
@@ -178,7 +185,7 @@
             machines.add(machine(i));
             WriteBatch batch = batch();
             for (int k = 0; k < 40; k++) {
-                assertTrue(batch.bind(binding(job, nextTask++, machines.get(i))));
+                assertTrue(batch.tryBind(binding(job, nextTask++, machines.get(i))));
             }
             commit(batch, i + 1);
         }
@@ -190,10 +197,11 @@
             records.invalidateSizes();
         }
         WriteBatch batch = batch();
-        extraBindings.forEach(b -> assertTrue(batch.bind(b)));
+        extraBindings.forEach(b -> assertTrue(batch.tryBind(b)));
         assertNotSame(page, records.bindings().pageOf(firstMachine).orElseThrow());
-        assertEquals(2, batch.transaction().changeCount(), "both pages are written together");
-        // If the machine were still assigned to the new page, the old page would list its tasks forever.
+        assertEquals(2, batch.transaction().changeCount(), "the transaction must write both pages");
+        // The rollback must return the machine to the old page. Otherwise, the old page would list the tasks of the
+        // machine forever.
         batch.rollBack();
         assertSame(page, records.bindings().pageOf(firstMachine).orElseThrow());
     }
