--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -26,14 +26,16 @@
 
     private final int txnOps;
     private final int valueBytes;
-    private final int pageBytes;
+    private final int maxRecordBytes;
     /**
      * The number of tasks per chunk at the base level. Version 0.1 derives this number from the current value limit and
      * ignores the next one.
      */
     private final int baseChunkSize;
 
+    /** The number of tasks per chunk at the level {@link FeatureLevel#SERVICES} and above. */
     private final int smallChunkSize;
+
     private final PageIndex<Machine> bindings;
     private final PageIndex<TaskChunk> finishedTasks;
     private FeatureLevel level;
@@ -50,11 +52,11 @@
         this.valueBytes = limits.valueBytes();
         this.baseChunkSize = FinishedTasksRecord.chunkSize(limits.currentRecordKb());
         this.smallChunkSize = FinishedTasksRecord.chunkSize(limits.recordKb());
-        this.pageBytes = (int) (limits.recordKb() * 1024);
+        this.maxRecordBytes = (int) (limits.recordKb() * 1024);
         this.level = level;
         int capacity = PackedValue.capacity(limits.recordKb());
         this.bindings = new PageIndex<>(StateKeys.BINDINGS_PREFIX, capacity, BindingsRecord::maxPageBytes);
-        this.finishedTasks = new PageIndex<>(StateKeys.FINISHED_TASKS_PREFIX, capacity, this::maxBytes);
+        this.finishedTasks = new PageIndex<>(StateKeys.FINISHED_TASKS_PREFIX, capacity, this::maxFinishedTasksBytes);
     }
 
     /** The pages of bindings, indexed by machine. */
@@ -148,7 +150,7 @@
 
     /** The maximum number of pages that fit into the body of a transaction. */
     int maxPages() {
-        return Math.max(2, MAX_BODY_BYTES / pageBytes);
+        return Math.max(2, MAX_BODY_BYTES / maxRecordBytes);
     }
 
     /** The estimated maximum number of changes in the next transaction. */
@@ -193,7 +195,7 @@
                         .toList());
     }
 
-    private int maxBytes(Collection<TaskChunk> chunks) {
+    private int maxFinishedTasksBytes(Collection<TaskChunk> chunks) {
         int totalBytes = 5;
         for (TaskChunk chunk : chunks) {
             totalBytes += FinishedTasksRecord.maxChunkBytes(chunk.job.id(), endIndex(chunk) - chunk.firstIndex);
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -161,7 +161,7 @@
         if (recordedPage.isPresent()) {
             pages.bindings().add(recordedPage.get());
         } else { // an orphan on a machine without a record; some page must contain the id of this transaction
-            Page<Machine> page = pageFor(machine);
+            Page<Machine> page = pageWithRoomFor(machine);
             records.bindings().assign(machine, page);
             pages.bindings().add(page);
         }
@@ -178,7 +178,7 @@
         if (recordedPage.isPresent() && records.bindings().exceedsCapacity(recordedPage.get())) {
             return tryMoveAndBind(binding, recordedPage.get());
         }
-        Page<Machine> page = recordedPage.isPresent() ? recordedPage.get() : pageFor(machine);
+        Page<Machine> page = recordedPage.isPresent() ? recordedPage.get() : pageWithRoomFor(machine);
         if (!hasRoom(newPageCount(page), 0, newGuardedJobCount(binding.job()))) {
             return false;
         }
@@ -209,7 +209,7 @@
         return true;
     }
 
-    private Page<Machine> pageFor(Machine machine) {
+    private Page<Machine> pageWithRoomFor(Machine machine) {
         return records.bindings().pageWithRoomFor(machine, pages.bindings());
     }
 
--- a/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -25,7 +25,7 @@
  * level is raised. Pages are split to fit when the limits are lowered.
  */
 final class RecordPagesTest {
-    private static final int TASKS = 100_000;
+    private static final int TASK_COUNT = 100_000;
 
     private static Settings.State limits(double currentKb, double nextKb) {
         return new Settings.State(
@@ -48,10 +48,10 @@
     @CsvSource({"8, 2", "4, 2", "8, 3.3", "8, 8"})
     void finishedTasksStayOnTheirPageWhenLevelIsRaised(double currentKb, double nextKb) throws BadMessageException {
         RecordPages records = new RecordPages(limits(currentKb, nextKb), FeatureLevel.BASE);
-        Job job = WriteBatchTest.job(1, TASKS);
+        Job job = WriteBatchTest.job(1, TASK_COUNT);
         SplittableRandom random = new SplittableRandom(5);
         Map<String, PageIndex.Page<RecordPages.TaskChunk>> pages = new HashMap<>();
-        for (int i = 0; i < TASKS; i++) {
+        for (int i = 0; i < TASK_COUNT; i++) {
             if (random.nextInt(3) > 0) {
                 RecordPages.TaskChunk chunk = records.chunkOf(job, i);
                 if (records.finishedTasks().pageOf(chunk).isEmpty()) {
@@ -85,13 +85,13 @@
     void oversizedPagesOfLargestJobAreSplitToFit(double currentKb, double nextKb) throws BadMessageException {
         Settings.State limits = limits(currentKb, nextKb);
         RecordPages records = new RecordPages(limits, FeatureLevel.SUPPORTED);
-        Job job = WriteBatchTest.job(1, TASKS);
+        Job job = WriteBatchTest.job(1, TASK_COUNT);
         int baseChunkSize = records.baseChunkSize();
         PageIndex.Page<RecordPages.TaskChunk> oversizedPage =
                 records.finishedTasks().restorePage("parts/1", 1);
-        for (int first = 0; first < TASKS; first += baseChunkSize) {
+        for (int first = 0; first < TASK_COUNT; first += baseChunkSize) {
             BitSet tasks = new BitSet();
-            tasks.set(0, Math.min(baseChunkSize, TASKS - first));
+            tasks.set(0, Math.min(baseChunkSize, TASK_COUNT - first));
             records.restoreFinishedTasks(job, first, tasks, oversizedPage);
         }
         records.markOversizedPages();
@@ -103,7 +103,7 @@
             batch.markCommitted(i + 2);
         }
         BitSet allTasks = new BitSet();
-        for (int i = 0; i < TASKS; i++) {
+        for (int i = 0; i < TASK_COUNT; i++) {
             pages.add(records.finishedTasks().pageOf(records.chunkOf(job, i)).orElseThrow());
         }
         for (var page : pages) {
@@ -113,6 +113,6 @@
             assertTrue(!allTasks.intersects(tasks), "a task must not be on two pages");
             allTasks.or(tasks);
         }
-        assertEquals(TASKS, allTasks.cardinality());
+        assertEquals(TASK_COUNT, allTasks.cardinality());
     }
 }
--- a/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -163,7 +163,8 @@
         }
         loop.run(30);
         assertEquals(0, recordWriter.backlog());
-        // Two thirds of the machines are in one zone, which has been unreachable for the duration of a lease.
+        // Releases all bindings of two thirds of the machines, as after a zone was unreachable for the duration of a
+        // lease.
         long revisionBefore = revision;
         running.subList(0, 4 * 970).forEach(b -> recordWriter.release(b, false));
         assertEquals(
--- a/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
+++ b/src/test/java/org/spruceridge/persistence/WriteBatchTest.java
@@ -31,25 +31,25 @@
 import org.spruceridge.upgrade.FeatureLevel;
 
 /**
- * Tests that transactions have the expected content and stay within the limits of the state service. The clusters are
- * as large as the production fleets.
+ * Tests that transactions have the expected content and stay within the limits of the state service, also in clusters
+ * that are larger than the production fleets.
  */
 final class WriteBatchTest {
     private static final Settings.State LIMITS = new Settings.State(200, 50, 8, 24);
     private static final long ATTEMPT = 9L << 24;
-    private static final int JOBS = 60;
+    private static final int JOB_COUNT = 60;
 
     private final Cluster cluster = new Cluster();
     private RecordPages records = new RecordPages(LIMITS, FeatureLevel.SUPPORTED);
     private final LeaderTerm term = new LeaderTerm(9, 1, 0);
     private int batchCount;
 
-    static Job job(int number, int tasks) {
+    static Job job(int number, int taskCount) {
         return new Job(
                 Fixtures.spec(
                         String.format("j-%06d", number),
                         JobPriority.NORMAL,
-                        tasks,
+                        taskCount,
                         new Resources(1, 0, 1),
                         60,
                         0,
@@ -84,11 +84,11 @@
     /** The machine counts are 1.5 times the present sizes of the fleets of both deployments. */
     @ParameterizedTest
     @CsvSource({"1640, 8, 24", "1460, 4, 12", "4400, 8, 24", "4400, 2, 8", "4400, 2, 4"})
-    void fleetClusterStateFitsFewTransactionsWithinAllLimits(int machines, double valueKb, int txnOps)
+    void bindingsOfWholeFleetFitInFewTransactionsWithinAllLimits(int machineCount, double valueKb, int txnOps)
             throws BadMessageException {
         Settings.State limits = new Settings.State(200, 50, valueKb, txnOps);
         records = new RecordPages(limits, FeatureLevel.SUPPORTED);
-        Deque<Binding> waiting = fourBindingsPerMachine(machines);
+        Deque<Binding> waiting = fourBindingsPerMachine(machineCount);
         int transactionCount = 0;
         Set<String> pageKeys = new HashSet<>();
         while (!waiting.isEmpty()) {
@@ -105,26 +105,26 @@
         // pages. If this number is less than 60, one transaction cannot bind tasks of all jobs. Each page is written at
         // most twice, or as often as the jobs need transactions if that is more.
         int maxGuardedJobs = 4 * limits.txnOps() - 1 - limits.txnOps();
-        int maxWritesPerPage = Math.max(2, (JOBS + maxGuardedJobs - 1) / maxGuardedJobs);
+        int maxWritesPerPage = Math.max(2, (JOB_COUNT + maxGuardedJobs - 1) / maxGuardedJobs);
         int maxTransactions = maxWritesPerPage * (1 + pageCount / Math.min(records.maxPages(), limits.txnOps()));
         assertTrue(
                 transactionCount <= maxTransactions,
                 "at most " + maxTransactions + " transactions must suffice for " + pageCount + " pages, not "
                         + transactionCount);
-        assertEquals(4 * machines, countBindingsRecordedOn(pageKeys, limits));
+        assertEquals(4 * machineCount, countBindingsRecordedOn(pageKeys, limits));
     }
 
-    private Deque<Binding> fourBindingsPerMachine(int machines) {
+    private Deque<Binding> fourBindingsPerMachine(int machineCount) {
         List<Job> jobs = new ArrayList<>();
-        for (int i = 0; i < JOBS; i++) {
+        for (int i = 0; i < JOB_COUNT; i++) {
             jobs.add(job(i, 110));
         }
         Deque<Binding> bindings = new ArrayDeque<>();
         int count = 0;
-        for (int i = 0; i < machines; i++) {
+        for (int i = 0; i < machineCount; i++) {
             Machine machine = machine(i);
             for (int k = 0; k < 4; k++, count++) {
-                bindings.add(binding(jobs.get(count % JOBS), count / JOBS, machine));
+                bindings.add(binding(jobs.get(count % JOB_COUNT), count / JOB_COUNT, machine));
             }
         }
         return bindings;
