--- a/src/main/java/org/spruceridge/schedule/BinPacking.java
+++ b/src/main/java/org/spruceridge/schedule/BinPacking.java
@@ -1,8 +1,9 @@
 package org.spruceridge.schedule;
 
 /**
- * The bin packing term, an addition to the paper: fuller machines score higher. Once scores differ between machines,
- * tie-breaking alone does not keep small tasks together, and tasks that need a whole machine then find none.
+ * The bin packing term, an addition to the paper: fuller machines score higher. Choosing the fuller machine only among
+ * equal scores does not keep small tasks together once scores differ between machines. Tasks that need a whole machine
+ * would then find no empty machine.
  */
 public final class BinPacking implements Heuristic {
     @Override
--- a/src/main/java/org/spruceridge/schedule/Candidate.java
+++ b/src/main/java/org/spruceridge/schedule/Candidate.java
@@ -6,14 +6,15 @@
 /**
  * One row of the matrix: a running task, or all waiting tasks of one job, which have the same scores.
  *
- * @param elapsedS the run time of the task on its machine, in seconds; 0 while it waits
- * @param ageS seconds since the job was submitted; for a service that was complete before, seconds since it has lacked
- *     a replica
- * @param slackS seconds until the job's deadline; infinite if it has none
+ * @param elapsedS the time for which the task has run on its machine, in seconds; 0 for a waiting task
+ * @param ageS the time since the job was submitted, in seconds; for a service that lost a replica after all its
+ *     replicas had been placed, the time since that loss
+ * @param slackS the time until the job's deadline, in seconds; infinite if the job has no deadline
  */
 public record Candidate(Job job, double elapsedS, double ageS, double slackS) {
     /**
-     * The waiting tasks of a job; {@code now} is on the monotonic clock in nanoseconds, {@code wallMs} the time of day.
+     * Creates the candidate for the waiting tasks of a job. {@code now} is on the monotonic clock, in nanoseconds;
+     * {@code wallMs} is the time of day, in milliseconds.
      */
     static Candidate waiting(Job job, long now, long wallMs) {
         boolean isReplicaMissing = job.spec().isService() && job.isIncompleteAgain();
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -16,12 +16,12 @@
 import org.spruceridge.net.Durations;
 
 /**
- * The working copy of one scheduling cycle: the free capacity of machines, the quota usage of teams, and the zones and
- * machines that each job occupies. All of it counts existing bindings and the placements that the cycle has made so
- * far. The cluster itself is only read.
+ * The working copy of the cluster state in one scheduling cycle: the free capacity of machines, the quota usage of
+ * teams, and the zones and machines that each job occupies. The working copy counts existing bindings and the
+ * placements that the cycle has made so far. The cycle reads the cluster but does not change it.
  */
 final class CycleState {
-    /** A machine whose last heartbeat is older than this many heartbeat intervals gets no work. */
+    /** A machine gets no tasks if its last heartbeat is older than this number of heartbeat intervals. */
     private static final double MAX_HEARTBEAT_AGE_INTERVALS = 2.5;
 
     private final Cluster cluster;
@@ -35,7 +35,7 @@
     private final Map<Job, Map<Machine, Integer>> replicas = new HashMap<>();
 
     /**
-     * {@code maxBindingsPerMachine} is the number of bindings that the record of one machine can hold; {@code now} is
+     * {@code maxBindingsPerMachine} is the number of bindings that the record of one machine can hold. {@code now} is
      * on the monotonic clock, in nanoseconds.
      */
     CycleState(Cluster cluster, Settings settings, int maxBindingsPerMachine, long now) {
@@ -82,7 +82,7 @@
         return now;
     }
 
-    /** The jobs with waiting tasks whose retry backoff has passed, in the cluster's order. */
+    /** Returns the jobs that have waiting tasks and whose retry delay has passed, in the cluster's order. */
     Map<Job, WaitingJob> waitingJobs(long wallMs) {
         Map<Job, WaitingJob> waiting = new LinkedHashMap<>();
         for (Job job : cluster.jobs()) {
@@ -104,7 +104,7 @@
         return allowed;
     }
 
-    /** The schedulable machines, grouped by the properties that their scores depend on. */
+    /** Returns the schedulable machines, grouped by the properties that determine their scores. */
     Map<MachineGroup, GroupCapacity> groups() {
         double[] prices = new double[kinds.size()];
         double highestPrice = 0;
@@ -125,14 +125,15 @@
     }
 
     /**
-     * The Minimal requirements heuristic: true if the job's tasks may run on the machine whenever it has enough room.
+     * Returns whether a task of the job is permitted on the machine (the Minimal requirements heuristic of the paper).
+     * The free capacity of the machine is not checked.
      */
     boolean isEligible(WaitingJob waiting, MachineCapacity capacity) {
         return canRunOn(waiting, capacity)
                 && zoneConstraints.allows(waiting.job(), capacity.machine().zone());
     }
 
-    /** The number of replicas of a service on a machine. */
+    /** Returns the number of replicas of a service on a machine, including the placements of this cycle. */
     int replicasOn(Machine machine, Job service) {
         return replicas(service).getOrDefault(machine, 0);
     }
@@ -147,7 +148,7 @@
         return counts;
     }
 
-    /** Running service replicas on machines that the cloud is about to reclaim. */
+    /** Returns the running replicas of services on machines that the cloud is about to reclaim. */
     List<Binding> replicasToEvict() {
         List<Binding> evicted = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
@@ -168,7 +169,7 @@
 
     /**
      * Reserves capacity on another machine for a replica that is to be evicted. Returns false if no machine has room.
-     * The replica already counts towards its team's quota and its zone.
+     * The usage of the team's quota and the task count of the zone already include the replica.
      */
     boolean reserveReplacement(Binding evicted) {
         Job job = evicted.job();
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.spruceridge.cluster.Resources;
 
-/** The machines of one group that still have room for some waiting task in this cycle. */
+/** The machines of one group that might still have room for a waiting task in this cycle. */
 final class GroupCapacity {
     private final int kindIndex;
     private final List<MachineCapacity> machinesWithRoom = new ArrayList<>();
@@ -22,7 +22,10 @@
         machinesWithRoom.add(capacity);
     }
 
-    /** Drops machines without room for even the smallest task; free capacity only shrinks within a cycle. */
+    /**
+     * Drops machines without room for {@code smallestTask}, the minimum of each resource over all waiting tasks. A
+     * dropped machine cannot get room again, because free capacity only shrinks within a cycle.
+     */
     void dropFull(Resources smallestTask) {
         machinesWithRoom.removeIf(capacity -> !capacity.fits(smallestTask));
     }
@@ -37,8 +40,9 @@
     }
 
     /**
-     * The machine with the most replicas of any service, among those that have room for another replica of this service
-     * and run fewer than {@code maxReplicas} of it. Null if there is none: Optional would allocate on the hot path.
+     * Returns the machine with the most replicas of any service. Considers only machines that have room for another
+     * replica of this service and run fewer than {@code maxReplicas} replicas of this service. Returns null if there is
+     * no such machine, because Optional would allocate on the hot path.
      */
     MachineCapacity mostReplicatedMachineFor(WaitingJob service, CycleState state, int maxReplicas) {
         Resources task = service.job().spec().taskResources();
@@ -55,7 +59,10 @@
         return best;
     }
 
-    /** The fullest machine with room for a task of the job, or null: Optional would allocate on the hot path. */
+    /**
+     * Returns the fullest machine with room for a task of the job. Returns null if there is no such machine, because
+     * Optional would allocate on the hot path.
+     */
     MachineCapacity fullestMachineFor(WaitingJob waiting, CycleState state) {
         Resources task = waiting.job().spec().taskResources();
         MachineCapacity best = null;
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -11,7 +11,10 @@
 
 /** The free capacity of one machine in the working copy of a scheduling cycle. */
 final class MachineCapacity {
-    /** Sums of decimal fractions have floating-point errors in their last digits. */
+    /**
+     * Fullness is rounded to this step, because sums of decimal fractions have floating-point errors in their last
+     * digits.
+     */
     private static final double ROUNDING_STEP = 1e-6;
 
     private final Machine machine;
@@ -23,7 +26,7 @@
     private boolean isReserved;
     private List<ExpectedRelease> releases;
 
-    /** The resources that a running task is expected to free after a delay in seconds. */
+    /** The resources that a running task is expected to free, and the time until then, in seconds. */
     private record ExpectedRelease(double delayS, Resources resources) {}
 
     /** {@code kindIndex} is the index of the machine's kind within the cycle. */
@@ -52,13 +55,14 @@
         return bindingCount;
     }
 
-    /** The share of the machine's CPUs that is in use, rounded so that equally full machines compare as equal. */
+    /** The share of the machine's CPUs that is in use. Rounding makes equally full machines compare as equal. */
     double fullness() {
         return Math.rint((1 - free.cpus() / type.capacity().cpus()) / ROUNDING_STEP) * ROUNDING_STEP;
     }
 
     /**
-     * False if a task of the job failed on this machine, unless the job fails on many machines and is itself at fault.
+     * Returns false if a task of the job has failed on this machine. A job that fails on many machines is itself the
+     * likely cause, so every machine accepts that job.
      */
     boolean accepts(Job job) {
         return job.failedMachines().isEmpty()
@@ -70,7 +74,7 @@
         return task.fitsIn(free);
     }
 
-    /** The number of service replicas on the machine. */
+    /** The number of replicas of any service on the machine, including the placements of this cycle. */
     int replicas() {
         return replicas;
     }
@@ -89,14 +93,18 @@
         return isReserved;
     }
 
-    /** Reserves the free capacity, up to the size of one task, so that later candidates of this cycle cannot use it. */
+    /**
+     * Reserves free capacity, up to the size of one task. Later candidates of this cycle cannot use the reserved
+     * capacity.
+     */
     void reserve(Resources task) {
         isReserved = true;
         free = free.minus(free.min(task));
     }
 
     /**
-     * The expected time until exiting tasks free enough capacity for this task, in seconds; infinite if they never do.
+     * Returns the expected time until ending tasks have freed enough capacity for this task, in seconds. Returns
+     * infinity if the ending tasks are not expected to free enough.
      */
     double secondsUntilFit(Resources task, RemainingTimeEstimator estimator, long now) {
         if (releases == null) {
--- a/src/main/java/org/spruceridge/schedule/MachineGroup.java
+++ b/src/main/java/org/spruceridge/schedule/MachineGroup.java
@@ -3,11 +3,11 @@
 import org.spruceridge.cluster.MachineKind;
 
 /**
- * One column of the matrix: machines that have the same score for every candidate, because they are of the same kind
- * and equally full.
+ * One column of the matrix: machines of the same kind that are equally full. They have the same score for every
+ * candidate.
  *
- * @param relativePrice the price per CPU of such a machine, as a share of the highest price in the matrix
- * @param fullness the share of such a machine's CPUs that is in use
+ * @param relativePrice the price per CPU of a machine of this group, divided by the highest price per CPU in the matrix
+ * @param fullness the share of CPUs that is in use on each machine of this group
  */
 public record MachineGroup(MachineKind kind, double relativePrice, double fullness) {
     @Override
--- a/src/main/java/org/spruceridge/schedule/MachinePrice.java
+++ b/src/main/java/org/spruceridge/schedule/MachinePrice.java
@@ -1,8 +1,8 @@
 package org.spruceridge.schedule;
 
 /**
- * The machine price term, an addition to the paper: cheap machines score higher, so that expensive machines become idle
- * first and can be scaled in.
+ * The machine price term, an addition to the paper: cheap machines score higher. As a result, expensive machines become
+ * idle first and can be scaled in.
  */
 public final class MachinePrice implements Heuristic {
     @Override
--- a/src/main/java/org/spruceridge/schedule/Matching.java
+++ b/src/main/java/org/spruceridge/schedule/Matching.java
@@ -5,9 +5,10 @@
 import org.spruceridge.config.Settings;
 
 /**
- * The Matching phase of the paper: processes the matrix in descending order of score and places the tasks that still
- * fit; equal scores go to the fuller machine. Placements respect machine capacity, team quotas, zone constraints and
- * machine kinds, given the existing bindings. The cluster is only read.
+ * The Matching phase of the paper. It processes the matrix in descending order of score and places the tasks that still
+ * fit. Among machines with equal scores, the fuller one gets the task. Placements respect machine capacity, team
+ * quotas, zone constraints and machine kinds. Existing bindings count towards these limits. Matching reads the cluster
+ * but does not change it.
  */
 public final class Matching {
     private final Settings settings;
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -9,11 +9,13 @@
 /**
  * The decisions of one scheduling cycle.
  *
- * @param preemptions tasks to preempt for waiting tasks of a higher priority
- * @param evictions replicas to evict from machines about to be reclaimed; room for them is reserved on other machines
- * @param unplaced the number of tasks per job that could not be placed only for lack of capacity, in the cluster's
- *     order
- * @param machineGroups the number of machine groups, the columns of the matrix, which determines the cost of a cycle
+ * @param preemptions the running tasks to preempt for waiting tasks of a higher priority
+ * @param evictions the replicas to evict from machines that the cloud is about to reclaim; room for each replica is
+ *     reserved on another machine
+ * @param unplaced the number of tasks of each job that the cycle could not place only because capacity was lacking; in
+ *     the cluster's order of jobs
+ * @param machineGroups the number of machine groups, which are the columns of the matrix and determine the cost of a
+ *     cycle
  */
 public record Plan(
         ImmutableList<Placement> placements,
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -13,8 +13,8 @@
 import org.spruceridge.schedule.PreemptionTarget.Victim;
 
 /**
- * Selects running tasks to preempt for waiting tasks of a higher priority that would otherwise miss their deadline, and
- * for missing replicas of services.
+ * Selects running tasks to preempt. Preemptions make room for waiting tasks of a higher priority that would otherwise
+ * miss their deadline, and for missing replicas of services.
  */
 final class Preemption {
     private final CycleState state;
@@ -30,7 +30,7 @@
         this.minIntervalPerMachineS = minIntervalPerMachineS;
     }
 
-    /** Returns the tasks to preempt for these jobs, which are given in descending order of score. */
+    /** Returns the running tasks to preempt for the urgent jobs, which are given in descending order of score. */
     List<Binding> selectPreemptions(Collection<WaitingJob> urgentJobs) {
         if (!urgentJobs.isEmpty()) {
             findTargets(urgentJobs);
@@ -40,7 +40,8 @@
     }
 
     /**
-     * Collects only machines that could host a task of one of the jobs, to limit the number of targets tried per job.
+     * Collects the machines that could host a task of one of the jobs. Other machines are left out, to limit the number
+     * of targets that are tried for each job.
      */
     private void findTargets(Collection<WaitingJob> urgentJobs) {
         smallestTask = Resources.minOf(
@@ -83,7 +84,10 @@
         preemptCheapest(victims, wanted, spec);
     }
 
-    /** For a service, machines that already run replicas come first, because they have to be kept in any case. */
+    /**
+     * Preempts the victims with the least lost work until {@code wanted} tasks fit or no victim is left. For a service,
+     * victims on machines that already run replicas come first, because these machines have to be kept in any case.
+     */
     private void preemptCheapest(List<Victim> victims, int wanted, JobSpec spec) {
         Comparator<Victim> order = Comparator.comparingDouble(Victim::lostWorkS);
         if (spec.isService()) {
--- a/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -8,18 +8,18 @@
 import org.spruceridge.cluster.JobSpec;
 import org.spruceridge.cluster.Resources;
 
-/** A machine on which tasks may be preempted: its expected free capacity and its possible victims. */
+/** A machine considered for an urgent task: its expected free capacity, and the running tasks that can be preempted. */
 final class PreemptionTarget {
     private final MachineCapacity capacity;
-    /** The tasks that may be preempted, in ascending order of lost work. */
+    /** The running tasks that can be preempted, in ascending order of lost work. */
     private final List<Victim> victims;
 
     private Resources expectedFree;
 
-    /** A running task that may be preempted, and the work that its preemption loses, in seconds. */
+    /** A running task that can be preempted, and the work that its preemption would lose, in seconds. */
     record Victim(PreemptionTarget target, Binding binding, double lostWorkS) {}
 
-    /** {@code canPreempt} is false while the last preemption on the machine is too recent. */
+    /** {@code canPreempt} is false if the last preemption on the machine is too recent for another one. */
     PreemptionTarget(MachineCapacity capacity, boolean canPreempt, long now) {
         this.capacity = capacity;
         this.expectedFree = expectedFree(capacity);
@@ -51,7 +51,8 @@
     }
 
     /**
-     * The work lost by a preemption: the checkpoint duration, or the whole run time so far. Services are last choice.
+     * Returns the work that a preemption loses, in seconds. The loss is the checkpoint duration if the task can
+     * checkpoint, and otherwise the whole run time so far. The loss is infinite for services, which are preempted last.
      */
     private static double lostWorkS(Binding binding, long now) {
         JobSpec spec = binding.job().spec();
@@ -65,12 +66,16 @@
         return capacity;
     }
 
-    /** True if a task of this size and priority might fit on this machine, with or without a preemption. */
+    /**
+     * Returns true if the smallest task fits into the expected free capacity, or if the highest priority outranks that
+     * of a victim. Otherwise no task that is at least this large and has at most this priority can run on the machine.
+     */
     boolean canHost(Resources smallestTask, JobPriority highestPriority) {
         if (smallestTask.fitsIn(expectedFree)) {
             return true;
         }
-        // Index loops here and below: iterators per machine and job would account for most of a cycle's allocations.
+        // Index loops here and below avoid iterators: one per machine and job would account for most of a cycle's
+        // allocations.
         for (int i = 0; i < victims.size(); i++) {
             if (highestPriority.outranks(victims.get(i).binding.job().spec().priority())) {
                 return true;
@@ -79,7 +84,9 @@
         return false;
     }
 
-    /** Claims expected free capacity for up to {@code wanted} tasks; returns the number of tasks that fit. */
+    /**
+     * Claims expected free capacity for up to {@code wanted} tasks of this size. Returns the number of tasks that fit.
+     */
     int claim(Resources task, int wanted) {
         if (!task.fitsIn(expectedFree)) {
             return 0;
@@ -92,8 +99,8 @@
     }
 
     /**
-     * The victim with the least lost work whose preemption makes room for a task of this job, or null: Optional would
-     * allocate on the hot path.
+     * Returns the victim with the least lost work whose preemption makes room for a task of this job. Returns null if
+     * there is no such victim, because Optional would allocate on the hot path.
      */
     Victim cheapestVictim(JobSpec spec) {
         for (int i = 0; i < victims.size(); i++) {
@@ -114,8 +121,8 @@
     }
 
     /**
-     * Preempts the victim for up to {@code wanted} tasks of this size; returns the number of tasks that fit afterwards.
-     * No other task on this machine is preempted in this cycle.
+     * Preempts the victim and claims the free capacity for up to {@code wanted} tasks of this size. Returns the number
+     * of tasks that fit. No other task on this machine is preempted in this cycle.
      */
     int preempt(Victim victim, Resources task, int wanted) {
         expectedFree = expectedFree.plus(victim.binding.job().spec().taskResources());
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -7,9 +7,9 @@
 import org.spruceridge.config.Policy.Weights;
 
 /**
- * The Job-Machine matrix: the weighted sum of all terms for each candidate on each machine that can run it. Machines
- * that have the same score for every candidate share a group, so the size of the matrix grows with the number of
- * distinct groups and not with the number of machines.
+ * The Job-Machine matrix: the weighted sum of all terms for each candidate and each machine that can run the candidate.
+ * Machines that have the same score for every candidate share a group. Therefore the size of the matrix grows with the
+ * number of groups and not with the number of machines.
  */
 public final class PriorityMatrix {
     private final RemainingTimeEstimator estimator;
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Returns the entries of all groups that currently have room for the candidate, and the best entry of each
-     * candidate even if its group has no room. {@code eligible} is the Minimal requirements heuristic, which filters
-     * groups before scoring.
+     * Returns, for each candidate, the entries of all groups that currently have room for the candidate. The best entry
+     * of each candidate is included even if its group has no room. {@code eligible} is the Minimal requirements
+     * heuristic, which excludes groups before scoring.
      */
     public List<Entry> entries(
             ImmutableList<Candidate> candidates,
@@ -75,8 +75,8 @@
             double longestRemainingS,
             BiPredicate<Candidate, MachineGroup> hasRoom) {
         double remainingS = estimator.remainingS(candidate);
-        // Equation 7 is a mean over the machines of the row; the remaining time, and so the urgency, is the same on
-        // all.
+        // Equation 7 is the mean urgency over the machines of the row. The remaining time is the same on all machines,
+        // and therefore the urgency is the same too.
         Heuristic.Row row =
                 new Heuristic.Row(candidate, Deadline.urgency(candidate.slackS(), remainingS), longestRemainingS);
         Entry best = null;
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -6,9 +6,9 @@
 import org.spruceridge.cluster.Resources;
 
 /**
- * Reserves capacity for high-scoring tasks that currently fit on no machine, on the machines that are expected to have
- * room soonest. Without reservations, smaller tasks would take all capacity as it is freed, and large tasks would
- * starve.
+ * Reserves capacity for high-scoring tasks that currently fit on no machine. The capacity is reserved on the machines
+ * that are expected to have room soonest. Without reservations, smaller tasks would take all capacity as it is freed,
+ * and large tasks would starve.
  */
 final class Reservations {
     private final CycleState state;
@@ -16,10 +16,10 @@
     private final int maxReservations;
     private int reservationsMade;
 
-    /** A machine that is expected to have room after a delay in seconds. */
+    /** A machine that has no room for a task yet, and the expected time until it has room, in seconds. */
     private record FutureFit(MachineCapacity capacity, double delayS) {}
 
-    /** {@code maxMachineShare} is the largest share of all machines on which capacity may be reserved. */
+    /** {@code maxMachineShare} is the largest share of the schedulable machines on which capacity can be reserved. */
     Reservations(CycleState state, RemainingTimeEstimator estimator, double maxMachineShare) {
         this.state = state;
         this.estimator = estimator;
@@ -27,7 +27,8 @@
     }
 
     /**
-     * Reserves capacity for the tasks of a job that this cycle cannot place; called before the job's tasks are placed.
+     * Reserves capacity or quota for those tasks of a job that this cycle cannot place. Called before the job's tasks
+     * are placed.
      */
     void reserveFor(WaitingJob waiting) {
         int admissibleTasks = state.quotas().admissibleTasks(waiting.job().spec());
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Reserves the rest of a team's quota if only the quota keeps the job from starting. Otherwise smaller tasks of the
-     * team would take all quota as it is freed, and a large task would never start.
+     * Reserves the rest of a team's quota if the quota alone keeps the job from starting. Without this reservation,
+     * smaller tasks of the team would take all quota as it is freed, and a large task would never start.
      */
     private void reserveTeamQuota(WaitingJob waiting) {
         String team = waiting.job().spec().team();
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -15,9 +15,9 @@
 import org.spruceridge.schedule.PriorityMatrix.Entry;
 
 /**
- * One greedy pass over the matrix in descending order of score. Its cost grows with the number of waiting jobs and of
- * machines with room, because entries without room are omitted. The exception is the best entry of each job, which is
- * always present, since reservations for the job are made there.
+ * One greedy pass over the matrix in descending order of score. The cost of the pass grows with the number of waiting
+ * jobs and the number of machines with room, because the matrix omits entries without room. The exception is the best
+ * entry of each job, which is always present, because reservations for the job are made at this entry.
  */
 final class SchedulingCycle {
     private static final Comparator<Entry> DESCENDING_SCORE = Comparator.comparingDouble((Entry e) -> -e.score())
@@ -69,7 +69,10 @@
                 groups.size());
     }
 
-    /** The minimum of each resource over all waiting tasks: a machine without room for this has room for no task. */
+    /**
+     * Returns the minimum of each resource over all waiting tasks. A machine without room for these minimums cannot
+     * take any waiting task.
+     */
     private Resources smallestTask() {
         return Resources.minOf(
                 waitingJobs.keySet().stream().map(job -> job.spec().taskResources()));
@@ -89,8 +92,9 @@
     }
 
     /**
-     * Selects replicas to evict from machines that the cloud is about to reclaim, if another machine has room for them.
-     * Each cycle reserves that room until the replica is gone; the replica is then placed like any other missing one.
+     * Selects replicas to evict from machines that the cloud is about to reclaim. A replica is selected only if another
+     * machine has room for it. Each cycle reserves that room until the replica is gone. The replica is then placed like
+     * any other missing replica.
      */
     private ImmutableList<Binding> evictions() {
         ImmutableList.Builder<Binding> evictions = ImmutableList.builder();
@@ -103,11 +107,11 @@
     }
 
     /**
-     * Places the replicas of a service. Machines that already run replicas of other services come first, so that few
-     * machines have to be kept for services. The replicas are spread, so that a machine failure affects few of them: a
-     * machine gets a second replica only when no other machine can take it. Ties are broken by the order of the
-     * service's entries. All replicas are placed before the tasks of jobs with a lower score, so their number is the
-     * same as if each entry were processed in turn.
+     * Places the replicas of a service. Machines that already run replicas of other services come first, to keep few
+     * machines for services. The replicas are spread, to limit the number of replicas that a machine failure affects: a
+     * machine gets a second replica only if no other machine can take it. Ties are broken by the order of the service's
+     * entries. All replicas are placed before the tasks of jobs with a lower score. Therefore the number of placed
+     * replicas is the same as if each entry were processed in turn.
      */
     private void placeReplicas(WaitingJob service, List<Entry> entries, Resources smallestTask) {
         List<GroupCapacity> rankedGroups = entries.stream()
@@ -141,7 +145,10 @@
         placements.add(new Placement(waiting.job(), waiting.takeNextTaskIndex(), capacity.machine()));
     }
 
-    /** Places as many tasks as fit on the machines of one group, always on the fullest machine that still has room. */
+    /**
+     * Places as many tasks of the job as fit on the machines of one group. Each task goes to the fullest machine that
+     * still has room.
+     */
     private void placeIn(GroupCapacity group, WaitingJob waiting, Resources smallestTask) {
         Job job = waiting.job();
         while (canPlace(waiting)) {
@@ -149,7 +156,8 @@
             if (fullest == null) {
                 return;
             }
-            // Each placement keeps this machine the fullest, so it is used until no more of these tasks fit.
+            // Each placement keeps this machine the fullest, so the loop continues until no more tasks of the job fit
+            // on it.
             while (canPlace(waiting)
                     && fullest.fits(job.spec().taskResources())
                     && state.isEligible(waiting, fullest)) {
@@ -165,7 +173,8 @@
     }
 
     /**
-     * Services that lack replicas, and jobs that can still meet their deadline if they start now, by descending score.
+     * Returns the urgent jobs with unplaced tasks, in descending order of score. Every service is urgent. Any other job
+     * is urgent if its urgency is between 0 and 1: it can still meet its deadline if it starts now.
      */
     private List<WaitingJob> urgentJobs(List<Entry> entries) {
         Map<Job, WaitingJob> urgentJobs = new LinkedHashMap<>();
--- a/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
+++ b/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
@@ -3,10 +3,10 @@
 /**
  * The service availability term, an addition to the paper: the urgency of a service that lacks replicas. The paper
  * covers jobs that end, and derives their urgency from a deadline. A service has no deadline, and every second without
- * a replica is lost service time. The term is 0 for all other jobs. For a service it is at least 0.5 and grows with the
- * time that the replica has been missing, along the curve of equation 13.
+ * a replica is lost service time. The term is 0 for jobs that are not services. For a service the term is at least 0.5.
+ * It grows along the curve of equation 13 with the time for which a replica has been missing.
  *
- * @param halfGrowthS the missing time after which half of the growth is reached, in seconds
+ * @param halfGrowthS the time in seconds for which a replica has been missing when half of the growth is reached
  */
 public record ServiceAvailability(double halfGrowthS) implements Heuristic {
     private static final double MIN_SERVICE_VALUE = 0.5;
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -1,18 +1,19 @@
 package org.spruceridge.schedule;
 
 /**
- * The starvation prevention term, an addition to the paper. The Anti-aging term (equation 13) is bounded, so a job can
- * lose to a steady stream of short or urgent jobs indefinitely. This term eventually puts a job first if none of its
- * tasks has started, and, at a greater age, a job that has started. It is 0 for all younger jobs.
+ * The starvation prevention term, an addition to the paper. The Anti-aging term (equation 13) is bounded. Therefore a
+ * job can lose indefinitely to a steady stream of short or urgent jobs. The starvation prevention term eventually puts
+ * a job first if none of its tasks has started. It also puts a job first that has started, but only at a greater age.
+ * The term is 0 for all younger jobs.
  *
- * @param targetStartDelayS the time within which every job should start, in seconds after its submission
+ * @param targetStartDelayS the time after its submission within which every job should start, in seconds
  */
 public record StarvationPrevention(double targetStartDelayS) implements Heuristic {
-    /** The ages, relative to the target start delay, between which the term grows for a job that has not started. */
+    /** For a job that has not started, the term grows from 0 to 1 between these two ages, in target start delays. */
     private static final double GROWTH_START_RATIO = 0.5;
 
     private static final double GROWTH_END_RATIO = 0.75;
-    /** The same for a job that has started. */
+    /** For a job that has started, the term grows from 0 to 1 between these two ages, in target start delays. */
     private static final double STARTED_GROWTH_START_RATIO = 1.5;
 
     private static final double STARTED_GROWTH_END_RATIO = 3;
--- a/src/main/java/org/spruceridge/schedule/TeamQuotas.java
+++ b/src/main/java/org/spruceridge/schedule/TeamQuotas.java
@@ -10,7 +10,7 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.config.Settings.Team;
 
-/** The quota usage of each team during a scheduling cycle; counts existing bindings and the cycle's placements. */
+/** The quota usage of each team during a scheduling cycle. Counts existing bindings and the cycle's placements. */
 final class TeamQuotas {
     private final Map<String, Team> teams;
     private final Map<String, Resources> usage = new HashMap<>();
@@ -24,7 +24,8 @@
     }
 
     /**
-     * The number of further tasks of this job that its team's quota allows; 0 for an unknown team or a reserved quota.
+     * Returns the number of further tasks of this job that its team's quota allows. Returns 0 if the team is unknown or
+     * the rest of its quota is reserved, and {@link Integer#MAX_VALUE} if the team has no quota.
      */
     int admissibleTasks(JobSpec spec) {
         Team team = teams.get(spec.team());
@@ -42,7 +43,7 @@
         return remaining.fittingTasks(spec.taskResources());
     }
 
-    /** Reserves the rest of a team's quota, so that later candidates of this cycle cannot use it. */
+    /** Reserves the rest of a team's quota. Later candidates of this cycle cannot use the reserved quota. */
     void reserve(String team) {
         reservedTeams.add(team);
     }
@@ -51,7 +52,7 @@
         return reservedTeams.contains(team);
     }
 
-    /** Counts one more task of the job. */
+    /** Counts one more task of the job towards its team's quota. */
     void add(JobSpec spec) {
         usage.computeIfPresent(spec.team(), (team, used) -> used.plus(spec.taskResources()));
     }
--- a/src/main/java/org/spruceridge/schedule/WaitingJob.java
+++ b/src/main/java/org/spruceridge/schedule/WaitingJob.java
@@ -2,7 +2,7 @@
 
 import org.spruceridge.cluster.Job;
 
-/** The waiting tasks of one job during a cycle: one row of the matrix. */
+/** The waiting tasks of one job during a cycle, which form one row of the matrix. */
 final class WaitingJob {
     private final Candidate candidate;
     private final boolean[] allowedKinds;
@@ -29,12 +29,12 @@
         return allowedKinds[kindIndex];
     }
 
-    /** The number of tasks that are not placed yet. */
+    /** The number of waiting tasks that this cycle has not placed yet. */
     int remainingTasks() {
         return remainingTasks;
     }
 
-    /** Returns the index of the next task to place, and counts that task as placed. */
+    /** Returns the index of the next task to place, and counts this task as placed. */
     int takeNextTaskIndex() {
         int index = job().nextWaiting(nextIndex);
         nextIndex = index + 1;
@@ -42,7 +42,7 @@
         return index;
     }
 
-    /** Marks the job as visited; true if it was not visited before, which is the case at its best entry. */
+    /** Marks the job as visited. Returns true on the first visit, which is at the job's best entry. */
     boolean markVisited() {
         boolean first = !visited;
         visited = true;
--- a/src/main/java/org/spruceridge/schedule/ZoneConstraints.java
+++ b/src/main/java/org/spruceridge/schedule/ZoneConstraints.java
@@ -6,13 +6,16 @@
 import org.spruceridge.cluster.JobSpec;
 
 /**
- * The number of tasks in each zone, for jobs with a zone constraint (all tasks in one zone, or spread over zones).
- * Counts existing bindings and the placements of the current scheduling cycle.
+ * The number of tasks in each zone, for jobs with a zone constraint. A zone constraint requires all tasks in one zone,
+ * or spreads the tasks over zones. Counts existing bindings and the placements of the current scheduling cycle.
  */
 final class ZoneConstraints {
     private final Map<Job, Map<String, Integer>> tasksByZone = new HashMap<>();
 
-    /** True if one more task in the zone satisfies the job's zone constraint, or if the job has none. */
+    /**
+     * Returns whether the job's zone constraint permits one more task in the zone. Returns true if the job has no zone
+     * constraint.
+     */
     boolean allows(Job job, String zone) {
         JobSpec spec = job.spec();
         if (!isConstrained(spec)) {
--- a/src/test/java/org/spruceridge/schedule/MatchingFixture.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingFixture.java
@@ -21,7 +21,7 @@
 import org.spruceridge.config.Settings;
 import org.spruceridge.sim.Fixtures;
 
-/** Base class for matching tests: a small cluster with helpers that add machines, jobs and running tasks. */
+/** Base class of matching tests. Provides a small cluster and helpers that add machines, jobs and running tasks. */
 abstract class MatchingFixture {
     static final long NOW = 1_000_000_000_000L;
     static final long WALL_MS = 1_000_000;
--- a/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
@@ -26,8 +26,8 @@
 import org.spruceridge.config.Policy;
 
 /**
- * Compares the matching, which groups equal machines, with the paper's matching over all pairs of a task and a machine,
- * on small random cluster states without reservations.
+ * Compares the matching, which groups equal machines, with the paper's matching over all pairs of a job and a machine.
+ * The test uses small random cluster states and makes no reservations.
  */
 final class MatchingReferenceTest {
     private static final long NOW = 1_000_000_000_000L;
@@ -94,7 +94,7 @@
                 cluster.bind(new Binding(running, index, 1, machine, Binding.Stage.COMMITTED, NOW));
             }
         }
-        running.cancel(NOW, NOW); // its bound tasks stay, and no more of its tasks are placed
+        running.cancel(NOW, NOW); // the job's bound tasks stay, and no more of its tasks are placed
         for (int i = 0; i < jobCount; i++) {
             addJob(random, 1 + random.nextInt(8), WALL_MS - random.nextInt(100_000));
         }
@@ -125,8 +125,10 @@
                 groups.add(group);
             }
         }
-        // At most two types, two zones, spot or on-demand, and four levels of fullness.
-        assertTrue(groups.size() <= 2 * 2 * 2 * 4, "machine groups: " + groups.size());
+        // The machines have two types, two zones, spot or on-demand pricing, and at most four levels of fullness.
+        assertTrue(
+                groups.size() <= 2 * 2 * 2 * 4,
+                "the machines must form at most 32 groups; machine groups: " + groups.size());
         Plan plan = new Matching(MatchingFixture.SETTINGS, Policy.defaults(), 50).plan(cluster, NOW, WALL_MS);
         assertEquals(groups.size(), plan.machineGroups());
     }
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -13,7 +13,7 @@
 import org.spruceridge.cluster.MachineKind;
 import org.spruceridge.cluster.Resources;
 
-/** Tests the placements of a scheduling cycle under limits of capacity, quota, zones and machine kinds. */
+/** Tests the placements of a scheduling cycle: machine capacity, team quotas, zones and machine kinds limit them. */
 final class MatchingTest extends MatchingFixture {
     @Test
     void equalScoresPlaceTaskOnFullerMachine() {
@@ -47,10 +47,13 @@
         releasingBinding.advanceTo(Binding.Stage.RELEASING); // the task may still run until its release is recorded
         Plan plan = plan();
         assertEquals(2, plan.placements().size());
-        assertTrue(plan.unplaced().isEmpty(), "tasks over quota must not count as unplaced");
+        assertTrue(plan.unplaced().isEmpty(), "tasks that exceed the team's quota must not count as unplaced");
     }
 
-    /** Adds a job of team blue with nine tasks of 2 CPUs, of which this many already run on the machine. */
+    /**
+     * Adds a job of team blue with nine tasks of 2 CPUs. Its first {@code runningTasks} tasks already run on the
+     * machine.
+     */
     private Job addSmallBlueJob(int runningTasks, Machine machine) {
         JobBuilder small = job();
         small.team = "blue";
@@ -68,16 +71,16 @@
     void remainingQuotaIsReservedForHigherScoringLargeTask() {
         addMachine("b", "a", false);
         Job others = addSmallBlueJob(4, addMachine("a", "a", false));
-        bindRunning(others, 4, addMachine("c", "a", false)); // 10 of the team's 12 CPUs
+        bindRunning(others, 4, addMachine("c", "a", false)); // the team uses 10 of its 12 CPUs
         JobBuilder large = job();
         large.team = "blue";
         large.estimateS = 20;
         Job first = large.add();
-        assertEquals(List.of(), machineNames(plan()), "the last 2 CPUs must not go to another small task");
+        assertEquals(List.of(), machineNames(plan()), "the last 2 CPUs of the quota must not go to a small task");
         JobBuilder otherTeam = job();
         otherTeam.estimateS = 60;
         otherTeam.add();
-        assertEquals(1, plan().placements().size(), "other teams must not be blocked");
+        assertEquals(1, plan().placements().size(), "a task of another team must be placed despite the reserved quota");
         cluster.unbind(others.binding(4), NOW);
         assertTrue(plan().placements().stream().anyMatch(p -> p.job() == first));
     }
@@ -105,7 +108,7 @@
         assertEquals(List.of(), machineNames(plan()));
         endedBinding.advanceTo(Binding.Stage.RELEASING);
         cluster.releaseCapacity(endedBinding);
-        cluster.releaseCapacity(endedBinding); // repeated proof must free the capacity only once
+        cluster.releaseCapacity(endedBinding); // a repeated release must not free the capacity again
         assertEquals(List.of("m"), machineNames(plan()));
         cluster.unbind(endedBinding, NOW);
         assertEquals(new Resources(8, 0, 32), cluster.freeCapacity(machine));
--- a/src/test/java/org/spruceridge/schedule/PreemptionTest.java
+++ b/src/test/java/org/spruceridge/schedule/PreemptionTest.java
@@ -34,7 +34,10 @@
         assertEquals(0, plan().preemptions().size());
     }
 
-    /** Guards against one preemption per waiting task, which would lose more work than necessary. */
+    /**
+     * Guards against one preemption per waiting task. One preemption can make room for several tasks, and each
+     * preemption loses work.
+     */
     @Test
     void preemptionServesAllTasksThatFitFreedCapacity() {
         JobBuilder low = job();
--- a/src/test/java/org/spruceridge/schedule/ReferenceMatching.java
+++ b/src/test/java/org/spruceridge/schedule/ReferenceMatching.java
@@ -15,8 +15,9 @@
 import org.spruceridge.config.Policy;
 
 /**
- * A direct implementation of the paper's matching (section IV) for comparison: processes every pair of a job and a
- * machine in descending order of score; equal scores go to the fuller machine. Team blue has a quota.
+ * A direct implementation of the paper's matching (section IV) for comparison. It processes every pair of a job and a
+ * machine in descending order of score. Among machines with equal scores, the fuller one gets the task. Only team blue
+ * has a quota.
  */
 final class ReferenceMatching {
     private static final double BLUE_QUOTA_CPUS = 12;
@@ -65,7 +66,7 @@
         blueCpus = cluster.usedBy("blue").cpus();
     }
 
-    /** The placements in order, each formatted as {@code job on machine}. */
+    /** Returns the placements in the order in which they are made, each formatted as {@code job on machine}. */
     List<String> placements() {
         List<Pair> pairs = pairs();
         for (int i = 0; i < pairs.size(); ) {
@@ -98,7 +99,7 @@
         return pairs;
     }
 
-    /** Equations 4 to 7, 12 and 13, plus the machine price and bin packing terms. */
+    /** The weighted sum of the terms of equations 4 to 7, 12 and 13, and of the machine price and bin packing terms. */
     private double score(Job job, Machine machine) {
         MachineType type = types.get(machine.type());
         Candidate candidate = candidate(job);
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -21,13 +21,15 @@
 import org.spruceridge.config.Policy;
 import org.spruceridge.sim.Fixtures;
 
-/** Limits the allocations of a scheduling cycle in a burst: a large, full cluster with many waiting jobs. */
+/**
+ * Limits the bytes that a scheduling cycle allocates during a burst. The cluster is large and full, and many jobs wait.
+ */
 final class SchedulingCostTest {
     private static final long NOW = 1_000_000_000_000L;
     private static final long WALL_MS = 1_000_000;
     private static final int MACHINES = 1120;
     private static final int WAITING_JOBS = 150;
-    /** A fifth of the bytes that a cycle over all machines for each job allocates. */
+    /** A fifth of the bytes that a cycle would allocate if it visited every machine for each job. */
     private static final long MAX_CYCLE_ALLOCATION_BYTES = 3_000_000;
 
     private final Cluster cluster = new Cluster();
@@ -91,7 +93,9 @@
         }
         long bytesPerCycle = (threads.getCurrentThreadAllocatedBytes() - allocatedBefore) / 10;
         assertEquals(0, plan.placements().size());
-        assertTrue(plan.preemptions().size() > 0, "no preemption was planned");
-        assertTrue(bytesPerCycle < MAX_CYCLE_ALLOCATION_BYTES, "bytes per cycle: " + bytesPerCycle);
+        assertTrue(plan.preemptions().size() > 0, "the cycle must plan at least one preemption");
+        assertTrue(
+                bytesPerCycle < MAX_CYCLE_ALLOCATION_BYTES,
+                "a cycle must allocate less than the limit; bytes per cycle: " + bytesPerCycle);
     }
 }
--- a/src/test/java/org/spruceridge/schedule/ServicePlacementTest.java
+++ b/src/test/java/org/spruceridge/schedule/ServicePlacementTest.java
@@ -47,7 +47,7 @@
         assertEquals(1, plan.preemptions().size());
     }
 
-    /** Each replica gets a separate machine while there are any, and machines that already run replicas come first. */
+    /** Each replica gets a separate machine while one is available. Machines that already run replicas come first. */
     @Test
     void replicasSpreadAcrossMachinesPreferringThoseWithReplicas() {
         Machine first = addMachine("first", "a", false);
@@ -73,7 +73,9 @@
         assertTrue(placed.stream().filter("second"::equals).count() >= 2);
     }
 
-    /** Replicas do not end, so no capacity is reserved on a machine where only their end would make room. */
+    /**
+     * Replicas do not end. Therefore no capacity is reserved on a machine that has room only after a replica has ended.
+     */
     @Test
     void capacityHeldByReplicaIsNotReserved() {
         Machine machine = addMachine("m", "a", false);
@@ -89,7 +91,10 @@
                 plan().placements().stream().map(Plan.Placement::job).toList());
     }
 
-    /** Other jobs do not get the capacity that is reserved for a replica on a machine that the cloud reclaims. */
+    /**
+     * Capacity is reserved for a replica on a machine that the cloud reclaims. Other jobs do not get the reserved
+     * capacity.
+     */
     @Test
     void replicaOnReclaimedMachineIsEvictedOnlyWithReplacementCapacity() {
         Machine reclaimed = addMachine("leaving", "a", false);
@@ -104,6 +109,7 @@
         replica.requestStop(Binding.StopMode.CHECKPOINT);
         Plan next = plan();
         assertEquals(List.of(), next.evictions());
-        assertEquals(List.of(), machineNames(next), "the capacity must stay reserved until the replica is gone");
+        assertEquals(
+                List.of(), machineNames(next), "the replacement capacity must stay reserved until the replica is gone");
     }
 }
