--- a/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
+++ b/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
@@ -2,12 +2,12 @@
 
 /**
  * Allocates the attempt numbers of a term. An attempt number has the term in its upper bits and a counter in its lower
- * bits, so attempt numbers increase across terms although none of them is stored.
+ * bits. Therefore attempt numbers increase across terms, although the counter is not stored.
  */
 final class AttemptNumbers {
     private static final int COUNTER_BITS = 24;
 
-    /** The number of attempts in a term. The leader resigns before they run out. */
+    /** The number of attempt numbers available in a term. The leader resigns before they run out. */
     static final long MAX_PER_TERM = (1L << COUNTER_BITS) - 1;
 
     private final long term;
@@ -26,7 +26,7 @@
         return (term << COUNTER_BITS) + used;
     }
 
-    /** Records that {@code count} attempt numbers of the term are in use. */
+    /** Records that the term has already used {@code count} attempt numbers. */
     void recordUsed(long count) {
         used = count;
     }
--- a/src/main/java/org/spruceridge/dispatch/CommandBatch.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandBatch.java
@@ -9,12 +9,15 @@
 import org.spruceridge.reconciliation.HeartbeatHandler;
 import org.spruceridge.worker.WorkerCommand;
 
-/** The commands of one direct request to a worker, and the bindings that the request starts and stops. */
+/** The commands of one direct request to a worker, and the bindings whose tasks the request starts and stops. */
 record CommandBatch(List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
-    /** A batch without commands, which only requests a reply. */
+    /** A batch without commands, for a request that only asks the worker to reply. */
     static final CommandBatch PROBE = new CommandBatch(List.of(), List.of(), List.of());
 
-    /** Collects the due commands of a machine that have not been sent directly yet, and records them as sent. */
+    /**
+     * Collects the commands that are due on a machine and have not been sent directly yet. Records these commands as
+     * sent.
+     */
     static CommandBatch collect(Machine machine, HeartbeatHandler heartbeatHandler, Loop loop) {
         CommandBatch batch = new CommandBatch(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         for (Binding binding : machine.bindings()) {
@@ -29,7 +32,7 @@
     private void addUnlessSent(Binding binding, WorkerCommand command, Loop loop) {
         switch (command.verb()) {
             case START -> {
-                // Only the first start is sent directly. Heartbeat responses carry the retries.
+                // Only the first start command of a binding is sent directly. Heartbeat responses carry the retries.
                 if (binding.isStartSent() || binding.machine().directCommands().hasUncertainStart()) {
                     return;
                 }
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -19,11 +19,12 @@
 /**
  * Sends start and stop commands directly to workers, without waiting for their next heartbeat.
  *
- * <p>A direct command can arrive minutes late and still be executed if the fencing token and the incarnation match. A
- * late stop is harmless, because it names an attempt. A late start is not: its binding may have been released in the
- * meantime. Therefore, while a direct start is unresolved, the absence of its task from a heartbeat proves nothing, and
- * the worker gets no command to forget the attempt. A machine that does not answer a direct start gets no more tasks
- * and is terminated. A new incarnation or a newer fencing token invalidates all commands in flight.
+ * <p>A direct command can arrive minutes late. The worker still executes the command if the fencing token and the
+ * incarnation match. A late stop is harmless, because a stop names an attempt. A late start is not harmless, because
+ * its binding may have been released in the meantime. A direct start is unresolved until its result is known. Until
+ * then, a heartbeat without the task does not prove that the task is gone, and the worker gets no command to forget the
+ * attempt. A machine that does not answer a direct start gets no more tasks and is terminated. A new incarnation or a
+ * newer fencing token invalidates all commands in flight.
  */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
@@ -36,12 +37,12 @@
     private final Runnable onReply;
     private final long term;
     private final long timeoutNanos;
-    /** Machines with a request in flight. */
+    /** Machines to which a request is in flight. */
     private final Set<Machine> awaitingReply = new HashSet<>();
-    /** Machines with a request in flight for which commands may have become due since it was sent. */
+    /** Machines whose due commands are sent after the request in flight to the machine has completed. */
     private final Set<Machine> sendAfterReply = new HashSet<>();
 
-    /** {@code onReply} is called after each request has completed, also if it timed out or failed. */
+    /** {@code onReply} is called after each request has completed, including requests that timed out or failed. */
     public CommandSender(
             LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onReply) {
         this.loop = context.loop();
@@ -54,14 +55,14 @@
         this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
-    /** Sends a request without commands to a suspect machine; a reply shows that commands reach the machine. */
+    /** Sends a request without commands to a suspect machine. A reply shows that commands reach the machine. */
     public void probe(Machine machine) {
         if (isLeader.getAsBoolean()) {
             send(machine, CommandBatch.PROBE);
         }
     }
 
-    /** Sends the commands that are due on a machine, or defers them until the request in flight to it has completed. */
+    /** Sends the commands that are due on a machine. Defers them while a request to the machine is in flight. */
     public void sendDueCommands(Machine machine) {
         if (!machine.lease().isFenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
             return; // heartbeat responses carry the commands instead
@@ -125,8 +126,8 @@
     }
 
     /**
-     * Sends unanswered stops again. Heartbeat responses repeat them as well, but not to a machine whose heartbeats do
-     * not arrive.
+     * Sends unanswered stop commands again. Heartbeat responses repeat them too, but a machine whose heartbeats do not
+     * arrive gets no responses.
      */
     private void retryStops(Machine machine, CommandBatch batch, CommandResult result) {
         if (result.heartbeat().isPresent() || batch.stops().isEmpty()) {
--- a/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
+++ b/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
@@ -29,7 +29,7 @@
         this.onCommandsDue = onCommandsDue;
     }
 
-    /** Executes a plan that was made at {@code now}, on the monotonic clock in nanoseconds. */
+    /** Executes a plan. {@code now} is the time at which the plan was made, on the monotonic clock in nanoseconds. */
     void execute(Plan plan, long now) {
         for (Plan.Placement placement : plan.placements()) {
             bind(placement, now);
@@ -62,7 +62,8 @@
     }
 
     /**
-     * Gracefully evicts a replica from a machine that is about to be reclaimed; the plan reserved room on another one.
+     * Evicts a replica with a checkpoint from a machine that is about to be reclaimed. The plan has reserved room for
+     * the replica on another machine.
      */
     private void evict(Binding binding) {
         binding.requestStop(Binding.StopMode.CHECKPOINT);
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -16,15 +16,15 @@
 import org.spruceridge.term.LeaderContext;
 
 /**
- * Runs a scheduling cycle after it is requested. Cycles have a minimum spacing, and are deferred for a limited time
+ * Runs scheduling cycles on request. Consecutive cycles have a minimum spacing. A cycle is deferred for a limited time
  * while other requests wait on the event loop.
  */
 public final class SchedulingLoop {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
     /**
-     * The minimum time between the starts of two cycles, in durations of the last cycle. It limits scheduling to a
-     * quarter of the event loop's time, since heartbeats take precedence.
+     * The minimum time between the starts of two cycles, as a multiple of the duration of the last cycle. The multiple
+     * limits scheduling to a quarter of the event loop's time, because heartbeats take precedence.
      */
     private static final long MIN_SPACING_IN_CYCLE_DURATIONS = 4;
 
@@ -47,8 +47,8 @@
     private long lastCycleDurationNanos;
 
     /**
-     * {@code onCommandsDue} is called for each machine on which a task has to be stopped; {@code resign} ends the
-     * leadership and takes the reason.
+     * {@code onCommandsDue} is called for each machine on which a task has to be stopped. {@code resign} ends the
+     * leadership; its argument is the reason.
      */
     public SchedulingLoop(
             LeaderContext context,
@@ -72,7 +72,7 @@
         this.lastCycleAt = loop.nanos() - minCycleSpacingNanos;
     }
 
-    /** Requests a cycle after an event that may change the plan; does nothing if a cycle is already requested. */
+    /** Requests a cycle after an event that can change the plan. Does nothing if a cycle is already requested. */
     public void request() {
         if (cycleRequested) {
             return;
@@ -88,12 +88,15 @@
         return lastPlan;
     }
 
-    /** Records that {@code count} attempt numbers of this term are in use. */
+    /** Records that this term has already used {@code count} attempt numbers. */
     void recordAttemptsUsed(long count) {
         attemptNumbers.recordUsed(count);
     }
 
-    /** Defers the cycle by up to the maximum decision delay while requests wait, since heartbeats take precedence. */
+    /**
+     * Runs the cycle, or defers it while requests wait on the event loop, because heartbeats take precedence. The cycle
+     * is deferred by no more than the maximum decision delay.
+     */
     private void runUnlessLoopIsBusy() {
         if (loop.busy() && loop.nanos() - cycleDueAt < maxDecisionDelayNanos) {
             scope.after(BUSY_RECHECK_INTERVAL_NANOS, this::runUnlessLoopIsBusy);
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -52,8 +52,8 @@
 
 /**
  * Runs a leader with 4,000 machines and 40,000 tasks under small limits of the state service. All tasks are bound, a
- * burst of exits is recorded, and a failover restores the state. No transaction is rejected, no binding is lost, and
- * the numbers of transactions and allocated bytes and the heap stay within limits.
+ * burst of exits is recorded, and a failover restores the state. No transaction is rejected, and no binding is lost.
+ * The number of transactions, the number of allocated bytes and the heap stay within limits.
  */
 final class FleetSizeTest {
     private static final int MACHINES = 4000;
@@ -64,9 +64,12 @@
     private static final int TRANSACTION_OPERATIONS = 4;
     private static final double VALUE_KB = 2;
     private static final double WRITES_PER_S = 90;
-    /** Half of the 64 MB heap of a deployed node; a leader needs the rest for requests in progress. */
+    /** Half of the 64 MB heap of a deployed node. A leader needs the other half for requests in progress. */
     private static final long MAX_HEAP_BYTES = 32L << 20;
-    /** The limit for a cycle on a full cluster; a cycle over all pairs would allocate about a hundred times as much. */
+    /**
+     * The limit for a cycle on a full cluster. A cycle over all pairs of a job and a machine would allocate about a
+     * hundred times as much.
+     */
     private static final long MAX_CYCLE_ALLOCATION_BYTES = 4L << 20;
 
     private static final Settings SETTINGS = Fixtures.settings(
@@ -84,7 +87,10 @@
             BindingsRecord.maxBindingsPerMachine(SETTINGS.state().recordKb()));
     private long leaderRevision;
 
-    /** All components of a leader of one term except the network. */
+    /**
+     * The components of a leader for one term. HTTP requests go directly to the simulated state service, without a
+     * network.
+     */
     private final class Term {
         private final LeaderContext context;
         private final Cluster cluster;
@@ -183,7 +189,10 @@
         }
     }
 
-    /** Handles a heartbeat of each machine that reports its first task as exited and all others as running. */
+    /**
+     * Handles one heartbeat of each machine. The heartbeat reports the machine's first task as exited and all its other
+     * tasks as running.
+     */
     private void sendBurstOfExits(Term term) {
         for (Machine machine : List.copyOf(term.cluster.machines())) {
             List<TaskStatus> tasks = new ArrayList<>();
@@ -236,15 +245,16 @@
         for (int second = 0; second < 120 && term.committedBindings() < TASKS; second++) {
             loop.run(1);
         }
-        assertEquals(TASKS, term.committedBindings(), "committed bindings");
+        assertEquals(TASKS, term.committedBindings(), "the binding of every task must be committed");
         assertEquals(0, state.rejectedTransactionCount());
-        // Each write of a page contains all pending changes, so a page is written only a few times.
+        // Each write of a page contains all pending changes of the page, so a page is written only a few times.
         assertTrue(
                 state.transactionCount() <= 4 * pageCount(),
-                state.transactionCount() + " transactions, " + pageCount() + " pages");
+                "there must be at most 4 transactions per page: " + state.transactionCount() + " transactions, "
+                        + pageCount() + " pages");
         assertTrue(
                 usedHeapBytes() - heapBefore < MAX_HEAP_BYTES,
-                "heap growth in bytes: " + (usedHeapBytes() - heapBefore));
+                "the heap growth must stay below the limit; growth in bytes: " + (usedHeapBytes() - heapBefore));
         return term;
     }
 
@@ -254,10 +264,15 @@
         for (int second = 0; second < 60 && term.recordWriter.backlog() > 0; second++) {
             loop.run(1);
         }
-        assertEquals(TASKS - MACHINES, term.committedBindings(), "committed bindings after the burst");
+        assertEquals(
+                TASKS - MACHINES,
+                term.committedBindings(),
+                "the bindings of all tasks that did not exit must stay committed");
         int burstTransactions = state.transactionCount() - transactionsBefore;
         assertTrue(
-                burstTransactions <= 4 * pageCount(), burstTransactions + " transactions, " + pageCount() + " pages");
+                burstTransactions <= 4 * pageCount(),
+                "the burst must cause at most 4 transactions per page: " + burstTransactions + " transactions, "
+                        + pageCount() + " pages");
     }
 
     private void assertCycleAllocatesLittle(Term term) {
@@ -265,7 +280,9 @@
         long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
         matching.plan(term.cluster, loop.nanos(), loop.wallMillis());
         long allocatedBytes = threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
-        assertTrue(allocatedBytes < MAX_CYCLE_ALLOCATION_BYTES, "bytes per cycle: " + allocatedBytes);
+        assertTrue(
+                allocatedBytes < MAX_CYCLE_ALLOCATION_BYTES,
+                "a cycle must allocate less than the limit; bytes per cycle: " + allocatedBytes);
     }
 
     private void assertFailoverIsComplete() {
@@ -282,16 +299,17 @@
                     }
                 });
         loop.run(10);
-        assertTrue(completed[0], "failover completed");
-        assertEquals(TASKS - MACHINES, secondTerm.committedBindings(), "committed bindings after the failover");
+        assertTrue(completed[0], "the failover must complete");
+        assertEquals(
+                TASKS - MACHINES, secondTerm.committedBindings(), "the second leader must load all committed bindings");
         assertEquals(
                 MACHINES,
                 secondTerm.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
-                "completed tasks after the failover");
+                "the second leader must load all completed tasks");
         assertEquals(0, state.rejectedTransactionCount());
     }
 
-    /** The attempt counter of a term has 24 bits; the leader resigns before it overflows. */
+    /** The attempt counter of a term has 24 bits. The leader resigns before the counter overflows. */
     @Test
     void leaderResignsBeforeAttemptNumbersRunOut() {
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
