--- a/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
+++ b/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
@@ -43,7 +43,7 @@
         this.onMachineAvailable = onMachineAvailable;
     }
 
-    /** Applies the statuses to the machine's bindings; returns the statuses without a matching binding. */
+    /** Applies the task statuses to the machine's bindings. Returns the statuses that match no binding. */
     List<TaskStatus> reconcile(Machine machine, ImmutableList<TaskStatus> statuses, long now) {
         Map<TaskId, TaskStatus> boundStatuses = new HashMap<>();
         List<TaskStatus> unboundStatuses = new ArrayList<>();
@@ -83,7 +83,9 @@
         }
     }
 
-    /** True if the task is not running and will not be started; an unresolved direct start could still start it. */
+    /**
+     * Returns whether the task is not running and will not be started. An unresolved direct start could still start it.
+     */
     private static boolean isAbandoned(Binding binding) {
         return binding.stage() == Binding.Stage.COMMITTED
                 && CommandSelector.isStartForbidden(binding)
--- a/src/main/java/org/spruceridge/reconciliation/CancellationView.java
+++ b/src/main/java/org/spruceridge/reconciliation/CancellationView.java
@@ -4,7 +4,10 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Tracks the staleness of the leader's view of cancellations: the time up to which it includes all confirmed ones. */
+/**
+ * The age of the leader's view of cancelled jobs. The view is complete up to a time if it includes every cancellation
+ * that was confirmed to a user before that time.
+ */
 final class CancellationView {
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -17,13 +20,14 @@
         this.maxAgeNanos = maxAgeNanos;
     }
 
-    /** Records that the view is complete up to this time on the monotonic clock, in nanoseconds. */
+    /** Records that the view is complete up to this time, on the monotonic clock in nanoseconds. */
     void recordCompleteUpTo(long timeNanos) {
         completeUpTo = Math.max(completeUpTo, timeNanos);
     }
 
     /**
-     * The time up to which the view is complete, in nanoseconds; {@link Long#MIN_VALUE} if it has never been complete.
+     * The time up to which the view is complete, on the monotonic clock in nanoseconds; {@link Long#MIN_VALUE} if no
+     * such time has been recorded yet.
      */
     long completeUpTo() {
         return completeUpTo;
@@ -33,7 +37,7 @@
         return completeUpTo != NEVER && loop.nanos() - completeUpTo < maxAgeNanos;
     }
 
-    /** The age of the view in seconds; empty if it has never been complete. */
+    /** The time since {@link #completeUpTo}, in seconds; empty if no such time has been recorded yet. */
     OptionalDouble ageS() {
         return completeUpTo == NEVER
                 ? OptionalDouble.empty()
--- a/src/main/java/org/spruceridge/reconciliation/CommandSelector.java
+++ b/src/main/java/org/spruceridge/reconciliation/CommandSelector.java
@@ -28,7 +28,8 @@
     }
 
     /**
-     * The commands of the response to a heartbeat; {@code unboundStatuses} are its statuses without a matching binding.
+     * Returns the commands of the response to a heartbeat. {@code unboundStatuses} are the task statuses of the
+     * heartbeat that match no binding.
      */
     List<WorkerCommand> commandsFor(Machine machine, List<TaskStatus> unboundStatuses, long now) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -51,13 +52,13 @@
             orphanBindings.add(machine, status, now);
             commands.add(WorkerCommand.stopImmediately(status.task(), status.attempt()));
         } else if (!machine.directCommands().isStartUnresolved(status.attempt())) {
-            // A worker ignores a late start of an attempt that it knows, so it may forget the attempt only once the
-            // start is resolved.
+            // A worker ignores a late start of an attempt that it knows. Therefore the worker is told to forget the
+            // attempt only after the start is resolved.
             commands.add(WorkerCommand.forget(status.task(), status.attempt()));
         }
     }
 
-    /** The command that the current state of a binding requires, if any. */
+    /** Returns the command that the current state of a binding requires; empty if it requires none. */
     Optional<WorkerCommand> dueCommand(Binding binding) {
         return switch (binding.phase()) {
             case ABSENT -> dueStart(binding);
@@ -90,7 +91,7 @@
         return WorkerCommand.stopImmediately(binding.task(), binding.attempt());
     }
 
-    /** True if a task that has not been started on its machine must no longer be started there. */
+    /** Returns whether a task that has not been started on its machine must not be started there any more. */
     static boolean isStartForbidden(Binding binding) {
         Machine machine = binding.machine();
         return binding.stopMode() != Binding.StopMode.NONE
@@ -101,9 +102,9 @@
     }
 
     /**
-     * The commands of the response to a heartbeat that is not applied to the cluster state. The response renews the
-     * worker's lease, so it has to stop all listed tasks of jobs that are not open. This is safe even if the heartbeat
-     * is outdated: a stop names an attempt, and an ended job never reopens.
+     * Returns the commands of the response to a heartbeat that is not applied to the cluster state. The response renews
+     * the worker's lease. Therefore it has to stop all listed tasks of jobs that are not open. These stops are safe
+     * even if the heartbeat is outdated: a stop names an attempt, and an ended job never reopens.
      */
     List<WorkerCommand> stopsForEndedJobs(WorkerHeartbeat heartbeat) {
         return heartbeat.tasks().stream()
--- a/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
+++ b/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
@@ -10,16 +10,17 @@
 import org.spruceridge.worker.WorkerHeartbeat.ExitCause;
 
 /**
- * Distinguishes faulty machines from faulty jobs by the exits of their tasks. Faulty machines are cordoned, and faulty
- * jobs are retried with exponential backoff.
+ * Distinguishes faulty machines from faulty jobs by the exits of tasks. Faulty machines are cordoned, and faulty jobs
+ * are retried with exponential backoff.
  */
 final class FailureTracker {
     private static final Logger LOG = LoggerFactory.getLogger(FailureTracker.class);
 
-    /** The number of jobs with failures on a machine at which the machine is cordoned. */
+    /** A machine is cordoned once tasks of this many jobs have failed on it. */
     private static final int FAILED_JOBS_BEFORE_CORDON = 2;
     /**
-     * How long an early exit of a replica counts, in cancellation times; the cancellation time also caps the backoff.
+     * An early exit of a replica counts for this many cancellation times. The cancellation time is also the maximum
+     * backoff.
      */
     private static final double EARLY_EXIT_WINDOW_IN_CANCEL_TIMES = 2;
 
@@ -31,7 +32,10 @@
         this.workers = workers;
     }
 
-    /** Records that a task exited on its own after it was seen running for {@code elapsedS} seconds. */
+    /**
+     * Records that a task exited without being stopped. {@code elapsedS} is the time for which the leader saw the task
+     * running, in seconds.
+     */
     void recordExit(Binding binding, ExitCause cause, double elapsedS, long now) {
         Job job = binding.job();
         Machine machine = binding.machine();
@@ -51,7 +55,8 @@
     }
 
     /**
-     * Failures of several jobs indicate a faulty machine; failures of one job on many machines indicate a faulty job.
+     * Failures of several jobs on one machine indicate a faulty machine. Failures of one job on many machines indicate
+     * a faulty job.
      */
     private void recordFailure(Job job, Machine machine, long now) {
         job.failedMachines().add(machine.name());
@@ -76,9 +81,9 @@
     }
 
     /**
-     * Records the exit of a replica, which should run until it is stopped. The replica is restarted immediately, on
-     * another machine if it exited early. Exponential backoff applies once the number of consecutive early exits
-     * exceeds the number of replicas of the service.
+     * Records that a replica exited, although it should run until it is stopped. The replica is restarted immediately.
+     * After an early exit, it is restarted on another machine. Exponential backoff applies once the number of
+     * consecutive early exits exceeds the number of replicas of the service.
      */
     private void recordReplicaExit(Job job, Machine machine, double elapsedS, long now) {
         if (elapsedS >= workers.leaseS()) {
@@ -93,7 +98,10 @@
         }
     }
 
-    /** Delays the retry by the heartbeat interval, doubled this many times, up to the configured cancellation time. */
+    /**
+     * Delays the retry by the heartbeat interval, doubled {@code doublings} times. The configured cancellation time is
+     * the maximum delay.
+     */
     private void backOff(Job job, int doublings, long now) {
         double backoffS = workers.heartbeatIntervalS() * Math.pow(2, doublings);
         delayRetry(job, Math.min(backoffS, workers.cancelS()), now);
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
@@ -11,7 +11,7 @@
 import org.spruceridge.term.LeaderContext;
 import org.spruceridge.worker.WorkerHeartbeat;
 
-/** Accepts or rejects heartbeats by fencing token and freshness, and records accepted heartbeats on their machines. */
+/** Accepts or rejects heartbeats by fencing token and freshness. Records accepted heartbeats on their machines. */
 final class HeartbeatAdmission {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAdmission.class);
 
@@ -26,13 +26,14 @@
     }
 
     /**
-     * Returns why a heartbeat is rejected; empty if it is accepted. An accepted heartbeat carries this term's fencing
-     * token and is newer than all accepted before. Its worker no longer executes commands of earlier leaders, so a task
-     * that the heartbeat does not list is not on the machine. An unknown machine is added to the cluster state.
+     * Returns the reason for rejecting a heartbeat; empty if the heartbeat is accepted. An accepted heartbeat carries
+     * this term's fencing token and is newer than all heartbeats accepted before from its machine. The worker no longer
+     * executes commands of earlier leaders. Therefore a task that the heartbeat does not list is not on the machine. An
+     * unknown machine is added to the cluster state.
      */
     Optional<Rejected> check(WorkerHeartbeat heartbeat) {
-        // A heartbeat without this term's token may be a duplicate of any age, even from a machine that no longer
-        // exists. The response delivers the token, and the next heartbeat carries it.
+        // A heartbeat without this term's token can be a duplicate of any age, even from a machine that no longer
+        // exists. The response delivers the token to the worker, and the worker's next heartbeat carries the token.
         if (heartbeat.fencingToken() != term) {
             return Optional.of(Rejected.OTHER_FENCING_TOKEN);
         }
@@ -44,12 +45,17 @@
         return isNewer ? Optional.empty() : Optional.of(Rejected.OUTDATED);
     }
 
-    /** True if this heartbeat makes the machine available: it is the first one of an incarnation or of this term. */
+    /**
+     * Returns whether this heartbeat makes the machine available: it is the first heartbeat of an incarnation or of
+     * this term.
+     */
     boolean makesAvailable(Machine machine, WorkerHeartbeat heartbeat) {
         return !machine.lease().isFenced() || machine.heartbeatVersion().isNewIncarnation(heartbeat.incarnation());
     }
 
-    /** Records an accepted heartbeat: its version and address, the fencing token and the reclaim notice. */
+    /**
+     * Records an accepted heartbeat on its machine: the version, the address, the fencing token and the reclaim notice.
+     */
     void record(Machine machine, WorkerHeartbeat heartbeat, HeartbeatOrigin origin, long now) {
         long incarnation = heartbeat.incarnation();
         switch (origin) {
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -29,8 +29,8 @@
     private final Consumer<Machine> onMachineAvailable;
 
     /**
-     * {@code onMachineAvailable} is called for each machine with newly available capacity: after its first heartbeat of
-     * an incarnation or a term, and after a task on it has exited.
+     * {@code onMachineAvailable} is called for each machine with newly available capacity: after the machine's first
+     * heartbeat of an incarnation or a term, and after a task on the machine has exited.
      */
     public HeartbeatHandler(LeaderContext context, RecordWriter recordWriter, Consumer<Machine> onMachineAvailable) {
         OrphanBindings orphanBindings = new OrphanBindings(context.cluster(), context.warnings());
@@ -43,7 +43,7 @@
         this.onMachineAvailable = onMachineAvailable;
     }
 
-    /** Handles a heartbeat sent by a worker; returns the commands of the response, which renews the worker's lease. */
+    /** Handles a heartbeat sent by a worker. Returns the commands of the response, which renews the worker's lease. */
     public List<WorkerCommand> handle(WorkerHeartbeat heartbeat) {
         HeartbeatResult result = apply(heartbeat, HeartbeatOrigin.WORKER_REQUEST);
         leaseRenewals.record(heartbeat);
@@ -52,28 +52,31 @@
                 : commandSelector.stopsForEndedJobs(heartbeat);
     }
 
-    /** Handles a heartbeat during the failover, when all open jobs are known but machines and bindings are not yet. */
+    /**
+     * Handles a heartbeat during the failover. All open jobs are known then, but machines and bindings are not known
+     * yet.
+     */
     public List<WorkerCommand> handleDuringFailover(WorkerHeartbeat heartbeat) {
         leaseRenewals.recordDuringFailover(heartbeat);
         return commandSelector.stopsForEndedJobs(heartbeat);
     }
 
-    /** Handles a heartbeat that arrived with the result of a direct command, which gets no response. */
+    /** Handles a heartbeat that arrived with the result of a direct command. Such a heartbeat gets no response. */
     public void handleReply(WorkerHeartbeat heartbeat) {
         apply(heartbeat, HeartbeatOrigin.COMMAND_REPLY);
     }
 
-    /** Called when the failover is complete: all recorded machines are known from now on. */
+    /** Called when the failover is complete. All recorded machines are known from then on. */
     public void failoverCompleted() {
         leaseRenewals.failoverCompleted();
     }
 
-    /** True if the heartbeat must get no response, so that the worker's lease expires. */
+    /** Returns whether the heartbeat must get no response, in order to let the worker's lease expire. */
     public boolean withholdsResponse(WorkerHeartbeat heartbeat) {
         return leaseRenewals.isResponseWithheld(heartbeat);
     }
 
-    /** The command that the current state of a binding requires, if any. */
+    /** Returns the command that the current state of a binding requires; empty if it requires none. */
     public Optional<WorkerCommand> dueCommand(Binding binding) {
         return commandSelector.dueCommand(binding);
     }
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatOrigin.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatOrigin.java
@@ -1,6 +1,6 @@
 package org.spruceridge.reconciliation;
 
-/** How a heartbeat reached the leader. */
+/** The way in which a heartbeat reached the leader. */
 enum HeartbeatOrigin {
     /** The worker sent the heartbeat, which shows that the worker can reach a controller. */
     WORKER_REQUEST,
--- a/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobCanceller.java
@@ -37,7 +37,7 @@
         this.onJobsChanged = onJobsChanged;
     }
 
-    /** Cancels the job; does nothing if it is already cancelled. */
+    /** Cancels the job. Does nothing if the job is already cancelled. */
     void cancel(Job job, CancellationSource source) {
         if (job.isCancelled()) {
             return;
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Logs at info level only if tasks are bound; {@code ageS} is an upper bound of the time since the user received
-     * the confirmation.
+     * Logs at info level only if tasks of the job are bound. {@code ageS} is an upper bound on the time since the user
+     * received the confirmation of the cancellation.
      */
     private void log(Job job, CancellationSource source, int machineCount) {
         if (machineCount == 0) {
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -28,7 +28,10 @@
 import org.spruceridge.state.StateResult;
 import org.spruceridge.term.LeaderContext;
 
-/** Detects accepted and cancelled jobs by watching the open entries, which exist only for unfinished jobs. */
+/**
+ * Detects accepted and cancelled jobs by watching the open entries in the state service. Only unfinished jobs have an
+ * open entry.
+ */
 public final class JobWatcher {
     private static final long RETRY_DELAY_NANOS = Durations.millis(250);
 
@@ -45,8 +48,8 @@
     private Cancellable watch = () -> {};
 
     /**
-     * {@code onCommandsDue} is called for each machine on which a task has to be stopped; {@code onJobsChanged} after
-     * jobs were added or cancelled.
+     * {@code onCommandsDue} is called for each machine on which a task has to be stopped. {@code onJobsChanged} is
+     * called after jobs were added or cancelled.
      */
     public JobWatcher(
             LeaderContext context,
@@ -68,28 +71,35 @@
     }
 
     /**
-     * Records that every cancellation confirmed before this time is in the cluster state; the time is on the monotonic
-     * clock, in nanoseconds.
+     * Records that the cluster state includes every cancellation confirmed before this time. The time is on the
+     * monotonic clock, in nanoseconds.
      */
     public void recordViewCompleteUpTo(long timeNanos) {
         view.recordCompleteUpTo(timeNanos);
     }
 
     /**
-     * True while the view of cancellations is recent enough to respond to heartbeats. A valid leader lease does not
-     * imply this: the lease can be renewed while the watch is stuck, and after an outage it has its full duration
-     * again.
+     * Returns whether the leader's view of cancelled jobs is recent enough to respond to heartbeats. A valid leader
+     * lease does not imply a recent view. The lease can be renewed while the watch is stuck, and the lease has its full
+     * duration again after an outage.
      */
     public boolean isUpToDate() {
         return view.isUpToDate();
     }
 
-    /** The age of the view of cancellations, in seconds; empty if it has never been complete. */
+    /**
+     * Returns the age of the leader's view of cancelled jobs, in seconds. The age is the time since the view was last
+     * known to include every confirmed cancellation. Returns empty until the open entries have been loaded for the
+     * first time.
+     */
     public OptionalDouble cancellationViewAgeS() {
         return view.ageS();
     }
 
-    /** Watches all changes after a revision. Each result is complete up to the time of its request. */
+    /**
+     * Watches all changes of open entries after a revision. Each result contains all changes up to the time of its
+     * request.
+     */
     public void watchFrom(long revision) {
         long requestedAt = loop.nanos();
         watch = state.watch(
@@ -121,7 +131,7 @@
         } else if (result.outcome() == StateResult.Outcome.REVISION_COMPACTED) {
             relistOpenJobs();
         } else {
-            // The watch is not retried directly: a listing still succeeds if only watches get no response.
+            // The watch is not retried directly, because a listing still succeeds if only watches get no response.
             scope.after(RETRY_DELAY_NANOS, this::relistOpenJobs);
         }
     }
@@ -135,9 +145,7 @@
         }
     }
 
-    /**
-     * The open entry of a job is removed when the job is cancelled, or when this leader records the job's completion.
-     */
+    /** Cancels the job of a removed open entry, unless this leader removed the entry to record the job's completion. */
     private void handleRemovedEntry(String jobId, CancellationSource source) {
         Job job = cluster.job(jobId);
         if (job != null && !recordWriter.isCompleting(job)) {
--- a/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
+++ b/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
@@ -16,8 +16,8 @@
     private final long term;
     private final long workerLeaseNanos;
     /**
-     * Renewal times of machines that are not in the cluster state yet, by machine name, on the monotonic clock in
-     * nanoseconds.
+     * The times at which leases of machines that are not in the cluster state yet were renewed, by machine name. The
+     * times are on the monotonic clock, in nanoseconds.
      */
     private final Map<String, Long> renewedDuringFailover = new HashMap<>();
 
@@ -28,7 +28,7 @@
         this.workerLeaseNanos = Durations.nanos(context.settings().workers().leaseS());
     }
 
-    /** Records the response to a heartbeat, which delivers this term's fencing token to the worker. */
+    /** Records the response to a heartbeat. The response delivers this term's fencing token to the worker. */
     void record(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine != null) {
@@ -36,12 +36,12 @@
         }
     }
 
-    /** Records the response to a heartbeat during the failover, before the machines are known. */
+    /** Records the response to a heartbeat that arrived during the failover, before the machines were known. */
     void recordDuringFailover(WorkerHeartbeat heartbeat) {
         renewedDuringFailover.put(heartbeat.machine(), loop.nanos());
     }
 
-    /** Called when the machines are known: records the renewals made during the failover on them. */
+    /** Called when the machines are known. Records the renewals that were made during the failover on the machines. */
     void failoverCompleted() {
         renewedDuringFailover.forEach((name, renewedAt) -> {
             Machine machine = cluster.machine(name);
@@ -53,17 +53,18 @@
     }
 
     /**
-     * True if a response would only delay the proof that the machine's tasks are gone. This is the case if the machine
-     * is terminating and does not execute its commands, or if it has received responses for longer than a lease and
-     * still does not present this term's fencing token.
+     * Returns whether a response would only delay the proof that the machine's tasks are gone. A response would do so
+     * in two cases. In the first case, the machine is terminating and does not execute its commands. In the second
+     * case, the machine has received responses for longer than a lease but still does not present this term's fencing
+     * token.
      */
     boolean isResponseWithheld(WorkerHeartbeat heartbeat) {
         Machine machine = cluster.machine(heartbeat.machine());
         if (machine == null || machine.bindings().isEmpty()) {
             return false;
         }
-        // Fencing is overdue only after a whole lease: shortly after a failover, responses may arrive too late at
-        // healthy workers.
+        // Fencing is overdue only after a whole lease, because responses can reach healthy workers too late shortly
+        // after a failover.
         boolean fencingOverdue =
                 heartbeat.fencingToken() != term && machine.lease().isFencingOverdue(loop.nanos(), workerLeaseNanos);
         return fencingOverdue || (machine.isTerminating() && machine.awaitsAcknowledgement());
--- a/src/main/java/org/spruceridge/reconciliation/OrphanBindings.java
+++ b/src/main/java/org/spruceridge/reconciliation/OrphanBindings.java
@@ -9,7 +9,8 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * Bindings of running tasks that have no record. They count against the capacity of their machine until they are gone.
+ * Manages orphan bindings: the bindings of running tasks that have no stored record. An orphan binding counts against
+ * the capacity of its machine until the task is gone.
  */
 final class OrphanBindings {
     private final Cluster cluster;
@@ -20,7 +21,10 @@
         this.warnings = warnings;
     }
 
-    /** Adds a binding to be stopped immediately, unless the job is unknown or the task is already bound. */
+    /**
+     * Adds an orphan binding whose task is to be stopped immediately. Adds none if the job is unknown, if the task is
+     * already bound, or if the job has no task with this index.
+     */
     void add(Machine machine, TaskStatus status, long now) {
         TaskId task = status.task();
         warnings.warn(
@@ -37,7 +41,7 @@
         cluster.bind(orphan);
     }
 
-    /** Removes the binding of a task that is gone; there is no record to release. */
+    /** Removes the orphan binding of a task that is gone. There is no stored record to release. */
     void remove(Binding orphan, long now) {
         cluster.unbind(orphan, now);
         cluster.removeIfEnded(orphan.job(), orphan.job().isCancelled());
--- a/src/main/java/org/spruceridge/reconciliation/ReclaimCheckpoint.java
+++ b/src/main/java/org/spruceridge/reconciliation/ReclaimCheckpoint.java
@@ -8,7 +8,7 @@
 
 /** Stops tasks on machines that the cloud is about to reclaim, early enough for a checkpoint. */
 final class ReclaimCheckpoint {
-    /** Twice the maximum delay until the next heartbeat, which is 1.25 intervals. */
+    /** Twice the maximum delay until the next heartbeat. The maximum delay is 1.25 heartbeat intervals. */
     private static final double STOP_LEAD_HEARTBEAT_INTERVALS = 2.5;
 
     private static final double STOP_LEAD_CHECKPOINT_DURATIONS = 1.5;
@@ -19,7 +19,10 @@
         this.workers = workers;
     }
 
-    /** Requests the stop of a task on the machine if a later stop might leave too little time for its checkpoint. */
+    /**
+     * Requests the stop of a task on a machine with a reclaim notice, if a later stop could leave too little time for
+     * the task's checkpoint.
+     */
     void requestIfDue(Binding binding, long now) {
         SpotReclaim reclaim = binding.machine().reclaim();
         if (!isPresent(binding) || !reclaim.isAnnounced() || binding.stopMode() != Binding.StopMode.NONE) {
@@ -40,7 +43,7 @@
         return STOP_LEAD_HEARTBEAT_INTERVALS * workers.heartbeatIntervalS() + checkpointS;
     }
 
-    /** The time for a task's checkpoint, in seconds; at most the time until its machine is reclaimed. */
+    /** The time that a task gets for its checkpoint, in seconds; at most the time until its machine is reclaimed. */
     static double graceS(Binding binding, long now) {
         double fullGraceS = 2 * binding.job().spec().checkpointDurationS() + 1;
         SpotReclaim reclaim = binding.machine().reclaim();
