--- a/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
+++ b/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
@@ -11,23 +11,23 @@
     static final long MAX_PER_TERM = (1L << COUNTER_BITS) - 1;
 
     private final long term;
-    private long used;
+    private long usedCount;
 
     AttemptNumbers(long term) {
         this.term = term;
     }
 
     boolean hasRemaining(int count) {
-        return used + count <= MAX_PER_TERM;
+        return usedCount + count <= MAX_PER_TERM;
     }
 
     long next() {
-        used++;
-        return (term << COUNTER_BITS) + used;
+        usedCount++;
+        return (term << COUNTER_BITS) + usedCount;
     }
 
     /** Records that the term has already used {@code count} attempt numbers. */
     void recordUsed(long count) {
-        used = count;
+        usedCount = count;
     }
 }
--- a/src/main/java/org/spruceridge/dispatch/CommandBatch.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandBatch.java
@@ -10,7 +10,7 @@
 import org.spruceridge.worker.WorkerCommand;
 
 /** The commands of one direct request to a worker, and the bindings whose tasks the request starts and stops. */
-record CommandBatch(List<WorkerCommand> commands, List<Binding> starts, List<Binding> stops) {
+record CommandBatch(List<WorkerCommand> commands, List<Binding> bindingsToStart, List<Binding> bindingsToStop) {
     /** A batch without commands, for a request that only asks the worker to reply. */
     static final CommandBatch PROBE = new CommandBatch(List.of(), List.of(), List.of());
 
@@ -36,14 +36,14 @@
                 if (binding.isStartSent() || binding.machine().directCommands().hasUncertainStart()) {
                     return;
                 }
-                starts.add(binding);
+                bindingsToStart.add(binding);
                 binding.recordStartSent();
             }
             case STOP -> {
                 if (binding.isStopSent()) {
                     return;
                 }
-                stops.add(binding);
+                bindingsToStop.add(binding);
                 binding.recordStopSent();
             }
             default -> {
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -34,23 +34,29 @@
     private final WorkerClient workers;
     private final HeartbeatHandler heartbeatHandler;
     private final BooleanSupplier isLeader;
-    private final Runnable onReply;
+    private final Runnable onRequestCompleted;
     private final long term;
     private final long timeoutNanos;
     /** Machines to which a request is in flight. */
-    private final Set<Machine> awaitingReply = new HashSet<>();
-    /** Machines whose due commands are sent after the request in flight to the machine has completed. */
-    private final Set<Machine> sendAfterReply = new HashSet<>();
+    private final Set<Machine> machinesAwaitingReply = new HashSet<>();
+    /** Machines whose due commands are sent after the request in flight has completed. */
+    private final Set<Machine> machinesWithDeferredCommands = new HashSet<>();
 
-    /** {@code onReply} is called after each request has completed, including requests that timed out or failed. */
+    /**
+     * {@code onRequestCompleted} is called after each request has completed, including requests that timed out or
+     * failed.
+     */
     public CommandSender(
-            LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onReply) {
+            LeaderContext context,
+            WorkerClient workers,
+            HeartbeatHandler heartbeatHandler,
+            Runnable onRequestCompleted) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.workers = workers;
         this.heartbeatHandler = heartbeatHandler;
         this.isLeader = context.isLeader();
-        this.onReply = onReply;
+        this.onRequestCompleted = onRequestCompleted;
         this.term = context.term().term();
         this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
@@ -67,8 +73,8 @@
         if (!machine.lease().isFenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
             return; // heartbeat responses carry the commands instead
         }
-        if (awaitingReply.contains(machine)) {
-            sendAfterReply.add(machine);
+        if (machinesAwaitingReply.contains(machine)) {
+            machinesWithDeferredCommands.add(machine);
             return;
         }
         CommandBatch batch = CommandBatch.collect(machine, heartbeatHandler, loop);
@@ -84,9 +90,9 @@
         } catch (IllegalArgumentException e) {
             return; // heartbeat responses carry the commands instead
         }
-        awaitingReply.add(machine);
+        machinesAwaitingReply.add(machine);
         long incarnation = machine.incarnation();
-        for (Binding binding : batch.starts()) {
+        for (Binding binding : batch.bindingsToStart()) {
             machine.directCommands().startSent(binding.attempt());
         }
         workers.send(
@@ -99,7 +105,7 @@
     }
 
     private void handleResult(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
-        awaitingReply.remove(machine);
+        machinesAwaitingReply.remove(machine);
         resolveStarts(machine, incarnation, batch, result);
         retryStops(machine, batch, result);
         if (result.heartbeat().isPresent()) {
@@ -108,18 +114,18 @@
             scope.after(timeoutNanos, () -> probe(machine));
         }
         result.heartbeat().ifPresent(heartbeatHandler::handleReply);
-        if (sendAfterReply.remove(machine)) {
+        if (machinesWithDeferredCommands.remove(machine)) {
             sendDueCommands(machine);
         }
-        onReply.run();
+        onRequestCompleted.run();
     }
 
     private void resolveStarts(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
         if (result.kind() != CommandResult.Kind.UNKNOWN) {
-            for (Binding binding : batch.starts()) {
+            for (Binding binding : batch.bindingsToStart()) {
                 machine.directCommands().startResolved(binding.attempt());
             }
-        } else if (!batch.starts().isEmpty() && machine.incarnation() == incarnation) {
+        } else if (!batch.bindingsToStart().isEmpty() && machine.incarnation() == incarnation) {
             LOG.info("machine excluded from scheduling machine={} reason=start-unanswered", machine.name());
             machine.directCommands().markStartUncertain();
         }
@@ -130,10 +136,10 @@
      * arrive gets no responses.
      */
     private void retryStops(Machine machine, CommandBatch batch, CommandResult result) {
-        if (result.heartbeat().isPresent() || batch.stops().isEmpty()) {
+        if (result.heartbeat().isPresent() || batch.bindingsToStop().isEmpty()) {
             return;
         }
-        batch.stops().forEach(Binding::recordStopUnanswered);
+        batch.bindingsToStop().forEach(Binding::recordStopUnanswered);
         scope.after(timeoutNanos, () -> sendDueCommands(machine));
     }
 }
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -41,7 +41,7 @@
     private final long minCycleSpacingNanos;
     private final long maxDecisionDelayNanos;
     private Optional<Plan> lastPlan = Optional.empty();
-    private boolean cycleRequested;
+    private boolean isCycleRequested;
     private long cycleDueAt;
     private long lastCycleAt;
     private long lastCycleDurationNanos;
@@ -74,10 +74,10 @@
 
     /** Requests a cycle after an event that can change the plan. Does nothing if a cycle is already requested. */
     public void request() {
-        if (cycleRequested) {
+        if (isCycleRequested) {
             return;
         }
-        cycleRequested = true;
+        isCycleRequested = true;
         long spacingNanos = Math.max(minCycleSpacingNanos, MIN_SPACING_IN_CYCLE_DURATIONS * lastCycleDurationNanos);
         cycleDueAt = Math.max(loop.nanos(), lastCycleAt + spacingNanos);
         scope.after(cycleDueAt - loop.nanos(), this::runUnlessLoopIsBusy);
@@ -106,7 +106,7 @@
     }
 
     private void runCycle() {
-        cycleRequested = false;
+        isCycleRequested = false;
         long now = loop.nanos();
         lastCycleAt = now;
         Plan plan = matching.plan(cluster, now, loop.wallMillis());
@@ -128,7 +128,7 @@
                     plan.placements().size(),
                     plan.preemptions().size(),
                     plan.unplaced().size(),
-                    plan.machineGroups(),
+                    plan.machineGroupCount(),
                     (loop.nanos() - startedAt) / 1e6);
         }
     }
--- a/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
+++ b/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
@@ -125,11 +125,11 @@
     }
 
     private void releaseExited(Binding binding, ExitCause cause, long now) {
-        boolean completed = cause == ExitCause.DONE && !binding.job().spec().isService();
-        if (binding.stage() == Binding.Stage.ORPHANED && !completed) {
+        boolean isCompleted = cause == ExitCause.DONE && !binding.job().spec().isService();
+        if (binding.stage() == Binding.Stage.ORPHANED && !isCompleted) {
             orphanBindings.remove(binding, now);
         } else {
-            recordWriter.release(binding, completed);
+            recordWriter.release(binding, isCompleted);
         }
     }
 
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
@@ -49,7 +49,7 @@
      * Returns whether this heartbeat makes the machine available: it is the first heartbeat of an incarnation or of
      * this term.
      */
-    boolean makesAvailable(Machine machine, WorkerHeartbeat heartbeat) {
+    boolean makesMachineAvailable(Machine machine, WorkerHeartbeat heartbeat) {
         return !machine.lease().isFenced() || machine.heartbeatVersion().isNewIncarnation(heartbeat.incarnation());
     }
 
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatHandler.java
@@ -88,10 +88,10 @@
         }
         Machine machine = cluster.machine(heartbeat.machine());
         long now = loop.nanos();
-        boolean becomesAvailable = admission.makesAvailable(machine, heartbeat);
+        boolean machineBecomesAvailable = admission.makesMachineAvailable(machine, heartbeat);
         admission.record(machine, heartbeat, origin, now);
         List<TaskStatus> unboundStatuses = bindingReconciler.reconcile(machine, heartbeat.tasks(), now);
-        if (becomesAvailable) {
+        if (machineBecomesAvailable) {
             onMachineAvailable.accept(machine);
         }
         return new Reconciled(commandSelector.commandsFor(machine, unboundStatuses, now));
--- a/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
+++ b/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
@@ -19,7 +19,7 @@
      * The times at which leases of machines that are not in the cluster state yet were renewed, by machine name. The
      * times are on the monotonic clock, in nanoseconds.
      */
-    private final Map<String, Long> renewedDuringFailover = new HashMap<>();
+    private final Map<String, Long> renewalTimesDuringFailover = new HashMap<>();
 
     LeaseRenewals(LeaderContext context) {
         this.loop = context.loop();
@@ -38,18 +38,18 @@
 
     /** Records the response to a heartbeat that arrived during the failover, before the machines were known. */
     void recordDuringFailover(WorkerHeartbeat heartbeat) {
-        renewedDuringFailover.put(heartbeat.machine(), loop.nanos());
+        renewalTimesDuringFailover.put(heartbeat.machine(), loop.nanos());
     }
 
     /** Called when the machines are known. Records the renewals that were made during the failover on the machines. */
     void failoverCompleted() {
-        renewedDuringFailover.forEach((name, renewedAt) -> {
+        renewalTimesDuringFailover.forEach((name, renewedAt) -> {
             Machine machine = cluster.machine(name);
             if (machine != null) {
                 machine.lease().recordRenewalDuringFailover(renewedAt);
             }
         });
-        renewedDuringFailover.clear();
+        renewalTimesDuringFailover.clear();
     }
 
     /**
@@ -65,8 +65,8 @@
         }
         // Fencing is overdue only after a whole lease, because responses can reach healthy workers too late shortly
         // after a failover.
-        boolean fencingOverdue =
+        boolean isFencingOverdue =
                 heartbeat.fencingToken() != term && machine.lease().isFencingOverdue(loop.nanos(), workerLeaseNanos);
-        return fencingOverdue || (machine.isTerminating() && machine.awaitsAcknowledgement());
+        return isFencingOverdue || (machine.isTerminating() && machine.awaitsAcknowledgement());
     }
 }
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -32,7 +32,7 @@
     private final List<MachineCapacity> machines = new ArrayList<>();
     private final TeamQuotas quotas;
     private final ZoneConstraints zoneConstraints = new ZoneConstraints();
-    private final Map<Job, Map<Machine, Integer>> replicas = new HashMap<>();
+    private final Map<Job, Map<Machine, Integer>> replicaCounts = new HashMap<>();
 
     /**
      * {@code maxBindingsPerMachine} is the number of bindings that the record of one machine can hold. {@code now} is
@@ -134,15 +134,15 @@
     }
 
     /** Returns the number of replicas of a service on a machine, including the placements of this cycle. */
-    int replicasOn(Machine machine, Job service) {
-        return replicas(service).getOrDefault(machine, 0);
+    int countReplicasOn(Machine machine, Job service) {
+        return replicaCounts(service).getOrDefault(machine, 0);
     }
 
-    private Map<Machine, Integer> replicas(Job service) {
-        return replicas.computeIfAbsent(service, CycleState::replicasOf);
+    private Map<Machine, Integer> replicaCounts(Job service) {
+        return replicaCounts.computeIfAbsent(service, CycleState::countReplicasByMachine);
     }
 
-    private static Map<Machine, Integer> replicasOf(Job service) {
+    private static Map<Machine, Integer> countReplicasByMachine(Job service) {
         Map<Machine, Integer> counts = new HashMap<>();
         service.bindings().forEach(binding -> counts.merge(binding.machine(), 1, Integer::sum));
         return counts;
@@ -202,7 +202,7 @@
         }
         quotas.add(spec);
         if (spec.isService()) {
-            replicas(job).merge(capacity.machine(), 1, Integer::sum);
+            replicaCounts(job).merge(capacity.machine(), 1, Integer::sum);
         }
         zoneConstraints.add(job, capacity.machine().zone());
     }
--- a/src/main/java/org/spruceridge/schedule/GroupCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/GroupCapacity.java
@@ -40,19 +40,19 @@
     }
 
     /**
-     * Returns the machine with the most replicas of any service. Considers only machines that have room for another
-     * replica of this service and run fewer than {@code maxReplicas} replicas of this service. Returns null if there is
-     * no such machine, because Optional would allocate on the hot path.
+     * Returns the machine with the most replicas, counted over all services. Considers only machines that have room for
+     * another replica of this service and run fewer than {@code maxReplicas} replicas of this service. Returns null if
+     * there is no such machine, because Optional would allocate on the hot path.
      */
-    MachineCapacity mostReplicatedMachineFor(WaitingJob service, CycleState state, int maxReplicas) {
+    MachineCapacity machineWithMostReplicasFor(WaitingJob service, CycleState state, int maxReplicas) {
         Resources task = service.job().spec().taskResources();
         MachineCapacity best = null;
         for (MachineCapacity capacity : machinesWithRoom) {
-            boolean isBetter = best == null || capacity.replicas() > best.replicas();
+            boolean isBetter = best == null || capacity.replicaCount() > best.replicaCount();
             if (isBetter
                     && capacity.fits(task)
                     && state.isEligible(service, capacity)
-                    && state.replicasOn(capacity.machine(), service.job()) < maxReplicas) {
+                    && state.countReplicasOn(capacity.machine(), service.job()) < maxReplicas) {
                 best = capacity;
             }
         }
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -22,7 +22,7 @@
     private final int kindIndex;
     private Resources free;
     private int bindingCount;
-    private int replicas;
+    private int replicaCount;
     private boolean isReserved;
     private List<ExpectedRelease> releases;
 
@@ -36,7 +36,7 @@
         this.kindIndex = kindIndex;
         this.free = type.capacity().minus(machine.used());
         this.bindingCount = machine.bindings().size();
-        this.replicas = machine.replicas();
+        this.replicaCount = machine.replicas();
     }
 
     Machine machine() {
@@ -74,14 +74,14 @@
         return task.fitsIn(free);
     }
 
-    /** The number of replicas of any service on the machine, including the placements of this cycle. */
-    int replicas() {
-        return replicas;
+    /** The number of replicas on the machine, counted over all services and including the placements of this cycle. */
+    int replicaCount() {
+        return replicaCount;
     }
 
     void allocateReplica(Resources task) {
         allocate(task);
-        replicas++;
+        replicaCount++;
     }
 
     void allocate(Resources task) {
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -14,7 +14,7 @@
  *     reserved on another machine
  * @param unplaced the number of tasks of each job that the cycle could not place only because capacity was lacking; in
  *     the cluster's order of jobs
- * @param machineGroups the number of machine groups, which are the columns of the matrix and determine the cost of a
+ * @param machineGroupCount the number of machine groups, which are the columns of the matrix; determines the cost of a
  *     cycle
  */
 public record Plan(
@@ -22,7 +22,7 @@
         ImmutableList<Binding> preemptions,
         ImmutableList<Binding> evictions,
         ImmutableMap<Job, Integer> unplaced,
-        int machineGroups) {
+        int machineGroupCount) {
 
     /** A waiting task, identified by its index in the job, and the machine to bind it to. */
     public record Placement(Job job, int taskIndex, Machine machine) {}
--- a/src/main/java/org/spruceridge/schedule/Preemption.java
+++ b/src/main/java/org/spruceridge/schedule/Preemption.java
@@ -65,7 +65,7 @@
 
     private void preemptFor(WaitingJob waiting) {
         JobSpec spec = waiting.job().spec();
-        int wanted = Math.min(waiting.remainingTasks(), state.quotas().admissibleTasks(spec));
+        int wanted = Math.min(waiting.unplacedTaskCount(), state.quotas().countAdmissibleTasks(spec));
         List<Victim> victims = new ArrayList<>();
         for (PreemptionTarget target : targets) {
             if (wanted <= 0) {
@@ -74,9 +74,9 @@
             if (!state.isEligible(waiting, target.capacity())) {
                 continue;
             }
-            int claimed = target.claim(spec.taskResources(), wanted);
-            wanted -= claimed;
-            Victim victim = claimed > 0 ? null : target.cheapestVictim(spec);
+            int claimedCount = target.claim(spec.taskResources(), wanted);
+            wanted -= claimedCount;
+            Victim victim = claimedCount > 0 ? null : target.cheapestVictim(spec);
             if (victim != null) {
                 victims.add(victim);
             }
@@ -92,7 +92,7 @@
         Comparator<Victim> order = Comparator.comparingDouble(Victim::lostWorkS);
         if (spec.isService()) {
             order = Comparator.comparingInt(
-                            (Victim victim) -> -victim.target().capacity().replicas())
+                            (Victim victim) -> -victim.target().capacity().replicaCount())
                     .thenComparing(order);
         }
         victims.sort(order);
--- a/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -67,15 +67,15 @@
     }
 
     /**
-     * Returns true if the smallest task fits into the expected free capacity, or if the highest priority outranks that
-     * of a victim. Otherwise no task that is at least this large and has at most this priority can run on the machine.
+     * Returns true if the smallest task fits into the expected free capacity, or if the highest priority outranks the
+     * priority of a victim. Otherwise no task that is at least this large and has at most this priority can run here.
      */
     boolean canHost(Resources smallestTask, JobPriority highestPriority) {
         if (smallestTask.fitsIn(expectedFree)) {
             return true;
         }
-        // Index loops here and below avoid iterators: one per machine and job would account for most of a cycle's
-        // allocations.
+        // Index loops here and below avoid iterators: one iterator per machine and job would account for most of a
+        // cycle's allocations.
         for (int i = 0; i < victims.size(); i++) {
             if (highestPriority.outranks(victims.get(i).binding.job().spec().priority())) {
                 return true;
--- a/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
+++ b/src/main/java/org/spruceridge/schedule/PriorityMatrix.java
@@ -51,13 +51,13 @@
     public List<Entry> entries(
             ImmutableList<Candidate> candidates,
             ImmutableList<MachineGroup> groups,
-            BiPredicate<Candidate, MachineGroup> eligible,
+            BiPredicate<Candidate, MachineGroup> isEligible,
             BiPredicate<Candidate, MachineGroup> hasRoom) {
         List<List<MachineGroup>> eligibleGroups = new ArrayList<>(candidates.size());
         double longestRemainingS = 0;
         for (Candidate candidate : candidates) {
             List<MachineGroup> rowGroups =
-                    groups.stream().filter(g -> eligible.test(candidate, g)).toList();
+                    groups.stream().filter(g -> isEligible.test(candidate, g)).toList();
             eligibleGroups.add(rowGroups);
             longestRemainingS = Math.max(longestRemainingS, rowGroups.isEmpty() ? 0 : estimator.remainingS(candidate));
         }
@@ -84,18 +84,18 @@
         double jobScore = groups.isEmpty() ? 0 : weightedSum(jobTerms, row, groups.get(0), remainingS);
         for (MachineGroup group : groups) {
             double score = jobScore + weightedSum(machineTerms, row, group, remainingS);
-            boolean hasRoomNow = hasRoom.test(candidate, group);
+            boolean groupHasRoom = hasRoom.test(candidate, group);
             boolean isBest = best == null || score > best.score;
-            if (!hasRoomNow && !isBest) {
+            if (!groupHasRoom && !isBest) {
                 continue;
             }
             Entry entry = new Entry(candidate, group, score, row.urgency());
-            if (hasRoomNow) {
+            if (groupHasRoom) {
                 entries.add(entry);
             }
             if (isBest) {
                 best = entry;
-                bestHasRoom = hasRoomNow;
+                bestHasRoom = groupHasRoom;
             }
         }
         if (best != null && !bestHasRoom) {
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -14,7 +14,7 @@
     private final CycleState state;
     private final RemainingTimeEstimator estimator;
     private final int maxReservations;
-    private int reservationsMade;
+    private int reservationCount;
 
     /** A machine that has no room for a task yet, and the expected time until it has room, in seconds. */
     private record FutureFit(MachineCapacity capacity, double delayS) {}
@@ -31,15 +31,15 @@
      * are placed.
      */
     void reserveFor(WaitingJob waiting) {
-        int admissibleTasks = state.quotas().admissibleTasks(waiting.job().spec());
+        int admissibleTasks = state.quotas().countAdmissibleTasks(waiting.job().spec());
         if (admissibleTasks == 0) {
             reserveTeamQuota(waiting);
             return;
         }
-        if (reservationsMade >= maxReservations) {
+        if (reservationCount >= maxReservations) {
             return;
         }
-        int wanted = Math.min(waiting.remainingTasks(), admissibleTasks);
+        int wanted = Math.min(waiting.unplacedTaskCount(), admissibleTasks);
         List<FutureFit> futureFits = new ArrayList<>();
         Resources task = waiting.job().spec().taskResources();
         for (MachineCapacity capacity : state.machines()) {
@@ -63,11 +63,11 @@
 
     private void reserveSoonest(List<FutureFit> futureFits, Resources task, int wanted) {
         futureFits.sort(Comparator.comparingDouble(FutureFit::delayS));
-        int count = Math.min(futureFits.size(), Math.min(wanted, maxReservations - reservationsMade));
+        int count = Math.min(futureFits.size(), Math.min(wanted, maxReservations - reservationCount));
         for (FutureFit fit : futureFits.subList(0, count)) {
             fit.capacity.reserve(task);
         }
-        reservationsMade += count;
+        reservationCount += count;
     }
 
     /**
--- a/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
+++ b/src/main/java/org/spruceridge/schedule/SchedulingCycle.java
@@ -59,13 +59,13 @@
                     placeReplicas(waiting, entries, smallestTask);
                 }
             }
-            placeIn(groups.get(entry.group()), waiting, smallestTask);
+            placeOnGroup(groups.get(entry.group()), waiting, smallestTask);
         }
         return new Plan(
                 ImmutableList.copyOf(placements),
                 ImmutableList.copyOf(preemption.selectPreemptions(urgentJobs(entries))),
                 evictions,
-                unplaced(),
+                unplacedTaskCounts(),
                 groups.size());
     }
 
@@ -132,8 +132,8 @@
     private MachineCapacity nextMachineFor(WaitingJob service, List<GroupCapacity> rankedGroups, int maxReplicas) {
         MachineCapacity best = null;
         for (GroupCapacity group : rankedGroups) {
-            MachineCapacity capacity = group.mostReplicatedMachineFor(service, state, maxReplicas);
-            if (capacity != null && (best == null || capacity.replicas() > best.replicas())) {
+            MachineCapacity capacity = group.machineWithMostReplicasFor(service, state, maxReplicas);
+            if (capacity != null && (best == null || capacity.replicaCount() > best.replicaCount())) {
                 best = capacity;
             }
         }
@@ -149,7 +149,7 @@
      * Places as many tasks of the job as fit on the machines of one group. Each task goes to the fullest machine that
      * still has room.
      */
-    private void placeIn(GroupCapacity group, WaitingJob waiting, Resources smallestTask) {
+    private void placeOnGroup(GroupCapacity group, WaitingJob waiting, Resources smallestTask) {
         Job job = waiting.job();
         while (canPlace(waiting)) {
             MachineCapacity fullest = group.fullestMachineFor(waiting, state);
@@ -168,33 +168,33 @@
     }
 
     private boolean canPlace(WaitingJob waiting) {
-        return waiting.remainingTasks() > 0
-                && state.quotas().admissibleTasks(waiting.job().spec()) > 0;
+        return waiting.unplacedTaskCount() > 0
+                && state.quotas().countAdmissibleTasks(waiting.job().spec()) > 0;
     }
 
     /**
      * Returns the urgent jobs with unplaced tasks, in descending order of score. Every service is urgent. Any other job
-     * is urgent if its urgency is between 0 and 1: it can still meet its deadline if it starts now.
+     * is urgent if its urgency is strictly between 0 and 1: it can still meet its deadline if it starts now.
      */
     private List<WaitingJob> urgentJobs(List<Entry> entries) {
         Map<Job, WaitingJob> urgentJobs = new LinkedHashMap<>();
         for (Entry entry : entries) {
             WaitingJob waiting = waitingJobs.get(entry.candidate().job());
-            boolean urgent = waiting.job().spec().isService() || (entry.urgency() > 0 && entry.urgency() < 1);
-            if (urgent && waiting.remainingTasks() > 0) {
+            boolean isUrgent = waiting.job().spec().isService() || (entry.urgency() > 0 && entry.urgency() < 1);
+            if (isUrgent && waiting.unplacedTaskCount() > 0) {
                 urgentJobs.putIfAbsent(waiting.job(), waiting);
             }
         }
         return List.copyOf(urgentJobs.values());
     }
 
-    private ImmutableMap<Job, Integer> unplaced() {
+    private ImmutableMap<Job, Integer> unplacedTaskCounts() {
         ImmutableMap.Builder<Job, Integer> unplaced = ImmutableMap.builder();
         for (WaitingJob waiting : waitingJobs.values()) {
             Job job = waiting.job();
             int wanted = job.failsOnManyMachines()
                     ? 0
-                    : Math.min(waiting.remainingTasks(), state.quotas().admissibleTasks(job.spec()));
+                    : Math.min(waiting.unplacedTaskCount(), state.quotas().countAdmissibleTasks(job.spec()));
             if (wanted > 0) {
                 unplaced.put(job, wanted);
             }
--- a/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
+++ b/src/main/java/org/spruceridge/schedule/ServiceAvailability.java
@@ -6,7 +6,7 @@
  * a replica is lost service time. The term is 0 for jobs that are not services. For a service the term is at least 0.5.
  * It grows along the curve of equation 13 with the time for which a replica has been missing.
  *
- * @param halfGrowthS the time in seconds for which a replica has been missing when half of the growth is reached
+ * @param halfGrowthS the time after which a missing replica has caused half of the growth, in seconds
  */
 public record ServiceAvailability(double halfGrowthS) implements Heuristic {
     private static final double MIN_SERVICE_VALUE = 0.5;
--- a/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
+++ b/src/main/java/org/spruceridge/schedule/StarvationPrevention.java
@@ -3,8 +3,8 @@
 /**
  * The starvation prevention term, an addition to the paper. The Anti-aging term (equation 13) is bounded. Therefore a
  * job can lose indefinitely to a steady stream of short or urgent jobs. The starvation prevention term eventually puts
- * a job first if none of its tasks has started. It also puts a job first that has started, but only at a greater age.
- * The term is 0 for all younger jobs.
+ * a job first if none of its tasks has started. A job that has started also comes first eventually, but only at a
+ * greater age. The term is 0 for all younger jobs.
  *
  * @param targetStartDelayS the time after its submission within which every job should start, in seconds
  */
--- a/src/main/java/org/spruceridge/schedule/TeamQuotas.java
+++ b/src/main/java/org/spruceridge/schedule/TeamQuotas.java
@@ -27,7 +27,7 @@
      * Returns the number of further tasks of this job that its team's quota allows. Returns 0 if the team is unknown or
      * the rest of its quota is reserved, and {@link Integer#MAX_VALUE} if the team has no quota.
      */
-    int admissibleTasks(JobSpec spec) {
+    int countAdmissibleTasks(JobSpec spec) {
         Team team = teams.get(spec.team());
         if (team == null || reservedTeams.contains(spec.team())) {
             return 0;
--- a/src/main/java/org/spruceridge/schedule/WaitingJob.java
+++ b/src/main/java/org/spruceridge/schedule/WaitingJob.java
@@ -6,15 +6,15 @@
 final class WaitingJob {
     private final Candidate candidate;
     private final boolean[] allowedKinds;
-    private int remainingTasks;
-    private int nextIndex;
-    private boolean visited;
+    private int unplacedTaskCount;
+    private int nextTaskIndex;
+    private boolean isVisited;
 
     /** {@code allowedKinds} holds, for each kind index of the cycle, whether the job may use machines of that kind. */
     WaitingJob(Candidate candidate, boolean[] allowedKinds) {
         this.candidate = candidate;
         this.allowedKinds = allowedKinds;
-        this.remainingTasks = candidate.job().waitingCount();
+        this.unplacedTaskCount = candidate.job().waitingCount();
     }
 
     Candidate candidate() {
@@ -30,22 +30,22 @@
     }
 
     /** The number of waiting tasks that this cycle has not placed yet. */
-    int remainingTasks() {
-        return remainingTasks;
+    int unplacedTaskCount() {
+        return unplacedTaskCount;
     }
 
     /** Returns the index of the next task to place, and counts this task as placed. */
     int takeNextTaskIndex() {
-        int index = job().nextWaiting(nextIndex);
-        nextIndex = index + 1;
-        remainingTasks--;
+        int index = job().nextWaiting(nextTaskIndex);
+        nextTaskIndex = index + 1;
+        unplacedTaskCount--;
         return index;
     }
 
     /** Marks the job as visited. Returns true on the first visit, which is at the job's best entry. */
     boolean markVisited() {
-        boolean first = !visited;
-        visited = true;
-        return first;
+        boolean isFirstVisit = !isVisited;
+        isVisited = true;
+        return isFirstVisit;
     }
 }
--- a/src/main/java/org/spruceridge/schedule/ZoneConstraints.java
+++ b/src/main/java/org/spruceridge/schedule/ZoneConstraints.java
@@ -38,10 +38,10 @@
     }
 
     private Map<String, Integer> tasksByZone(Job job) {
-        return tasksByZone.computeIfAbsent(job, ZoneConstraints::count);
+        return tasksByZone.computeIfAbsent(job, ZoneConstraints::countTasksByZone);
     }
 
-    private static Map<String, Integer> count(Job job) {
+    private static Map<String, Integer> countTasksByZone(Job job) {
         Map<String, Integer> used = new HashMap<>();
         job.bindings().forEach(binding -> used.merge(binding.machine().zone(), 1, Integer::sum));
         return used;
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -91,7 +91,7 @@
      * The components of a leader for one term. HTTP requests go directly to the simulated state service, without a
      * network.
      */
-    private final class Term {
+    private final class LeaderComponents {
         private final LeaderContext context;
         private final Cluster cluster;
         private final StateClient client;
@@ -99,12 +99,12 @@
         private final HeartbeatHandler heartbeatHandler;
         private final SchedulingLoop schedulingLoop;
 
-        Term(long number) {
+        LeaderComponents(long term) {
             context = LeaderContext.forNewTerm(
                     new LeaderServices(loop, new RateLimitedWarnings(loop), new Latencies(loop), new LeaderMetrics()),
                     SETTINGS,
                     Policy.defaults(),
-                    new LeaderTerm(number, leaderRevision, loop.nanos()),
+                    new LeaderTerm(term, leaderRevision, loop.nanos()),
                     () -> true);
             cluster = context.cluster();
             cluster.updateTypes(ImmutableMap.of(
@@ -154,12 +154,12 @@
                     .count();
         }
 
-        long committedBindings() {
+        long countCommittedBindings() {
             return countBindings(b -> b.stage() == Binding.Stage.COMMITTED);
         }
     }
 
-    private void addJobsAndMachines(Term term) {
+    private void addJobsAndMachines(LeaderComponents leader) {
         for (int i = 0; i < JOBS; i++) {
             Job draft = new Job(
                     Fixtures.spec(
@@ -174,7 +174,7 @@
                     loop.wallMillis());
             var record = JobRecord.open(draft.spec(), draft.submittedMs()).write();
             long modRevision = state.put(StateKeys.openJob(draft.id()), record);
-            term.cluster.add(new Job(draft.spec(), modRevision, draft.submittedMs()));
+            leader.cluster.add(new Job(draft.spec(), modRevision, draft.submittedMs()));
         }
         for (int i = 0; i < MACHINES; i++) {
             Machine machine = new Machine(
@@ -185,7 +185,7 @@
                     loop.nanos());
             machine.recordHeartbeat(1, 1, "", loop.nanos());
             machine.lease().fence();
-            term.cluster.add(machine);
+            leader.cluster.add(machine);
         }
     }
 
@@ -193,8 +193,8 @@
      * Handles one heartbeat of each machine. The heartbeat reports the machine's first task as exited and all its other
      * tasks as running.
      */
-    private void sendBurstOfExits(Term term) {
-        for (Machine machine : List.copyOf(term.cluster.machines())) {
+    private void sendBurstOfExits(LeaderComponents leader) {
+        for (Machine machine : List.copyOf(leader.cluster.machines())) {
             List<TaskStatus> tasks = new ArrayList<>();
             for (Binding binding : machine.bindings()) {
                 boolean hasExited = tasks.isEmpty();
@@ -204,13 +204,13 @@
                         hasExited ? TaskState.EXITED : TaskState.RUNNING,
                         hasExited ? ExitCause.DONE : ExitCause.NONE));
             }
-            term.heartbeatHandler.handle(new WorkerHeartbeat(
+            leader.heartbeatHandler.handle(new WorkerHeartbeat(
                     machine.name(),
                     "",
                     machine.kind(),
                     1,
                     2,
-                    term.context.term().term(),
+                    leader.context.term().term(),
                     OptionalDouble.empty(),
                     ImmutableList.copyOf(tasks)));
         }
@@ -231,21 +231,21 @@
     void leaderServesFourThousandMachinesWithinLimits() {
         state.lowerLimits(VALUE_KB, TRANSACTION_OPERATIONS, 100);
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
-        Term firstTerm = termWithAllTasksBound();
-        assertBurstOfExitsIsRecorded(firstTerm);
-        assertCycleAllocatesLittle(firstTerm);
-        assertFailoverIsComplete();
+        LeaderComponents firstLeader = leaderWithAllTasksBound();
+        assertBurstOfExitsIsRecorded(firstLeader);
+        assertCycleAllocatesLittle(firstLeader);
+        assertFailoverRestoresState();
     }
 
-    private Term termWithAllTasksBound() {
+    private LeaderComponents leaderWithAllTasksBound() {
         long heapBefore = usedHeapBytes();
-        Term term = new Term(1);
-        addJobsAndMachines(term);
-        term.schedulingLoop.request();
-        for (int second = 0; second < 120 && term.committedBindings() < TASKS; second++) {
+        LeaderComponents leader = new LeaderComponents(1);
+        addJobsAndMachines(leader);
+        leader.schedulingLoop.request();
+        for (int second = 0; second < 120 && leader.countCommittedBindings() < TASKS; second++) {
             loop.run(1);
         }
-        assertEquals(TASKS, term.committedBindings(), "the binding of every task must be committed");
+        assertEquals(TASKS, leader.countCommittedBindings(), "the binding of every task must be committed");
         assertEquals(0, state.rejectedTransactionCount());
         // Each write of a page contains all pending changes of the page, so a page is written only a few times.
         assertTrue(
@@ -255,18 +255,18 @@
         assertTrue(
                 usedHeapBytes() - heapBefore < MAX_HEAP_BYTES,
                 "the heap growth must stay below the limit; growth in bytes: " + (usedHeapBytes() - heapBefore));
-        return term;
+        return leader;
     }
 
-    private void assertBurstOfExitsIsRecorded(Term term) {
+    private void assertBurstOfExitsIsRecorded(LeaderComponents leader) {
         int transactionsBefore = state.transactionCount();
-        sendBurstOfExits(term);
-        for (int second = 0; second < 60 && term.recordWriter.backlog() > 0; second++) {
+        sendBurstOfExits(leader);
+        for (int second = 0; second < 60 && leader.recordWriter.backlog() > 0; second++) {
             loop.run(1);
         }
         assertEquals(
                 TASKS - MACHINES,
-                term.committedBindings(),
+                leader.countCommittedBindings(),
                 "the bindings of all tasks that did not exit must stay committed");
         int burstTransactions = state.transactionCount() - transactionsBefore;
         assertTrue(
@@ -275,20 +275,20 @@
                         + pageCount() + " pages");
     }
 
-    private void assertCycleAllocatesLittle(Term term) {
+    private void assertCycleAllocatesLittle(LeaderComponents leader) {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
-        matching.plan(term.cluster, loop.nanos(), loop.wallMillis());
+        matching.plan(leader.cluster, loop.nanos(), loop.wallMillis());
         long allocatedBytes = threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
         assertTrue(
                 allocatedBytes < MAX_CYCLE_ALLOCATION_BYTES,
                 "a cycle must allocate less than the limit; bytes per cycle: " + allocatedBytes);
     }
 
-    private void assertFailoverIsComplete() {
-        Term secondTerm = new Term(2);
+    private void assertFailoverRestoresState() {
+        LeaderComponents secondLeader = new LeaderComponents(2);
         boolean[] completed = new boolean[1];
-        new Failover(secondTerm.context, secondTerm.client, secondTerm.recordWriter.records())
+        new Failover(secondLeader.context, secondLeader.client, secondLeader.recordWriter.records())
                 .start(new Failover.Listener() {
                     @Override
                     public void openJobsLoaded(long asOfNanos) {}
@@ -301,10 +301,12 @@
         loop.run(10);
         assertTrue(completed[0], "the failover must complete");
         assertEquals(
-                TASKS - MACHINES, secondTerm.committedBindings(), "the second leader must load all committed bindings");
+                TASKS - MACHINES,
+                secondLeader.countCommittedBindings(),
+                "the second leader must load all committed bindings");
         assertEquals(
                 MACHINES,
-                secondTerm.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
+                secondLeader.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
                 "the second leader must load all completed tasks");
         assertEquals(0, state.rejectedTransactionCount());
     }
@@ -313,15 +315,15 @@
     @Test
     void leaderResignsBeforeAttemptNumbersRunOut() {
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
-        Term term = new Term(1);
-        addJobsAndMachines(term);
+        LeaderComponents leader = new LeaderComponents(1);
+        addJobsAndMachines(leader);
         List<String> resignReasons = new ArrayList<>();
         SchedulingLoop schedulingLoop =
-                new SchedulingLoop(term.context, term.recordWriter, matching, machine -> {}, resignReasons::add);
+                new SchedulingLoop(leader.context, leader.recordWriter, matching, machine -> {}, resignReasons::add);
         schedulingLoop.recordAttemptsUsed(AttemptNumbers.MAX_PER_TERM - 10);
         schedulingLoop.request();
         loop.run(1);
         assertEquals(1, resignReasons.size());
-        assertEquals(0, term.countBindings(b -> true));
+        assertEquals(0, leader.countBindings(b -> true));
     }
 }
--- a/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
+++ b/src/test/java/org/spruceridge/schedule/HeuristicsTest.java
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void remainingTimeHasTenSecondFloor() {
+    void remainingTimeIsAtLeastTenSeconds() {
         RemainingTimeEstimator estimator = new RemainingTimeEstimator(10);
         Job job = job(1, 40, OptionalDouble.empty());
         assertEquals(40, estimator.remainingS(new Candidate(job, 0, 0, 0)));
--- a/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void matrixGrowsWithMachineGroupsNotMachines() {
+    void matrixHasOneColumnPerMachineGroup() {
         buildClusterState(new SplittableRandom(1), 1500, 60);
         List<MachineGroup> groups = new ArrayList<>();
         for (Machine machine : machines) {
@@ -130,6 +130,6 @@
                 groups.size() <= 2 * 2 * 2 * 4,
                 "the machines must form at most 32 groups; machine groups: " + groups.size());
         Plan plan = new Matching(MatchingFixture.SETTINGS, Policy.defaults(), 50).plan(cluster, NOW, WALL_MS);
-        assertEquals(groups.size(), plan.machineGroups());
+        assertEquals(groups.size(), plan.machineGroupCount());
     }
 }
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -16,7 +16,7 @@
 /** Tests the placements of a scheduling cycle: machine capacity, team quotas, zones and machine kinds limit them. */
 final class MatchingTest extends MatchingFixture {
     @Test
-    void equalScoresPlaceTaskOnFullerMachine() {
+    void taskIsPlacedOnFullerMachineOfSameKind() {
         addMachine("empty", "a", false);
         Machine fuller = addMachine("fuller", "a", false);
         bindRunning(job().add(), 0, fuller);
@@ -54,7 +54,7 @@
      * Adds a job of team blue with nine tasks of 2 CPUs. Its first {@code runningTasks} tasks already run on the
      * machine.
      */
-    private Job addSmallBlueJob(int runningTasks, Machine machine) {
+    private Job addBlueJobWithSmallTasks(int runningTasks, Machine machine) {
         JobBuilder small = job();
         small.team = "blue";
         small.cpus = 2;
@@ -70,7 +70,7 @@
     @Test
     void remainingQuotaIsReservedForHigherScoringLargeTask() {
         addMachine("b", "a", false);
-        Job others = addSmallBlueJob(4, addMachine("a", "a", false));
+        Job others = addBlueJobWithSmallTasks(4, addMachine("a", "a", false));
         bindRunning(others, 4, addMachine("c", "a", false)); // the team uses 10 of its 12 CPUs
         JobBuilder large = job();
         large.team = "blue";
@@ -86,8 +86,8 @@
     }
 
     @Test
-    void quotaIsNotReservedForTaskThatFitsNoMachine() {
-        addSmallBlueJob(3, addMachine("a", "a", false));
+    void quotaIsNotReservedForTaskThatFitsOnNoMachine() {
+        addBlueJobWithSmallTasks(3, addMachine("a", "a", false));
         JobBuilder large = job();
         large.team = "blue";
         large.cpus = 8;
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void jobRunsOnlyOnAllowedZoneTypeAndSpotKind() {
+    void tasksArePlacedOnlyOnMachinesOfAllowedKind() {
         addMachine("spot", "a", true);
         addMachine("wrong-zone", "b", false);
         JobBuilder constrained = job();
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void spreadJobPlacesAtMostHalfOfTasksPerZone() {
+    void spreadJobPlacesAtMostHalfOfTasksRoundedUpPerZone() {
         addMachine("a1", "a", false);
         addMachine("a2", "a", false);
         addMachine("b1", "b", false);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void higherScoreIsPlacedFirst() {
+    void jobWithHigherScoreIsPlacedFirst() {
         addMachine("m", "a", false);
         JobBuilder shorter = job();
         JobBuilder longer = job();
--- a/src/test/java/org/spruceridge/schedule/PreemptionTest.java
+++ b/src/test/java/org/spruceridge/schedule/PreemptionTest.java
@@ -13,7 +13,7 @@
 /** Tests which running tasks a scheduling cycle preempts for urgent jobs. */
 final class PreemptionTest extends MatchingFixture {
     @Test
-    void urgentTaskPreemptsOneTaskPerMachinePerInterval() {
+    void urgentJobPreemptsOneTaskPerMachineWithinMinInterval() {
         Machine machine = addMachine("m", "a", false);
         JobBuilder low = job();
         low.priority = JobPriority.LOW;
@@ -39,7 +39,7 @@
      * preemption loses work.
      */
     @Test
-    void preemptionServesAllTasksThatFitFreedCapacity() {
+    void onePreemptionServesAllWaitingTasksThatFit() {
         JobBuilder low = job();
         low.priority = JobPriority.LOW;
         low.tasks = 3;
--- a/src/test/java/org/spruceridge/schedule/ServicePlacementTest.java
+++ b/src/test/java/org/spruceridge/schedule/ServicePlacementTest.java
@@ -26,7 +26,7 @@
 
     /** A service counts as urgent although it has no deadline. */
     @Test
-    void serviceIsPlacedFirstAndPreemptsOthers() {
+    void serviceIsPlacedFirstAndPreemptsOtherJobs() {
         Machine full = addMachine("full", "a", false);
         JobBuilder low = job();
         low.tasks = 2;
@@ -49,7 +49,7 @@
 
     /** Each replica gets a separate machine while one is available. Machines that already run replicas come first. */
     @Test
-    void replicasSpreadAcrossMachinesPreferringThoseWithReplicas() {
+    void replicasSpreadAndPreferMachinesWithOtherReplicas() {
         Machine first = addMachine("first", "a", false);
         Machine second = addMachine("second", "a", false);
         addMachine("third", "a", false);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void secondReplicaSharesMachineOnlyWhenNoOtherFits() {
+    void machineGetsSecondReplicaOnlyIfNoOtherMachineFits() {
         addMachine("first", "a", false);
         addMachine("second", "a", false);
         service(5, 1).add();
