--- a/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
+++ b/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
@@ -84,7 +84,8 @@
     }
 
     /**
-     * Returns whether the task is not running and will not be started. An unresolved direct start could still start it.
+     * Returns whether the task is not running and will not be started. An unresolved direct start could still start the
+     * task.
      */
     private static boolean isAbandoned(Binding binding) {
         return binding.stage() == Binding.Stage.COMMITTED
--- a/src/main/java/org/spruceridge/reconciliation/CommandSelector.java
+++ b/src/main/java/org/spruceridge/reconciliation/CommandSelector.java
@@ -52,8 +52,8 @@
             orphanBindings.add(machine, status, now);
             commands.add(WorkerCommand.stopImmediately(status.task(), status.attempt()));
         } else if (!machine.directCommands().isStartUnresolved(status.attempt())) {
-            // A worker ignores a late start of an attempt that it knows. Therefore the worker is told to forget the
-            // attempt only after the start is resolved.
+            // A worker ignores a late start of an attempt that the worker knows. Therefore the worker is told to forget
+            // the attempt only after the start is resolved.
             commands.add(WorkerCommand.forget(status.task(), status.attempt()));
         }
     }
@@ -103,8 +103,8 @@
 
     /**
      * Returns the commands of the response to a heartbeat that is not applied to the cluster state. The response renews
-     * the worker's lease. Therefore it has to stop all listed tasks of jobs that are not open. These stops are safe
-     * even if the heartbeat is outdated: a stop names an attempt, and an ended job never reopens.
+     * the worker's lease. Therefore the response has to stop all listed tasks of jobs that are not open. These stops
+     * are safe even if the heartbeat is outdated: a stop names an attempt, and an ended job never reopens.
      */
     List<WorkerCommand> stopsForEndedJobs(WorkerHeartbeat heartbeat) {
         return heartbeat.tasks().stream()
--- a/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
+++ b/src/main/java/org/spruceridge/reconciliation/FailureTracker.java
@@ -16,11 +16,11 @@
 final class FailureTracker {
     private static final Logger LOG = LoggerFactory.getLogger(FailureTracker.class);
 
-    /** A machine is cordoned once tasks of this many jobs have failed on it. */
+    /** A machine is cordoned when tasks of this many jobs have failed on it. */
     private static final int FAILED_JOBS_BEFORE_CORDON = 2;
     /**
-     * An early exit of a replica counts for this many cancellation times. The cancellation time is also the maximum
-     * backoff.
+     * The count of consecutive early exits of replicas restarts if the previous early exit is more than this many
+     * cancellation times ago. The cancellation time is also the maximum backoff.
      */
     private static final double EARLY_EXIT_WINDOW_IN_CANCEL_TIMES = 2;
 
@@ -81,9 +81,9 @@
     }
 
     /**
-     * Records that a replica exited, although it should run until it is stopped. The replica is restarted immediately.
-     * After an early exit, it is restarted on another machine. Exponential backoff applies once the number of
-     * consecutive early exits exceeds the number of replicas of the service.
+     * Records that a replica exited without being stopped, although replicas should run until they are stopped. The
+     * replica is restarted immediately. After an early exit, the replica is restarted on another machine. Exponential
+     * backoff applies once the number of consecutive early exits exceeds the number of replicas of the service.
      */
     private void recordReplicaExit(Job job, Machine machine, double elapsedS, long now) {
         if (elapsedS >= workers.leaseS()) {
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatAdmission.java
@@ -27,7 +27,7 @@
 
     /**
      * Returns the reason for rejecting a heartbeat; empty if the heartbeat is accepted. An accepted heartbeat carries
-     * this term's fencing token and is newer than all heartbeats accepted before from its machine. The worker no longer
+     * this term's fencing token and is newer than all earlier accepted heartbeats of its machine. The worker no longer
      * executes commands of earlier leaders. Therefore a task that the heartbeat does not list is not on the machine. An
      * unknown machine is added to the cluster state.
      */
--- a/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
+++ b/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
@@ -41,7 +41,7 @@
         renewalTimesDuringFailover.put(heartbeat.machine(), loop.nanos());
     }
 
-    /** Called when the machines are known. Records the renewals that were made during the failover on the machines. */
+    /** Called when the machines are known. Applies the renewals recorded during the failover to the machines. */
     void failoverCompleted() {
         renewalTimesDuringFailover.forEach((name, renewedAt) -> {
             Machine machine = cluster.machine(name);
--- a/src/main/java/org/spruceridge/schedule/WaitingJob.java
+++ b/src/main/java/org/spruceridge/schedule/WaitingJob.java
@@ -10,7 +10,10 @@
     private int nextTaskIndex;
     private boolean isVisited;
 
-    /** {@code allowedKinds} holds, for each kind index of the cycle, whether the job may use machines of that kind. */
+    /**
+     * {@code allowedKinds} holds, for each kind index of the cycle, whether the job is permitted on machines of that
+     * kind.
+     */
     WaitingJob(Candidate candidate, boolean[] allowedKinds) {
         this.candidate = candidate;
         this.allowedKinds = allowedKinds;
