--- a/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
+++ b/src/main/java/org/spruceridge/dispatch/AttemptNumbers.java
@@ -2,32 +2,32 @@
 
 /**
  * Allocates the attempt numbers of a term. An attempt number has the term in its upper bits and a counter in its lower
- * bits, so attempt numbers increase across terms although none of them is stored.
+ * bits. Therefore attempt numbers increase across terms, although the counter is not stored.
  */
 final class AttemptNumbers {
     private static final int COUNTER_BITS = 24;
 
-    /** The number of attempts in a term. The leader resigns before they run out. */
+    /** The number of attempt numbers available in a term. The leader resigns before they run out. */
     static final long MAX_PER_TERM = (1L << COUNTER_BITS) - 1;
 
     private final long term;
-    private long used;
+    private long usedCount;
 
     AttemptNumbers(long term) {
         this.term = term;
     }
 
     boolean hasRemaining(int count) {
-        return used + count <= MAX_PER_TERM;
+        return usedCount + count <= MAX_PER_TERM;
     }
 
     long next() {
-        used++;
-        return (term << COUNTER_BITS) + used;
+        usedCount++;
+        return (term << COUNTER_BITS) + usedCount;
     }
 
-    /** Records that {@code count} attempt numbers of the term are in use. */
+    /** Records that the term has already used {@code count} attempt numbers. */
     void recordUsed(long count) {
-        used = count;
+        usedCount = count;
     }
 }
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -19,11 +19,12 @@
 /**
  * Sends start and stop commands directly to workers, without waiting for their next heartbeat.
  *
- * <p>A direct command can arrive minutes late and still be executed if the fencing token and the incarnation match. A
- * late stop is harmless, because it names an attempt. A late start is not: its binding may have been released in the
- * meantime. Therefore, while a direct start is unresolved, the absence of its task from a heartbeat proves nothing, and
- * the worker gets no command to forget the attempt. A machine that does not respond to a direct start gets no more
- * tasks and is terminated. A new incarnation or a newer fencing token invalidates all commands in flight.
+ * <p>A direct command can arrive minutes late. The worker still executes the command if the fencing token and the
+ * incarnation match. A late stop is harmless, because a stop names an attempt. A late start is not harmless, because
+ * its binding may have been released in the meantime. A direct start is unresolved until its result is known. Until
+ * then, a heartbeat without the task does not prove that the task is gone, and the worker gets no command to forget the
+ * attempt. A machine that does not answer a direct start gets no more tasks and is terminated. A new incarnation or a
+ * newer fencing token invalidates all commands in flight.
  */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
@@ -33,41 +34,47 @@
     private final WorkerClient workers;
     private final HeartbeatHandler heartbeatHandler;
     private final BooleanSupplier isLeader;
-    private final Runnable onComplete;
+    private final Runnable onRequestCompleted;
     private final long term;
     private final long timeoutNanos;
-    /** Machines with a request in flight. */
-    private final Set<Machine> awaitingResponse = new HashSet<>();
-    /** Machines with a request in flight for which commands may have become due since it was sent. */
-    private final Set<Machine> sendAfterResponse = new HashSet<>();
+    /** Machines to which a request is in flight. */
+    private final Set<Machine> machinesAwaitingResponse = new HashSet<>();
+    /** Machines whose due commands are sent after the request in flight has completed. */
+    private final Set<Machine> machinesWithDeferredCommands = new HashSet<>();
 
-    /** {@code onReply} is called after each request has completed, also if it timed out or failed. */
+    /**
+     * {@code onRequestCompleted} is called after each request has completed, including requests that timed out or
+     * failed.
+     */
     public CommandSender(
-            LeaderContext context, WorkerClient workers, HeartbeatHandler heartbeatHandler, Runnable onComplete) {
+            LeaderContext context,
+            WorkerClient workers,
+            HeartbeatHandler heartbeatHandler,
+            Runnable onRequestCompleted) {
         this.loop = context.loop();
         this.scope = context.scope();
         this.workers = workers;
         this.heartbeatHandler = heartbeatHandler;
         this.isLeader = context.isLeader();
-        this.onComplete = onComplete;
+        this.onRequestCompleted = onRequestCompleted;
         this.term = context.term().term();
         this.timeoutNanos = Durations.nanos(context.settings().workers().leaseS() / 4);
     }
 
-    /** Sends a request without commands to a suspect machine; a response shows that commands reach the machine. */
+    /** Sends a request without commands to a suspect machine. A response shows that commands reach the machine. */
     public void probe(Machine machine) {
         if (isLeader.getAsBoolean()) {
             send(machine, CommandBatch.PROBE);
         }
     }
 
-    /** Sends the commands that are due on a machine, or defers them until the request in flight to it has completed. */
+    /** Sends the commands that are due on a machine. Defers them while a request to the machine is in flight. */
     public void sendDueCommands(Machine machine) {
         if (!machine.lease().isFenced() || machine.address().isEmpty() || !isLeader.getAsBoolean()) {
             return; // heartbeat responses carry the commands instead
         }
-        if (awaitingResponse.contains(machine)) {
-            sendAfterResponse.add(machine);
+        if (machinesAwaitingResponse.contains(machine)) {
+            machinesWithDeferredCommands.add(machine);
             return;
         }
         CommandBatch batch = CommandBatch.collect(machine, heartbeatHandler, loop);
@@ -83,9 +90,9 @@
         } catch (IllegalArgumentException e) {
             return; // heartbeat responses carry the commands instead
         }
-        awaitingResponse.add(machine);
+        machinesAwaitingResponse.add(machine);
         long incarnation = machine.incarnation();
-        for (Binding binding : batch.starts()) {
+        for (Binding binding : batch.bindingsToStart()) {
             machine.directCommands().startSent(binding.attempt());
         }
         workers.send(
@@ -98,7 +105,7 @@
     }
 
     private void handleResult(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
-        awaitingResponse.remove(machine);
+        machinesAwaitingResponse.remove(machine);
         resolveStarts(machine, incarnation, batch, result);
         retryStops(machine, batch, result);
         if (result.heartbeat().isPresent()) {
@@ -107,32 +114,32 @@
             scope.after(timeoutNanos, () -> probe(machine));
         }
         result.heartbeat().ifPresent(heartbeatHandler::handleCommandResponse);
-        if (sendAfterResponse.remove(machine)) {
+        if (machinesWithDeferredCommands.remove(machine)) {
             sendDueCommands(machine);
         }
-        onComplete.run();
+        onRequestCompleted.run();
     }
 
     private void resolveStarts(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
         if (result.kind() != CommandResult.Kind.UNKNOWN) {
-            for (Binding binding : batch.starts()) {
+            for (Binding binding : batch.bindingsToStart()) {
                 machine.directCommands().startResolved(binding.attempt());
             }
-        } else if (!batch.starts().isEmpty() && machine.incarnation() == incarnation) {
+        } else if (!batch.bindingsToStart().isEmpty() && machine.incarnation() == incarnation) {
             LOG.info("machine excluded from scheduling machine={} reason=start-unanswered", machine.name());
             machine.directCommands().markStartUncertain();
         }
     }
 
     /**
-     * Sends unanswered stops again. Heartbeat responses repeat them as well, but not to a machine whose heartbeats do
-     * not arrive.
+     * Sends unanswered stop commands again. Heartbeat responses repeat them too, but a machine whose heartbeats do not
+     * arrive gets no responses.
      */
     private void retryStops(Machine machine, CommandBatch batch, CommandResult result) {
-        if (result.heartbeat().isPresent() || batch.stops().isEmpty()) {
+        if (result.heartbeat().isPresent() || batch.bindingsToStop().isEmpty()) {
             return;
         }
-        batch.stops().forEach(Binding::recordStopUnanswered);
+        batch.bindingsToStop().forEach(Binding::recordStopUnanswered);
         scope.after(timeoutNanos, () -> sendDueCommands(machine));
     }
 }
--- a/src/main/java/org/spruceridge/schedule/WaitingJob.java
+++ b/src/main/java/org/spruceridge/schedule/WaitingJob.java
@@ -2,19 +2,22 @@
 
 import org.spruceridge.cluster.Job;
 
-/** The waiting tasks of one job during a cycle: one row of the matrix. */
+/** The waiting tasks of one job during a cycle, which form one row of the matrix. */
 final class WaitingJob {
     private final Candidate candidate;
     private final boolean[] allowedKinds;
-    private int remainingTasks;
-    private int nextIndex;
-    private boolean visited;
-
-    /** {@code allowedKinds} holds, for each kind index of the cycle, whether the job may use machines of that kind. */
+    private int unplacedTaskCount;
+    private int nextTaskIndex;
+    private boolean isVisited;
+
+    /**
+     * {@code allowedKinds} holds, for each kind index of the cycle, whether the job is permitted on machines of that
+     * kind.
+     */
     WaitingJob(Candidate candidate, boolean[] allowedKinds) {
         this.candidate = candidate;
         this.allowedKinds = allowedKinds;
-        this.remainingTasks = candidate.job().waitingCount();
+        this.unplacedTaskCount = candidate.job().waitingCount();
     }
 
     Candidate candidate() {
@@ -29,23 +32,23 @@
         return allowedKinds[kindIndex];
     }
 
-    /** The number of tasks that are not placed yet. */
-    int remainingTasks() {
-        return remainingTasks;
+    /** The number of waiting tasks that this cycle has not placed yet. */
+    int unplacedTaskCount() {
+        return unplacedTaskCount;
     }
 
-    /** Returns the index of the next task to place, and counts that task as placed. */
+    /** Returns the index of the next task to place, and counts this task as placed. */
     int takeNextTaskIndex() {
-        int index = job().nextWaiting(nextIndex);
-        nextIndex = index + 1;
-        remainingTasks--;
+        int index = job().nextWaiting(nextTaskIndex);
+        nextTaskIndex = index + 1;
+        unplacedTaskCount--;
         return index;
     }
 
-    /** Marks the job as visited; true if it was not visited before, which is the case at its best entry. */
+    /** Marks the job as visited. Returns true on the first visit, which is at the job's best entry. */
     boolean markVisited() {
-        boolean first = !visited;
-        visited = true;
-        return first;
+        boolean isFirstVisit = !isVisited;
+        isVisited = true;
+        return isFirstVisit;
     }
 }
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -52,8 +52,8 @@
 
 /**
  * Runs a leader with 4,000 machines and 40,000 tasks under small limits of the state service. All tasks are bound, a
- * burst of exits is recorded, and a failover restores the state. No transaction is rejected, no binding is lost, and
- * the numbers of transactions and allocated bytes and the heap stay within limits.
+ * burst of exits is recorded, and a failover restores the state. No transaction is rejected, and no binding is lost.
+ * The number of transactions, the number of allocated bytes and the heap stay within limits.
  */
 final class FleetSizeTest {
     private static final int MACHINES = 4000;
@@ -64,9 +64,12 @@
     private static final int TRANSACTION_OPERATIONS = 4;
     private static final double VALUE_KB = 2;
     private static final double WRITES_PER_S = 90;
-    /** Half of the 64 MB heap of a deployed node; a leader needs the rest for requests in progress. */
+    /** Half of the 64 MB heap of a deployed node. A leader needs the other half for requests in progress. */
     private static final long MAX_HEAP_BYTES = 32L << 20;
-    /** The limit for a cycle on a full cluster; a cycle over all pairs would allocate about a hundred times as much. */
+    /**
+     * The limit for a cycle on a full cluster. A cycle over all pairs of a job and a machine would allocate about a
+     * hundred times as much.
+     */
     private static final long MAX_CYCLE_ALLOCATION_BYTES = 4L << 20;
 
     private static final Settings SETTINGS = Fixtures.settings(
@@ -84,8 +87,11 @@
             BindingsRecord.maxBindingsPerMachine(SETTINGS.state().recordKb()));
     private long leaderRevision;
 
-    /** All components of a leader of one term except the network. */
-    private final class Term {
+    /**
+     * The components of a leader for one term. HTTP requests go directly to the simulated state service, without a
+     * network.
+     */
+    private final class LeaderComponents {
         private final LeaderContext context;
         private final Cluster cluster;
         private final StateClient client;
@@ -93,12 +99,12 @@
         private final HeartbeatHandler heartbeatHandler;
         private final SchedulingLoop schedulingLoop;
 
-        Term(long number) {
+        LeaderComponents(long term) {
             context = LeaderContext.forNewTerm(
                     new LeaderServices(loop, new RateLimitedWarnings(loop), new Latencies(loop), new LeaderMetrics()),
                     SETTINGS,
                     Policy.defaults(),
-                    new LeaderTerm(number, leaderRevision, loop.nanos()),
+                    new LeaderTerm(term, leaderRevision, loop.nanos()),
                     () -> true);
             cluster = context.cluster();
             cluster.updateTypes(ImmutableMap.of(
@@ -148,12 +154,12 @@
                     .count();
         }
 
-        long committedBindings() {
+        long countCommittedBindings() {
             return countBindings(b -> b.stage() == Binding.Stage.COMMITTED);
         }
     }
 
-    private void addJobsAndMachines(Term term) {
+    private void addJobsAndMachines(LeaderComponents leader) {
         for (int i = 0; i < JOBS; i++) {
             Job draft = new Job(
                     Fixtures.spec(
@@ -168,7 +174,7 @@
                     loop.wallMillis());
             var record = JobRecord.open(draft.spec(), draft.submittedMs()).write();
             long modRevision = state.put(StateKeys.openJob(draft.id()), record);
-            term.cluster.add(new Job(draft.spec(), modRevision, draft.submittedMs()));
+            leader.cluster.add(new Job(draft.spec(), modRevision, draft.submittedMs()));
         }
         for (int i = 0; i < MACHINES; i++) {
             Machine machine = new Machine(
@@ -179,13 +185,16 @@
                     loop.nanos());
             machine.recordHeartbeat(1, 1, "", loop.nanos());
             machine.lease().fence();
-            term.cluster.add(machine);
+            leader.cluster.add(machine);
         }
     }
 
-    /** Handles a heartbeat of each machine that reports its first task as exited and all others as running. */
-    private void sendBurstOfExits(Term term) {
-        for (Machine machine : List.copyOf(term.cluster.machines())) {
+    /**
+     * Handles one heartbeat of each machine. The heartbeat reports the machine's first task as exited and all its other
+     * tasks as running.
+     */
+    private void sendBurstOfExits(LeaderComponents leader) {
+        for (Machine machine : List.copyOf(leader.cluster.machines())) {
             List<TaskStatus> tasks = new ArrayList<>();
             for (Binding binding : machine.bindings()) {
                 boolean hasExited = tasks.isEmpty();
@@ -195,13 +204,13 @@
                         hasExited ? TaskState.EXITED : TaskState.RUNNING,
                         hasExited ? ExitCause.DONE : ExitCause.NONE));
             }
-            term.heartbeatHandler.handle(new WorkerHeartbeat(
+            leader.heartbeatHandler.handle(new WorkerHeartbeat(
                     machine.name(),
                     "",
                     machine.kind(),
                     1,
                     2,
-                    term.context.term().term(),
+                    leader.context.term().term(),
                     OptionalDouble.empty(),
                     ImmutableList.copyOf(tasks)));
         }
@@ -222,56 +231,64 @@
     void leaderServesFourThousandMachinesWithinLimits() {
         state.lowerLimits(VALUE_KB, TRANSACTION_OPERATIONS, 100);
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
-        Term firstTerm = termWithAllTasksBound();
-        assertBurstOfExitsIsRecorded(firstTerm);
-        assertCycleAllocatesLittle(firstTerm);
-        assertFailoverIsComplete();
+        LeaderComponents firstLeader = leaderWithAllTasksBound();
+        assertBurstOfExitsIsRecorded(firstLeader);
+        assertCycleAllocatesLittle(firstLeader);
+        assertFailoverRestoresState();
     }
 
-    private Term termWithAllTasksBound() {
+    private LeaderComponents leaderWithAllTasksBound() {
         long heapBefore = usedHeapBytes();
-        Term term = new Term(1);
-        addJobsAndMachines(term);
-        term.schedulingLoop.request();
-        for (int second = 0; second < 120 && term.committedBindings() < TASKS; second++) {
+        LeaderComponents leader = new LeaderComponents(1);
+        addJobsAndMachines(leader);
+        leader.schedulingLoop.request();
+        for (int second = 0; second < 120 && leader.countCommittedBindings() < TASKS; second++) {
             loop.run(1);
         }
-        assertEquals(TASKS, term.committedBindings(), "committed bindings");
+        assertEquals(TASKS, leader.countCommittedBindings(), "the binding of every task must be committed");
         assertEquals(0, state.rejectedTransactionCount());
-        // Each write of a page contains all pending changes, so a page is written only a few times.
+        // Each write of a page contains all pending changes of the page, so a page is written only a few times.
         assertTrue(
                 state.transactionCount() <= 4 * pageCount(),
-                state.transactionCount() + " transactions, " + pageCount() + " pages");
+                "there must be at most 4 transactions per page: " + state.transactionCount() + " transactions, "
+                        + pageCount() + " pages");
         assertTrue(
                 usedHeapBytes() - heapBefore < MAX_HEAP_BYTES,
-                "heap growth in bytes: " + (usedHeapBytes() - heapBefore));
-        return term;
+                "the heap growth must stay below the limit; growth in bytes: " + (usedHeapBytes() - heapBefore));
+        return leader;
     }
 
-    private void assertBurstOfExitsIsRecorded(Term term) {
+    private void assertBurstOfExitsIsRecorded(LeaderComponents leader) {
         int transactionsBefore = state.transactionCount();
-        sendBurstOfExits(term);
-        for (int second = 0; second < 60 && term.recordWriter.backlog() > 0; second++) {
+        sendBurstOfExits(leader);
+        for (int second = 0; second < 60 && leader.recordWriter.backlog() > 0; second++) {
             loop.run(1);
         }
-        assertEquals(TASKS - MACHINES, term.committedBindings(), "committed bindings after the burst");
+        assertEquals(
+                TASKS - MACHINES,
+                leader.countCommittedBindings(),
+                "the bindings of all tasks that did not exit must stay committed");
         int burstTransactions = state.transactionCount() - transactionsBefore;
         assertTrue(
-                burstTransactions <= 4 * pageCount(), burstTransactions + " transactions, " + pageCount() + " pages");
+                burstTransactions <= 4 * pageCount(),
+                "the burst must cause at most 4 transactions per page: " + burstTransactions + " transactions, "
+                        + pageCount() + " pages");
     }
 
-    private void assertCycleAllocatesLittle(Term term) {
+    private void assertCycleAllocatesLittle(LeaderComponents leader) {
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
-        matching.plan(term.cluster, loop.nanos(), loop.wallMillis());
+        matching.plan(leader.cluster, loop.nanos(), loop.wallMillis());
         long allocatedBytes = threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
-        assertTrue(allocatedBytes < MAX_CYCLE_ALLOCATION_BYTES, "bytes per cycle: " + allocatedBytes);
+        assertTrue(
+                allocatedBytes < MAX_CYCLE_ALLOCATION_BYTES,
+                "a cycle must allocate less than the limit; bytes per cycle: " + allocatedBytes);
     }
 
-    private void assertFailoverIsComplete() {
-        Term secondTerm = new Term(2);
+    private void assertFailoverRestoresState() {
+        LeaderComponents secondLeader = new LeaderComponents(2);
         boolean[] completed = new boolean[1];
-        new Failover(secondTerm.context, secondTerm.client, secondTerm.recordWriter.records())
+        new Failover(secondLeader.context, secondLeader.client, secondLeader.recordWriter.records())
                 .start(new Failover.Listener() {
                     @Override
                     public void openJobsLoaded(long asOfNanos) {}
@@ -282,28 +299,31 @@
                     }
                 });
         loop.run(10);
-        assertTrue(completed[0], "failover completed");
-        assertEquals(TASKS - MACHINES, secondTerm.committedBindings(), "committed bindings after the failover");
+        assertTrue(completed[0], "the failover must complete");
+        assertEquals(
+                TASKS - MACHINES,
+                secondLeader.countCommittedBindings(),
+                "the second leader must load all committed bindings");
         assertEquals(
                 MACHINES,
-                secondTerm.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
-                "completed tasks after the failover");
+                secondLeader.cluster.jobs().stream().mapToInt(Job::doneCount).sum(),
+                "the second leader must load all completed tasks");
         assertEquals(0, state.rejectedTransactionCount());
     }
 
-    /** The attempt counter of a term has 24 bits; the leader resigns before it overflows. */
+    /** The attempt counter of a term has 24 bits. The leader resigns before the counter overflows. */
     @Test
     void leaderResignsBeforeAttemptNumbersRunOut() {
         leaderRevision = state.put(StateKeys.LEADER, Json.object());
-        Term term = new Term(1);
-        addJobsAndMachines(term);
+        LeaderComponents leader = new LeaderComponents(1);
+        addJobsAndMachines(leader);
         List<String> resignReasons = new ArrayList<>();
         SchedulingLoop schedulingLoop =
-                new SchedulingLoop(term.context, term.recordWriter, matching, machine -> {}, resignReasons::add);
+                new SchedulingLoop(leader.context, leader.recordWriter, matching, machine -> {}, resignReasons::add);
         schedulingLoop.recordAttemptsUsed(AttemptNumbers.MAX_PER_TERM - 10);
         schedulingLoop.request();
         loop.run(1);
         assertEquals(1, resignReasons.size());
-        assertEquals(0, term.countBindings(b -> true));
+        assertEquals(0, leader.countBindings(b -> true));
     }
 }
--- a/src/test/java/org/spruceridge/schedule/PreemptionTest.java
+++ b/src/test/java/org/spruceridge/schedule/PreemptionTest.java
@@ -13,7 +13,7 @@
 /** Tests which running tasks a scheduling cycle preempts for urgent jobs. */
 final class PreemptionTest extends MatchingFixture {
     @Test
-    void urgentTaskPreemptsOneTaskPerMachinePerInterval() {
+    void urgentJobPreemptsOneTaskPerMachineWithinMinInterval() {
         Machine machine = addMachine("m", "a", false);
         JobBuilder low = job();
         low.priority = JobPriority.LOW;
@@ -34,9 +34,12 @@
         assertEquals(0, plan().preemptions().size());
     }
 
-    /** Guards against one preemption per waiting task, which would lose more work than necessary. */
+    /**
+     * Guards against one preemption per waiting task. One preemption can make room for several tasks, and each
+     * preemption loses work.
+     */
     @Test
-    void preemptionServesAllTasksThatFitFreedCapacity() {
+    void onePreemptionServesAllWaitingTasksThatFit() {
         JobBuilder low = job();
         low.priority = JobPriority.LOW;
         low.tasks = 3;
