--- a/src/main/java/org/spruceridge/node/CurrentLeader.java
+++ b/src/main/java/org/spruceridge/node/CurrentLeader.java
@@ -4,7 +4,8 @@
 import org.spruceridge.leader.Leader;
 
 /**
- * Holds this node's leader object during its term; empty while the node is a follower. Only {@link Node} changes it.
+ * Holds this node's leader object while the node leads; empty while the node is a follower. Only {@link Node} sets and
+ * clears the leader object.
  */
 final class CurrentLeader {
     private Optional<Leader> leader = Optional.empty();
@@ -17,12 +18,12 @@
         return leader.isPresent();
     }
 
-    void begin(Leader started) {
+    void set(Leader started) {
         leader = Optional.of(started);
     }
 
     /** Stops and clears the leader object, if there is one. */
-    void end() {
+    void stopAndClear() {
         leader.ifPresent(Leader::stop);
         leader = Optional.empty();
     }
--- a/src/main/java/org/spruceridge/node/HealthCheck.java
+++ b/src/main/java/org/spruceridge/node/HealthCheck.java
@@ -2,7 +2,7 @@
 
 import org.spruceridge.peer.PeerMonitor;
 
-/** Determines the result of GET /healthz, by which the platform routes users to healthy nodes. */
+/** Determines the result of GET /healthz. The platform uses the result to route users to healthy nodes. */
 final class HealthCheck {
     private final int nodeCount;
     private final PeerMonitor peers;
@@ -15,8 +15,9 @@
     }
 
     /**
-     * False if this node cannot reach the state service and, in addition, another node can reach it or this node is
-     * partitioned from all other nodes. During an outage that affects all nodes, every node remains healthy.
+     * A node that can reach the state service is healthy. A node that cannot is unhealthy if another node can reach the
+     * service, or if this node is partitioned from all other nodes. During an outage that affects all nodes, every node
+     * remains healthy.
      */
     boolean isHealthy() {
         boolean partitioned = nodeCount > 1 && !peers.anyPeerAlive();
--- a/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
+++ b/src/main/java/org/spruceridge/node/HeartbeatEndpoint.java
@@ -14,17 +14,17 @@
 import org.spruceridge.worker.WorkerHeartbeat;
 
 /**
- * Answers worker heartbeats: the leader responds with a list of commands, which may be empty; any other node redirects
- * the worker to the leader or rejects the heartbeat. Only a response of the first kind renews the worker's lease.
+ * Answers worker heartbeats. The leader responds with a list of commands, which can be empty. Any other node redirects
+ * the worker to the leader or rejects the heartbeat. Only a response with a command list renews the worker's lease.
  */
 final class HeartbeatEndpoint {
     private final Election election;
     private final CurrentLeader currentLeader;
-    private final LeaderLocator locator;
+    private final LeaderLocator leaderLocator;
     private final WorkerReachability reachability;
     private final LeaderMetrics metrics;
     private final RateLimitedWarnings warnings;
-    /** The encoded redirect to each node, cached because followers have little CPU time to spare. */
+    /** The encoded redirect response for each leader name, cached because followers have little CPU time to spare. */
     private final Map<String, Response> redirects = new HashMap<>();
 
     private final Response noLeaderResponse = Response.error(503, "no leader known");
@@ -38,24 +38,24 @@
             RateLimitedWarnings warnings) {
         this.election = election;
         this.currentLeader = currentLeader;
-        this.locator = locator;
+        this.leaderLocator = locator;
         this.reachability = reachability;
         this.metrics = metrics;
         this.warnings = warnings;
     }
 
     /**
-     * Answers one heartbeat. A node that is not the leader does not parse it: after a leader failure all workers keep
-     * retrying on the other nodes, which need their CPU time for the failover.
+     * Answers one heartbeat. A node that is not the leader does not parse the heartbeat. After a leader failure, all
+     * workers keep retrying on the other nodes, which need their CPU time for the failover.
      */
     Response handle(byte[] body) {
-        reachability.heartbeatReceived();
+        reachability.recordHeartbeat();
         Optional<Leader> leader = currentLeader.get();
         if (!election.isLeader() || leader.isEmpty()) {
-            return redirectOrRefuse(HeartbeatOutcome.NO_LEADER);
+            return redirectOrReject(HeartbeatOutcome.NO_LEADER);
         }
         if (!leader.get().mayAnswerWorkers()) {
-            return redirectOrRefuse(HeartbeatOutcome.STALE_VIEW);
+            return redirectOrReject(HeartbeatOutcome.STALE_VIEW);
         }
         try {
             return answer(leader.get(), WorkerHeartbeat.read(body));
@@ -67,10 +67,11 @@
     }
 
     /**
-     * Records that a heartbeat was dropped under load. No worker may be declared dead because of an unread heartbeat.
+     * Records that a heartbeat was dropped under load. The leader must not declare a worker dead because of an unread
+     * heartbeat.
      */
-    void dropped() {
-        reachability.heartbeatReceived();
+    void recordDropped() {
+        reachability.recordHeartbeat();
         currentLeader.get().ifPresent(Leader::heartbeatsDropped);
     }
 
@@ -84,11 +85,12 @@
 
     /**
      * Redirects the worker if another node is known to be the leader; otherwise rejects the heartbeat. Counts the
-     * outcome: REDIRECTED, or {@code reason}.
+     * outcome as REDIRECTED or as {@code reason}, respectively.
      */
-    private Response redirectOrRefuse(HeartbeatOutcome reason) {
-        Optional<Response> redirect =
-                locator.otherLeader().map(name -> redirects.computeIfAbsent(name, WorkerCommand::redirectToLeader));
+    private Response redirectOrReject(HeartbeatOutcome reason) {
+        Optional<Response> redirect = leaderLocator
+                .leaderOnOtherNode()
+                .map(name -> redirects.computeIfAbsent(name, WorkerCommand::redirectToLeader));
         metrics.count(redirect.isPresent() ? HeartbeatOutcome.REDIRECTED : reason);
         return redirect.orElse(noLeaderResponse);
     }
--- a/src/main/java/org/spruceridge/node/JobProgress.java
+++ b/src/main/java/org/spruceridge/node/JobProgress.java
@@ -6,7 +6,7 @@
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 import org.spruceridge.peer.PeerMonitor;
 
-/** The progress of open jobs, from this node's cluster state while it leads, otherwise from the leader's heartbeats. */
+/** The progress of open jobs: from the cluster state while this node leads, otherwise from the leader's heartbeats. */
 final class JobProgress {
     private final CurrentLeader currentLeader;
     private final PeerMonitor peers;
--- a/src/main/java/org/spruceridge/node/LeaderLocator.java
+++ b/src/main/java/org/spruceridge/node/LeaderLocator.java
@@ -19,15 +19,16 @@
     }
 
     /**
-     * The host name of the leader, which may be this node. Only recent sources are used, because a node that is
-     * partitioned from the others must neither keep workers nor redirect them to a former leader.
+     * The host name of the leader, which can be this node; empty if the leader is unknown. Only recent sources are
+     * used, because a node that is partitioned from the others must neither keep workers nor redirect them to a former
+     * leader.
      */
     Optional<String> leader() {
         return stateHealth.isReachable() ? election.leaderName() : peers.leader();
     }
 
-    /** The host name of the leader if it is another node. */
-    Optional<String> otherLeader() {
+    /** The host name of the leader; empty if this node leads or the leader is unknown. */
+    Optional<String> leaderOnOtherNode() {
         return leader().filter(name -> !name.equals(ownName));
     }
 }
--- a/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
+++ b/src/main/java/org/spruceridge/node/MachineTypeCatalogue.java
@@ -21,8 +21,8 @@
 import org.spruceridge.state.Transaction;
 
 /**
- * The machine types that the cloud offers. They are fetched periodically from the cloud and stored in the state
- * service, so that a node which starts while the cloud is unavailable can admit and place jobs.
+ * The machine types that the cloud offers. This class periodically fetches the types from the cloud and stores them in
+ * the state service. The stored types let a node that starts while the cloud is unavailable admit and place jobs.
  */
 final class MachineTypeCatalogue {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalogue.class);
@@ -58,7 +58,7 @@
         scope.close();
     }
 
-    /** The machine types by name; empty until they have been read from the cloud or the state service. */
+    /** The machine types by name; empty until the first successful read from the cloud or the state service. */
     Optional<ImmutableMap<String, MachineType>> types() {
         return types;
     }
@@ -95,7 +95,7 @@
         onUpdate.accept(latest);
     }
 
-    /** Stores the types unless the same types are already stored. A failed write is retried by the next refresh. */
+    /** Stores the types unless the same types are already stored. The next refresh retries a failed write. */
     private void persist(CatalogueRecord latest) {
         state.get(StateKeys.CATALOGUE, Priority.SCHEDULING, scope.guard(entryResult -> {
             if (entryResult.outcome() == StateResult.Outcome.UNAVAILABLE) {
@@ -112,7 +112,7 @@
         }));
     }
 
-    /** The stored record; empty if it does not exist or cannot be read. */
+    /** Returns the stored record; empty if the record does not exist or cannot be read. */
     private Optional<CatalogueRecord> read(StateResult<Entry> entryResult) {
         if (!entryResult.isOk()) {
             return Optional.empty();
--- a/src/main/java/org/spruceridge/node/MetricsEndpoint.java
+++ b/src/main/java/org/spruceridge/node/MetricsEndpoint.java
@@ -9,7 +9,7 @@
 
 /** Renders the response to GET /metrics. */
 final class MetricsEndpoint {
-    private final String hostName;
+    private final String ownHostName;
     private final Latencies latencies;
     private final ClusterFeatureLevel clusterFeatureLevel;
     private final PeerMonitor peers;
@@ -25,7 +25,7 @@
             PeerMonitor peers,
             LeaderMetrics leaderMetrics,
             CurrentLeader currentLeader) {
-        this.hostName = hostName;
+        this.ownHostName = hostName;
         this.ownVersion = ownVersion;
         this.latencies = latencies;
         this.clusterFeatureLevel = clusterFeatureLevel;
@@ -38,7 +38,7 @@
         ObjectNode out = latencies.toJson();
         ObjectNode cluster = out.putObject("cluster")
                 .put("featureLevel", clusterFeatureLevel.highestKnown().number());
-        ObjectNode versions = cluster.putObject("versions").put(hostName, ownVersion.name());
+        ObjectNode versions = cluster.putObject("versions").put(ownHostName, ownVersion.name());
         peers.versions().forEach((host, version) -> versions.put(host, version.name()));
         leaderMetrics.writeTo(out);
         currentLeader.get().ifPresent(leader -> leader.writeTo(out.putObject("leader")));
--- a/src/main/java/org/spruceridge/node/Node.java
+++ b/src/main/java/org/spruceridge/node/Node.java
@@ -60,13 +60,13 @@
     private final ClusterFeatureLevel clusterFeatureLevel;
     private final Election election;
     private final PeerMonitor peers;
-    private final LeaderLocator locator;
-    private final LeadershipYield leadershipYield;
+    private final LeaderLocator leaderLocator;
+    private final UnreachableLeaderResignation unreachableLeaderResignation;
     private final MachineTypeCatalogue catalogue;
     private final LeaderWarmUp warmUp;
     private final Router router;
 
-    /** Creates a node that does nothing before {@link #start}. */
+    /** Creates a node. Its components do nothing until {@link #start} is called. */
     public Node(
             Loop loop,
             HttpClient http,
@@ -97,8 +97,9 @@
         PeerHeartbeatSource ownHeartbeat = new PeerHeartbeatSource(
                 settings.hostName(), ownVersion, election, currentLeader, stateHealth, reachability, cancellations);
         this.peers = new PeerMonitor(loop, transport, warnings, ownHeartbeat::next, this::jobCancelledOnPeer);
-        this.locator = new LeaderLocator(election, peers, stateHealth, settings.hostName());
-        this.leadershipYield = new LeadershipYield(loop, settings, election, peers, currentLeader, reachability);
+        this.leaderLocator = new LeaderLocator(election, peers, stateHealth, settings.hostName());
+        this.unreachableLeaderResignation =
+                new UnreachableLeaderResignation(loop, settings, election, peers, currentLeader, reachability);
         this.warmUp = new LeaderWarmUp(loop, settings, policy);
         this.router = router(stateHealth, reachability, cancellations);
     }
@@ -106,7 +107,7 @@
     private Router router(
             StateServiceHealth stateHealth, WorkerReachability reachability, RecentCancellations cancellations) {
         HeartbeatEndpoint heartbeats =
-                new HeartbeatEndpoint(election, currentLeader, locator, reachability, leaderMetrics, warnings);
+                new HeartbeatEndpoint(election, currentLeader, leaderLocator, reachability, leaderMetrics, warnings);
         MetricsEndpoint metrics = new MetricsEndpoint(
                 settings.hostName(), ownVersion, latencies, clusterFeatureLevel, peers, leaderMetrics, currentLeader);
         HealthCheck health = new HealthCheck(settings.nodeCount(), peers, stateHealth);
@@ -114,17 +115,23 @@
         JobsEndpoint jobs = new JobsEndpoint(new JobsEndpoint.Dependencies(
                 loop, state, clusterFeatureLevel, settings, catalogue::types, progress::of, warnings, cancellations));
         return new Router(
-                jobs, heartbeats::handle, heartbeats::dropped, health::isHealthy, metrics::render, loop, latencies);
+                jobs,
+                heartbeats::handle,
+                heartbeats::recordDropped,
+                health::isHealthy,
+                metrics::render,
+                loop,
+                latencies);
     }
 
-    /** The handler of requests of users, workers and health checks. */
+    /** The handler of all HTTP requests: user API, worker heartbeats, health checks and metrics. */
     public RequestHandler handler() {
         return router;
     }
 
     /**
-     * Starts all components. {@code onReady} runs once, when this node can answer or redirect workers: it knows the
-     * leader, or it leads and has loaded the list of open jobs.
+     * Starts all components. {@code onReady} runs once, as soon as this node can answer or redirect workers: the node
+     * knows another leader, or the node leads and has loaded the list of open jobs.
      */
     public void start(Runnable onReady) {
         awaitReady(onReady);
@@ -136,7 +143,8 @@
     }
 
     private void awaitReady(Runnable onReady) {
-        boolean isReady = currentLeader.get().map(Leader::mayAnswerWorkers).orElseGet(() -> locator.otherLeader()
+        boolean isReady = currentLeader.get().map(Leader::mayAnswerWorkers).orElseGet(() -> leaderLocator
+                .leaderOnOtherNode()
                 .isPresent());
         if (isReady) {
             onReady.run();
@@ -153,10 +161,10 @@
         peers.stop();
         latencies.stop();
         election.stop();
-        currentLeader.end();
+        currentLeader.stopAndClear();
     }
 
-    /** True while this node may act as the leader. */
+    /** True while this node is the elected leader and is allowed to act as such. */
     public boolean leads() {
         return election.isLeader();
     }
@@ -173,7 +181,7 @@
                 election::isLeader);
         Leader leader = new Leader(
                 context, state, cloud, workers, clusterFeatureLevel, this::allMembersSupportLevel, election::resign);
-        currentLeader.begin(leader);
+        currentLeader.set(leader);
         catalogue.types().ifPresent(leader::adoptMachineTypes);
         leader.start();
     }
@@ -181,7 +189,7 @@
     @Override
     public void leadershipLost() {
         rateBudget.apply(RateBudget.Role.FOLLOWER);
-        currentLeader.end();
+        currentLeader.stopAndClear();
     }
 
     private RateBudget.Role role() {
@@ -192,7 +200,7 @@
         currentLeader.get().ifPresent(leader -> leader.adoptMachineTypes(types));
     }
 
-    /** Called when another node has confirmed the cancellation of this job to a user. */
+    /** Called when a peer reports that it has confirmed the cancellation of this job to a user. */
     private void jobCancelledOnPeer(String job) {
         currentLeader.get().ifPresent(leader -> leader.jobCancelled(job));
     }
@@ -205,8 +213,8 @@
 
     /** Runs the periodic checks, then probes the state service with a small read. */
     private void runPeriodicChecks() {
-        leadershipYield.resignIfUnreachable();
-        if (!currentLeader.isPresent() && locator.leader().isPresent()) {
+        unreachableLeaderResignation.resignIfUnreachable();
+        if (!currentLeader.isPresent() && leaderLocator.leader().isPresent()) {
             warmUp.start();
         }
         state.get(
--- a/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -11,7 +11,7 @@
 
 /** Creates the heartbeat that this node sends to its peers every second. */
 final class PeerHeartbeatSource {
-    private final String hostName;
+    private final String ownHostName;
     private final Election election;
     private final CurrentLeader currentLeader;
     private final StateServiceHealth stateHealth;
@@ -27,7 +27,7 @@
             StateServiceHealth stateHealth,
             WorkerReachability reachability,
             RecentCancellations cancellations) {
-        this.hostName = hostName;
+        this.ownHostName = hostName;
         this.ownVersion = ownVersion;
         this.election = election;
         this.currentLeader = currentLeader;
@@ -36,11 +36,11 @@
         this.cancellations = cancellations;
     }
 
-    /** The heartbeat with the current state; its term is 0 while this node is not the leader. */
+    /** Returns a heartbeat with the current state. The term in the heartbeat is 0 while this node is not the leader. */
     PeerHeartbeat next() {
         Optional<Leader> leader = currentLeader.get().filter(current -> election.isLeader());
         return new PeerHeartbeat(
-                hostName,
+                ownHostName,
                 stateHealth.hasServedAndIsReachable(),
                 reachability.isReachable(),
                 leader.map(Leader::term).orElse(0L),
--- a/src/main/java/org/spruceridge/node/RateBudget.java
+++ b/src/main/java/org/spruceridge/node/RateBudget.java
@@ -17,15 +17,16 @@
     private static final double USER_WRITES_SHARE = 0.35;
 
     /**
-     * The size of a burst of user writes on an idle node, as the time in which the state service accepts that many
-     * writes. Users often send many requests at once to one node. The service itself allows a burst of one second.
+     * The burst of user writes that an idle node can send at once, because users often send many requests at once to
+     * one node. The size is given as the time in seconds in which the state service accepts that number of writes at
+     * its write limit. The service itself allows a burst of one second.
      */
     private static final double USER_WRITES_BURST_S = 0.5;
 
-    /** The maximum share of a limit that is used, because the clocks of the services and of this node differ. */
+    /** The share of a limit that is used. The rest is a margin, because the clocks of services and nodes differ. */
     private static final double USABLE_SHARE = 0.95;
 
-    /** The leader's share of the cloud's rate limit; the followers divide the rest. */
+    /** The leader's share of the cloud's rate limit. The followers divide the rest equally. */
     private static final double LEADER_CLOUD_SHARE = 0.8;
 
     private static final double FOLLOWERS_CLOUD_SHARE = 0.2;
@@ -41,7 +42,7 @@
     private final RateLimiter cloudLimiter;
     private boolean stateRatesReduced;
 
-    /** Creates a budget with the share of a follower. */
+    /** Creates a budget whose limiters have the rates of a follower. */
     RateBudget(Loop loop, Settings settings) {
         this.settings = settings;
         this.stateLimiter = new RateLimiter(loop, 1, 1, 1);
@@ -57,15 +58,15 @@
         return cloudLimiter;
     }
 
-    /** Sets the rates of both limiters for the role. */
+    /** Sets the rates of both limiters to those of the given role. */
     void apply(Role role) {
         applyStateRates(role);
         cloudLimiter.setRates(settings.cloud().rps() * USABLE_SHARE * cloudShare(role), 1, 1, 1);
     }
 
     /**
-     * Called when the state service rejected a request that was within the current limits. If the upcoming limits in
-     * the settings are lower, they must have taken effect, so this node switches to them.
+     * Called when the state service rejected a request that was within the current limits. If the settings announce
+     * lower limits, these must have taken effect. This node then switches to the announced limits.
      */
     void stateRateExceeded(Role role) {
         if (stateRatesReduced || !settings.state().ratesWillFall()) {
@@ -83,9 +84,9 @@
         double reads = limits.rps() * USABLE_SHARE / nodes;
         double writes = limits.writeRps() * USABLE_SHARE;
         double userWritesShare = USER_WRITES_SHARE / nodes;
-        // Apart from user requests, a follower writes little: its candidacy in an election, or the machine types.
-        double ownShare = role == Role.LEADER ? 1 - USER_WRITES_SHARE : userWritesShare;
-        stateLimiter.setRates(reads, writes * ownShare, writes * userWritesShare, writes * USER_WRITES_BURST_S);
+        // Apart from user writes, a follower only writes its candidacy in an election or the machine types.
+        double otherWritesShare = role == Role.LEADER ? 1 - USER_WRITES_SHARE : userWritesShare;
+        stateLimiter.setRates(reads, writes * otherWritesShare, writes * userWritesShare, writes * USER_WRITES_BURST_S);
     }
 
     private double cloudShare(Role role) {
--- a/src/main/java/org/spruceridge/node/StateServiceHealth.java
+++ b/src/main/java/org/spruceridge/node/StateServiceHealth.java
@@ -3,9 +3,9 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.state.StateClient;
 
-/** Whether this node can reach the state service. {@link Node} sends a probe every second to keep the result recent. */
+/** Whether this node can reach the state service. {@link Node} sends a probe about every second to keep this recent. */
 final class StateServiceHealth {
-    /** The service counts as unreachable after this time without a processed request. */
+    /** The time without a processed request after which the service counts as unreachable. */
     private static final long MAX_SILENCE_NANOS = Durations.nanos(3);
 
     private final StateClient state;
@@ -18,7 +18,7 @@
         return state.nanosSinceLastServed() < MAX_SILENCE_NANOS;
     }
 
-    /** True if the service is reachable and has processed at least one request of this process. */
+    /** True if the service is reachable and has executed or rejected at least one request of this process. */
     boolean hasServedAndIsReachable() {
         return state.hasEverBeenServed() && isReachable();
     }
--- a/src/main/java/org/spruceridge/node/LeadershipYield.java
+++ b/src/main/java/org/spruceridge/node/UnreachableLeaderResignation.java
@@ -9,13 +9,14 @@
 import org.spruceridge.peer.PeerMonitor;
 
 /**
- * Resigns leadership when workers can reach other nodes but not this one. Otherwise all worker leases would expire,
- * because the other nodes keep redirecting the workers to this one.
+ * Resigns leadership when workers can reach other nodes but not this node. Without the resignation, all worker leases
+ * would expire, because the other nodes would keep redirecting the workers to this node.
  */
-final class LeadershipYield {
+final class UnreachableLeaderResignation {
     /**
-     * The minimum time between two resignations of this node, in lease durations. A single worker that receives no
-     * responses moves from node to node and would otherwise make one leader after the other resign endlessly.
+     * The minimum time between two resignations of this node, in worker lease durations. A single worker that receives
+     * no responses moves from node to node. Without the minimum time, that worker would make one leader after the other
+     * resign endlessly.
      */
     private static final double REELECTION_COOLDOWN_LEASES = 10;
 
@@ -27,7 +28,7 @@
     private final long cooldownNanos;
     private long cooldownUntil = Long.MIN_VALUE;
 
-    LeadershipYield(
+    UnreachableLeaderResignation(
             Loop loop,
             Settings settings,
             Election election,
@@ -43,7 +44,7 @@
                 Durations.nanos(REELECTION_COOLDOWN_LEASES * settings.workers().leaseS());
     }
 
-    /** Resigns if this node is an unreachable leader and the cooldown has passed. Called once a second. */
+    /** Resigns if workers cannot reach this leading node and the cooldown has passed. Called about once a second. */
     void resignIfUnreachable() {
         long now = loop.nanos();
         if (isUnreachableLeader() && now >= cooldownUntil) {
--- a/src/main/java/org/spruceridge/node/WorkerReachability.java
+++ b/src/main/java/org/spruceridge/node/WorkerReachability.java
@@ -4,9 +4,9 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Whether workers can reach this node: false once no worker heartbeat has arrived for some heartbeat intervals. */
+/** Whether workers can reach this node, judged by the time since the last worker heartbeat arrived. */
 final class WorkerReachability {
-    /** A node counts as unreachable for workers after this many heartbeat intervals without a heartbeat. */
+    /** The number of heartbeat intervals without any heartbeat after which workers cannot reach this node. */
     private static final double MAX_SILENCE_HEARTBEATS = 2.5;
 
     private final Loop loop;
@@ -20,7 +20,7 @@
         this.lastHeartbeatAt = loop.nanos();
     }
 
-    void heartbeatReceived() {
+    void recordHeartbeat() {
         lastHeartbeatAt = loop.nanos();
     }
 
@@ -28,7 +28,7 @@
         return loop.nanos() - lastHeartbeatAt < maxSilenceNanos;
     }
 
-    /** The time without a heartbeat after which workers cannot reach this node, in nanoseconds. */
+    /** The time without any heartbeat after which workers are assumed unable to reach this node, in nanoseconds. */
     long maxSilenceNanos() {
         return maxSilenceNanos;
     }
