--- a/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
@@ -7,14 +7,15 @@
 import org.spruceridge.net.Loop;
 
 /**
- * Runs the leader's code while this node is a follower, so that the JVM has compiled it before the node is elected.
- * Interpreted code takes ten to twenty times as long, just when all workers send their heartbeats to the new leader.
+ * Runs the leader's code while this node is a follower, so that the JVM compiles the code before the node is elected.
+ * Interpreted code takes ten to twenty times as long. A new leader would run it just when all workers send their
+ * heartbeats to the new leader.
  *
- * <p>The code runs on a {@link SyntheticLeader}, which shares no state with the rest of the node. The warm-up sends
+ * <p>The warm-up runs a {@link SyntheticLeader}, which shares no state with the rest of the node. The warm-up sends
  * nothing, has a bounded number of steps, uses a small share of the CPU, and pauses while requests wait.
  */
 public final class LeaderWarmUp {
-    /** Enough steps for every code path to exceed the JIT compiler's threshold of 200 calls. */
+    /** The number of steps, enough for every code path to exceed the JIT compiler's threshold of 200 calls. */
     static final int TOTAL_STEPS = 240;
 
     /** The ratio of the pause after a step to the duration of the step. */
@@ -28,7 +29,7 @@
     private final Policy policy;
     private SyntheticLeader leader;
     private boolean startedOrStopped;
-    private int stepsTaken;
+    private int completedStepCount;
 
     /** Creates a warm-up that runs on {@code loop}; settings and policy configure the synthetic leader. */
     public LeaderWarmUp(Loop loop, Settings settings, Policy policy) {
@@ -38,7 +39,7 @@
         this.policy = policy;
     }
 
-    /** Starts the warm-up on the first call. Does nothing on later calls, or if the settings have no teams. */
+    /** Starts the warm-up. Does nothing if it was started or stopped before, or if the settings have no teams. */
     public void start() {
         if (!startedOrStopped && !settings.teams().isEmpty()) {
             startedOrStopped = true;
@@ -46,7 +47,7 @@
         }
     }
 
-    /** Stops the warm-up permanently, for instance because this node is elected. */
+    /** Stops the warm-up permanently. Called when this node is elected or stopped. */
     public void stop() {
         startedOrStopped = true;
         leader = null;
@@ -54,8 +55,8 @@
     }
 
     /** The number of steps run so far. */
-    int stepsTaken() {
-        return stepsTaken;
+    int completedStepCount() {
+        return completedStepCount;
     }
 
     private void runStep() {
@@ -68,7 +69,7 @@
             leader = new SyntheticLeader(settings, policy);
         }
         leader.step();
-        if (++stepsTaken < TOTAL_STEPS) {
+        if (++completedStepCount < TOTAL_STEPS) {
             long stepNanos = loop.nanos() - startedAtNanos;
             scope.after(Math.max(MIN_PAUSE_NANOS, PAUSE_TO_STEP_RATIO * stepNanos), this::runStep);
         } else {
--- a/src/main/java/org/spruceridge/warmup/SyntheticCluster.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticCluster.java
@@ -29,13 +29,13 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskState;
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
-/** Machines and jobs for the warm-up, with their heartbeats and the records that a failover reads. */
+/** Creates the machines and jobs of the warm-up, the heartbeats of the workers, and the records for a failover. */
 final class SyntheticCluster {
-    static final int MACHINES = 32;
+    static final int MACHINE_COUNT = 32;
 
-    private static final int OPEN_JOBS = 8;
+    private static final int OPEN_JOB_COUNT = 8;
     private static final int TASKS_PER_JOB = 24;
-    /** A task is reported as running in the second heartbeat of its attempt and as exited in later heartbeats. */
+    /** A worker reports a task as running in the second heartbeat of an attempt and as exited in later heartbeats. */
     private static final int HEARTBEATS_BEFORE_RUNNING = 1;
 
     private static final int HEARTBEATS_BEFORE_EXIT = 2;
@@ -57,10 +57,10 @@
     private final long fencingToken;
     private final List<Machine> machines = new ArrayList<>();
     private final Map<Long, Integer> heartbeatsByAttempt = new HashMap<>();
-    private long createdJobs;
-    private long sequence;
+    private long createdJobCount;
+    private long lastSequence;
 
-    /** Adds machines and jobs to {@code cluster}; heartbeats contain {@code fencingToken}. */
+    /** Creates an instance that adds machines and jobs to {@code cluster}. Heartbeats contain {@code fencingToken}. */
     SyntheticCluster(Settings settings, Cluster cluster, Loop loop, long fencingToken) {
         this.settings = settings;
         this.cluster = cluster;
@@ -68,13 +68,13 @@
         this.fencingToken = fencingToken;
     }
 
-    /** Adds machines of one type, distributed over all zones; half of them are spot machines. */
+    /** Adds machines of one type, distributed over all zones. Every second machine is a spot machine. */
     void addMachines() {
         ImmutableList<String> zones = settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
         MachineType type = new MachineType(
                 SYNTHETIC_NAME, new Resources(CPUS, 0, MEMORY_GB), FETCH_GB_PER_S, PRICE, SPOT_PRICE, BOOT_S, zones);
         cluster.updateTypes(ImmutableMap.of(type.name(), type));
-        for (int i = 0; i < MACHINES; i++) {
+        for (int i = 0; i < MACHINE_COUNT; i++) {
             MachineKind kind = new MachineKind(type.name(), zones.get(i % zones.size()), i % 2 == 0);
             Machine machine = new Machine("i-" + i, MACHINE_ADDRESS, kind, loop.nanos(), loop.nanos());
             cluster.add(machine);
@@ -82,15 +82,15 @@
         }
     }
 
-    /** Submits jobs until {@link #OPEN_JOBS} jobs are open. */
+    /** Submits jobs until {@link #OPEN_JOB_COUNT} jobs are open. */
     void submitMissingJobs() {
-        while (cluster.jobs().size() < OPEN_JOBS) {
+        while (cluster.jobs().size() < OPEN_JOB_COUNT) {
             cluster.add(newJob());
         }
     }
 
     private Job newJob() {
-        long number = ++createdJobs;
+        long number = ++createdJobCount;
         ImmutableList<String> teams = settings.teams().keySet().asList();
         // Every second job requests whole machines, so that the scheduler makes reservations.
         double cpus = number % 2 == 0 ? CPUS : 1;
@@ -116,9 +116,9 @@
         return new Job(spec, 1, loop.wallMillis());
     }
 
-    /** The next heartbeat, of each machine in turn. */
+    /** Returns the next heartbeat. The workers of the machines take turns. */
     WorkerHeartbeat nextHeartbeat() {
-        Machine machine = machines.get((int) (sequence % MACHINES));
+        Machine machine = machines.get((int) (lastSequence % MACHINE_COUNT));
         ImmutableList.Builder<TaskStatus> tasks = ImmutableList.builder();
         for (Binding binding : machine.bindings()) {
             statusOf(binding).ifPresent(tasks::add);
@@ -128,7 +128,7 @@
                 machine.address(),
                 machine.kind(),
                 1,
-                ++sequence,
+                ++lastSequence,
                 fencingToken,
                 OptionalDouble.empty(),
                 tasks.build());
@@ -148,15 +148,15 @@
         return Optional.empty();
     }
 
-    /** The number of tasks that have exited. */
-    int completedTasks() {
+    /** The number of task attempts that were reported as exited. */
+    int completedTaskCount() {
         return (int) heartbeatsByAttempt.values().stream()
                 .filter(heartbeats -> heartbeats > HEARTBEATS_BEFORE_EXIT)
                 .count();
     }
 
-    /** The entries with a key prefix that the state service would contain for this cluster. */
-    List<Entry> entries(String prefix) {
+    /** Returns the entries with the given key prefix that the state service would contain for this cluster. */
+    List<Entry> entriesWithPrefix(String prefix) {
         List<Entry> entries = new ArrayList<>();
         if (prefix.equals(StateKeys.OPEN_JOBS_PREFIX)) {
             for (Job job : cluster.jobs()) {
--- a/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticLeader.java
@@ -32,8 +32,8 @@
 
 /**
  * A leader of a {@link SyntheticCluster} that uses virtual time and an in-process stub of the state service. Each step
- * handles some worker heartbeats completely: decoding, scheduling, writing records and encoding the response. It shares
- * no state with the node.
+ * handles some worker heartbeats completely: decoding, scheduling, writing records and encoding the response. The
+ * synthetic leader shares no state with the node.
  */
 final class SyntheticLeader {
     private static final int HEARTBEATS_PER_STEP = 4;
@@ -49,7 +49,7 @@
     private final StateClient state;
     private final HeartbeatHandler heartbeatHandler;
     private final SchedulingLoop schedulingLoop;
-    private int stepsTaken;
+    private int completedStepCount;
 
     SyntheticLeader(Settings settings, Policy policy) {
         this.settings = settings;
@@ -59,7 +59,7 @@
         this.cluster = new SyntheticCluster(settings, context.cluster(), loop, TERM);
         this.state = new StateClient(
                 loop,
-                new InProcessStateService(loop, cluster::entries),
+                new InProcessStateService(loop, cluster::entriesWithPrefix),
                 settings.stateAddress(),
                 new RateLimiter(loop, UNLIMITED_RATE, UNLIMITED_RATE, UNLIMITED_RATE),
                 context.warnings(),
@@ -95,22 +95,22 @@
         schedulingLoop.request();
     }
 
-    /** Runs a small part of the work. All steps take about the same time. */
+    /** Handles a small number of heartbeats and advances the virtual time. All steps take about the same time. */
     void step() {
         cluster.submitMissingJobs();
         for (int i = 0; i < HEARTBEATS_PER_STEP; i++) {
             handle(cluster.nextHeartbeat());
         }
         loop.advance(Durations.nanos(
-                settings.workers().heartbeatIntervalS() * HEARTBEATS_PER_STEP / SyntheticCluster.MACHINES));
-        if (++stepsTaken % STEPS_PER_FAILOVER == 0) {
+                settings.workers().heartbeatIntervalS() * HEARTBEATS_PER_STEP / SyntheticCluster.MACHINE_COUNT));
+        if (++completedStepCount % STEPS_PER_FAILOVER == 0) {
             failOver();
         }
     }
 
-    /** The number of tasks that have exited. */
-    int completedTasks() {
-        return cluster.completedTasks();
+    /** The number of task attempts that were reported as exited. */
+    int completedTaskCount() {
+        return cluster.completedTaskCount();
     }
 
     /** Decodes a heartbeat from bytes, handles it, and encodes the response. */
--- a/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
+++ b/src/test/java/org/spruceridge/warmup/LeaderWarmUpTest.java
@@ -10,7 +10,7 @@
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
 
-/** The warm-up is bounded, pauses for requests, can be stopped, and runs the leader's code on synthetic data. */
+/** The warm-up has a bounded number of steps, pauses while requests wait, can be stopped, and runs leader code. */
 final class LeaderWarmUpTest {
     private static final Settings SETTINGS = Fixtures.settings(
             ImmutableMap.of("red", new Settings.Team("red", 0, 0, 0, 0)),
@@ -23,11 +23,11 @@
     private final LeaderWarmUp warmUp = new LeaderWarmUp(loop, SETTINGS, Policy.defaults());
 
     @Test
-    void warmUpEndsAfterAllStepsWithNothingPending() {
+    void warmUpRunsAllStepsAndLeavesNoPendingTasks() {
         warmUp.start();
         warmUp.start();
         loop.run(120);
-        assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.stepsTaken());
+        assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.completedStepCount());
         assertEquals(0, loop.pendingTaskCount());
     }
 
@@ -36,10 +36,10 @@
         loop.setBusy(true);
         warmUp.start();
         loop.run(60);
-        assertEquals(0, warmUp.stepsTaken());
+        assertEquals(0, warmUp.completedStepCount());
         loop.setBusy(false);
         loop.run(120);
-        assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.stepsTaken());
+        assertEquals(LeaderWarmUp.TOTAL_STEPS, warmUp.completedStepCount());
     }
 
     @Test
@@ -47,24 +47,27 @@
         warmUp.start();
         loop.run(1);
         warmUp.stop();
-        int steps = warmUp.stepsTaken();
-        assertTrue(steps > 0, "the warm-up ran no step before it was stopped");
+        int steps = warmUp.completedStepCount();
+        assertTrue(steps > 0, "the warm-up must run at least one step before it is stopped");
         warmUp.start();
         loop.run(60);
-        assertEquals(steps, warmUp.stepsTaken());
+        assertEquals(steps, warmUp.completedStepCount());
         assertEquals(0, loop.pendingTaskCount());
     }
 
     /**
-     * Guards against a warm-up that skips leader code: completed tasks show that heartbeats were handled and that tasks
-     * were bound, recorded, started and ended, so that jobs finished.
+     * Guards against a warm-up that skips leader code. Completed tasks show that the leader handled heartbeats and that
+     * tasks were bound, recorded, started and ended. More than 200 such tasks show that jobs finished, because the jobs
+     * that are open at a time have only 192 tasks.
      */
     @Test
-    void syntheticLeaderCompletesTasksOfJobs() {
+    void syntheticLeaderCompletesTasks() {
         SyntheticLeader leader = new SyntheticLeader(SETTINGS, Policy.defaults());
         for (int i = 0; i < LeaderWarmUp.TOTAL_STEPS; i++) {
             leader.step();
         }
-        assertTrue(leader.completedTasks() > 200, "tasks completed: " + leader.completedTasks());
+        assertTrue(
+                leader.completedTaskCount() > 200,
+                "more than 200 tasks must complete, but completed: " + leader.completedTaskCount());
     }
 }
