--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -1,21 +1,22 @@
 package org.spruceridge.cluster;
 
 /**
- * The assignment of one task to one machine. It exists from the time at which the leader proposes it until there is
- * proof that the task is not on the machine, so a sum over all bindings covers at least all running tasks. All times
- * are nanoseconds on the monotonic clock.
+ * The assignment of one task to one machine. A binding exists from the time at which the leader proposes it until there
+ * is proof that the task is not on the machine. Therefore a sum over all bindings covers at least all running tasks.
+ * All times are nanoseconds on the monotonic clock.
  */
 public final class Binding {
     /** The state of a binding in the stored records. */
     public enum Stage {
-        /** The transaction has not been committed: no start command may be sent. */
+        /** The transaction that records the binding is not committed yet: sending a start command is not allowed. */
         PROPOSED,
-        /** The transaction was committed: start commands may be sent. */
+        /** The transaction that records the binding is committed: sending a start command is allowed. */
         COMMITTED,
         /** The task is proven not to be on the machine, but the stored records still contain the binding. */
         RELEASING,
         /**
-         * A heartbeat listed a task that no record contains. It is being stopped and uses capacity until it is gone.
+         * A heartbeat listed a task that no record contains. The leader stops the task. The task uses capacity until it
+         * is gone.
          */
         ORPHANED
     }
@@ -23,9 +24,9 @@
     /** Whether and how the task is to be stopped. */
     public enum StopMode {
         NONE,
-        /** The task may save a checkpoint first. */
+        /** The worker allows the task to save a checkpoint before it ends. */
         CHECKPOINT,
-        /** The task is killed without a checkpoint, because its result is not needed. */
+        /** The worker kills the task without a checkpoint, because the result is not needed. */
         IMMEDIATE
     }
 
@@ -67,7 +68,7 @@
         return task;
     }
 
-    /** The number of this attempt to run the task. Attempt numbers increase across terms. */
+    /** The number of this attempt to run the task. Attempt numbers keep increasing when a new term begins. */
     public long attempt() {
         return attempt;
     }
@@ -82,7 +83,7 @@
         return job;
     }
 
-    /** When the binding was proposed. */
+    /** The time at which this binding was created. */
     public long boundAt() {
         return boundAt;
     }
@@ -111,7 +112,7 @@
         return job.isCancelled() ? StopMode.IMMEDIATE : stopMode;
     }
 
-    /** Requests that the task be stopped in this way. */
+    /** Requests that the leader stop the task in the given way. */
     public void requestStop(StopMode mode) {
         stopMode = mode;
     }
@@ -126,7 +127,7 @@
         return phase;
     }
 
-    /** Records the reported state of the task. A change shows that the worker has executed the pending command. */
+    /** Records the reported state of the task. A changed state shows that the worker executed the pending command. */
     public void recordPhase(Phase reported, long now) {
         if (reported == Phase.RUNNING && phase != Phase.RUNNING) {
             runningSince = now;
@@ -137,32 +138,32 @@
         phase = reported;
     }
 
-    /** How long the task has been reported running, in seconds; 0 if it is not running. */
+    /** The time in seconds since the task was first reported as running; 0 if the task is not running. */
     public double elapsedS(long now) {
         return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? (now - runningSince) / 1e9 : 0;
     }
 
-    /** When the oldest pending command was sent; {@link EventTimes#NOT_HAPPENED} if no command is pending. */
+    /** The time at which the oldest pending command was sent; {@link EventTimes#NOT_HAPPENED} if none is pending. */
     long commandSentAt() {
         return commandSentAt;
     }
 
-    /** Records that a command for the task is sent. If an earlier command is still pending, its time is kept. */
+    /** Records that a command for the task is sent. Keeps the send time of an earlier command that is still pending. */
     public void recordCommandSent(long now) {
         commandSentAt = Math.min(commandSentAt, now);
     }
 
-    /** True once a start command was sent directly to the worker. */
+    /** True once a start command has been sent directly to the worker. */
     public boolean isStartSent() {
         return startSent;
     }
 
-    /** Records that a start command is sent directly to the worker, which happens at most once per binding. */
+    /** Records that a start command is sent directly to the worker. Callers send it at most once per binding. */
     public void recordStartSent() {
         startSent = true;
     }
 
-    /** True if a stop command was sent directly to the worker and need not be sent again. */
+    /** True if a stop command was sent directly to the worker and the sender need not send it again. */
     public boolean isStopSent() {
         return stopSent;
     }
@@ -172,7 +173,7 @@
         stopSent = true;
     }
 
-    /** Records that the worker did not respond to the direct stop command, so that it is sent again. */
+    /** Records that the worker did not respond to the direct stop command. The command is then sent again. */
     public void recordStopUnanswered() {
         stopSent = false;
     }
--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -12,11 +12,12 @@
 /** The cluster state in the memory of one term's leader: jobs, machines, and the bindings between them. */
 public final class Cluster {
     /**
-     * Names of removed machines to keep, because late heartbeats and listings may contain them: twice a large fleet.
+     * The maximum number of remembered names of removed machines, about twice the number of machines in a large fleet.
+     * Late heartbeats and stale listings can still contain these names.
      */
     private static final int MAX_REMOVED_NAMES = 10_000;
 
-    private final Set<String> removedMachines = new LinkedHashSet<>();
+    private final Set<String> removedMachineNames = new LinkedHashSet<>();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, Resources> teamUsage = new HashMap<>();
@@ -37,7 +38,7 @@
         jobs.put(job.id(), job);
     }
 
-    /** Removes a job if {@code ended} is true and no task of it is still bound. */
+    /** Removes a job if {@code ended} is true and none of its tasks is still bound. */
     public void removeIfEnded(Job job, boolean ended) {
         if (ended && job.bindings().isEmpty()) {
             jobs.remove(job.id(), job);
@@ -59,21 +60,21 @@
         machines.put(machine.name(), machine);
     }
 
-    /** Removes a machine that no longer exists; the cloud does not use its name again. */
+    /** Removes a machine that no longer exists. The cloud does not use the name of the machine again. */
     public void remove(Machine machine) {
         machines.remove(machine.name(), machine);
-        removedMachines.add(machine.name());
-        if (removedMachines.size() > MAX_REMOVED_NAMES) {
-            removedMachines.remove(removedMachines.iterator().next());
+        removedMachineNames.add(machine.name());
+        if (removedMachineNames.size() > MAX_REMOVED_NAMES) {
+            removedMachineNames.remove(removedMachineNames.iterator().next());
         }
     }
 
-    /** True if the machine was removed. Late heartbeats and stale listings may still contain it. */
+    /** True if a machine with this name was removed. Late heartbeats and stale listings can still contain the name. */
     public boolean wasRemoved(String name) {
-        return removedMachines.contains(name);
+        return removedMachineNames.contains(name);
     }
 
-    /** The machine types by name; empty until they have been loaded. */
+    /** The machine types by name; empty until the first call of {@link #updateTypes}. */
     public ImmutableMap<String, MachineType> types() {
         return types;
     }
@@ -100,7 +101,7 @@
         return teamUsage.getOrDefault(team, Resources.NONE);
     }
 
-    /** Adds a binding to its job, its machine and its team's usage. */
+    /** Adds a binding to its job and its machine, and adds its resources to the usage of its team. */
     public void bind(Binding binding) {
         binding.job().bind(binding);
         binding.machine().bind(binding);
@@ -108,8 +109,8 @@
     }
 
     /**
-     * Frees the machine capacity of a task that is proven not to be on its machine. Its job and team count the binding
-     * until the release has been written to the records.
+     * Frees the machine capacity of a task that is proven not to be on its machine. The job and the team of the task
+     * still count the binding until {@link #unbind} removes it.
      */
     public void releaseCapacity(Binding binding) {
         if (binding.machine().binding(binding.task()) == binding) {
@@ -117,7 +118,7 @@
         }
     }
 
-    /** Removes a binding. Does nothing if it was already removed. */
+    /** Removes a binding. Does nothing if the binding was already removed. */
     public void unbind(Binding binding, long now) {
         if (binding.machine().binding(binding.task()) != binding) {
             return;
--- a/src/main/java/org/spruceridge/cluster/DirectCommands.java
+++ b/src/main/java/org/spruceridge/cluster/DirectCommands.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Start commands that were sent directly to a worker's current incarnation and may still arrive. */
+/** Start commands that were sent directly to the current incarnation of a worker and can still arrive. */
 public final class DirectCommands {
     private final Set<Long> unresolvedStarts = new HashSet<>();
     private boolean startUncertain;
@@ -25,7 +25,7 @@
         unresolvedStarts.remove(attempt);
     }
 
-    /** True if the worker never responded to a start command of this incarnation, which may therefore arrive late. */
+    /** True if a start command to this incarnation got no response. Such a command can still arrive. */
     public boolean hasUncertainStart() {
         return startUncertain;
     }
@@ -35,7 +35,7 @@
         startUncertain = true;
     }
 
-    /** Discards all start commands: a worker rejects commands that were sent to an earlier incarnation. */
+    /** Discards all start commands, because a worker rejects commands that were sent to an earlier incarnation. */
     void clear() {
         unresolvedStarts.clear();
         startUncertain = false;
--- a/src/main/java/org/spruceridge/cluster/FailureSuspicion.java
+++ b/src/main/java/org/spruceridge/cluster/FailureSuspicion.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * Signs that a machine is faulty. It is <em>suspect</em> while commands may not reach its worker, and <em>cordoned</em>
- * once tasks of several jobs have failed on it. A machine that is declared dead is deleted, see
- * {@link Machine#isTerminating()}.
+ * Signs that a machine is faulty. The machine is <em>suspect</em> while commands possibly do not reach its worker. The
+ * machine is <em>cordoned</em> once tasks of several jobs have failed on it. A machine that is declared dead is
+ * deleted, see {@link Machine#isTerminating()}.
  */
 public final class FailureSuspicion {
     private final Set<String> failedJobs = new HashSet<>();
@@ -15,39 +15,42 @@
 
     FailureSuspicion() {}
 
-    /** True if heartbeats arrive, but commands and responses may not reach the worker. */
+    /** True if heartbeats arrive, but commands and responses possibly do not reach the worker. */
     public boolean isSuspect() {
         return EventTimes.hasHappened(suspectSince);
     }
 
-    /** When the machine became suspect, in monotonic nanoseconds; {@link EventTimes#NOT_HAPPENED} if it is not. */
+    /** The time at which the machine became suspect; {@link EventTimes#NOT_HAPPENED} if the machine is not suspect. */
     long suspectSince() {
         return suspectSince;
     }
 
-    /** Marks the machine as suspect, unless it already is. */
+    /** Marks the machine as suspect. Keeps the earlier time if the machine is already suspect. */
     void suspect(long now) {
         if (!isSuspect()) {
             suspectSince = now;
         }
     }
 
-    /** Records that the worker executed a command or responded to one: the machine is no longer suspect. */
+    /** Records that the worker executed or answered a command. The machine is no longer suspect. */
     public void recordAcknowledgement() {
         suspectSince = EventTimes.NOT_HAPPENED;
     }
 
-    /** True if no more tasks are placed on the machine because tasks of several jobs failed on it. */
+    /** True if the scheduler places no more tasks on the machine because tasks of several jobs failed on it. */
     public boolean isCordoned() {
         return cordoned;
     }
 
-    /** Excludes the machine from scheduling permanently. */
+    /** Permanently excludes the machine from scheduling. */
     public void cordon() {
         cordoned = true;
     }
 
-    /** The ids of jobs whose tasks failed on this machine since a task last completed on it; callers modify the set. */
+    /**
+     * The ids of the jobs whose tasks have failed on this machine since a task last completed on the machine. Callers
+     * change the set directly.
+     */
     public Set<String> failedJobs() {
         return failedJobs;
     }
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import org.agrona.collections.Int2ObjectHashMap;
 
-/** A job that is open, or that has ended while some of its tasks may still be on machines. */
+/** A job that is open, or an ended job that still has bindings. */
 public final class Job {
-    /** The number of machines on which a job fails before the job itself is considered the cause. */
+    /** The number of machines on which tasks of a job must fail before the job itself is considered the cause. */
     private static final int FAILED_MACHINES_BEFORE_BACKOFF = 3;
 
     private final JobSpec spec;
@@ -47,7 +47,7 @@
         return modRevision;
     }
 
-    /** When the job was accepted, in milliseconds since the epoch. */
+    /** The time at which the job was accepted, in milliseconds since the epoch. */
     public long submittedMs() {
         return submittedMs;
     }
@@ -66,12 +66,15 @@
         cancellationLearnedAt = now;
     }
 
-    /** The earliest time at which the cancellation can have been confirmed to a user. */
+    /** The earliest time at which a node can have confirmed the cancellation to a user. */
     public long cancelledAt() {
         return cancelledAt;
     }
 
-    /** When this leader learned of the cancellation; it can have sent stop commands since then. */
+    /**
+     * The time at which this leader learned of the cancellation. The leader cannot have sent stop commands for the
+     * cancellation before that time.
+     */
     public long cancellationLearnedAt() {
         return cancellationLearnedAt;
     }
@@ -86,7 +89,7 @@
         return done.cardinality();
     }
 
-    /** Marks a task as completed, once its completion has been recorded. */
+    /** Marks a task as completed. Callers do so once the completion has been recorded. */
     public void markDone(int index) {
         done.set(index);
         doneOrBound.set(index);
@@ -143,36 +146,34 @@
         return !bindings.isEmpty() || !done.isEmpty();
     }
 
-    /** True if all tasks had been placed in this term and at least one has lost its placement since. */
+    /** True if all tasks were placed at some time in this term and a task has lost its placement since then. */
     public boolean isIncompleteAgain() {
         return EventTimes.hasHappened(incompleteSince);
     }
 
     /**
-     * When the job last became incomplete after all its tasks had been placed, in monotonic nanoseconds; meaningful
-     * only if {@link #isIncompleteAgain()}.
+     * The time at which a task last lost its placement while all tasks of the job were placed, in monotonic
+     * nanoseconds. The value is meaningful only if {@link #isIncompleteAgain()} is true.
      */
     public long incompleteSince() {
         return incompleteSince;
     }
 
-    /** The number of replicas in a row that exited soon after their start without being stopped. */
+    /** The number of consecutive early exits, see {@link #countEarlyExit}. */
     public int earlyExits() {
         return earlyExits;
     }
 
     /**
-     * Counts a replica that exited soon after its start without being stopped. The count restarts at 1 if the previous
-     * early exit is older than {@code memoryNanos}.
+     * Counts an early exit: a replica exited soon after its start without being stopped. The count restarts at 1 if the
+     * previous early exit is older than {@code memoryNanos}.
      */
     public void countEarlyExit(long now, long memoryNanos) {
         earlyExits = now - lastEarlyExit > memoryNanos ? 1 : earlyExits + 1;
         lastEarlyExit = now;
     }
 
-    /**
-     * Records that a replica has run for a long time, which resets the count of early exits and the failed machines.
-     */
+    /** Records that a replica has run for a long time. Resets the count of early exits and the failed machines. */
     public void recordStableRun() {
         earlyExits = 0;
         failedMachines.clear();
@@ -189,30 +190,33 @@
         return count;
     }
 
-    /** The names of machines on which tasks of this job failed since one last completed; callers modify the set. */
+    /**
+     * The names of the machines on which tasks of this job have failed since a task of the job last completed. Callers
+     * change the set directly.
+     */
     public Set<String> failedMachines() {
         return failedMachines;
     }
 
     /**
-     * True if tasks of this job failed on several machines, so that the job is the likely cause. For a service with
-     * running replicas the machines are the likely cause instead.
+     * True if tasks of this job failed on several machines. The job is then the likely cause of the failures. For a
+     * service with running replicas, the machines are the likely cause instead, and the result is false.
      */
     public boolean failsOnManyMachines() {
         return failedMachines.size() >= FAILED_MACHINES_BEFORE_BACKOFF && !(spec.isService() && runningCount() > 0);
     }
 
-    /** The time before which no task of the job is placed, after failures; in monotonic nanoseconds. */
+    /** The time before which no task of the job is placed, because tasks failed; in monotonic nanoseconds. */
     public long retryAfter() {
         return retryAfter;
     }
 
-    /** Sets the time before which no task of the job is placed. */
+    /** Sets the time before which no task of the job is placed, in monotonic nanoseconds. */
     public void retryAfter(long retryAfterNanos) {
         retryAfter = retryAfterNanos;
     }
 
-    /** The deadline in milliseconds since the epoch; infinite if there is none, as for every service. */
+    /** The deadline in milliseconds since the epoch; infinite if the job has no deadline or is a service. */
     public double deadlineMs() {
         return spec.deadlineS().isPresent() && !spec.isService()
                 ? submittedMs + spec.deadlineS().getAsDouble() * 1000
--- a/src/main/java/org/spruceridge/cluster/JobPriority.java
+++ b/src/main/java/org/spruceridge/cluster/JobPriority.java
@@ -7,7 +7,7 @@
     NORMAL,
     LOW;
 
-    /** True if this priority is higher, so that its jobs may preempt jobs of the other. */
+    /** True if this priority is higher than the other. A job can then preempt jobs of the other priority. */
     public boolean outranks(JobPriority other) {
         return ordinal() < other.ordinal();
     }
--- a/src/main/java/org/spruceridge/cluster/JobSpec.java
+++ b/src/main/java/org/spruceridge/cluster/JobSpec.java
@@ -9,16 +9,16 @@
  *
  * @param jobClass the name that service-level objectives refer to
  * @param taskResources the resources that each task requests
- * @param types the allowed machine types; all are allowed if empty
- * @param zone the only allowed zone; all are allowed if empty
+ * @param types the names of the allowed machine types; if empty, all machine types are allowed
+ * @param zone the only allowed zone; if empty, all zones are allowed
  * @param oneZone whether all tasks must be in the same zone
- * @param spread whether at most half of the tasks, rounded up, may be in one zone
+ * @param spread whether the number of tasks in one zone is limited to half of all tasks, rounded up
  * @param spot whether spot machines are allowed
  * @param imageGb the size of the image in gigabytes
  * @param estimateS the estimated run time of a task in seconds
- * @param checkpointIntervalS the time between checkpoints of a task in seconds; 0 if it cannot save checkpoints
- * @param checkpointDurationS how long it takes to save a checkpoint, in seconds
- * @param deadlineS when the job should be complete, in seconds after its submission
+ * @param checkpointIntervalS the time between checkpoints of a task in seconds; 0 if the task cannot save checkpoints
+ * @param checkpointDurationS the time that a task takes to save a checkpoint, in seconds
+ * @param deadlineS the time by which the job should be complete, in seconds after its submission
  */
 public record JobSpec(
         String id,
@@ -40,7 +40,7 @@
         double checkpointDurationS,
         OptionalDouble deadlineS) {
 
-    /** True if its tasks are replicas of a service, which run until the job is cancelled. */
+    /** True if the tasks are replicas of a service, which run until the job is cancelled. */
     public boolean isService() {
         return kind == JobKind.SERVICE;
     }
@@ -55,14 +55,14 @@
         return spread ? (taskCount + 1) / 2 : taskCount;
     }
 
-    /** A copy with other allowed machine types. */
+    /** Returns a copy of this spec with the given allowed machine types; if empty, all machine types are allowed. */
     public JobSpec withTypes(Optional<ImmutableSet<String>> allowed) {
         return copy(jobClass, image, allowed);
     }
 
-    /** A copy with other names for its class and image. These names are not needed once the job has ended. */
-    public JobSpec withNames(String otherClass, String otherImage) {
-        return copy(otherClass, otherImage, types);
+    /** Returns a copy of this spec with the given job class and image name. An ended job needs neither name. */
+    public JobSpec withClassAndImage(String newClass, String newImage) {
+        return copy(newClass, newImage, types);
     }
 
     private JobSpec copy(String newClass, String newImage, Optional<ImmutableSet<String>> newTypes) {
@@ -87,7 +87,7 @@
                 deadlineS);
     }
 
-    /** True if the job allows such machines, regardless of where its other tasks are. */
+    /** True if the job allows machines of this kind. Does not consider the zones of the other tasks of the job. */
     public boolean allows(String type, String machineZone, boolean spotMachine) {
         return (types.isEmpty() || types.get().contains(type))
                 && (zone.isEmpty() || zone.get().equals(machineZone))
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 
 /**
- * The state of a machine in the memory of this term's leader. Separate objects hold its heartbeat version, its worker
- * lease, signs of failure, direct commands, the reclaim notice, and the capacity in use. All times are nanoseconds on
- * the monotonic clock.
+ * The state of a machine in the memory of this term's leader. Separate objects hold the heartbeat version, the worker
+ * lease, signs of failure, direct commands, the reclaim notice, and the bindings with the used capacity. All times are
+ * nanoseconds on the monotonic clock.
  */
 public final class Machine {
     private final String name;
@@ -23,7 +23,10 @@
     private boolean terminating;
     private long lastPreemption = EventTimes.NOT_HAPPENED;
 
-    /** {@code leaseRenewedAt} is the latest time at which any leader can have answered a heartbeat of its worker. */
+    /**
+     * Creates a machine without bindings. {@code leaseRenewedAt} is the latest time at which any leader can have
+     * answered a heartbeat of the machine's worker.
+     */
     public Machine(String name, String address, MachineKind kind, long now, long leaseRenewedAt) {
         this.name = name;
         this.address = address;
@@ -39,27 +42,27 @@
         return name;
     }
 
-    /** The address at which its worker accepts direct commands; empty if unknown. */
+    /** The address at which the machine's worker accepts direct commands; an empty string if it is unknown. */
     public String address() {
         return address;
     }
 
-    /** Its type, zone, and whether it is a spot machine. */
+    /** The type and the zone of the machine, and whether it is a spot machine. */
     public MachineKind kind() {
         return kind;
     }
 
-    /** The name of its type. */
+    /** The name of the machine type. */
     public String type() {
         return kind.type();
     }
 
-    /** The name of its zone. */
+    /** The name of the zone. */
     public String zone() {
         return kind.zone();
     }
 
-    /** True if it is a spot machine, which the cloud may reclaim. */
+    /** True if this is a spot machine, which the cloud can reclaim. */
     public boolean isSpot() {
         return kind.spot();
     }
@@ -69,7 +72,7 @@
         return heartbeatVersion;
     }
 
-    /** The lease of its worker. */
+    /** The lease of the machine's worker. */
     public WorkerLease lease() {
         return lease;
     }
@@ -79,12 +82,12 @@
         return suspicion;
     }
 
-    /** Start commands that were sent directly to its worker and may still arrive. */
+    /** Start commands that were sent directly to the machine's worker and can still arrive. */
     public DirectCommands directCommands() {
         return directCommands;
     }
 
-    /** The notice that the cloud is about to reclaim the machine, if there is one. */
+    /** The notice that the cloud is about to reclaim the machine; not announced if there is none. */
     public SpotReclaim reclaim() {
         return reclaim;
     }
@@ -101,15 +104,15 @@
 
     /** The number of bindings that are service replicas. */
     public int replicas() {
-        return allocation.replicas();
+        return allocation.replicaCount();
     }
 
-    /** The capacity used by all tasks that may be on the machine. */
+    /** The capacity used by all tasks that are not proven to be gone from the machine. */
     public Resources used() {
         return allocation.used();
     }
 
-    /** When the machine last became idle; meaningful only while it has no bindings. */
+    /** The time at which the machine last became idle; meaningful only while the machine has no bindings. */
     public long idleSince() {
         return allocation.idleSince();
     }
@@ -132,25 +135,25 @@
         return heartbeatVersion.incarnation();
     }
 
-    /** True once its worker has sent a heartbeat, in this term or, as its bindings show, in an earlier one. */
+    /** True once the machine's worker has sent a heartbeat, either in this term or, as bindings show, before. */
     public boolean hasReported() {
         return reported;
     }
 
-    /** Records that its worker ran before this term, as its bindings show, so that heartbeats are expected from it. */
+    /** Records that the machine's bindings show that its worker ran before this term: heartbeats are expected. */
     public void expectHeartbeats() {
         reported = true;
     }
 
-    /** Records a heartbeat that the worker sent periodically, not in response to a command. */
+    /** Records a periodic heartbeat of the worker, as opposed to the heartbeat in the result of a direct command. */
     public void recordHeartbeat(long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, long now) {
         recordStatus(heartbeatIncarnation, heartbeatSequence, heartbeatAddress, now);
         lease.recordHeartbeat(now);
     }
 
     /**
-     * Records the heartbeat in the result of a direct command. It does not show that the worker can reach a controller,
-     * which its lease requires.
+     * Records the heartbeat in the result of a direct command. Such a heartbeat does not show that the worker can reach
+     * a controller, which is required for the worker's lease.
      */
     public void recordStatus(long heartbeatIncarnation, long heartbeatSequence, String heartbeatAddress, long now) {
         if (!reported) {
@@ -168,26 +171,27 @@
         directCommands.clear();
         lease.beginIncarnation(now);
         if (heartbeatVersion.hasIncarnation()) {
-            // The worker's previous lease expired, so responses may not reach it until it acknowledges a command.
+            // The worker's previous lease expired. Responses possibly do not reach the worker, so the machine is
+            // suspect until the worker acknowledges a command.
             suspicion.suspect(now);
         }
     }
 
-    /** Records that the lease of the current incarnation expired: its late heartbeats are ignored. */
+    /** Records that the lease of the current incarnation expired. Late heartbeats of the incarnation are ignored. */
     public void endIncarnation() {
         heartbeatVersion.endIncarnation();
         lease.endIncarnation();
         directCommands.clear();
     }
 
-    /** True if a command has not been executed, or the machine is suspect. */
+    /** True if the worker has not executed a pending command, or if the machine is suspect. */
     public boolean awaitsAcknowledgement() {
         return EventTimes.hasHappened(unacknowledgedSince());
     }
 
     /**
-     * When the oldest pending command was sent or the machine became suspect, whichever is earlier; meaningful only if
-     * {@link #awaitsAcknowledgement()}.
+     * The earlier of two times: when the oldest pending command was sent, and when the machine became suspect.
+     * Meaningful only if {@link #awaitsAcknowledgement()} is true.
      */
     public long unacknowledgedSince() {
         long since = suspicion.suspectSince();
@@ -198,7 +202,8 @@
     }
 
     /**
-     * True if no tasks are placed on it: it is cordoned, suspect or about to be reclaimed, or a late start may arrive.
+     * True if no task must be placed on the machine: it is cordoned, suspect or about to be reclaimed, or a start
+     * command that got no response can still arrive.
      */
     public boolean isUnschedulable() {
         return suspicion.isCordoned()
@@ -207,42 +212,42 @@
                 || suspicion.isSuspect();
     }
 
-    /** When this leader learned of the machine. */
+    /** The time at which this leader learned of the machine. */
     public long knownSince() {
         return knownSince;
     }
 
-    /** When the machine was launched; until that is known, when this leader learned of it. */
+    /** The launch time of the machine; while it is unknown, the time at which this leader learned of the machine. */
     public long launchedAt() {
         return launchedAt;
     }
 
-    /** Corrects the launch time. */
+    /** Sets the launch time after a launch request or a cloud listing has shown it. */
     public void launchedAt(long launchedAtNanos) {
         launchedAt = launchedAtNanos;
     }
 
-    /** True if deletion of the machine was requested: no more tasks are placed on it. */
+    /** True if the deletion of the machine was requested. No more tasks are placed on such a machine. */
     public boolean isTerminating() {
         return terminating;
     }
 
-    /** Records that deletion of the machine is requested. */
+    /** Records that the deletion of the machine is requested. */
     public void markTerminating() {
         terminating = true;
     }
 
-    /** True once a task on it was preempted. */
+    /** True once a task on the machine has been preempted in this term. */
     public boolean hasPreempted() {
         return EventTimes.hasHappened(lastPreemption);
     }
 
-    /** When a task on it was last preempted; meaningful only if {@link #hasPreempted()}. */
+    /** The time of the last preemption of a task on the machine; meaningful only if {@link #hasPreempted()} is true. */
     public long lastPreemption() {
         return lastPreemption;
     }
 
-    /** Records that a task on it is preempted. */
+    /** Records that a task on the machine is preempted. */
     public void recordPreemption(long now) {
         lastPreemption = now;
     }
--- a/src/main/java/org/spruceridge/cluster/MachineAllocation.java
+++ b/src/main/java/org/spruceridge/cluster/MachineAllocation.java
@@ -8,7 +8,7 @@
 final class MachineAllocation {
     private final Map<TaskId, Binding> bindings = new LinkedHashMap<>();
     private Resources used = Resources.NONE;
-    private int replicas;
+    private int replicaCount;
     private long idleSince;
 
     MachineAllocation(long now) {
@@ -27,8 +27,8 @@
         return used;
     }
 
-    int replicas() {
-        return replicas;
+    int replicaCount() {
+        return replicaCount;
     }
 
     long idleSince() {
@@ -41,14 +41,14 @@
 
     void bind(Binding binding) {
         bindings.put(binding.task(), binding);
-        replicas += binding.job().spec().isService() ? 1 : 0;
+        replicaCount += binding.job().spec().isService() ? 1 : 0;
         used = used.plus(binding.job().spec().taskResources());
     }
 
     void unbind(Binding binding, long now) {
         releaseCapacity(binding);
         if (bindings.remove(binding.task(), binding)) {
-            replicas -= binding.job().spec().isService() ? 1 : 0;
+            replicaCount -= binding.job().spec().isService() ? 1 : 0;
         }
         if (bindings.isEmpty()) {
             idleSince = now;
--- a/src/main/java/org/spruceridge/cluster/MachineKind.java
+++ b/src/main/java/org/spruceridge/cluster/MachineKind.java
@@ -1,6 +1,6 @@
 package org.spruceridge.cluster;
 
-/** The properties that matter when machines are launched and tasks placed: type, zone, and spot or on-demand. */
+/** The properties that matter for launching machines and placing tasks: type, zone, and spot or on-demand. */
 public record MachineKind(String type, String zone, boolean spot) {
     // equals and hashCode are explicit for the same reason as in TaskId.
     @Override
--- a/src/main/java/org/spruceridge/cluster/SpotReclaim.java
+++ b/src/main/java/org/spruceridge/cluster/SpotReclaim.java
@@ -1,6 +1,6 @@
 package org.spruceridge.cluster;
 
-/** The notice that the cloud is about to reclaim a spot machine, as reported by the last heartbeat. */
+/** Whether, and at which time, the cloud will reclaim a spot machine, according to the last heartbeat. */
 public final class SpotReclaim {
     private long reclaimAt = EventTimes.NOT_HAPPENED;
 
@@ -11,17 +11,17 @@
         return EventTimes.hasHappened(reclaimAt);
     }
 
-    /** When the cloud will reclaim the machine, in monotonic nanoseconds; meaningful only if announced. */
+    /** The time of the reclaim in monotonic nanoseconds; meaningful only if {@link #isAnnounced()} is true. */
     public long reclaimAt() {
         return reclaimAt;
     }
 
-    /** Records when the cloud will reclaim the machine. */
+    /** Records the time at which the cloud will reclaim the machine, in monotonic nanoseconds. */
     public void announce(long reclaimAtNanos) {
         reclaimAt = reclaimAtNanos;
     }
 
-    /** Clears the notice: the last heartbeat contained none. */
+    /** Clears the notice, because the last heartbeat contained none. */
     public void withdraw() {
         reclaimAt = EventTimes.NOT_HAPPENED;
     }
--- a/src/main/java/org/spruceridge/cluster/WorkerLease.java
+++ b/src/main/java/org/spruceridge/cluster/WorkerLease.java
@@ -1,8 +1,8 @@
 package org.spruceridge.cluster;
 
 /**
- * The leader's view of one worker's lease: when it was last renewed, and whether the worker has accepted the fencing
- * token of this term. All times are nanoseconds on the monotonic clock.
+ * The leader's view of one worker's lease: the time of the last renewal, and whether the worker has accepted the
+ * fencing token of this term. All times are nanoseconds on the monotonic clock.
  */
 public final class WorkerLease {
     private long lastHeartbeat;
@@ -15,7 +15,7 @@
         this.lastRenewal = lastRenewal;
     }
 
-    /** When the last heartbeat was accepted; before the first one, when the leader learned of the machine. */
+    /** The time of the last periodic heartbeat; before the first, when the leader learned of the machine. */
     public long lastHeartbeat() {
         return lastHeartbeat;
     }
@@ -24,43 +24,44 @@
         lastHeartbeat = now;
     }
 
-    /** The latest time at which the worker's lease can have started or been renewed. */
+    /** The latest time at which the worker's lease can have been started or renewed. */
     public long lastRenewal() {
         return lastRenewal;
     }
 
-    /** Records that a heartbeat is answered; {@code tokenAccepted} if it contained the fencing token of this term. */
+    /** Records the response to a heartbeat; {@code tokenAccepted} if the heartbeat had this term's fencing token. */
     public void recordRenewal(long now, boolean tokenAccepted) {
         lastRenewal = now;
         fencingTokenSentAt = tokenAccepted ? EventTimes.NOT_HAPPENED : Math.min(fencingTokenSentAt, now);
     }
 
-    /** Records that a heartbeat was answered at the given time, before the failover had loaded the machine. */
+    /** Records that a heartbeat was answered at the given time, which is before the failover loaded the machine. */
     public void recordRenewalDuringFailover(long renewedAt) {
         lastRenewal = Math.max(lastRenewal, renewedAt);
     }
 
-    /** True once a heartbeat contained the fencing token of this term: the worker rejects all older leaders. */
+    /** True once a heartbeat has contained the fencing token of this term. The worker then rejects older leaders. */
     public boolean isFenced() {
         return fenced;
     }
 
-    /** Records that a heartbeat contained the fencing token of this term. */
+    /** Records that an accepted heartbeat contained the fencing token of this term. */
     public void fence() {
         fenced = true;
     }
 
     /**
-     * True if this term's fencing token was sent longer ago than the timeout and no heartbeat has contained it since.
+     * True if this term's fencing token was sent longer ago than the timeout and no heartbeat has contained the token
+     * since then.
      */
     public boolean isFencingOverdue(long now, long timeoutNanos) {
         return now - fencingTokenSentAt > timeoutNanos;
     }
 
     /**
-     * Records that a new incarnation, and with it a new lease, started at some time before {@code now}. If lease expiry
-     * were counted from the last response to an earlier incarnation, tasks started directly in the new one would be
-     * declared gone while they run.
+     * Records that a new incarnation, and therefore a new lease, started before {@code now}. If the lease expiry were
+     * counted from the last response to an earlier incarnation, the leader would declare tasks gone that run in the new
+     * incarnation because of a direct start command.
      */
     void beginIncarnation(long now) {
         lastRenewal = Math.max(lastRenewal, now);
--- a/src/main/java/org/spruceridge/record/BindingsRecord.java
+++ b/src/main/java/org/spruceridge/record/BindingsRecord.java
@@ -19,18 +19,18 @@
 import org.spruceridge.cluster.TaskId;
 import org.spruceridge.net.BadMessageException;
 
-/** A stored page of bindings: the tasks bound to each of many machines, grouped by machine kind. */
+/** A stored page of bindings: for each of many machines, the tasks bound to it. Machines are grouped by kind. */
 public final class BindingsRecord {
-    /** The encoded size of a machine without its name and bindings: array headers and numbers. */
+    /** The encoded size of a machine's array headers and numbers, without its name and bindings. */
     private static final int MACHINE_OVERHEAD_BYTES = 5;
 
     /** The maximum encoded size of a binding without its job id: 5 bytes for the task index, 9 for the attempt. */
     private static final int BINDING_OVERHEAD_BYTES = 5 + 9;
 
-    /** The encoded size of a machine kind without its names. */
+    /** The encoded size of a machine kind without the names of its type and zone. */
     private static final int KIND_OVERHEAD_BYTES = 12;
 
-    /** An upper bound of the size of the names of a machine, its type and its zone together. */
+    /** An upper bound for the total size of a machine's name, type name and zone name. */
     private static final int MAX_NAMES_BYTES = 385;
 
     /** The maximum encoded size of a job id, including its header. */
@@ -38,13 +38,13 @@
 
     private BindingsRecord() {}
 
-    /** A bound task and the number of the attempt. */
+    /** A bound task and the number of the attempt to run it. */
     public record BoundTask(TaskId task, long attempt) {}
 
     /** A machine and the tasks bound to it. */
     public record MachineBindings(String name, MachineKind kind, ImmutableList<BoundTask> tasks) {}
 
-    /** The maximum number of bindings of one machine that fit into a page for values of {@code valueKb} kilobytes. */
+    /** The maximum number of bindings of one machine in a page that fits a value of {@code valueKb} kilobytes. */
     public static int maxBindingsPerMachine(double valueKb) {
         int machineBytes = MAX_NAMES_BYTES + MACHINE_OVERHEAD_BYTES + 2 * KIND_OVERHEAD_BYTES;
         return Math.max(
@@ -64,7 +64,7 @@
             totalBytes += MACHINE_OVERHEAD_BYTES + 1 + machine.name().length();
             String job = "";
             for (Binding binding : machine.bindings()) {
-                // Consecutive bindings of one job share its id. Omitting bindings never makes the page larger.
+                // Consecutive bindings of one job share the encoded job id. Omitting bindings never enlarges the page.
                 totalBytes += 1 + maxNumberBytes(binding.task().index()) + maxNumberBytes(binding.attempt());
                 totalBytes += binding.task().job().equals(job)
                         ? 0
@@ -75,7 +75,7 @@
         return totalBytes;
     }
 
-    /** A page with those bindings of the machines for which {@code recorded} is true. */
+    /** Returns a page with those bindings of the machines for which {@code recorded} is true. */
     public static ObjectNode write(String transactionId, Collection<Machine> machines, Predicate<Binding> recorded) {
         ImmutableListMultimap.Builder<MachineKind, MachineBindings> byKind = ImmutableListMultimap.builder();
         for (Machine machine : machines) {
@@ -106,7 +106,7 @@
         });
     }
 
-    /** The maximum size in bytes of a number in MessagePack. */
+    /** The maximum size in bytes of a non-negative number in MessagePack. */
     private static int maxNumberBytes(long number) {
         return number < 1 << 7 ? 1 : number < 1 << 16 ? 3 : number < 1L << 32 ? 5 : 9;
     }
@@ -117,7 +117,7 @@
         String job = "";
         for (BoundTask task : machine.tasks) {
             if (task.task.job().equals(job)) {
-                out.packNil(); // the same job as in the previous binding
+                out.packNil(); // stands for the job id of the previous binding
             } else {
                 out.packString(task.task.job());
                 job = task.task.job();
--- a/src/main/java/org/spruceridge/record/CatalogueRecord.java
+++ b/src/main/java/org/spruceridge/record/CatalogueRecord.java
@@ -11,8 +11,8 @@
 import org.spruceridge.net.Json;
 
 /**
- * The machine types as last read from the cloud. They are stored so that a node which starts during an outage of the
- * cloud can still validate and place jobs. The prices are those at the time of writing.
+ * The machine types as last read from the cloud. The record lets a node that starts during an outage of the cloud
+ * validate and place jobs. The prices were valid at the time of writing and are possibly outdated.
  */
 public record CatalogueRecord(ImmutableMap<String, MachineType> types) {
 
@@ -39,7 +39,7 @@
         return new CatalogueRecord(out.buildKeepingLast());
     }
 
-    /** The record as JSON. */
+    /** Returns the record as JSON. */
     public ObjectNode write() {
         ObjectNode out = Json.object();
         ArrayNode items = out.putArray("types");
@@ -59,7 +59,7 @@
         return out;
     }
 
-    /** True if both contain the same types. Prices are not compared, because they change all the time. */
+    /** True if both records contain the same machine types. Ignores fetch rates, and prices, which change often. */
     public boolean sameTypes(CatalogueRecord other) {
         return types.keySet().equals(other.types.keySet())
                 && types.values().stream().allMatch(type -> {
--- a/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
@@ -12,24 +12,24 @@
 /**
  * A stored page of finished tasks: a bit set for each chunk of consecutive tasks of an unfinished job.
  *
- * <p>There are two forms. In the form of the base level, the only one that version 0.1 reads, a chunk has a number. The
- * index of its first task is that number times the chunk size, which is derived from the maximum value size of the
- * state service. In the form of level {@link FeatureLevel#SERVICES} a chunk contains the index of its first task, so
- * that the chunk size may change, and the page contains the number of its form.
+ * <p>There are two page formats. Version 0.1 reads only the format of the base level. In this format, each chunk has a
+ * chunk number. The index of the chunk's first task is the chunk number times the chunk size, which is derived from the
+ * maximum value size of the state service. In the format of level {@link FeatureLevel#SERVICES}, each chunk contains
+ * the index of its first task. Therefore the chunk size can change. A page in this format contains its format number.
  */
 public final class FinishedTasksRecord {
-    /** The encoded size of a chunk without its job id and bit set: headers and the index of its first task. */
+    /** The encoded size of a chunk's headers and first index, without its job id and bit set. */
     private static final int CHUNK_OVERHEAD_BYTES = 14;
 
-    private static final String FORM = "f";
-    private static final int FORM_WITH_FIRST_TASK = 2;
+    private static final String FORMAT_FIELD = "f";
+    private static final int FORMAT_WITH_FIRST_TASK = 2;
 
     private FinishedTasksRecord() {}
 
-    /** The finished tasks of one chunk of a job; bit 0 is the task with index {@code first}. */
+    /** The finished tasks of one chunk of a job. Bit 0 is the task with index {@code first}. */
     public record Chunk(String job, int first, BitSet tasks) {}
 
-    /** The number of tasks in a chunk: a full chunk takes about a third of a page. */
+    /** The number of tasks in a full chunk. The bit set of a full chunk takes about a third of a page. */
     public static int chunkSize(double valueKb) {
         return Math.max(64, PackedValue.capacity(valueKb) / 3 * 8);
     }
@@ -40,8 +40,8 @@
     }
 
     /**
-     * A page with these chunks in the form of a feature level, to be written by a transaction. At the base level all
-     * chunks have {@code baseChunkSize} tasks.
+     * Returns a page that contains the given chunks, in the page format that the feature level prescribes. The
+     * transaction with the given id writes the page. At the base level, chunks cover {@code baseChunkSize} tasks each.
      */
     public static ObjectNode write(
             String transactionId, FeatureLevel level, int baseChunkSize, Collection<Chunk> chunks) {
@@ -56,14 +56,17 @@
                 out.writePayload(bits);
             }
         });
-        return withFirstTask ? page.put(FORM, FORM_WITH_FIRST_TASK) : page;
+        return withFirstTask ? page.put(FORMAT_FIELD, FORMAT_WITH_FIRST_TASK) : page;
     }
 
-    /** Reads a page of either form; a {@link BadMessageException} means that it is malformed or of an unknown form. */
+    /**
+     * Reads a page in either format. A {@link BadMessageException} means that the page is malformed or that this
+     * version does not know the page's format number.
+     */
     public static List<Chunk> read(JsonNode value, int baseChunkSize) throws BadMessageException {
-        boolean withFirstTask = value.has(FORM);
-        if (withFirstTask && value.path(FORM).asInt() != FORM_WITH_FIRST_TASK) {
-            throw new BadMessageException("form " + value.path(FORM) + " of a page is not known here");
+        boolean withFirstTask = value.has(FORMAT_FIELD);
+        if (withFirstTask && value.path(FORMAT_FIELD).asInt() != FORMAT_WITH_FIRST_TASK) {
+            throw new BadMessageException("form " + value.path(FORMAT_FIELD) + " of a page is not known here");
         }
         return PackedValue.read(value, in -> {
             List<Chunk> chunks = new ArrayList<>();
--- a/src/main/java/org/spruceridge/record/JobRecord.java
+++ b/src/main/java/org/spruceridge/record/JobRecord.java
@@ -8,14 +8,17 @@
 import org.spruceridge.net.Json;
 
 /**
- * The stored record of a job: what was submitted and when, and how and when the job ended. {@code endedMs} is 0 if that
- * time is unknown. The open entry of an unfinished job has the same form.
+ * The stored record of a job. The open entry of an unfinished job has the same format and content.
+ *
+ * @param submittedMs the submission time in milliseconds since the epoch
+ * @param stage whether the job is open, or how it ended
+ * @param endedMs the end time in milliseconds since the epoch; 0 if the job is open or the end time is unknown
  */
 public record JobRecord(JobSpec spec, long submittedMs, Stage stage, long endedMs) {
-    /** The overhead in bytes that the state service may add to the size of a value. */
+    /** The maximum overhead in bytes that the state service adds to the size of a value. */
     private static final int VALUE_OVERHEAD_BYTES = 32;
 
-    /** The length in code points to which names are truncated. */
+    /** The length to which {@link #write(int)} truncates names, in code points. */
     private static final int TRUNCATED_NAME_CODE_POINTS = 16;
 
     /** The stored state of a job. */
@@ -24,41 +27,41 @@
         DONE("done"),
         CANCELLED("cancelled");
 
-        private final String text;
+        private final String storedName;
 
         Stage(String text) {
-            this.text = text;
+            this.storedName = text;
         }
     }
 
-    /** The record of a job that is accepted at {@code nowMs}. */
+    /** Returns the record of a job that is accepted at {@code nowMs}. */
     public static JobRecord open(JobSpec spec, long nowMs) {
         return new JobRecord(spec, nowMs, Stage.OPEN, 0);
     }
 
-    /** The record of the same job after it has ended at {@code nowMs}. */
+    /** Returns the record of the same job after the job has ended at {@code nowMs}. */
     public JobRecord ended(Stage end, long nowMs) {
         return new JobRecord(spec, submittedMs, end, nowMs);
     }
 
     /**
-     * True if the record is within the value size limit of the state service, both now and at the end of the job, when
-     * it is slightly longer.
+     * True if the record is within the value size limit of the state service. The record of the ended job, which is
+     * slightly longer, is then also within the limit.
      */
     public boolean fits(int maxValueBytes) {
         return Json.bytes(ended(Stage.CANCELLED, submittedMs).write()).length + VALUE_OVERHEAD_BYTES <= maxValueBytes;
     }
 
     /**
-     * The record as JSON, within the value size limit. If the record was accepted under a larger limit, the class and
-     * image names are truncated and the allowed types are omitted, which is safe because an ended job no longer needs
-     * them.
+     * Returns the record as JSON, within the value size limit. If the record was accepted under a larger limit, the job
+     * class and image names are truncated and the allowed machine types are omitted. This loss is safe because an ended
+     * job no longer needs them.
      */
     public ObjectNode write(int maxValueBytes) {
         if (fits(maxValueBytes)) {
             return write();
         }
-        JobSpec truncatedSpec = spec.withNames(truncate(spec.jobClass()), truncate(spec.image()))
+        JobSpec truncatedSpec = spec.withClassAndImage(truncate(spec.jobClass()), truncate(spec.image()))
                 .withTypes(Optional.empty());
         return new JobRecord(truncatedSpec, submittedMs, stage, endedMs).write();
     }
@@ -84,9 +87,9 @@
                 value.path("ended_at").asLong());
     }
 
-    /** The record as JSON. */
+    /** Returns the record as JSON, whatever its size. */
     public ObjectNode write() {
-        ObjectNode out = Json.object().put("stage", stage.text).put("at", submittedMs);
+        ObjectNode out = Json.object().put("stage", stage.storedName).put("at", submittedMs);
         if (stage != Stage.OPEN) {
             out.put("ended_at", endedMs);
         }
--- a/src/main/java/org/spruceridge/record/JobSpecMessage.java
+++ b/src/main/java/org/spruceridge/record/JobSpecMessage.java
@@ -13,7 +13,7 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** The JSON form of a job, in which users submit it and its record stores it. */
+/** The JSON format of a job spec, used in submissions by users and in stored job records. */
 public final class JobSpecMessage {
     private static final Pattern ID = Pattern.compile("j-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
@@ -23,12 +23,12 @@
 
     private JobSpecMessage() {}
 
-    /** True if the text has the form of a job id. */
+    /** True if the text is a valid job id: {@code j-} and 1 to 18 digits. */
     public static boolean isId(String text) {
         return ID.matcher(text).matches();
     }
 
-    /** The job id in a body whose other fields may be invalid; empty if the id itself is missing or invalid. */
+    /** Returns the job id in a body; empty if the id is missing or invalid. The other fields are not validated. */
     public static Optional<String> idOf(JsonNode body) {
         JsonNode id = body.path("nameId");
         return id.isTextual() && isId(id.textValue()) ? Optional.of(id.textValue()) : Optional.empty();
@@ -40,7 +40,7 @@
         if (!isId(id)) {
             throw new BadMessageException("nameId is not of the form j-000412");
         }
-        JobKind kind = kind(Json.text(body, "shape"));
+        JobKind kind = parseKind(Json.text(body, "shape"));
         long tasks = Json.nonNegativeLong(body, "parts");
         if (tasks < 1 || tasks > MAX_TASKS) {
             throw new BadMessageException("parts is out of range");
@@ -59,7 +59,7 @@
                         requirePositive(body, "cpus"),
                         requireNonNegative(body, "accelerators"),
                         requirePositive(body, "memGb")),
-                types(body),
+                readAllowedMachineTypes(body),
                 Optional.ofNullable(zone),
                 Json.bool(body, "samePlace"),
                 Json.bool(body, "scatter"),
@@ -72,7 +72,7 @@
                 deadline);
     }
 
-    /** The job as JSON, in the form of its submission. */
+    /** Returns the job spec as JSON, in the format of a submission. */
     public static ObjectNode write(JobSpec spec) {
         ObjectNode out = Json.object()
                 .put("nameId", spec.id())
@@ -98,7 +98,7 @@
         return out;
     }
 
-    private static Optional<ImmutableSet<String>> types(JsonNode body) throws BadMessageException {
+    private static Optional<ImmutableSet<String>> readAllowedMachineTypes(JsonNode body) throws BadMessageException {
         if (!body.hasNonNull("builds")) {
             return Optional.empty();
         }
@@ -120,7 +120,7 @@
         return text;
     }
 
-    private static JobKind kind(String shape) throws BadMessageException {
+    private static JobKind parseKind(String shape) throws BadMessageException {
         return switch (shape) {
             case ARRAY -> JobKind.ARRAY;
             case SERVICE -> JobKind.SERVICE;
--- a/src/main/java/org/spruceridge/record/PackedValue.java
+++ b/src/main/java/org/spruceridge/record/PackedValue.java
@@ -12,13 +12,13 @@
 import org.spruceridge.net.Json;
 
 /**
- * MessagePack data inside a JSON value of the state service, together with the id of the transaction that wrote it. A
- * value holds several times as much data as in plain JSON.
+ * MessagePack data inside a JSON value of the state service, with the id of the transaction that wrote the value. A
+ * value of the same size holds several times as much data as plain JSON.
  */
 public final class PackedValue {
     private static final String BYTES = "b";
     private static final String TRANSACTION_ID = "w";
-    /** The approximate overhead in bytes of a value, in addition to the packed data. */
+    /** The approximate size in bytes of a value without the packed data. */
     private static final int OVERHEAD_BYTES = 128;
 
     private PackedValue() {}
@@ -35,12 +35,12 @@
         T read(MessageUnpacker in) throws IOException;
     }
 
-    /** The number of packed bytes that fit into a value of {@code valueKb} kilobytes. */
+    /** Returns the number of packed bytes that fit into a value of {@code valueKb} kilobytes. */
     public static int capacity(double valueKb) {
         return Math.max(256, (int) ((valueKb * 1024 - OVERHEAD_BYTES) * 3 / 4));
     }
 
-    /** A value with the packed data and the id of the transaction that writes it. */
+    /** Returns a value with the packed data and the id of the transaction that writes the value. */
     public static ObjectNode write(String transactionId, Writer writer) {
         try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
             writer.write(out);
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Reads data written by a {@link Writer}; a {@link BadMessageException} means that it is malformed. */
+    /** Reads data written by a {@link Writer}; a {@link BadMessageException} means that the data is malformed. */
     public static <T> T read(JsonNode value, Reader<T> reader) throws BadMessageException {
         byte[] bytes = Json.bytes(value, BYTES);
         try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The id of the transaction that wrote a value. */
+    /** Returns the id of the transaction that wrote the value; empty if the value contains none. */
     public static String transactionIdOf(JsonNode value) {
         return value.path(TRANSACTION_ID).asText();
     }
--- a/src/main/java/org/spruceridge/record/StateKeys.java
+++ b/src/main/java/org/spruceridge/record/StateKeys.java
@@ -10,7 +10,7 @@
     public static final String CATALOGUE = "catalogue";
     public static final String JOBS_PREFIX = "job/";
     public static final String OPEN_JOBS_PREFIX = "open/";
-    /** The key prefix of pages of finished tasks of unfinished jobs. */
+    /** The key prefix of pages that record the finished tasks of unfinished jobs. */
     public static final String FINISHED_TASKS_PREFIX = "parts/";
     /** The key prefix of pages of bindings. */
     public static final String BINDINGS_PREFIX = "bound/";
@@ -22,7 +22,7 @@
         return JOBS_PREFIX + id;
     }
 
-    /** The key of a job's open entry, which is written together with its record and deleted when the job ends. */
+    /** The key of a job's open entry, which is created together with the job's record and deleted at the job's end. */
     public static String openJob(String id) {
         return OPEN_JOBS_PREFIX + id;
     }
--- a/src/main/java/org/spruceridge/state/Change.java
+++ b/src/main/java/org/spruceridge/state/Change.java
@@ -7,10 +7,10 @@
     /** The key that changed. */
     String key();
 
-    /** The revision of the change. */
+    /** The state service's revision at which the change was made. */
     long modRevision();
 
-    /** The key was created, or its value replaced. */
+    /** The key was created or got a new value. */
     record Put(String key, JsonNode value, long modRevision) implements Change {}
 
     /** The key was deleted, by a transaction or because its lease expired or was revoked. */
--- a/src/main/java/org/spruceridge/state/InProcessStateService.java
+++ b/src/main/java/org/spruceridge/state/InProcessStateService.java
@@ -14,15 +14,15 @@
 import org.spruceridge.net.Loop;
 
 /**
- * An in-process stub of the state service for the warm-up. It answers listings with given entries, reports every
- * transaction as committed, and stores nothing. It opens no connections.
+ * An in-process stub of the state service for the warm-up. The stub answers listings with given entries and reports
+ * every transaction as committed. It stores nothing and opens no connections.
  */
 public final class InProcessStateService implements HttpClient {
     private final Loop loop;
     private final Function<String, List<Entry>> entries;
     private long revision;
 
-    /** {@code entries} returns the entries under a key prefix. */
+    /** Creates a stub; {@code entries} returns the entries whose keys have the given prefix. */
     public InProcessStateService(Loop loop, Function<String, List<Entry>> entries) {
         this.loop = loop;
         this.entries = entries;
--- a/src/main/java/org/spruceridge/state/ListRequest.java
+++ b/src/main/java/org/spruceridge/state/ListRequest.java
@@ -19,7 +19,7 @@
     private final StateResponses responses;
     private final Consumer<StateResult<Listing>> onResult;
     private final List<Entry> entries = new ArrayList<>();
-    /** The lowest revision of all pages: the first pages may lack changes that were made after it. */
+    /** The lowest revision of all pages. Pages possibly lack changes that were made after this revision. */
     private long revision = Long.MAX_VALUE;
 
     private long bytes;
--- a/src/main/java/org/spruceridge/state/StateClient.java
+++ b/src/main/java/org/spruceridge/state/StateClient.java
@@ -19,14 +19,14 @@
 
 /**
  * Client of the state service, the consensus-backed key-value store. Every request waits until this node's rate limiter
- * admits it. The client does not retry: callers decide how to handle an unknown outcome. All callbacks run on the event
- * loop.
+ * admits the request. The client does not retry: callers decide how to handle an unknown outcome. All callbacks run on
+ * the event loop.
  */
 public final class StateClient {
     private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
-    /** Responses usually take under 10 ms and occasionally a few hundred. */
+    /** Well above the usual response time, which is under 10 ms and occasionally a few hundred milliseconds. */
     private static final long REQUEST_TIMEOUT_NANOS = Durations.millis(1000);
-    /** The time that a response to a watch may take beyond the requested blocking time. */
+    /** The time after the requested blocking time within which the response to a watch must arrive. */
     private static final long WATCH_TIMEOUT_SLACK_NANOS = Durations.nanos(5);
 
     private static final HttpAnswer NOT_ADMITTED = new HttpAnswer(StateResponses.TOO_MANY_REQUESTS, new byte[0]);
@@ -40,7 +40,7 @@
     private final StateServiceAvailability availability;
     private Runnable rateExceededListener = () -> {};
 
-    /** Creates a client that sends its requests to {@code address}, within the limits of {@code limiter}. */
+    /** Creates a client that sends requests to {@code address} at the rates that {@code limiter} allows. */
     public StateClient(
             Loop loop,
             HttpClient http,
@@ -57,20 +57,17 @@
         this.availability = new StateServiceAvailability(loop);
     }
 
-    /**
-     * Sets the listener that runs whenever the service answers with status 429, which means its rate limit was
-     * exceeded.
-     */
+    /** Sets the listener that runs whenever the service answers with status 429: its rate limit was exceeded. */
     public void onRateExceeded(Runnable listener) {
         rateExceededListener = listener;
     }
 
-    /** Nanoseconds since the service last processed a request of this node, whether it executed or rejected it. */
+    /** The nanoseconds since the service last executed or rejected a request of this node. */
     public long nanosSinceLastServed() {
         return availability.nanosSinceLastServed();
     }
 
-    /** True once the service has processed a request of this node, whether it executed or rejected it. */
+    /** True once the service has executed or rejected a request of this node. */
     public boolean hasEverBeenServed() {
         return availability.hasEverServed();
     }
@@ -85,15 +82,15 @@
         new ListRequest(prefix, (call, onResponse) -> send(priority, 0, call, onResponse), responses, onResult).start();
     }
 
-    /** Commits a transaction. */
+    /** Sends a transaction to be committed. The result says whether its changes were applied. */
     public void commit(Transaction transaction, Priority priority, Consumer<TransactionResult> onResult) {
         send(priority, transaction.changeCount(), StateRequests.commit(transaction), transactionCallback(onResult));
     }
 
     /**
-     * Commits a transaction that is composed only when the rate limiter admits it, so that it contains all changes
-     * collected by then, at most {@code maxChanges}. If {@code composer} returns no transaction, nothing is sent and
-     * {@code onResult} is not called.
+     * Commits a transaction that {@code composer} creates only when the rate limiter admits the request. The
+     * transaction therefore contains all changes collected by then, at most {@code maxChanges}. If {@code composer}
+     * returns no transaction, nothing is sent and {@code onResult} is not called.
      */
     public void commitWhenAdmitted(
             Priority priority,
@@ -113,7 +110,7 @@
         }
     }
 
-    /** Creates a lease with a time to live in milliseconds; the result is the lease id. */
+    /** Creates a lease with the given time to live in milliseconds. The result is the lease id. */
     public void createLease(long ttlMillis, Consumer<StateResult<Long>> onResult) {
         send(
                 Priority.LEASE_RENEWAL,
@@ -123,8 +120,8 @@
     }
 
     /**
-     * Renews a lease; NOT_FOUND means that it has expired. The result is the time at which the request was sent, in
-     * nanoseconds: the renewed time to live starts at that time or later.
+     * Renews a lease. The outcome NOT_FOUND means that the lease has expired. The result is the time at which the
+     * request was sent, in monotonic nanoseconds. The renewed time to live starts at that time or later.
      */
     public void renewLease(long leaseId, long timeoutNanos, Consumer<StateResult<Long>> onResult) {
         boolean queued = limiter.submit(Priority.LEASE_RENEWAL, 0, () -> {
@@ -140,12 +137,12 @@
         }
     }
 
-    /** Revokes a lease, which deletes the keys attached to it. This is best effort: the result is ignored. */
+    /** Revokes a lease, which deletes the keys attached to the lease. The result of the request is ignored. */
     public void revokeLease(long leaseId) {
         send(Priority.LEASE_RENEWAL, 0, StateRequests.revokeLease(leaseId), answer -> {});
     }
 
-    /** Waits up to {@code blockS} seconds for changes after {@code fromRevision} to keys with the prefix. */
+    /** Waits up to {@code blockS} seconds for changes after {@code fromRevision} to keys with the given prefix. */
     public Cancellable watch(String prefix, long fromRevision, double blockS, Consumer<StateResult<Changes>> onResult) {
         long blockMs = (long) (blockS * 1000);
         WatchRequest request = new WatchRequest();
@@ -169,7 +166,7 @@
         return answer -> {
             TransactionResult result = responses.transaction(answer);
             if (result.outcome() == TransactionResult.Outcome.MALFORMED) {
-                LOG.error("transaction rejected as malformed reason={}", StateResponses.text(answer));
+                LOG.error("transaction rejected as malformed reason={}", StateResponses.bodyText(answer));
             }
             onResult.accept(result);
         };
@@ -178,7 +175,7 @@
     private void send(Priority priority, int changes, HttpCall call, Consumer<HttpAnswer> onResponse) {
         boolean queued = limiter.submit(priority, changes, () -> sendNow(call, onResponse));
         if (!queued) {
-            onResponse.accept(NOT_ADMITTED); // reported like a rejection by the service, because it was never sent
+            onResponse.accept(NOT_ADMITTED); // a request that was never sent is reported like a rejection
         }
     }
 
@@ -186,7 +183,7 @@
         http.call(address, call, REQUEST_TIMEOUT_NANOS, recordingLatency(recordingAvailability(onResponse)));
     }
 
-    /** Records the latency, excluding the wait for the rate limiter. Watches and lease renewals are not recorded. */
+    /** Records the latency of a request without the wait for the rate limiter. Not used for watches and renewals. */
     private Consumer<HttpAnswer> recordingLatency(Consumer<HttpAnswer> onResponse) {
         long sentAt = loop.nanos();
         return answer -> {
@@ -195,7 +192,7 @@
         };
     }
 
-    /** Records whether the service is available, and reports when its rate limit was exceeded. */
+    /** Records whether the service is available. Runs the listener if the rate limit was exceeded. */
     private Consumer<HttpAnswer> recordingAvailability(Consumer<HttpAnswer> onResponse) {
         return answer -> {
             availability.record(answer);
--- a/src/main/java/org/spruceridge/state/StateRequests.java
+++ b/src/main/java/org/spruceridge/state/StateRequests.java
@@ -3,9 +3,9 @@
 import org.spruceridge.net.HttpCall;
 import org.spruceridge.net.Json;
 
-/** Creates the HTTP requests of the state service's protocol. The names on the wire are defined by the protocol. */
+/** Creates the HTTP requests of the state service's protocol, which defines the names on the wire. */
 final class StateRequests {
-    /** The prefix of the target of every list request. */
+    /** The start of every list request's target. */
     static final String LIST_TARGET = "/store?starts=";
 
     private static final int LIST_PAGE_ENTRIES = 500;
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Requests one page of a listing; {@code afterKey} is the last key of the previous page, empty for the first page.
+     * Requests one page of a listing. {@code afterKey} is the last key of the previous page; empty for the first page.
      */
     static HttpCall list(String prefix, String afterKey) {
         String from = afterKey.isEmpty() ? "" : "&from=" + afterKey;
@@ -41,7 +41,7 @@
         return new HttpCall("DELETE", "/grants/" + leaseId, EMPTY_BODY);
     }
 
-    /** The service responds when there is a change after the revision, or after {@code blockMs} milliseconds. */
+    /** The service responds once there is a change after the revision, at the latest after {@code blockMs}. */
     static HttpCall watch(String prefix, long fromRevision, long blockMs) {
         return HttpCall.get("/follow?starts=" + prefix + "&from=" + fromRevision + "&blockMs=" + blockMs);
     }
--- a/src/main/java/org/spruceridge/state/StateResponses.java
+++ b/src/main/java/org/spruceridge/state/StateResponses.java
@@ -8,7 +8,7 @@
 import org.spruceridge.net.Json;
 import org.spruceridge.net.RateLimitedWarnings;
 
-/** Parses responses of the state service. An unreadable one causes a warning and counts as missing. */
+/** Parses responses of the state service. An unreadable response causes a warning and counts as missing. */
 final class StateResponses {
     static final int TOO_MANY_REQUESTS = 429;
     static final int SERVICE_UNAVAILABLE = 503;
@@ -25,7 +25,7 @@
         this.warnings = warnings;
     }
 
-    /** One page of a listing; {@code bytes} is the size of the response. */
+    /** One page of a listing; {@code bytes} is the size of the response body. */
     record ListingPage(ImmutableList<Entry> entries, long revision, boolean truncated, long bytes) {}
 
     /** Reads the body of a response with status 200. */
@@ -56,7 +56,7 @@
         return read(answer, body -> Json.nonNegativeLong(body, "permit"));
     }
 
-    /** The value of a successful renewal is {@code sentAtNanos}, the time at which the request was sent. */
+    /** Reads a renewal. The value of a successful renewal is {@code sentAtNanos}, the send time of the request. */
     static StateResult<Long> renewedLease(HttpAnswer answer, long sentAtNanos) {
         return switch (answer.status()) {
             case OK -> StateResult.ok(sentAtNanos);
@@ -91,7 +91,7 @@
                 case OK -> TransactionResult.committed(Json.nonNegativeLong(Json.object(answer.body()), "ring"));
                 case CONFLICT -> TransactionResult.conflict(conflictingKeys(answer));
                 case BAD_REQUEST -> TransactionResult.of(
-                        text(answer).contains("no such lease")
+                        bodyText(answer).contains("no such lease")
                                 ? TransactionResult.Outcome.LEASE_NOT_FOUND
                                 : TransactionResult.Outcome.MALFORMED);
                 case TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE -> TransactionResult.of(
@@ -111,7 +111,7 @@
     }
 
     /** The body as text, for error messages. */
-    static String text(HttpAnswer answer) {
+    static String bodyText(HttpAnswer answer) {
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
 
--- a/src/main/java/org/spruceridge/state/StateResult.java
+++ b/src/main/java/org/spruceridge/state/StateResult.java
@@ -8,25 +8,25 @@
  * @param content present if and only if the outcome is {@link Outcome#OK}
  */
 public record StateResult<T>(Outcome outcome, Optional<T> content) {
-    /** How a request ended. */
+    /** Whether a request was executed and, if not, the reason. */
     public enum Outcome {
         OK,
         /** The key or lease does not exist. */
         NOT_FOUND,
         /** The service no longer has the changes after the requested revision. */
         REVISION_COMPACTED,
-        /** The request was rejected or got no usable response: the stored state is unknown. */
+        /** The request was rejected or got no usable response. The stored state is unknown. */
         UNAVAILABLE,
         /** The key has a value that this version cannot read. */
         UNSUPPORTED_VALUE
     }
 
-    /** A request that was executed, with its result. */
+    /** Returns the result of a request that was executed. */
     public static <T> StateResult<T> ok(T value) {
         return new StateResult<>(Outcome.OK, Optional.of(value));
     }
 
-    /** A request that did not succeed, with this outcome. */
+    /** Returns the result of a request that did not succeed, with the given outcome. */
     public static <T> StateResult<T> failed(Outcome outcome) {
         return new StateResult<>(outcome, Optional.empty());
     }
@@ -36,7 +36,7 @@
         return outcome == Outcome.OK;
     }
 
-    /** The result; throws {@link java.util.NoSuchElementException} unless {@link #isOk}. */
+    /** The content; throws {@link java.util.NoSuchElementException} unless {@link #isOk}. */
     public T value() {
         return content.orElseThrow();
     }
--- a/src/main/java/org/spruceridge/state/StateServiceAvailability.java
+++ b/src/main/java/org/spruceridge/state/StateServiceAvailability.java
@@ -4,8 +4,8 @@
 import org.spruceridge.net.Loop;
 
 /**
- * Tracks when the state service last processed a request of this node, whether it executed or rejected it. A response
- * with status 503 does not count, because it indicates an outage.
+ * Tracks the time at which the state service last executed or rejected a request of this node. A response with status
+ * 503 does not count, because it indicates an outage.
  */
 final class StateServiceAvailability {
     private final Loop loop;
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Measured from the start of this node until a request has been served. */
+    /** The time since the last served request; before the first such request, since the start of this node. */
     long nanosSinceLastServed() {
         return loop.nanos() - lastServedNanos;
     }
--- a/src/main/java/org/spruceridge/state/Transaction.java
+++ b/src/main/java/org/spruceridge/state/Transaction.java
@@ -10,8 +10,8 @@
 import org.spruceridge.net.Json;
 
 /**
- * A compare-and-swap transaction: its changes are applied atomically if all its comparisons hold, otherwise none is.
- * The JSON body is built once, so that a retry sends the same bytes.
+ * A compare-and-swap transaction. If all comparisons hold, the service applies all changes atomically; otherwise the
+ * service applies none. The JSON body is built once, therefore a retry sends the same bytes.
  */
 public final class Transaction {
     private final ImmutableMap<String, Long> comparisons;
@@ -20,27 +20,27 @@
 
     /** One change of the transaction. */
     private sealed interface Operation {
-        /** Appends the change as the protocol encodes it. */
-        void writeTo(ArrayNode then);
+        /** Appends the change in the encoding that the protocol prescribes. */
+        void writeTo(ArrayNode operationArray);
     }
 
     private record Put(String key, JsonNode value, long leaseId) implements Operation {
         private static final long NO_LEASE = 0;
 
         @Override
-        public void writeTo(ArrayNode then) {
-            ObjectNode set = then.addObject().put("set", key);
-            set.set("v", value);
+        public void writeTo(ArrayNode operationArray) {
+            ObjectNode putObject = operationArray.addObject().put("set", key);
+            putObject.set("v", value);
             if (leaseId != NO_LEASE) {
-                set.put("permit", leaseId);
+                putObject.put("permit", leaseId);
             }
         }
     }
 
     private record Delete(String key) implements Operation {
         @Override
-        public void writeTo(ArrayNode then) {
-            then.addObject().put("drop", key);
+        public void writeTo(ArrayNode operationArray) {
+            operationArray.addObject().put("drop", key);
         }
     }
 
@@ -50,7 +50,7 @@
         this.body = Json.bytes(toJson());
     }
 
-    /** A builder without comparisons and changes. */
+    /** Returns a builder without comparisons and changes. */
     public static Builder builder() {
         return new Builder();
     }
@@ -64,7 +64,7 @@
         return operations.size();
     }
 
-    /** The number of compared keys, including all changed keys. */
+    /** The number of compared keys, which include all changed keys. */
     public int comparisonCount() {
         return comparisons.size();
     }
@@ -76,45 +76,45 @@
 
     private ObjectNode toJson() {
         ObjectNode out = Json.object();
-        ArrayNode guards = out.putArray("guards");
+        ArrayNode comparisonArray = out.putArray("guards");
         comparisons.forEach(
-                (key, modRevision) -> guards.addObject().put("k", key).put("stamp", modRevision));
-        ArrayNode then = out.putArray("then");
-        operations.forEach(operation -> operation.writeTo(then));
+                (key, modRevision) -> comparisonArray.addObject().put("k", key).put("stamp", modRevision));
+        ArrayNode operationArray = out.putArray("then");
+        operations.forEach(operation -> operation.writeTo(operationArray));
         return out;
     }
 
-    /** Collects comparisons and changes. Every change also compares the mod revision of its key; 0 for a new key. */
+    /** Collects comparisons and changes. Every change adds a comparison of its key's mod revision, 0 for a new key. */
     public static final class Builder {
         private final Map<String, Long> comparisons = new LinkedHashMap<>();
         private final ImmutableList.Builder<Operation> operations = ImmutableList.builder();
 
-        /** Requires that the key has this mod revision or, if the revision is 0, that it does not exist. */
+        /** Requires that the key has the given mod revision. Revision 0 requires that the key does not exist. */
         public Builder compare(String key, long expectedRevision) {
             comparisons.put(key, expectedRevision);
             return this;
         }
 
-        /** Writes a key. */
+        /** Writes a key that has the expected revision. */
         public Builder put(String key, long expectedRevision, JsonNode value) {
             return putWithLease(key, expectedRevision, value, Put.NO_LEASE);
         }
 
-        /** Writes a key that is deleted when the lease expires or is revoked. */
+        /** Writes a key that the service deletes when the lease expires or is revoked. */
         public Builder putWithLease(String key, long expectedRevision, JsonNode value, long leaseId) {
             compare(key, expectedRevision);
             operations.add(new Put(key, value, leaseId));
             return this;
         }
 
-        /** Deletes a key. */
+        /** Deletes a key that has the expected revision. */
         public Builder delete(String key, long expectedRevision) {
             compare(key, expectedRevision);
             operations.add(new Delete(key));
             return this;
         }
 
-        /** The transaction, with comparisons and changes in the order of the calls. */
+        /** Returns the transaction, with comparisons and changes in the order of the calls. */
         public Transaction build() {
             return new Transaction(ImmutableMap.copyOf(comparisons), operations.build());
         }
--- a/src/main/java/org/spruceridge/state/TransactionResult.java
+++ b/src/main/java/org/spruceridge/state/TransactionResult.java
@@ -5,41 +5,41 @@
 /**
  * The outcome of a transaction.
  *
- * @param revision the revision of the changes if they were applied, otherwise 0
+ * @param revision the revision at which the changes were applied; 0 if they were not, or not known to be, applied
  * @param conflictingKeys the keys whose comparison failed; empty unless the outcome is {@link Outcome#CONFLICT}
  */
 public record TransactionResult(Outcome outcome, long revision, ImmutableList<String> conflictingKeys) {
-    /** How a transaction ended. */
+    /** Whether the service executed a transaction and, if not, the reason. */
     public enum Outcome {
         COMMITTED,
         /** At least one comparison failed, see {@link TransactionResult#conflictingKeys}. */
         CONFLICT,
-        /** The lease for one of the keys does not exist. */
+        /** The lease of a key to be written does not exist. */
         LEASE_NOT_FOUND,
-        /** Not executed and not to be retried, because the service rejected it as malformed. */
+        /** The service rejected the transaction as malformed. It was not executed and must not be retried. */
         MALFORMED,
-        /** Not executed because of a rate limit or an outage; it may be retried. */
+        /** The transaction was not executed because of a rate limit or an outage. A retry is safe. */
         NOT_EXECUTED,
-        /** It may have been executed, or may still be executed later. */
+        /** Whether the service executed the transaction, or will still execute it, is unknown. */
         UNKNOWN
     }
 
-    /** A transaction whose changes were applied at this revision. */
+    /** Returns the result of a transaction whose changes were applied at the given revision. */
     public static TransactionResult committed(long revision) {
         return new TransactionResult(Outcome.COMMITTED, revision, ImmutableList.of());
     }
 
-    /** A transaction that was rejected because the comparisons of these keys failed. */
+    /** Returns the result of a transaction that was rejected because the comparisons of these keys failed. */
     public static TransactionResult conflict(ImmutableList<String> conflictingKeys) {
         return new TransactionResult(Outcome.CONFLICT, 0, conflictingKeys);
     }
 
-    /** A result without a revision and conflicting keys. */
+    /** Returns a result without a revision and without conflicting keys. */
     public static TransactionResult of(Outcome outcome) {
         return new TransactionResult(outcome, 0, ImmutableList.of());
     }
 
-    /** True if the changes were applied. */
+    /** True if the changes are known to have been applied. */
     public boolean isCommitted() {
         return outcome == Outcome.COMMITTED;
     }
--- a/src/main/java/org/spruceridge/state/WatchRequest.java
+++ b/src/main/java/org/spruceridge/state/WatchRequest.java
@@ -2,7 +2,10 @@
 
 import org.spruceridge.net.Cancellable;
 
-/** A watch that can be cancelled before its request is sent; a cancelled watch is never sent. */
+/**
+ * A watch that can be cancelled before or after its request is sent. The request of a watch that is cancelled before is
+ * never sent.
+ */
 final class WatchRequest implements Cancellable {
     private static final Cancellable NOT_SENT = () -> {};
 
--- a/src/main/java/org/spruceridge/upgrade/ClusterFeatureLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/ClusterFeatureLevel.java
@@ -18,20 +18,20 @@
     private FeatureLevel highestKnown = FeatureLevel.BASE;
     private String lastLoggedError = "";
 
-    /** Reads the level from {@code state}. */
+    /** Creates an instance that reads the level through {@code state}. */
     public ClusterFeatureLevel(StateClient state) {
         this.state = state;
     }
 
-    /** The highest level read or written so far. It is still in effect, because the level is never lowered. */
+    /** The highest level that this node has read or written. The level is still in effect: it is never lowered. */
     public FeatureLevel highestKnown() {
         return highestKnown;
     }
 
     /**
-     * Reads the level, which is the base level if there is no record. The result is UNSUPPORTED_VALUE if the record
-     * cannot be read because a newer version wrote it or it is damaged; this node must not lead in that case. It is
-     * UNAVAILABLE if the state service does not answer.
+     * Reads the level. The level is the base level if there is no record. The outcome is UNSUPPORTED_VALUE if a newer
+     * version wrote the record or the record is damaged; this node must not lead in that case. The outcome is
+     * UNAVAILABLE if the state service does not give a usable answer.
      */
     public void read(Priority priority, Consumer<StateResult<StoredFeatureLevel>> onResult) {
         state.get(StateKeys.FEATURE_LEVEL, priority, entryResult -> {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Logs an error unless it equals the last logged one, because elections read the record repeatedly. */
+    /** Logs an error unless it equals the last logged error, because elections read the record repeatedly. */
     private void logOnce(String error) {
         if (!error.equals(lastLoggedError)) {
             lastLoggedError = error;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Updates the highest known level after a level was read from, or written to, the state service. */
+    /** Raises the highest known level after a level was read from, or written to, the state service. */
     void updateHighestKnown(FeatureLevel level) {
         if (!highestKnown.includes(level)) {
             LOG.info("cluster feature level raised version={}", level.number());
--- a/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevel.java
@@ -6,8 +6,9 @@
 import org.spruceridge.net.Json;
 
 /**
- * The cluster feature level determines which forms of records may be written: those that every node of the cluster can
- * read. It is stored in the state service, raised once all nodes support the next level, and never lowered.
+ * The cluster feature level determines the record formats that nodes are allowed to write: the formats that every node
+ * of the cluster can read. The level is stored in the state service and never lowered. The leader raises it once all
+ * nodes support the next level.
  */
 public enum FeatureLevel {
     /** The level of version 0.1, which does not store a level. */
@@ -31,18 +32,19 @@
         return number;
     }
 
-    /** True if this level permits every form of record that the other permits. */
+    /** True if this level permits every record format that the other level permits. */
     public boolean includes(FeatureLevel other) {
         return number >= other.number;
     }
 
-    /** The record of this level as JSON. */
+    /** Returns the record of this level as JSON. */
     public ObjectNode write() {
         return Json.object().put(FIELD, number);
     }
 
     /**
-     * Reads the record; throws {@link BadMessageException} if it is malformed or its level is unknown to this version.
+     * Reads the record. Throws {@link BadMessageException} if the record is malformed or this version does not know its
+     * level.
      */
     public static FeatureLevel read(JsonNode value) throws BadMessageException {
         long number = Json.nonNegativeLong(value, FIELD);
--- a/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
+++ b/src/main/java/org/spruceridge/upgrade/FeatureLevelUpgrader.java
@@ -12,9 +12,10 @@
 
 /**
  * Completes a rolling upgrade: while this node leads, it raises the cluster feature level once every member listed in
- * the settings has announced support for the next level. The transaction is conditional on the leader key, so that only
- * the current leader can raise the level, and on the modRevision of the level, so that a delayed duplicate has no
- * effect.
+ * the settings has announced support for the next level.
+ *
+ * <p>The transaction compares two mod revisions. The comparison for the leader key ensures that only the current leader
+ * can raise the level. The comparison for the key of the level ensures that a delayed duplicate has no effect.
  */
 public final class FeatureLevelUpgrader {
     private static final long RETRY_INTERVAL_NANOS = Durations.millis(500);
@@ -25,37 +26,38 @@
     private final long leaderRevision;
     private final BooleanSupplier allMembersSupportNext;
     private final Runnable onRaised;
-    private StoredFeatureLevel stored;
+    private StoredFeatureLevel storedLevel;
 
     /**
      * Creates an upgrader for one term.
      *
      * @param scope cancels the pending work of this term when the term ends
-     * @param stored the level that was read during the election
-     * @param leaderRevision the modRevision of the leader key of this term
-     * @param allMembersSupportNext whether all members recently announced support for {@link FeatureLevel#SUPPORTED}
+     * @param storedLevel the level that was read during the election
+     * @param leaderRevision the mod revision of the leader key in this term
+     * @param allMembersSupportNext returns whether all members recently announced support for {@link
+     *     FeatureLevel#SUPPORTED}
      * @param onRaised runs once the level has been raised
      */
     public FeatureLevelUpgrader(
             CancellationScope scope,
             StateClient state,
             ClusterFeatureLevel clusterLevel,
-            StoredFeatureLevel stored,
+            StoredFeatureLevel storedLevel,
             long leaderRevision,
             BooleanSupplier allMembersSupportNext,
             Runnable onRaised) {
         this.scope = scope;
         this.state = state;
         this.clusterLevel = clusterLevel;
-        this.stored = stored;
+        this.storedLevel = storedLevel;
         this.leaderRevision = leaderRevision;
         this.allMembersSupportNext = allMembersSupportNext;
         this.onRaised = onRaised;
     }
 
-    /** Raises the level as soon as all members support the next. Does nothing if the level is already the highest. */
+    /** Raises the level once all members support the next level. Does nothing if the level is already the highest. */
     public void start() {
-        if (stored.level().includes(FeatureLevel.SUPPORTED)) {
+        if (storedLevel.level().includes(FeatureLevel.SUPPORTED)) {
             return;
         }
         if (allMembersSupportNext.getAsBoolean()) {
@@ -68,11 +70,11 @@
     private void raise() {
         Transaction transaction = Transaction.builder()
                 .compare(StateKeys.LEADER, leaderRevision)
-                .put(StateKeys.FEATURE_LEVEL, stored.modRevision(), FeatureLevel.SUPPORTED.write())
+                .put(StateKeys.FEATURE_LEVEL, storedLevel.modRevision(), FeatureLevel.SUPPORTED.write())
                 .build();
         state.commit(transaction, Priority.SCHEDULING, scope.guard(result -> {
             if (result.outcome() == TransactionResult.Outcome.COMMITTED) {
-                stored = new StoredFeatureLevel(FeatureLevel.SUPPORTED, result.revision());
+                storedLevel = new StoredFeatureLevel(FeatureLevel.SUPPORTED, result.revision());
                 clusterLevel.updateHighestKnown(FeatureLevel.SUPPORTED);
                 onRaised.run();
             } else {
@@ -85,8 +87,8 @@
     private void rereadLevel() {
         clusterLevel.read(Priority.SCHEDULING, scope.guard(levelResult -> {
             if (levelResult.isOk()) {
-                stored = levelResult.value();
-                if (stored.level().includes(FeatureLevel.SUPPORTED)) {
+                storedLevel = levelResult.value();
+                if (storedLevel.level().includes(FeatureLevel.SUPPORTED)) {
                     onRaised.run();
                 }
             }
--- a/src/test/java/org/spruceridge/record/JobSpecMessageTest.java
+++ b/src/test/java/org/spruceridge/record/JobSpecMessageTest.java
@@ -27,21 +27,21 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** The JSON form of a job: each field and each enum value is read and written under its wire name. */
+/** The JSON format of a job spec: each field and each enum value is read and written under its wire name. */
 final class JobSpecMessageTest {
-    /** All fields, each with a distinct value, in the order in which they are written. */
-    private static final String COMPLETE =
+    /** All fields in the order in which they are written. All fields except the flags have different values. */
+    private static final String ALL_FIELDS_JSON =
             "{\"nameId\":\"j-000412\",\"lot\":\"nightly\",\"crew\":\"red\",\"shape\":\"sweep\",\"rank\":\"high\","
                     + "\"parts\":7,\"cpus\":2.0,\"accelerators\":3.0,\"memGb\":4.5,\"bundle\":\"img-1\","
                     + "\"pullGb\":1.5,\"samePlace\":false,\"scatter\":false,\"windfall\":false,\"expectS\":60.0,"
                     + "\"markEveryS\":20.0,\"markS\":5.0,\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0}";
 
-    private static JobSpec completeSpec() {
+    private static JobSpec specWithAllFields() {
         return spec(JobKind.ARRAY, JobPriority.HIGH, "", 60);
     }
 
-    /** {@code flag} is the wire name of the one boolean field that is true; empty for none. */
-    private static JobSpec spec(JobKind kind, JobPriority priority, String flag, double estimateS) {
+    /** {@code trueFlag} is the wire name of the only boolean field that is true; an empty string if none is true. */
+    private static JobSpec spec(JobKind kind, JobPriority priority, String trueFlag, double estimateS) {
         return new JobSpec(
                 "j-000412",
                 "nightly",
@@ -52,9 +52,9 @@
                 new Resources(2, 3, 4.5),
                 Optional.of(ImmutableSet.of("t4", "t8")),
                 Optional.of("a"),
-                flag.equals("samePlace"),
-                flag.equals("scatter"),
-                flag.equals("windfall"),
+                trueFlag.equals("samePlace"),
+                trueFlag.equals("scatter"),
+                trueFlag.equals("windfall"),
                 "img-1",
                 1.5,
                 estimateS,
@@ -70,13 +70,13 @@
     }
 
     @Test
-    void completeJobRoundTripsUnderWireNames() throws BadMessageException {
-        assertRoundTrip(completeSpec(), COMPLETE);
+    void jobWithAllFieldsRoundTripsUnderWireNames() throws BadMessageException {
+        assertRoundTrip(specWithAllFields(), ALL_FIELDS_JSON);
     }
 
     @Test
-    void jobWithoutOptionalFieldsRoundTripsWithoutThem() throws BadMessageException {
-        JobSpec complete = completeSpec();
+    void absentOptionalFieldsAreOmittedAndReadAsEmpty() throws BadMessageException {
+        JobSpec complete = specWithAllFields();
         JobSpec spec = new JobSpec(
                 complete.id(),
                 complete.jobClass(),
@@ -96,7 +96,7 @@
                 complete.checkpointIntervalS(),
                 complete.checkpointDurationS(),
                 OptionalDouble.empty());
-        assertRoundTrip(spec, COMPLETE.replace(",\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0", ""));
+        assertRoundTrip(spec, ALL_FIELDS_JSON.replace(",\"builds\":[\"t4\",\"t8\"],\"grove\":\"a\",\"dueS\":90.0", ""));
     }
 
     @ParameterizedTest
@@ -104,7 +104,7 @@
     void flagRoundTripsUnderWireName(String flag) throws BadMessageException {
         assertRoundTrip(
                 spec(JobKind.ARRAY, JobPriority.HIGH, flag, 60),
-                COMPLETE.replace("\"" + flag + "\":false", "\"" + flag + "\":true"));
+                ALL_FIELDS_JSON.replace("\"" + flag + "\":false", "\"" + flag + "\":true"));
     }
 
     static Stream<Arguments> ranks() {
@@ -118,7 +118,7 @@
     @ParameterizedTest
     @MethodSource("ranks")
     void rankRoundTripsUnderWireName(String rank, JobPriority priority) throws BadMessageException {
-        assertRoundTrip(spec(JobKind.ARRAY, priority, "", 60), COMPLETE.replace("\"high\"", "\"" + rank + "\""));
+        assertRoundTrip(spec(JobKind.ARRAY, priority, "", 60), ALL_FIELDS_JSON.replace("\"high\"", "\"" + rank + "\""));
     }
 
     static Stream<Arguments> shapes() {
@@ -128,13 +128,14 @@
     @ParameterizedTest
     @MethodSource("shapes")
     void shapeRoundTripsUnderWireName(String shape, JobKind kind, double estimateS) throws BadMessageException {
-        String text = COMPLETE.replace("\"sweep\"", "\"" + shape + "\"")
+        String text = ALL_FIELDS_JSON
+                .replace("\"sweep\"", "\"" + shape + "\"")
                 .replace("\"expectS\":60.0", "\"expectS\":" + estimateS);
         assertRoundTrip(spec(kind, JobPriority.HIGH, "", estimateS), text);
     }
 
     @Test
-    void everyRankAndShapeHasWireName() {
+    void roundTripTestsCoverEveryRankAndShape() {
         assertEquals(EnumSet.allOf(JobPriority.class), secondArguments(ranks()));
         assertEquals(EnumSet.allOf(JobKind.class), secondArguments(shapes()));
     }
@@ -148,9 +149,10 @@
         "rank, low, 'rank must be production, high, normal or best_effort, but is low'",
         "shape, array, 'shape must be sweep or standing, but is array'"
     })
-    void unknownValueIsRejectedWithFieldAndAllowedValues(String field, String value, String message)
+    void unknownValueIsRejectedNamingFieldAndAllowedValues(String field, String value, String message)
             throws BadMessageException {
-        String text = COMPLETE.replaceFirst("\"" + field + "\":\"[a-z]*\"", "\"" + field + "\":\"" + value + "\"");
+        String text =
+                ALL_FIELDS_JSON.replaceFirst("\"" + field + "\":\"[a-z]*\"", "\"" + field + "\":\"" + value + "\"");
         JsonNode body = Json.object(text.getBytes(StandardCharsets.UTF_8));
         assertEquals(
                 message,
--- a/src/test/java/org/spruceridge/record/StoredKeysTest.java
+++ b/src/test/java/org/spruceridge/record/StoredKeysTest.java
@@ -13,11 +13,11 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** The keys of all records of a cluster, and the stored forms of records without a message class. */
+/** The keys of all records that a cluster stores, and the stored formats of records without a message class. */
 final class StoredKeysTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-    /** Runs five tasks, four at a time: once the first tasks have ended, every kind of record is stored. */
+    /** Runs a job of five tasks, at most four at a time. All kinds of records exist once a task has ended. */
     @BeforeEach
     void runJobHalfway() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
@@ -70,13 +70,17 @@
     void pagesContainIdOfWritingTransaction() {
         for (String key : Set.of("bound/1", "parts/1")) {
             String transactionId = cluster.state.value(key).path("w").asText();
-            assertTrue(transactionId.matches("w1\\.[1-9][0-9]*"), key + " was written by " + transactionId);
+            assertTrue(
+                    transactionId.matches("w1\\.[1-9][0-9]*"),
+                    key + " must contain the id of a transaction of term 1, but contains " + transactionId);
         }
     }
 
     @Test
     void openEntryEqualsJobRecord() {
         assertEquals(text("job/j-000001"), text("open/j-000001"));
-        assertTrue(text("open/j-000001").startsWith("{\"stage\":\"open\",\"at\":"), text("open/j-000001"));
+        assertTrue(
+                text("open/j-000001").startsWith("{\"stage\":\"open\",\"at\":"),
+                "the open entry must start with the stage and the submission time: " + text("open/j-000001"));
     }
 }
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormatsTest.java
@@ -42,11 +42,12 @@
 import org.spruceridge.sim.ProductionVersion;
 
 /**
- * The exact bytes of the records and messages that this version writes. The tests fail if a form changes without a new
- * feature level, because nodes of the previous version may then be unable to read it. Records written at the base level
- * are also read by the code of the version in production, and records written by that version by the current code.
+ * The exact bytes of the records and messages that this version writes. The tests guard against a format that changes
+ * without a new feature level, because nodes of the previous version are possibly unable to read the new format. The
+ * code of the version in production reads records that this version writes at the base level, and the current code
+ * reads records and messages in the formats of the production version.
  */
-final class WrittenFormsTest {
+final class WrittenFormatsTest {
     private static final int CHUNK_SIZE = 1000;
     private static final Resources TASK_RESOURCES = new Resources(2, 0, 3.5);
 
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void recordsAtBaseLevelKeepTheirStoredForm() {
+    void recordsWrittenAtBaseLevelHaveBaseFormat() {
         assertEquals(
                 "{\"stage\":\"open\",\"at\":5,\"spec\":" + JOB_ARRAY_SPEC + "}",
                 text(JobRecord.open(spec(JobKind.ARRAY), 5).write()));
@@ -129,7 +130,7 @@
     }
 
     @Test
-    void recordsAtServicesLevelHaveExpectedForm() {
+    void recordsWrittenAtServicesLevelHaveServicesFormat() {
         assertEquals("{\"level\":2}", text(FeatureLevel.SERVICES.write()));
         assertEquals(
                 "{\"b\":\"kahqLTAwMDAwN80H0MQCAQI=\",\"w\":\"w9.1\",\"f\":2}",
@@ -143,14 +144,15 @@
                 text(JobRecord.open(spec(JobKind.SERVICE), 5).write()));
     }
 
+    /** The fields of the production version come first. New fields are added only at the end. */
     @Test
-    void peerHeartbeatAddsFieldsOnlyAtEnd() {
+    void peerHeartbeatIsEncodedAsExpectedBytes() {
         assertEquals(
                 "98A26E30C3C20781A86A2D30303030303192030491A86A2D30303030303202A5302E322E30",
                 BaseEncoding.base16().encode(PeerHeartbeatCodec.encode(Fixtures.heartbeat())));
     }
 
-    /** The production version reads records that this version writes at the base level, and writes the same records. */
+    /** The production version reads records that this version writes at the base level, and rewrites them unchanged. */
     @Test
     void productionVersionReadsRecordsWrittenAtBaseLevel() {
         JsonNode open = JobRecord.open(spec(JobKind.ARRAY), 5).write();
@@ -189,9 +191,13 @@
         return ProductionVersion.call(ProductionVersion.load(type), "write", readByProduction(type, value));
     }
 
-    /** Pages of finished tasks, at the base level as production writes them, with a chunk that is not the first. */
+    /**
+     * Reads a page of finished tasks in the format of each feature level. The base-level page is the page that the
+     * production version writes. Its chunk is not the first chunk of the job, because the index of the first task of
+     * chunk 0 does not depend on the chunk size.
+     */
     @Test
-    void finishedTasksPageIsReadInBothForms() throws BadMessageException {
+    void finishedTasksPageIsReadInBothFormats() throws BadMessageException {
         FinishedTasksRecord.Chunk chunk = FinishedTasksRecord.read(finishedTasksPage(FeatureLevel.BASE), CHUNK_SIZE)
                 .get(0);
         assertEquals(2 * CHUNK_SIZE, chunk.first());
@@ -202,9 +208,9 @@
                         .get(0));
     }
 
-    /** Heartbeats of the production version have only six fields and do not contain its version. */
+    /** Peer heartbeats of the production version have only six fields and contain no version of the sender. */
     @Test
-    void heartbeatOfProductionVersionIsReadAsBaseLevel() throws BadMessageException {
+    void peerHeartbeatOfProductionVersionIsReadAsBaseLevel() throws BadMessageException {
         byte[] currentForm = PeerHeartbeatCodec.encode(Fixtures.heartbeat());
         byte[] productionForm = java.util.Arrays.copyOf(currentForm, currentForm.length - "0.2.0".length() - 2);
         productionForm[0] = (byte) 0x96;
@@ -217,7 +223,7 @@
     }
 
     @Test
-    void valueOfLaterVersionIsRejectedWithItsName() {
+    void unknownValueIsNamedInErrorAndMalformedLevelIsRejected() {
         ObjectNode page = finishedTasksPage(FeatureLevel.SERVICES).put("f", 3);
         assertTrue(assertThrows(BadMessageException.class, () -> FinishedTasksRecord.read(page, CHUNK_SIZE))
                 .getMessage()
@@ -239,15 +245,15 @@
 
     @ParameterizedTest
     @EnumSource(JobKind.class)
-    void writtenJobRecordIsReadUnchanged(JobKind kind) throws BadMessageException {
+    void jobRecordEqualsOriginalAfterWriteAndRead(JobKind kind) throws BadMessageException {
         JobRecord record = JobRecord.open(spec(kind), 5);
         assertEquals(record, JobRecord.read(record.write()));
     }
 
-    /** A job record that was accepted under a larger value limit can still be marked as ended, and read back. */
+    /** A job that was accepted under a larger value limit can be recorded as ended, and the record can be read. */
     @Test
-    void endedLargeJobRecordFitsLoweredValueLimit() throws BadMessageException {
-        JobSpec large = spec(JobKind.ARRAY).withNames("\u00e9".repeat(200), "\ud83d\ude00".repeat(100));
+    void recordOfEndedLargeJobFitsLoweredValueLimit() throws BadMessageException {
+        JobSpec large = spec(JobKind.ARRAY).withClassAndImage("\u00e9".repeat(200), "\ud83d\ude00".repeat(100));
         JobRecord ended = JobRecord.open(large, 5).ended(JobRecord.Stage.CANCELLED, 8);
         int limit = 900;
         assertFalse(ended.fits(limit));
--- a/src/test/java/org/spruceridge/wire/MetricsNamesTest.java
+++ b/src/test/java/org/spruceridge/wire/MetricsNamesTest.java
@@ -12,9 +12,9 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** The exact metric names in {@code GET /metrics}, which operators' tools read. */
+/** The exact names of the metrics in the response to {@code GET /metrics}. Tools of operators read these names. */
 final class MetricsNamesTest {
-    private static final List<String> ON_EVERY_NODE = List.of(
+    private static final List<String> NAMES_ON_EVERY_NODE = List.of(
             "cluster.featureLevel",
             "cluster.versions.n0",
             "cluster.versions.n1",
@@ -51,7 +51,7 @@
             "users.maxMs",
             "users.p50Ms",
             "users.p99Ms");
-    private static final Set<String> ON_THE_LEADER_ONLY =
+    private static final Set<String> NAMES_ON_LEADER_ONLY =
             Set.of("leader.oldestUnprovenStopS", "leader.term", "leader.viewAgeS");
 
     private final SimulatedCluster cluster = new SimulatedCluster(3);
@@ -69,7 +69,7 @@
         return names;
     }
 
-    /** Adds the dotted path of each value that is not a JSON object. */
+    /** Adds the dotted path of each value that is not a JSON object to {@code names}. */
     private static void collect(String path, JsonNode node, Set<String> names) {
         for (Map.Entry<String, JsonNode> field : node.properties()) {
             String name = path + field.getKey();
@@ -82,20 +82,20 @@
     }
 
     @Test
-    void metricsOfFollowerHaveExactlyTheseNames() {
-        assertEquals(new TreeSet<>(ON_EVERY_NODE), names(cluster.follower()));
+    void followerReportsExactlyExpectedMetricNames() {
+        assertEquals(new TreeSet<>(NAMES_ON_EVERY_NODE), names(cluster.follower()));
     }
 
     @Test
-    void metricsOfLeaderHaveExactlyTheseNames() {
-        Set<String> expected = new TreeSet<>(ON_EVERY_NODE);
-        expected.addAll(ON_THE_LEADER_ONLY);
+    void leaderReportsExactlyExpectedMetricNames() {
+        Set<String> expected = new TreeSet<>(NAMES_ON_EVERY_NODE);
+        expected.addAll(NAMES_ON_LEADER_ONLY);
         assertEquals(expected, names(cluster.leader()));
     }
 
-    /** Checks the values of five metrics, because swapping two names would not change the set of names. */
+    /** Checks the values of five metrics, because swapped names would leave the set of names unchanged. */
     @Test
-    void metricsHaveExpectedValuesUnderTheirNames() {
+    void selectedMetricsHaveExpectedValues() {
         JsonNode leader = cluster.metrics(cluster.leader());
         assertEquals(2, leader.path("cluster").path("featureLevel").asInt());
         assertEquals(1, leader.path("leader").path("term").asInt());
--- a/src/test/java/org/spruceridge/wire/UserMessagesTest.java
+++ b/src/test/java/org/spruceridge/wire/UserMessagesTest.java
@@ -12,7 +12,7 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** The complete responses to users, workers and the platform for each path and method. */
+/** The complete responses to requests of users, workers and the platform, for each path and method. */
 final class UserMessagesTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -37,7 +37,7 @@
     void completedJobIsDescribedInEachStage() {
         ObjectNode job = SimJobs.array(1, 1);
         assertEquals("201 {\"nameId\":\"j-000001\",\"stage\":\"pending\"}", post("/api/jobs", job));
-        // Submitted again through the simulation, so that its invariant checker knows the job as well.
+        // Submits the job again through the simulated cluster, whose invariant checker must know the job.
         cluster.submit(job);
         assertEquals(
                 "200 {\"nameId\":\"j-000001\",\"stage\":\"pending\",\"done\":0,\"running\":0}",
--- a/src/test/java/org/spruceridge/wire/WireFormsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormatsTest.java
@@ -50,22 +50,23 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * The exact requests to the state service, the cloud and the workers, and the values that are read from their
- * responses. The names on the wire are defined by the protocols and are independent of the names in the code.
+ * The exact requests to the state service, the cloud and the workers, and the values that are read from the responses.
+ * The protocols define the names on the wire, which are independent of the names in the code.
  */
-final class WireFormsTest {
+final class WireFormatsTest {
     private static final Address SERVICE = new Address("10.0.0.9", 2379);
-    private static final double UNLIMITED = 1e6;
+    private static final double UNLIMITED_RATE = 1e6;
 
     private final ManualLoop loop = new ManualLoop();
     private final RateLimitedWarnings warnings = new RateLimitedWarnings(loop);
-    private final RateLimiter limiter = new RateLimiter(loop, UNLIMITED, UNLIMITED, UNLIMITED);
+    private final RateLimiter limiter = new RateLimiter(loop, UNLIMITED_RATE, UNLIMITED_RATE, UNLIMITED_RATE);
     private final StubHttpClient http = new StubHttpClient();
     private final StateClient state = new StateClient(loop, http, SERVICE, limiter, warnings, new Latencies(loop));
     private final CloudClient cloud = new CloudClient(http, SERVICE, limiter, warnings);
 
     /**
-     * Records each request as a line of text. Sends the same response to all requests unless more bodies are queued.
+     * Records each request as a line of text. Answers every request with the same status. Each request consumes a
+     * queued body, if there is one, as the body of the next response; otherwise the body stays the same.
      */
     private static final class StubHttpClient implements HttpClient {
         private final List<String> requests = new ArrayList<>();
@@ -89,7 +90,7 @@
             body = newBody;
         }
 
-        /** Queues the body of the response after those already set. */
+        /** Queues a response body, which is sent after the current body and the bodies queued before. */
         void enqueueBody(String queuedBody) {
             queuedBodies.add(queuedBody);
         }
@@ -140,7 +141,7 @@
     }
 
     @Test
-    void pagedListingContinuesAfterLastKey() {
+    void pagedListingContinuesAfterLastKeyOfPreviousPage() {
         String page = "{\"entries\":[{\"k\":\"%s\",\"v\":{},\"stamp\":%d}],\"truncated\":%b,\"ring\":%d}";
         String second = String.format(page, "open/j-2", 6, false, 10);
         http.setResponse(200, String.format(page, "open/j-1", 5, true, 9));
@@ -171,7 +172,7 @@
     }
 
     @Test
-    void transactionErrorsMapToOutcomes() {
+    void errorStatusOfTransactionIsReadAsOutcome() {
         http.setResponse(409, "{\"failed\":[\"leader\",\"term\"]}");
         state.commit(
                 transaction(),
@@ -337,7 +338,7 @@
     }
 
     @Test
-    void commandResponseWithoutHeartbeatMapsFromHttpStatus() {
+    void commandResponseWithoutHeartbeatIsReadFromHttpStatus() {
         assertEquals(new CommandResult(CommandResult.Kind.REFUSED, Optional.empty()), sendCommand(400, "{}", true));
         assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), sendCommand(200, "{}", true));
         assertEquals(new CommandResult(CommandResult.Kind.UNKNOWN, Optional.empty()), sendCommand(503, "{}", true));
@@ -382,7 +383,7 @@
     }
 
     @Test
-    void unavailableResponseHasErrorAndRetryTime() {
+    void unavailableResponseContainsErrorAndRetryTime() {
         Response response = Response.unavailable(2, "too busy");
         assertEquals("503 {\"error\":\"too busy\"}", text(response));
         assertEquals(2, response.retryAfterS());
