--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -110,7 +110,7 @@
 
     /**
      * Frees the machine capacity of a task that is proven not to be on its machine. The job and the team of the task
-     * still count the binding until {@link #unbind} removes it.
+     * count the binding until the release has been written to the records; {@link #unbind} then removes the binding.
      */
     public void releaseCapacity(Binding binding) {
         if (binding.machine().binding(binding.task()) == binding) {
--- a/src/main/java/org/spruceridge/cluster/DirectCommands.java
+++ b/src/main/java/org/spruceridge/cluster/DirectCommands.java
@@ -3,7 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Start commands that were sent directly to the current incarnation of a worker and can still arrive. */
+/**
+ * Start commands that were sent directly to the current incarnation of a worker and can still arrive. A direct command
+ * is sent in a request to the worker, not in the response to a heartbeat.
+ */
 public final class DirectCommands {
     private final Set<Long> unresolvedStarts = new HashSet<>();
     private boolean startUncertain;
--- a/src/main/java/org/spruceridge/cluster/Job.java
+++ b/src/main/java/org/spruceridge/cluster/Job.java
@@ -191,8 +191,8 @@
     }
 
     /**
-     * The names of the machines on which tasks of this job have failed since a task of the job last completed. Callers
-     * change the set directly.
+     * The names of the machines on which tasks of this job have failed since a task of the job last completed or, for a
+     * service, since {@link #recordStableRun} was last called. Callers change the set directly.
      */
     public Set<String> failedMachines() {
         return failedMachines;
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -140,7 +140,7 @@
         return reported;
     }
 
-    /** Records that the machine's bindings show that its worker ran before this term: heartbeats are expected. */
+    /** Expects heartbeats from the machine's worker, because the bindings show that the worker ran before this term. */
     public void expectHeartbeats() {
         reported = true;
     }
@@ -202,7 +202,7 @@
     }
 
     /**
-     * True if no task must be placed on the machine: it is cordoned, suspect or about to be reclaimed, or a start
+     * True if tasks must not be placed on the machine: it is cordoned, suspect or about to be reclaimed, or a start
      * command that got no response can still arrive.
      */
     public boolean isUnschedulable() {
--- a/src/main/java/org/spruceridge/cluster/WorkerLease.java
+++ b/src/main/java/org/spruceridge/cluster/WorkerLease.java
@@ -29,7 +29,10 @@
         return lastRenewal;
     }
 
-    /** Records the response to a heartbeat; {@code tokenAccepted} if the heartbeat had this term's fencing token. */
+    /**
+     * Records that a heartbeat is answered, which renews the lease. {@code tokenAccepted} is true if the heartbeat
+     * contained the fencing token of this term.
+     */
     public void recordRenewal(long now, boolean tokenAccepted) {
         lastRenewal = now;
         fencingTokenSentAt = tokenAccepted ? EventTimes.NOT_HAPPENED : Math.min(fencingTokenSentAt, now);
--- a/src/main/java/org/spruceridge/node/StateServiceHealth.java
+++ b/src/main/java/org/spruceridge/node/StateServiceHealth.java
@@ -3,7 +3,10 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.state.StateClient;
 
-/** Whether this node can reach the state service. {@link Node} sends a probe about every second to keep this recent. */
+/**
+ * Whether this node can reach the state service. {@link Node} probes the service about once a second, so that the result
+ * stays recent.
+ */
 final class StateServiceHealth {
     /** The time without a processed request after which the service counts as unreachable. */
     private static final long MAX_SILENCE_NANOS = Durations.nanos(3);
--- a/src/main/java/org/spruceridge/node/UnreachableLeaderResignation.java
+++ b/src/main/java/org/spruceridge/node/UnreachableLeaderResignation.java
@@ -44,7 +44,10 @@
                 Durations.nanos(REELECTION_COOLDOWN_LEASES * settings.workers().leaseS());
     }
 
-    /** Resigns if workers cannot reach this leading node and the cooldown has passed. Called about once a second. */
+    /**
+     * Resigns if this node leads, workers reach other nodes but not this node, and the cooldown has passed. Called
+     * about once a second.
+     */
     void resignIfUnreachable() {
         long now = loop.nanos();
         if (isUnreachableLeader() && now >= cooldownUntil) {
--- a/src/main/java/org/spruceridge/state/StateRequests.java
+++ b/src/main/java/org/spruceridge/state/StateRequests.java
@@ -41,7 +41,7 @@
         return new HttpCall("DELETE", "/grants/" + leaseId, EMPTY_BODY);
     }
 
-    /** The service responds once there is a change after the revision, at the latest after {@code blockMs}. */
+    /** The service responds on a change after the revision, at the latest after {@code blockMs} milliseconds. */
     static HttpCall watch(String prefix, long fromRevision, long blockMs) {
         return HttpCall.get("/follow?starts=" + prefix + "&from=" + fromRevision + "&blockMs=" + blockMs);
     }
--- a/src/main/java/org/spruceridge/state/StateResult.java
+++ b/src/main/java/org/spruceridge/state/StateResult.java
@@ -8,7 +8,7 @@
  * @param content present if and only if the outcome is {@link Outcome#OK}
  */
 public record StateResult<T>(Outcome outcome, Optional<T> content) {
-    /** Whether a request was executed and, if not, the reason. */
+    /** The possible outcomes of a request. */
     public enum Outcome {
         OK,
         /** The key or lease does not exist. */
@@ -21,7 +21,7 @@
         UNSUPPORTED_VALUE
     }
 
-    /** Returns the result of a request that was executed. */
+    /** Returns the result of a request that succeeded, with the given content. */
     public static <T> StateResult<T> ok(T value) {
         return new StateResult<>(Outcome.OK, Optional.of(value));
     }
@@ -31,7 +31,7 @@
         return new StateResult<>(outcome, Optional.empty());
     }
 
-    /** True if the request was executed. */
+    /** True if the request succeeded. */
     public boolean isOk() {
         return outcome == Outcome.OK;
     }
--- a/src/main/java/org/spruceridge/state/TransactionResult.java
+++ b/src/main/java/org/spruceridge/state/TransactionResult.java
@@ -9,7 +9,7 @@
  * @param conflictingKeys the keys whose comparison failed; empty unless the outcome is {@link Outcome#CONFLICT}
  */
 public record TransactionResult(Outcome outcome, long revision, ImmutableList<String> conflictingKeys) {
-    /** Whether the service executed a transaction and, if not, the reason. */
+    /** The possible outcomes of a transaction. */
     public enum Outcome {
         COMMITTED,
         /** At least one comparison failed, see {@link TransactionResult#conflictingKeys}. */
--- a/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
+++ b/src/main/java/org/spruceridge/warmup/LeaderWarmUp.java
@@ -8,8 +8,8 @@
 
 /**
  * Runs the leader's code while this node is a follower, so that the JVM compiles the code before the node is elected.
- * Interpreted code takes ten to twenty times as long. A new leader would run it just when all workers send their
- * heartbeats to the new leader.
+ * Interpreted code takes ten to twenty times as long. A newly elected leader would run interpreted code just when all
+ * workers send their heartbeats to this leader.
  *
  * <p>The warm-up runs a {@link SyntheticLeader}, which shares no state with the rest of the node. The warm-up sends
  * nothing, has a bounded number of steps, uses a small share of the CPU, and pauses while requests wait.
