--- a/src/main/java/org/spruceridge/node/StateServiceHealth.java
+++ b/src/main/java/org/spruceridge/node/StateServiceHealth.java
@@ -4,8 +4,8 @@
 import org.spruceridge.state.StateClient;
 
 /**
- * Whether this node can reach the state service. {@link Node} probes the service about once a second, so that the result
- * stays recent.
+ * Whether this node can reach the state service. {@link Node} probes the service about once a second, so that the
+ * result stays recent.
  */
 final class StateServiceHealth {
     /** The time without a processed request after which the service counts as unreachable. */
