--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -15,15 +15,15 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Users cancel jobs during faults. The simulated cluster fails each scenario in which a task of a cancelled job is on a
- * machine for longer than {@code cancel_s}.
+ * Users cancel jobs during faults. The simulated cluster fails a scenario if a task of a cancelled job is still on a
+ * machine {@code cancel_s} seconds after a user received the confirmation of the cancellation.
  */
 final class CancellationScenarioTest {
     private static final String LONG_JOB_ID = "j-000001";
 
     private SimulatedCluster cluster = new SimulatedCluster(3);
 
-    /** Waits for a leader, submits a job of two ten-minute tasks and waits until both run. */
+    /** Waits for a leader, submits a job of two ten-minute tasks and waits until both tasks run. */
     private void startLongJob() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 600.0));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void cancellationMeetsDeadlineWhenStateServiceRefusesLeaderThenFails() {
+    void cancellationMeetsDeadlineIfStateServiceRefusesLeaderAndLaterAllNodes() {
         for (double beforeOutageS : new double[] {0.1, 1, 2, 6}) {
             for (double outageS : new double[] {
                 6,
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void cancellationMeetsDeadlineAcrossTwoRefusalsAndOutages() {
+    void cancellationMeetsDeadlineDespiteTwoRefusalsOfLeaderAndTwoOutages() {
         startLongJob();
         cluster.submit(SimJobs.array(2, 1).put("expectS", 30.0));
         cluster.net.refuseStateRequests(cluster.leader(), 10);
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void stuckWatchWithWorkingLeaseRenewalsLosesNoTask() {
+    void stuckJobWatchLosesNoTaskWhileLeaseRenewalsSucceed() {
         startLongJob();
         cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
         cluster.await(() -> cluster.runningTasks().size() == 3, 20);
@@ -87,12 +87,15 @@
                 (from, to, call) -> from.equals(leader) && call.target().startsWith("/follow?starts=open/")
                         ? Delivery.LOST
                         : Delivery.DELIVERED);
-        cluster.loop.run(26); // until earlier requests have been answered
+        cluster.loop.run(26); // until all requests sent before the fault have been answered
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertEquals(leader, cluster.leader());
         cluster.verifyRecovery(60);
-        assertEquals(3, cluster.starts().size(), "no lease expired, because a listing replaces the stuck watch");
+        assertEquals(
+                3,
+                cluster.starts().size(),
+                "each task must start once: a listing must replace the stuck watch before a lease expires");
     }
 
     @Test
@@ -103,17 +106,18 @@
         cluster.loop.run(5);
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(leader) && readsOpenJobs(call.target()) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.loop.run(3); // until earlier requests have been answered
+        cluster.loop.run(3); // until all reads of open jobs sent before the fault have been answered
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
-        // Lease renewals keep succeeding, so the leader lease alone would allow it to answer workers indefinitely.
+        // The state service still renews the leader lease, so this lease alone would let the leader answer workers
+        // indefinitely.
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 1);
         assertEquals(leader, cluster.leader());
-        assertTrue(cluster.runningTasks().isEmpty());
+        assertTrue(cluster.runningTasks().isEmpty(), "cancelled tasks must stop when their leases expire");
         cluster.verifyRecovery(60);
     }
 
     @Test
-    void newLeaderKeepsNoCancelledTaskRunningWhileReadingState() {
+    void cancelledTasksStopWhileNewLeaderCannotReadOneListing() {
         for (String unreadablePrefix : List.of("open/", "parts/", "bound/")) {
             cluster = new SimulatedCluster(3);
             startLongJob();
@@ -127,13 +131,15 @@
                     call.target().startsWith("/store?starts=" + unreadablePrefix) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.nodes.crash(oldLeader);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-            assertTrue(cluster.runningTasks().isEmpty(), unreadablePrefix);
+            assertTrue(
+                    cluster.runningTasks().isEmpty(),
+                    "tasks must stop even if the new leader cannot list " + unreadablePrefix);
             cluster.verifyRecovery(60);
         }
     }
 
     @Test
-    void peerHeartbeatStopsCancelledTasksDuringStateServiceRefusal() {
+    void leaderRefusedByStateServiceLearnsOfCancellationFromPeerHeartbeat() {
         startLongJob();
         cluster.net.refuseStateRequests(cluster.leader(), 14);
         cluster.loop.run(0.1);
@@ -146,15 +152,16 @@
     @Test
     void hungMachineWithCancelledTaskIsDeletedDespiteRepeatedFailovers() {
         startLongJob();
-        SimWorker hung = cluster.cloud.workers().get(0);
-        hung.hang();
+        SimWorker hungWorker = cluster.cloud.workers().get(0);
+        hungWorker.hang();
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
-        // Each leader's term is shorter than the time for which a machine must be silent to be deleted.
+        // Each leader leads for at most 5 s, too short to declare the silent machine dead. The machine must be deleted
+        // because a stop on it is overdue.
         for (int i = 0; i < 6; i++) {
             cluster.nodes.crashLeader(1);
             cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S / 6);
         }
-        assertFalse(cluster.cloud.workers().contains(hung));
+        assertFalse(cluster.cloud.workers().contains(hungWorker));
         cluster.verifyRecovery(60);
     }
 
@@ -206,8 +213,8 @@
             cluster.submit(SimJobs.array(1, 1).put("expectS", 5.0));
             cluster.await(() -> cluster.runningTasks().size() == 1, 40);
             cluster.loop.run(4.9);
-            // The steps of 5 ms, a message or two, range from before the end of the task to after the write of its
-            // record.
+            // Each step adds 5 ms, the time that one or two messages take. The times of cancellation range from before
+            // the end of the task until after the write of its record.
             cluster.loop.run(step * 0.005);
             String outcome = cluster.cancel(step % 2 == 0 ? cluster.follower() : cluster.leader(), LONG_JOB_ID);
             assertTrue(outcome.equals("cancelled") || outcome.equals("done"), outcome);
@@ -257,7 +264,7 @@
     void cancellationUnknownToLeaderPreventsTaskStart() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1));
-        // From here on the leader receives no changes of jobs; the machine is still booting.
+        // From here on the leader learns of no new or cancelled job. The machine is still booting.
         String leader = cluster.leader();
         cluster.nodes.isolateFromPeers(leader);
         cluster.net.injectFaults((from, to, call) ->
@@ -268,7 +275,7 @@
         cluster.loop.run(20);
         assertTrue(
                 cluster.starts().isEmpty(),
-                "the binding transaction must have failed on its comparison of the job's record");
+                "no task may start: the binding transaction must fail its comparison with the job's record");
     }
 
     @Test
@@ -297,10 +304,10 @@
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 5);
         assertFalse(
                 cluster.hasBinding("j-000002"),
-                "the binding is released once the deletion of the machine is confirmed");
+                "the binding must be released once the deletion of the machine is confirmed");
         cluster.net.deliverHeld();
         cluster.loop.run(5);
         assertTrue(cluster.starts().stream().noneMatch(start -> start.startsWith("j-000002")));
-        assertEquals(1, cluster.runningTasks().size(), "the other task runs on another machine");
+        assertEquals(1, cluster.runningTasks().size(), "the task of the first job must run on another machine");
     }
 }
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -14,9 +14,9 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Two concurrent faults, repeated with a step number that varies their times, their kinds or the random losses. The
- * simulated cluster checks the rules throughout; {@link SimulatedCluster#verifyRecovery} then requires that every
- * accepted job ends and is known to every node.
+ * Scenarios with concurrent faults. Each scenario is repeated with increasing step numbers, which vary the times or the
+ * kinds of the faults, or the seed of random losses. The simulated cluster checks the rules throughout. Finally,
+ * {@link SimulatedCluster#verifyRecovery} requires that every accepted job ends and that every node knows the job.
  */
 final class ConcurrentFaultsScenarioTest {
     private SimulatedCluster cluster;
@@ -49,9 +49,9 @@
         forEachStep(6, step -> {
             startTasks(1, 2, 300);
             startTasks(2, 2, 40);
-            SimWorker unreachable = cluster.cloud.workers().get(0);
-            cluster.net.injectFaults((from, to, call) -> from.equals(unreachable.name())
-                            || to.equals(SimWorker.address(unreachable.name()))
+            SimWorker unreachableWorker = cluster.cloud.workers().get(0);
+            cluster.net.injectFaults((from, to, call) -> from.equals(unreachableWorker.name())
+                            || to.equals(SimWorker.address(unreachableWorker.name()))
                             || SimulatedCluster.isCloud(to)
                     ? Delivery.LOST
                     : Delivery.DELIVERED);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void jobsOfMixedPrioritiesBeyondCapacityCompleteOverLossyNetwork() {
+    void jobsOfMixedPrioritiesExceedingCapacityCompleteOverLossyNetwork() {
         forEachStep(3, step -> {
             cluster.cloud.limitCapacity(2);
             SplittableRandom random = new SplittableRandom(step);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void heartbeatsDelayedBeyondFailoverChangeNothing() {
+    void heartbeatsDelayedUntilAfterFailoverChangeNothing() {
         forEachStep(8, step -> {
             startTasks(1, 2, 20);
             SimWorker worker = cluster.cloud.workers().get(0);
@@ -163,7 +163,7 @@
             cluster.net.injectFaults(
                     (from, to, call) -> silentMachines.contains(from) ? Delivery.LOST : Delivery.DELIVERED);
             cluster.loop.run(2.6 * SimulatedCluster.HEARTBEAT_INTERVAL_S);
-            // Their answers to the stop commands show that they receive commands, but their leases still expire.
+            // The machines answer the stop commands, which proves that commands reach them. Their leases still expire.
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
             cluster.await(() -> cluster.runningTasks().isEmpty(), 2);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 5.0));
@@ -174,13 +174,14 @@
     }
 
     /**
-     * Guards against the age of a former incarnation's last heartbeat counting as proof that a task of the new
-     * incarnation has stopped. Two tasks are being bound to a machine when the state service fails for longer than a
-     * lease. After the outage the worker rejects the first start command and thereby reports its new incarnation, in
-     * which the second task, recorded shortly after, starts before the machine sends any heartbeat.
+     * Guards against a leader that releases a running task because the last heartbeat of its machine is old. That
+     * heartbeat is from a former incarnation of the machine, and the task runs in the new one. Two tasks are being
+     * bound to a machine when the state service fails for longer than a lease. After the outage the worker rejects the
+     * first start command, and its answer reports the new incarnation. The binding of the second task is recorded
+     * shortly after. This task starts in the new incarnation before the machine sends any heartbeat.
      */
     @Test
-    void tasksPushedToUnacknowledgedIncarnationAreNotReleased() {
+    void taskStartedByDirectCommandInNewIncarnationIsNotReleased() {
         forEachStep(30, step -> {
             startTasks(1, 1, 3);
             cluster.await(() -> cluster.runningTasks().isEmpty(), 10);
@@ -206,7 +207,7 @@
     }
 
     @Test
-    void tasksEndingUnderDifferentLeadersCompleteTheirJobs() {
+    void jobsCompleteIfTheirTasksEndUnderDifferentLeaders() {
         forEachStep(5, step -> {
             cluster.cloud.limitCapacity(1);
             cluster.submit(SimJobs.array(1, 3).put("cpus", 8.0).put("expectS", 9.0));
@@ -219,7 +220,7 @@
     }
 
     @Test
-    void cancellationThroughFollowerHoldsWhileLeaderIsPartitioned() {
+    void cancellationThroughFollowerIsExecutedWhileLeaderIsPartitioned() {
         forEachStep(5, step -> {
             startTasks(1, 2, 600);
             startTasks(2, 1, 30);
@@ -235,7 +236,7 @@
     }
 
     @Test
-    void repeatedFailoversThenCrashOfAllNodesLoseNoTask() {
+    void repeatedFailoversFollowedByCrashOfAllNodesLoseNoTask() {
         forEachStep(6, step -> {
             startTasks(1, 4, 40);
             String firstLeader = cluster.leader();
@@ -272,8 +273,9 @@
         });
     }
 
+    /** The ten failovers happen within about two minutes. */
     @Test
-    void tenFailoversInTwoMinutesWithOutageMeetCancellationDeadline() {
+    void cancellationMeetsDeadlineDespiteTenFailoversAndStateServiceOutage() {
         forEachStep(4, step -> {
             startTasks(1, 2, 600);
             cluster.submit(SimJobs.array(2, 6).put("expectS", 12.0));
@@ -307,8 +309,9 @@
         });
     }
 
+    /** One node and one machine reach each other, but neither of them reaches any other process. */
     @Test
-    void partitionOfNodeAndMachineBeyondLeaseLosesNoJob() {
+    void nodeAndMachinePartitionedTogetherForLongerThanLeaseLoseNoJob() {
         forEachStep(4, step -> {
             startTasks(1, 4, 50);
             String partitionedNode = step % 2 == 0 ? cluster.leader() : cluster.follower();
@@ -335,7 +338,7 @@
     }
 
     @Test
-    void outageOfAllNodesBeyondLeaseLosesNoJob() {
+    void outageOfAllNodesForLongerThanLeaseLosesNoJob() {
         forEachStep(3, step -> {
             startTasks(1, 2, 30);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 30.0));
@@ -348,7 +351,7 @@
     }
 
     @Test
-    void delayedCommandOrAcknowledgementStartsNoTaskTwice() {
+    void delayedCommandOrLostAcknowledgementStartsNoTaskTwice() {
         forEachStep(6, step -> {
             cluster.net.injectFaults((from, to, call) -> call.target().equals("/do")
                     ? step % 2 == 0 ? Delivery.HELD : Delivery.ANSWER_LOST
@@ -364,7 +367,7 @@
     }
 
     @Test
-    void cancellationMeetsDeadlineWhileLossyStateServiceRefusesLeader() {
+    void cancellationMeetsDeadlineWhileStateServiceLosesAnswersAndRefusesLeader() {
         forEachStep(4, step -> {
             startTasks(1, 2, 600);
             SplittableRandom random = new SplittableRandom(step);
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -13,21 +13,22 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Tasks, leases and quotas survive failovers, even if workers are silent or the failover takes long. */
+/** A failover loses no task and violates no lease or quota, even if workers are silent or the failover takes long. */
 final class FailoverScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
-    void leaderCrashBetweenCommitAndCommandStartsTaskOnce() {
+    void leaderCrashBetweenBindingCommitAndStartCommandStartsTaskOnce() {
         cluster.awaitLeader(10);
-        // The binding is committed, but its leader crashes before it receives the answer.
+        // The state service commits the binding, but its answer is lost and the leader crashes.
         cluster.net.injectFaults((from, to, call) ->
                 SimStateService.isTransactionOn(call, "bound/") ? Delivery.ANSWER_LOST : Delivery.DELIVERED);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
         String firstLeader = cluster.leader();
         cluster.await(() -> cluster.hasBinding("j-000001"), 30);
-        assertTrue(cluster.starts().isEmpty(), "no task may start before the leader knows of the commit");
+        assertTrue(
+                cluster.starts().isEmpty(), "no task may start before the leader learns that the binding is committed");
         cluster.nodes.crash(firstLeader);
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
@@ -40,13 +41,14 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 25.0));
         cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         SimWorker worker = cluster.cloud.workers().get(0);
-        // Its task keeps running while its heartbeats and all requests to the cloud are lost, and the leader crashes.
+        // The worker's heartbeats and all requests to the cloud are lost, and the leader crashes. The task keeps
+        // running.
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(worker.name()) || SimulatedCluster.isCloud(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.nodes.crash(cluster.leader());
         cluster.awaitLeader(30);
         cluster.loop.run(4);
-        assertEquals(1, cluster.runningTasks().size(), "the silent worker still runs the task");
+        assertEquals(1, cluster.runningTasks().size(), "the silent worker must still run the task");
         assertEquals(1, cluster.starts().size());
         cluster.net.clearFaults();
         cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.LOST : Delivery.DELIVERED);
@@ -58,7 +60,7 @@
     void quotaHoldsDuringFailoverWithSilentWorkers() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 30.0));
-        cluster.await(() -> cluster.runningTasks().size() == 4, 40); // the team's quota
+        cluster.await(() -> cluster.runningTasks().size() == 4, 40); // the tasks use the whole quota of the team
         cluster.net.injectFaults((from, to, call) ->
                 from.startsWith("i-") || SimulatedCluster.isCloud(to) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.nodes.crash(cluster.leader());
@@ -67,14 +69,14 @@
         cluster.loop.run(5);
         cluster.net.clearFaults();
         cluster.loop.run(200);
-        // The simulated cluster checks the quota at every start.
+        // The simulated cluster fails the scenario if a start exceeds the quota.
         assertEquals(8, cluster.completedTasks().size());
     }
 
     @Test
-    void newLeaderWaitsOneLeaseForWorkersToFindIt() {
+    void newLeaderWaitsOneLeaseBeforeDeletingSilentMachine() {
         cluster.awaitLeader(10);
-        // One task fills the memory of a machine, so the zone has four machines, most of which send heartbeats.
+        // One task fills the memory of a machine, so the zone has four machines. Three of them keep sending heartbeats.
         cluster.submit(SimJobs.array(1, 4).put("memGb", 20.0).put("grove", "z1").put("expectS", 40.0));
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         int machinesBefore = cluster.cloud.machineCount();
@@ -86,16 +88,19 @@
         cluster.nodes.crashLeader(0.1);
         cluster.loop.run(SimulatedCluster.LEASE_S * 0.75);
         assertNotNull(cluster.leader());
-        assertEquals(machinesBefore, cluster.cloud.machineCount(), "the worker may still be searching for the leader");
+        assertEquals(
+                machinesBefore,
+                cluster.cloud.machineCount(),
+                "the silent worker must keep its machine while it might still be locating the leader");
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(4, cluster.starts().size());
     }
 
     /**
-     * Guards against leases that are assumed expired while they are valid: a new leader answers workers before it has
-     * read the bindings of the machines, reads these only after more than a lease, and cannot reach the machines by
-     * then.
+     * Guards against a leader that treats valid leases as expired. A new leader answers workers, and so renews their
+     * leases, before it has read the bindings of their machines. It reads the bindings more than one lease duration
+     * later, when it can no longer reach the machines of the first job.
      */
     @Test
     void leasesRenewedDuringFailoverDelayTaskRelease() {
@@ -109,7 +114,9 @@
         cluster.nodes.crashLeader(1);
         cluster.awaitLeader(10);
         cluster.loop.run(SimulatedCluster.LEASE_S - 2);
-        assertTrue(cluster.completedTasks().contains("j-000002/0"), "there is capacity on a reachable machine");
+        assertTrue(
+                cluster.completedTasks().contains("j-000002/0"),
+                "a task of the second job must have ended, so that a reachable machine has capacity");
         cluster.net.injectFaults((from, to, call) ->
                 unreachableMachines.contains(from) || listsMachines(call) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(4);
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -7,14 +7,15 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Starvation prevention: the largest jobs and tasks start as well, whatever else is submitted. */
+/** Starvation prevention: even the largest jobs and tasks must start, whatever else users submit. */
 final class FairnessScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
     void largestJobStartsDespiteStreamOfUrgentSmallJobs() {
         cluster.awaitLeader(10);
-        // The capacity is two machines; a steady stream of small jobs of higher priority exceeds it.
+        // The team's quota equals the CPUs of two machines. A steady stream of small jobs of higher priority exceeds
+        // this quota.
         int jobNumber = 100;
         for (int i = 0; i < 12; i++) {
             submitUrgent(++jobNumber);
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Heartbeats have priority over scheduling, but a leader that is never idle must still schedule. */
+    /** Heartbeats have priority over scheduling, but a leader whose event loop is never idle must still schedule. */
     @Test
     void schedulingYieldsToPendingRequestsForBoundedTime() {
         cluster.awaitLeader(10);
@@ -59,7 +60,9 @@
         cluster.loop.setBusy(true);
         submitSmall(3);
         cluster.loop.run(0.08 * SimulatedCluster.LEASE_S);
-        assertFalse(hasStarted("j-000003"), "heartbeats have priority");
+        assertFalse(
+                hasStarted("j-000003"),
+                "the third job must not start yet: scheduling must be delayed while requests are queued");
         cluster.await(() -> hasStarted("j-000003"), 0.1 * SimulatedCluster.LEASE_S);
     }
 
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -16,13 +16,13 @@
 import org.spruceridge.sim.SimNet.Delivery;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Faults of nodes, elections and the state service, and the guarantees that must hold despite them. */
+/** Faults of nodes, elections and the state service, and the guarantees that must hold despite these faults. */
 final class LeadershipScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     /**
-     * A node that knows no leader can only reject workers, and their retries would overload it during start-up, so it
-     * is not ready until it knows the leader.
+     * A node that knows no leader can only reject workers, and their retries would overload the node during start-up.
+     * The node is therefore not ready until it knows the leader.
      */
     @Test
     void startingNodeIsReadyOnceItKnowsLeader() {
@@ -32,7 +32,9 @@
         cluster.state.startOutage(8);
         cluster.nodes.start("n1");
         cluster.loop.run(7);
-        assertFalse(cluster.nodes.isReady("n1"), "a node without state service and peers knows no leader");
+        assertFalse(
+                cluster.nodes.isReady("n1"),
+                "n1 must not be ready while it reaches neither the state service nor a peer");
         cluster.await(() -> cluster.nodes.isReady("n1"), 20);
     }
 
@@ -42,7 +44,7 @@
         cluster.submit(SimJobs.array(1, 2).put("expectS", 200.0));
         cluster.await(() -> !cluster.cloud.workers().isEmpty(), 30);
         String oldLeader = cluster.leader();
-        // The network holds the old leader's writes; then the leader loses all access to the state service.
+        // The network holds the old leader's writes. Then the old leader loses all access to the state service.
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(oldLeader) && call.target().equals("/txn") ? Delivery.HELD : Delivery.DELIVERED);
         cluster.await(() -> cluster.net.heldCount() > 0, 30);
@@ -83,7 +85,8 @@
                 cluster.request("n0", "POST", "/api/jobs", SimJobs.array(2, 1)).status());
         cluster.loop.run(10);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(2, cluster.starts().size(), "an outage shorter than a lease stops no task");
+        assertEquals(
+                2, cluster.starts().size(), "each task must start once, because the outage is shorter than a lease");
     }
 
     @Test
@@ -116,7 +119,10 @@
         });
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertNotEquals(oldLeader, cluster.leader());
-        assertEquals(2, cluster.starts().size(), "another leader answered before any lease expired");
+        assertEquals(
+                2,
+                cluster.starts().size(),
+                "each task must start once: another leader must answer workers before a lease expires");
     }
 
     @Test
@@ -140,7 +146,7 @@
     void runningNodeReplacesRestartedLeaderImmediately() {
         cluster.awaitLeader(10);
         String leader = cluster.leader();
-        // Only the leader's messages are fast, so the other nodes learn of its restart late.
+        // Only the requests of the restarted leader are fast, so the other nodes learn of its restart late.
         cluster.net.injectFaults((from, to, call) -> from.equals(leader) ? Delivery.DELIVERED : Delivery.SLOW);
         cluster.nodes.crash(leader);
         cluster.nodes.start(leader);
@@ -157,7 +163,9 @@
         cluster.nodes.start(leader);
         cluster.loop.run(SimulatedCluster.LEASE_S / 4);
         assertEquals(
-                leader, cluster.leader(), "must be elected long before the lease of its former incarnation expires");
+                leader,
+                cluster.leader(),
+                "the restarted leader must be elected long before the lease of its former incarnation expires");
     }
 
     @Test
@@ -184,20 +192,21 @@
         cluster.nodes.isolateFromPeers(isolatedNode);
         cluster.net.injectFaults((from, to, call) ->
                 from.equals(isolatedNode) && SimulatedCluster.isStateService(to) ? Delivery.LOST : Delivery.DELIVERED);
-        cluster.loop.run(26); // until after the end of its last watch
+        cluster.loop.run(26); // until the last watch of the isolated node has ended
         cluster.nodes.crash(oldLeader);
         cluster.awaitLeader(30);
         assertNotEquals(isolatedNode, cluster.leader());
-        cluster.loop.run(4); // a watch opened before the partition was still answered
+        // A watch that the isolated node opened before the partition was still answered.
+        cluster.loop.run(4);
         Response response = cluster.request(isolatedNode, "POST", "/hello", SimJobs.heartbeat("i-000099", 7));
         assertEquals(503, response.status(), "a node must not redirect workers to a leader that it cannot confirm");
         assertEquals(503, cluster.request(isolatedNode, "GET", "/healthz").status());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertEquals(2, cluster.starts().size(), "no lease expired");
+        assertEquals(2, cluster.starts().size(), "each task must start once, because no lease expires");
     }
 
     @Test
-    void leaderThatLosesStateServiceAndPeersReleasesItsWorkers() {
+    void workersOfLeaderWithoutStateServiceAndPeersMoveToNewLeader() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
         cluster.await(() -> cluster.runningTasks().size() == 2, 40);
@@ -208,7 +217,7 @@
                 : Delivery.DELIVERED);
         cluster.awaitLeaderOtherThan(isolatedLeader, 30);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertEquals(2, cluster.starts().size(), "no lease expired");
+        assertEquals(2, cluster.starts().size(), "each task must start once, because no lease expires");
     }
 
     @Test
@@ -234,13 +243,14 @@
     }
 
     @Test
-    void everyJobIsKnownAndCompletesAfterFaultsEnd() {
+    void everyJobIsKnownToEveryNodeAndCompletesAfterFaultsEnd() {
         cluster.awaitLeader(10);
         for (int i = 1; i <= 4; i++) {
             cluster.submit(SimJobs.array(i, 2).put("expectS", 10.0));
         }
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
-        // All nodes crash during an outage; then each node in turn loses the state service.
+        // All nodes crash during an outage of the state service. After their restart, each node in turn loses its
+        // connection to the state service.
         cluster.state.startOutage(20);
         cluster.loop.run(5);
         for (String node : new String[] {"n0", "n1", "n2"}) {
@@ -286,7 +296,7 @@
             return isDeletionRequest || isIsolated ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.submit(SimJobs.array(1, 1));
-        cluster.await(() -> deletionRequested.get(), 120); // the leader retries, as no answer arrives
+        cluster.await(() -> deletionRequested.get(), 120); // the leader retries, because its request gets no answer
         cluster.awaitLeaderOtherThan(oldLeader, 30);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         assertFalse(deletionRequestedWithoutLease.get());
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -15,7 +15,7 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Faults between the leader, the workers and the cloud, and the guarantees that must hold despite them. */
+/** Faults between the leader, the workers and the cloud, and the guarantees that must hold despite these faults. */
 final class MachineScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -66,7 +66,7 @@
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         cluster.loop.run(10);
-        assertEquals(3, launchCalls.get(), "the request is retried until it is answered");
+        assertEquals(3, launchCalls.get(), "the leader must retry the launch request until it is answered");
         assertEquals(1, cluster.cloud.machineCount());
     }
 
@@ -77,13 +77,13 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 3.0));
         cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(1, cluster.runningTasks().size(), "the other task is still on the machine");
+        assertEquals(1, cluster.runningTasks().size(), "the task of the second job must still run");
         cluster.loop.run(6);
         assertTrue(cluster.net.heldCount() > 0);
         cluster.net.clearFaults();
         cluster.net.deliverHeld();
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 120);
-        assertEquals(2, cluster.starts().size(), "each task started once, by the answer to a heartbeat");
+        assertEquals(2, cluster.starts().size(), "each task must start once, by the answer to a heartbeat");
     }
 
     @Test
@@ -101,15 +101,15 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 3.0));
         cluster.await(() -> cluster.cloud.workers().size() == 1, 30);
-        SimWorker faulty = cluster.cloud.workers().get(0);
-        faulty.setBehaviour(SimWorker.Behaviour.FAILS);
+        SimWorker faultyWorker = cluster.cloud.workers().get(0);
+        faultyWorker.setBehaviour(SimWorker.Behaviour.FAILS);
         cluster.submit(SimJobs.array(2, 1).put("expectS", 3.0));
         cluster.await(
                 () -> cluster.poll("j-000001").equals("done")
                         && cluster.poll("j-000002").equals("done"),
                 120);
         assertFalse(
-                cluster.cloud.workers().contains(faulty),
+                cluster.cloud.workers().contains(faultyWorker),
                 "a machine on which tasks of two jobs failed must be replaced");
     }
 
@@ -142,12 +142,13 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
-        SimWorker unreachable = cluster.cloud.workers().get(0);
-        dropMessagesTo(unreachable);
-        // Its lease expires although its heartbeats arrive; a received heartbeat must not count as a renewed lease.
-        cluster.await(() -> !cluster.cloud.workers().contains(unreachable), 4 * SimulatedCluster.LEASE_S);
+        SimWorker unreachableWorker = cluster.cloud.workers().get(0);
+        dropMessagesTo(unreachableWorker);
+        // The worker's lease expires although its heartbeats arrive, because no answer reaches the worker. The leader
+        // must not count a received heartbeat as a renewal of the lease.
+        cluster.await(() -> !cluster.cloud.workers().contains(unreachableWorker), 4 * SimulatedCluster.LEASE_S);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 100);
-        assertTrue(cluster.starts().stream().skip(4).noneMatch(s -> s.endsWith(unreachable.name())));
+        assertTrue(cluster.starts().stream().skip(4).noneMatch(s -> s.endsWith(unreachableWorker.name())));
     }
 
     @Test
@@ -155,11 +156,11 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 40);
-        SimWorker unreachable = cluster.cloud.workers().get(0);
-        dropMessagesTo(unreachable);
+        SimWorker unreachableWorker = cluster.cloud.workers().get(0);
+        dropMessagesTo(unreachableWorker);
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 4 * SimulatedCluster.LEASE_S);
-        assertFalse(cluster.cloud.workers().contains(unreachable));
+        assertFalse(cluster.cloud.workers().contains(unreachableWorker));
     }
 
     @Test
@@ -167,11 +168,11 @@
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 20.0));
         cluster.await(() -> cluster.runningTasks().size() == 1, 40);
-        SimWorker unreachable = cluster.cloud.workers().get(0);
-        dropMessagesTo(unreachable);
+        SimWorker unreachableWorker = cluster.cloud.workers().get(0);
+        dropMessagesTo(unreachableWorker);
         cluster.nodes.crash(cluster.leader());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 150);
-        assertFalse(cluster.cloud.workers().contains(unreachable));
+        assertFalse(cluster.cloud.workers().contains(unreachableWorker));
     }
 
     @Test
@@ -180,12 +181,12 @@
         cluster.submit(SimJobs.array(1, 1).put("expectS", 5.0));
         cluster.submit(SimJobs.array(2, 3).put("expectS", 30.0));
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
-        SimWorker unreachable = cluster.cloud.workers().get(0);
+        SimWorker unreachableWorker = cluster.cloud.workers().get(0);
         cluster.net.injectFaults((from, to, call) -> {
-            if (from.equals(unreachable.name())) {
+            if (from.equals(unreachableWorker.name())) {
                 return Delivery.ANSWER_LOST;
             }
-            boolean isLost = to.equals(SimWorker.address(unreachable.name())) || SimulatedCluster.isCloud(to);
+            boolean isLost = to.equals(SimWorker.address(unreachableWorker.name())) || SimulatedCluster.isCloud(to);
             return isLost ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.await(() -> cluster.completedTasks().size() == 4, 150);
@@ -204,7 +205,7 @@
         cluster.cloud.crash(worker);
         cluster.nodes.crash(oldLeader);
         cluster.net.clearFaults();
-        // The duplicates are addressed to the old leader, which has been restarted and may lead again.
+        // The duplicates are addressed to the old leader, which is restarted and might lead again.
         cluster.nodes.start(oldLeader);
         cluster.awaitLeader(30);
         double leaderElectedAtS = cluster.loop.nanos() / 1e9;
@@ -238,7 +239,7 @@
         assertEquals(
                 deletionRequests,
                 cluster.cloud.deletionRequests(),
-                "no leader may treat the deleted machine as running");
+                "a leader must not treat the deleted machine as running and delete it again");
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 30);
     }
@@ -254,7 +255,7 @@
     }
 
     @Test
-    void machineHungShorterThanLeaseExecutesPendingCommands() {
+    void machineHungForLessThanLeaseExecutesPendingCommands() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 1).put("expectS", 40.0));
         cluster.await(() -> cluster.runningTasks().size() == 1, 30);
@@ -273,24 +274,27 @@
     }
 
     @Test
-    void machinesHungLongerThanLeaseStartNoTaskTwice() {
+    void machinesHungForLongerThanLeaseStartNoTaskTwice() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 3).put("expectS", 40.0));
         cluster.await(() -> cluster.runningTasks().size() == 3, 30);
-        List<SimWorker> hungMachines = List.copyOf(cluster.cloud.workers());
-        hungMachines.forEach(SimWorker::hang);
-        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // its start command is in flight to a hung machine
+        List<SimWorker> hungWorkers = List.copyOf(cluster.cloud.workers());
+        hungWorkers.forEach(SimWorker::hang);
+        cluster.submit(SimJobs.array(2, 1).put("expectS", 20.0)); // the start command is in transit to a hung machine
         cluster.loop.run(2 * SimulatedCluster.LEASE_S + 5);
-        hungMachines.forEach(SimWorker::resume);
+        hungWorkers.forEach(SimWorker::resume);
         cluster.await(() -> cluster.completedTasks().size() == 4, 200);
-        // The simulated cluster fails the scenario when a task is on two machines.
+        // The simulated cluster fails the scenario if a task runs on two machines at the same time.
         assertEquals("done", cluster.poll("j-000001"));
         assertEquals("done", cluster.poll("j-000002"));
     }
 
-    /** Guards against a task that is never placed again because its unrecorded copy is stopped but not released. */
+    /**
+     * Guards against a task that is never placed again. A copy of the task runs on a machine although no record binds
+     * the task to this machine. If the leader stops the copy without releasing it, the task is not placed again.
+     */
     @Test
-    void unrecordedTaskIsStoppedAndRunsWhereItIsBound() {
+    void unrecordedCopyOfTaskIsStoppedAndTaskRunsWhereItIsBound() {
         cluster.cloud.limitCapacity(1);
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 30.0));
@@ -299,7 +303,7 @@
         cluster.loop.run(2);
         cluster.cloud.workers().get(0).startUnboundTask("j-000002/0", 7);
         cluster.loop.run(5);
-        assertEquals(2, cluster.runningTasks().size(), "the unrecorded copy must be stopped");
+        assertEquals(2, cluster.runningTasks().size(), "the copy of the task without a record must be stopped");
         cluster.verifyRecovery(120);
     }
 }
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -18,11 +18,12 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Users cancel hundreds of jobs at once while leaders change. The simulated cluster fails each scenario in which a task
- * of a cancelled job is on a machine for longer than {@code cancel_s}.
+ * Users cancel up to 200 jobs at once while leaders change. The simulated cluster fails a scenario if a task of a
+ * cancelled job is still on a machine {@code cancel_s} seconds after a user received the confirmation of the
+ * cancellation.
  */
 final class MassCancellationScenarioTest {
-    private static final int JOBS = 200;
+    private static final int JOB_COUNT = 200;
     private static final double TASK_DURATION_S = 200;
     private static final int CONCURRENT_CANCELLATIONS = 60;
     private static final int FEW_CANCELLATIONS = 8;
@@ -40,19 +41,19 @@
                 .toList();
     }
 
-    /** Fills the given number of machines with long-running tasks of {@link #JOBS} jobs. */
-    private void fillMachines(int nodes, int machines) {
-        cluster = SimulatedCluster.ofSize(nodes, machines);
+    /** Starts a cluster and fills this number of machines with long-running tasks of {@link #JOB_COUNT} jobs. */
+    private void fillMachines(int nodeCount, int machineCount) {
+        cluster = SimulatedCluster.ofSize(nodeCount, machineCount);
         cluster.awaitLeader(10);
-        int tasksPerJob = 2 * machines / JOBS;
-        List<ObjectNode> jobs = IntStream.range(0, JOBS)
+        int tasksPerJob = 2 * machineCount / JOB_COUNT;
+        List<ObjectNode> jobs = IntStream.range(0, JOB_COUNT)
                 .mapToObj(i -> SimJobs.array(i, tasksPerJob).put("expectS", TASK_DURATION_S))
                 .toList();
         cluster.users.submit(jobs, cluster.nodes.running(node -> true));
-        cluster.await(() -> cluster.runningTasks().size() == JOBS * tasksPerJob, 200);
+        cluster.await(() -> cluster.runningTasks().size() == JOB_COUNT * tasksPerJob, 200);
     }
 
-    /** Partitions the leader from the state service and from the other nodes; returns its name. */
+    /** Partitions the leader from the state service and from the other nodes; returns the leader's name. */
     private String isolateLeader() {
         String leader = cluster.leader();
         isolate(leader);
@@ -65,13 +66,14 @@
     }
 
     /**
-     * Guards against answers that renew a lease without stopping cancelled tasks: the first heartbeat of a worker to a
-     * new leader carries an older fencing token, and if leaders change within each heartbeat interval, every heartbeat
-     * is the first to its leader. Only a few jobs are cancelled, which keeps each failover short.
+     * Guards against answers that renew a lease but do not stop cancelled tasks. The first heartbeat of a worker to a
+     * new leader carries an outdated fencing token, so the leader only renews the lease and must add the stops to its
+     * answer. Here leaders change within each heartbeat interval, so every heartbeat is the first to its leader. Only a
+     * few jobs are cancelled, which keeps each failover short.
      */
     @Test
-    void leaderTermsShorterThanHeartbeatIntervalStopCancelledTasks() {
-        fillMachines(5, JOBS);
+    void cancelledTasksStopDespiteLeaderTermsShorterThanHeartbeatInterval() {
+        fillMachines(5, JOB_COUNT);
         cluster.nodes.crashLeader(0.2);
         cluster.users.cancel(jobIds(0, FEW_CANCELLATIONS), cluster.nodes.running(node -> true));
         for (double elapsedS = 0;
@@ -84,17 +86,17 @@
     }
 
     /**
-     * Guards against cancelled jobs that appear open while a failover reads their records one by one: the jobs are
-     * cancelled while the leader is partitioned, the state service is slow, and the next leader crashes before it has
-     * read them all.
+     * Guards against a failover that treats cancelled jobs as open while it reads their records one by one. Users
+     * cancel the jobs while the leader is partitioned. The state service is slow, and the next leader crashes before it
+     * has read all the records.
      */
     @Test
     void newLeadersStopCancelledTasksWhileReadingJobs() {
-        fillMachines(3, JOBS);
+        fillMachines(3, JOB_COUNT);
         String firstLeader = isolateLeader();
         cluster.net.injectFaults(
                 (from, to, call) -> call.target().startsWith("/store/job/") ? Delivery.SLOW : Delivery.DELIVERED);
-        cluster.users.cancel(jobIds(0, JOBS), cluster.nodes.running(node -> !node.equals(firstLeader)));
+        cluster.users.cancel(jobIds(0, JOB_COUNT), cluster.nodes.running(node -> !node.equals(firstLeader)));
         cluster.awaitLeaderOtherThan(firstLeader, 20);
         String secondLeader = cluster.leader();
         cluster.loop.run(6);
@@ -105,22 +107,24 @@
                 .path("failovers")
                 .path("lastS")
                 .asDouble();
-        assertTrue(failoverS < SimulatedCluster.LEASE_S / 2, "failover: " + failoverS + " s");
+        assertTrue(
+                failoverS < SimulatedCluster.LEASE_S / 2,
+                "the failover must take less than half a lease but took " + failoverS + " s");
         cluster.verifyRecovery(120);
     }
 
     /**
-     * Guards against cancelled jobs that appear open during a failover with fast reads: one record cannot be read at
-     * all, so the failover does not complete although the other records are known.
+     * Guards against a failover that treats cancelled jobs as open although its reads are fast. One record cannot be
+     * read at all, so the failover does not complete although the leader knows all other records.
      */
     @Test
     void newLeaderStopsCancelledTasksWhileOneRecordIsUnreadable() {
-        fillMachines(3, JOBS);
+        fillMachines(3, JOB_COUNT);
         String firstLeader = isolateLeader();
         cluster.users.cancel(
                 jobIds(0, CONCURRENT_CANCELLATIONS), cluster.nodes.running(node -> !node.equals(firstLeader)));
         cluster.await(() -> cluster.users.unansweredCount() == 0, 6);
-        assertEquals(firstLeader, cluster.leader(), "its lease has not expired");
+        assertEquals(firstLeader, cluster.leader(), "the lease of the first leader must not have expired yet");
         cluster.net.injectFaults(
                 (from, to, call) -> call.target().equals("/store/job/" + jobId(CONCURRENT_CANCELLATIONS - 1))
                         ? Delivery.LOST
@@ -130,14 +134,14 @@
     }
 
     /**
-     * Concurrent faults at full cluster size: a slow state service, a cloud outage, three leaders that crash in
-     * sequence, and machines that hang, receive nothing, reach no node, or are partitioned together with one of the
-     * nodes.
+     * Combines faults in a cluster of full size: a slow state service, a cloud outage, three leaders that crash one
+     * after another, and four groups of faulty machines. The machines of a group hang, receive nothing, reach no node,
+     * or reach only one node that is partitioned too.
      */
     @ParameterizedTest
     @ValueSource(ints = {1640, 4000})
-    void massCancellationDuringCombinedFaultsMeetsDeadline(int machines) {
-        fillMachines(5, machines);
+    void massCancellationDuringCombinedFaultsMeetsDeadline(int machineCount) {
+        fillMachines(5, machineCount);
         String firstLeader = isolateLeader();
         List<SimWorker> workers = cluster.cloud.workers();
         workers.stream().filter(w -> isInGroup(w, 0)).forEach(SimWorker::hang);
@@ -149,10 +153,10 @@
         String isolatedNode = cluster.follower();
         isolate(isolatedNode);
         cluster.net.injectFaults((from, to, call) -> {
-            boolean toIsolatedNode = to.equals(SimulatedCluster.address(isolatedNode));
+            boolean isToIsolatedNode = to.equals(SimulatedCluster.address(isolatedNode));
             if (SimulatedCluster.isCloud(to)
                     || silentMachines.contains(from)
-                    || (partitionedMachines.contains(from) && !toIsolatedNode)
+                    || (partitionedMachines.contains(from) && !isToIsolatedNode)
                     || (call.target().equals("/do") && addressesReceivingNothing.contains(to))) {
                 return Delivery.LOST;
             }
@@ -172,7 +176,7 @@
             connectedNodes.forEach(cluster.nodes::startIfStopped);
         }
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
-        assertEquals(0, cluster.users.unansweredCount(), "unconfirmed cancellations");
+        assertEquals(0, cluster.users.unansweredCount(), "every cancellation must be confirmed to its user");
         Set<String> cancelled = Set.copyOf(jobIds(0, MASS_CANCELLATIONS));
         assertTrue(cluster.runningTasks().keySet().stream().noneMatch(task -> cancelled.contains(task.split("/")[0])));
     }
--- a/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
@@ -8,17 +8,17 @@
 import org.spruceridge.sim.SimJobs;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Node processes are paused while clocks run on: no node may act on a lease that expired during its pause. */
+/** Node processes are paused while their clocks run on. A node must not act on a lease that expired meanwhile. */
 final class PausedNodeScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
     @Test
-    void leaderPausedLongerThanLeaseIsReplaced() {
+    void leaderPausedForLongerThanLeaseIsReplaced() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 2).put("expectS", 60.0));
         cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         String oldLeader = cluster.leader();
-        // A job is accepted, and its binding is about to be written, when the leader is paused.
+        // The leader is paused after a node has accepted a job and before the leader writes the job's binding.
         cluster.submit(SimJobs.array(2, 1).put("expectS", 5.0));
         cluster.nodes.pause(oldLeader, 2 * SimulatedCluster.LEASE_S);
         cluster.loop.run(SimulatedCluster.LEASE_S);
@@ -27,11 +27,14 @@
         String outcome = SimulatedCluster.stage(response);
         int deletionRequests = cluster.cloud.deletionRequests();
         cluster.loop.run(SimulatedCluster.LEASE_S + 1);
-        assertNotEquals(oldLeader, cluster.leader(), "the state that it read before the pause is stale");
+        assertNotEquals(
+                oldLeader,
+                cluster.leader(),
+                "the paused node must not lead again, because the state that it read before the pause is stale");
         assertEquals(
                 deletionRequests,
                 cluster.cloud.deletionRequests(),
-                "heartbeats missed during its own pause are not counted");
+                "a node must not delete machines because of heartbeats that it missed during its own pause");
         assertEquals(outcome, SimulatedCluster.stage(cluster.request(oldLeader, "GET", "/api/jobs/j-000002")));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(
@@ -39,11 +42,11 @@
                 cluster.starts().stream()
                         .filter(start -> start.startsWith("j-000001"))
                         .count(),
-                "no lease expired");
+                "each task of the first job must start once, because no lease expires");
     }
 
     @Test
-    void leaderPausedShorterThanLeaseKeepsLeading() {
+    void leaderPausedForLessThanLeaseKeepsLeading() {
         cluster.awaitLeader(10);
         cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
@@ -55,7 +58,7 @@
         assertEquals(
                 deletionRequests,
                 cluster.cloud.deletionRequests(),
-                "heartbeats missed during its own pause are not counted");
+                "a node must not delete machines because of heartbeats that it missed during its own pause");
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(4, cluster.starts().size());
     }
@@ -64,14 +67,15 @@
     void nodePausedDuringElectionOrFailoverDoesNotLeadAfterwards() {
         for (int step = 0; step < 12; step++) {
             SimulatedCluster twoNodeCluster = new SimulatedCluster(2);
-            twoNodeCluster.loop.run(0.0004 * step * step); // between its first request and the end of its failover
+            // The pause of n1 begins between its first request and the end of its failover.
+            twoNodeCluster.loop.run(0.0004 * step * step);
             twoNodeCluster.nodes.pause("n1", 3 * SimulatedCluster.LEASE_S);
             twoNodeCluster.nodes.pause("n0", 0.5);
             twoNodeCluster.loop.run(10);
-            assertEquals("n0", twoNodeCluster.leader(), "step " + step);
+            assertEquals("n0", twoNodeCluster.leader(), "n0 must lead in step " + step);
             twoNodeCluster.submit(SimJobs.array(1, 1).put("expectS", 60.0));
             twoNodeCluster.loop.run(3 * SimulatedCluster.LEASE_S);
-            assertEquals("n0", twoNodeCluster.leader(), "step " + step);
+            assertEquals("n0", twoNodeCluster.leader(), "n0 must lead in step " + step);
             twoNodeCluster.loop.run(60);
             assertEquals("done", twoNodeCluster.poll("j-000001"));
             assertEquals(1, twoNodeCluster.starts().size());
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -22,7 +22,10 @@
 import org.spruceridge.sim.SimWorker;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Replicas of services run until the job is cancelled, on any machine with capacity, and never twice concurrently. */
+/**
+ * Replicas of services run until the job is cancelled, on any machine with capacity. No replica runs twice at the same
+ * time.
+ */
 final class ServiceScenarioTest {
     private static final String SERVICE_ID = "j-000001";
     private final SimulatedCluster cluster = SimulatedCluster.withAnnouncedLowerLimits(3);
@@ -51,14 +54,14 @@
         assertEquals("running", body.path("stage").asText());
         assertEquals(3, body.path("running").asInt());
         assertEquals(0, body.path("done").asInt());
-        assertEquals(3, cluster.starts().size(), "no replica was stopped");
-        assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeated submission is idempotent");
+        assertEquals(3, cluster.starts().size(), "each replica must start once, because no replica is stopped");
+        assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeated submission must be idempotent");
         assertEquals("cancelled", cluster.cancel("n1", SERVICE_ID));
         cluster.await(() -> cluster.runningReplicaCount(1) == 0, SimulatedCluster.CANCELLATION_DEADLINE_S);
         cluster.verifyRecovery(60);
     }
 
-    /** A replica that its worker reports as done is started again, by the leader that started it or by a later one. */
+    /** A replica that its worker reports as done is started again, by the same leader or by the next one. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void endedReplicaIsStartedAgain(boolean underNextLeader) {
@@ -75,22 +78,24 @@
         cluster.verifyRecovery(60);
     }
 
-    /** One machine fails all its tasks: replicas run on other machines, and few are placed on the faulty one. */
+    /** If one machine fails all its tasks, replicas run on other machines and few are started on the faulty machine. */
     @Test
     void machineThatFailsReplicasReceivesFewStarts() {
         startService(2);
-        SimWorker faulty = workerOf(SERVICE_ID + "/0");
-        faulty.setBehaviour(SimWorker.Behaviour.FAILS);
-        faulty.endReplicas("error");
+        SimWorker faultyWorker = workerOf(SERVICE_ID + "/0");
+        faultyWorker.setBehaviour(SimWorker.Behaviour.FAILS);
+        faultyWorker.endReplicas("error");
         cluster.loop.run(30);
         long startsOnFaultyMachine = cluster.starts().stream()
-                .filter(s -> s.endsWith("@" + faulty.name()))
+                .filter(s -> s.endsWith("@" + faultyWorker.name()))
                 .count();
-        assertTrue(startsOnFaultyMachine <= 4, "starts on the faulty machine: " + startsOnFaultyMachine);
+        assertTrue(
+                startsOnFaultyMachine <= 4,
+                "the faulty machine must receive at most 4 starts but received " + startsOnFaultyMachine);
         cluster.await(() -> cluster.runningReplicaCount(1) == 2, 40);
     }
 
-    /** A misconfigured service ends immediately on every machine: its restarts must not overload the leader. */
+    /** A misconfigured service ends immediately on every machine. Its restarts must not overload the leader. */
     @Test
     void serviceThatEndsImmediatelyOnEveryMachineBacksOff() {
         startService(2);
@@ -99,7 +104,9 @@
         int startsBefore = cluster.starts().size();
         cluster.loop.run(300);
         int starts = cluster.starts().size() - startsBefore;
-        assertTrue(starts > 2 && starts < 60, starts + " starts in 300 s");
+        assertTrue(
+                starts > 2 && starts < 60,
+                "replicas must start 3 to 59 times in 300 s but started " + starts + " times");
         cluster.submit(SimJobs.array(2, 2));
         cluster.await(() -> cluster.completedTasks().size() >= 2, 60);
         assertEquals("cancelled", cluster.cancel("n0", SERVICE_ID));
@@ -109,10 +116,10 @@
     @Test
     void replicaOfCrashedMachineRunsOnAnotherMachine() {
         startService(2);
-        SimWorker crashed = workerOf(SERVICE_ID + "/0");
-        cluster.cloud.crash(crashed);
+        SimWorker crashedWorker = workerOf(SERVICE_ID + "/0");
+        cluster.cloud.crash(crashedWorker);
         cluster.await(() -> cluster.runningReplicaCount(1) == 2, 60);
-        assertFalse(cluster.runningTasks().containsValue(crashed.name()));
+        assertFalse(cluster.runningTasks().containsValue(crashedWorker.name()));
         cluster.verifyRecovery(60);
     }
 
@@ -122,11 +129,11 @@
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
         cluster.submit(SimJobs.service(1, 1).put("windfall", true));
         cluster.await(() -> cluster.runningReplicaCount(1) == 1, 40);
-        SimWorker interrupted = workerOf(SERVICE_ID + "/0");
-        interrupted.announceInterruption(60);
+        SimWorker interruptedWorker = workerOf(SERVICE_ID + "/0");
+        interruptedWorker.announceInterruption(60);
         cluster.await(
                 () -> cluster.runningReplicaCount(1) == 1
-                        && !cluster.runningTasks().containsValue(interrupted.name()),
+                        && !cluster.runningTasks().containsValue(interruptedWorker.name()),
                 50);
         assertEquals(2, cluster.starts().size());
     }
@@ -138,11 +145,11 @@
         startService(2);
         cluster.submit(SimJobs.service(2, 2).put("windfall", true));
         cluster.await(() -> cluster.runningReplicaCount(2) == 2, 40);
-        SimWorker interrupted = workerOf("j-000002/0");
-        interrupted.announceInterruption(40);
+        SimWorker interruptedWorker = workerOf("j-000002/0");
+        interruptedWorker.announceInterruption(40);
         cluster.loop.run(crashDelayS);
         cluster.nodes.crashLeader(3);
-        cluster.await(() -> !cluster.runningTasks().containsValue(interrupted.name()), 60);
+        cluster.await(() -> !cluster.runningTasks().containsValue(interruptedWorker.name()), 60);
         cluster.verifyRecovery(90);
     }
 
@@ -159,7 +166,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** All nodes are down for longer than a lease: the workers stop their tasks, which must start again afterwards. */
+    /** All nodes are down for longer than a lease, so workers stop their tasks. The tasks must start again later. */
     @Test
     void servicesRestartAfterOutageOfAllNodes() {
         startService(3);
@@ -172,17 +179,21 @@
         assertEquals(3, cluster.runningReplicaCount(1));
     }
 
-    /** A machine sends no heartbeats but receives commands: its replica must not start elsewhere while it runs. */
+    /**
+     * The heartbeats of a machine are lost, but commands reach the machine. The replica on this machine must not start
+     * on another machine while it still runs here.
+     */
     @Test
     void replicaOnSilentMachineNeverRunsTwiceConcurrently() {
         startService(2);
-        SimWorker silent = workerOf(SERVICE_ID + "/0");
-        cluster.net.injectFaults((from, to, call) -> from.equals(silent.name()) ? Delivery.LOST : Delivery.DELIVERED);
+        SimWorker silentWorker = workerOf(SERVICE_ID + "/0");
+        cluster.net.injectFaults(
+                (from, to, call) -> from.equals(silentWorker.name()) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(60);
         cluster.verifyRecovery(60);
     }
 
-    /** If tasks of lower priority use all the capacity, a service preempts some of them. */
+    /** If tasks of lower priority use all the capacity, a service preempts some of these tasks. */
     @Test
     void servicePreemptsLowerPriorityTasks() {
         cluster.cloud.limitCapacity(2);
@@ -192,7 +203,10 @@
                 .put("rank", "best_effort")
                 .put("windfall", false));
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
-        assertEquals(422, cluster.submit(SimJobs.service(3, 9)), "18 CPUs of 16");
+        assertEquals(
+                422,
+                cluster.submit(SimJobs.service(3, 9)),
+                "nine replicas need 18 CPUs and must exceed the team's quota of 16 CPUs");
         cluster.cancel("n0", "j-000005");
         cluster.await(() -> cluster.runningTasks().isEmpty(), 40);
         cluster.submit(SimJobs.array(6, 3)
@@ -205,7 +219,7 @@
         cluster.await(() -> cluster.runningReplicaCount(1) == 2, 40);
     }
 
-    /** Replicas are spread over zones, as the job requests, and over machines. */
+    /** Replicas are spread over zones, because the job requests this, and over machines. */
     @Test
     void replicasAreSpreadOverMachines() {
         cluster.await(() -> cluster.state.value("feature-level") != null, 20);
@@ -216,10 +230,10 @@
         cluster.submit(SimJobs.service(1, 4).put("scatter", true));
         cluster.await(() -> cluster.runningReplicaCount(1) == 4, 60);
         Set<String> machines = new TreeSet<>(cluster.runningTasks().values());
-        assertTrue(machines.size() >= 2, machines.toString());
+        assertTrue(machines.size() >= 2, "replicas must run on at least two machines: " + machines);
     }
 
-    /** The state service lowers its limits while services run, start and move: no write may exceed the limits. */
+    /** The state service lowers its limits while services run, start and move. No write must exceed the new limits. */
     @Test
     void loweredStateServiceLimitsAreNotExceededWhileServicesRun() {
         startService(3);
@@ -251,7 +265,7 @@
         assertEquals(status == 201, cluster.state.value("job/" + SERVICE_ID) != null);
     }
 
-    /** Batch jobs complete beside running services. */
+    /** Batch jobs complete while services run. */
     @Test
     void batchJobsAreNotStarvedByServices() {
         startService(4);
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -17,9 +17,9 @@
 import org.spruceridge.sim.SimulatedCluster;
 
 /**
- * Rolling upgrades from the version in production, which the deploy file names, while the cluster serves requests.
- * Nodes of that version run its own code, built from the repository's history. {@link SimulatedCluster} checks the
- * rules throughout.
+ * Rolling upgrades from the version in production to this version while the cluster serves requests. The deploy file
+ * names the version in production. Nodes of that version run its own code, built from the repository's history.
+ * {@link SimulatedCluster} checks the rules throughout.
  */
 final class UpgradeScenarioTest {
     private static final String FEATURE_LEVEL_KEY = "feature-level";
@@ -29,7 +29,7 @@
         cluster.awaitLeader(30);
     }
 
-    /** Returns all nodes with the leader at this index; the others keep their order. */
+    /** Returns the names of all nodes, with the leader at this index and the other nodes in ascending order. */
     private List<String> nodesWithLeaderAt(int index) {
         List<String> order = new ArrayList<>(List.of("n0", "n1", "n2"));
         order.remove(cluster.leader());
@@ -62,11 +62,11 @@
             cluster.loop.run(10);
         }
         cluster.verifyRecovery(200);
-        assertEquals(14, cluster.starts().size(), "each task started once");
+        assertEquals(14, cluster.starts().size(), "each task must start once");
         cluster.await(this::isFeatureLevelRaised, 10);
     }
 
-    /** Leaders of the old and the new version alternate; each continues from the records of the other version. */
+    /** Leaders of the old and new versions alternate. Each leader continues from the records of the other version. */
     @Test
     void leadershipMovesBetweenOldAndNewVersions() {
         awaitLeader();
@@ -86,13 +86,14 @@
                 cluster.nodes.downgrade(leader, 12);
             }
             awaitLeader();
-            assertFalse(isFeatureLevelRaised(), "a member still runs the old version");
+            assertFalse(
+                    isFeatureLevelRaised(), "the feature level must not be raised while a member runs the old version");
         }
         assertTrue(
                 ledByProductionVersion.contains(true) && ledByProductionVersion.contains(false),
-                "both versions led: " + ledByProductionVersion);
+                "leaders must have run both versions; ran production version: " + ledByProductionVersion);
         cluster.verifyRecovery(240);
-        assertEquals(22, cluster.starts().size(), "each task started once");
+        assertEquals(22, cluster.starts().size(), "each task must start once");
     }
 
     /** A cancellation confirmed by one version stays in force under the next leader of the other version. */
@@ -118,7 +119,7 @@
         cluster.verifyRecovery(120);
     }
 
-    /** Nodes of the old version cannot read a service's record, so services are accepted once all are upgraded. */
+    /** Old versions cannot read records of services, so services are rejected until every node is upgraded. */
     @Test
     void serviceIsAcceptedOnceEveryNodeIsUpgraded() {
         awaitLeader();
@@ -137,7 +138,10 @@
         cluster.verifyRecovery(60);
     }
 
-    /** A node that crashes before its upgrade restarts with the old version; until its upgrade the level must stay. */
+    /**
+     * A node that crashes before its upgrade restarts with the old version. The feature level must not be raised until
+     * this node is upgraded.
+     */
     @Test
     void nodeRestartedWithOldVersionPreventsFeatureLevelIncrease() {
         awaitLeader();
@@ -151,11 +155,14 @@
         cluster.await(this::isFeatureLevelRaised, 30);
     }
 
-    /** The announced version of a node expires with its heartbeats, because it may restart with the old version. */
+    /**
+     * The version that a node announced is no longer trusted once its peer heartbeats stop, because the node might
+     * restart with the old version.
+     */
     @Test
     void stoppedNodePreventsFeatureLevelIncrease() {
         awaitLeader();
-        cluster.submit(SimJobs.array(1, 2).put("expectS", 300.0)); // so that workers send heartbeats to the leader
+        cluster.submit(SimJobs.array(1, 2).put("expectS", 300.0)); // launches workers that send heartbeats
         cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         cluster.nodes.upgrade("n0", 1);
         cluster.nodes.upgrade("n1", 1);
@@ -164,15 +171,20 @@
         cluster.loop.run(5);
         cluster.nodes.upgrade("n2", 10);
         cluster.loop.run(25);
-        assertEquals("n1", cluster.leader(), "it has received heartbeats of n0 with the new version");
-        assertFalse(isFeatureLevelRaised(), "n0 is down");
+        assertEquals(
+                "n1", cluster.leader(), "n1 must lead, because it has received heartbeats of n0 with the new version");
+        assertFalse(isFeatureLevelRaised(), "the feature level must not be raised while n0 is down");
         cluster.loop.run(15);
-        assertFalse(isFeatureLevelRaised(), "n0 restarted with the old version");
+        assertFalse(
+                isFeatureLevelRaised(), "the feature level must not be raised after n0 restarted with the old version");
         cluster.nodes.upgrade("n0", 1);
         cluster.await(this::isFeatureLevelRaised, 30);
     }
 
-    /** A member that sends no heartbeats may run the old version. */
+    /**
+     * A member whose peer heartbeats do not arrive might still run the old version, so the feature level must not be
+     * raised.
+     */
     @Test
     void partitionedMemberPreventsFeatureLevelIncrease() {
         awaitLeader();
@@ -210,7 +222,7 @@
         cluster.verifyRecovery(60);
     }
 
-    /** A feature level of an unknown later version is rejected: the nodes stay up, but none of them leads. */
+    /** Nodes reject a feature level of a later version that they do not know. They stay up, but none of them leads. */
     @Test
     void unknownFeatureLevelPreventsAnyElection() {
         awaitLeader();
@@ -227,29 +239,39 @@
         awaitLeader();
     }
 
-    /** Pages that the production version wrote larger than the announced limits are split without losing records. */
+    /**
+     * The production version wrote pages that are larger than the announced limits of the state service. The new
+     * version must split these pages without losing records.
+     */
     @Test
-    void largePagesOfProductionAreSplitBeforeLimitsDrop() {
+    void largePagesOfProductionVersionAreSplitBeforeLimitsDrop() {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 90.0));
         cluster.await(() -> cluster.runningTasks().size() == 320, 40);
-        assertTrue(cluster.state.takeLargestValueBytes() > 2048, "production writes large pages");
+        assertTrue(
+                cluster.state.takeLargestValueBytes() > 2048,
+                "the production version must write values larger than 2048 bytes");
         upgradeAll(5);
         cluster.await(this::isFeatureLevelRaised, 20);
         cluster.loop.run(5);
         for (String key : cluster.state.keys("bound/")) {
-            assertTrue(Json.bytes(cluster.state.value(key)).length <= 2048, key);
+            assertTrue(
+                    Json.bytes(cluster.state.value(key)).length <= 2048, "the page must be at most 2048 bytes: " + key);
         }
         cluster.lowerLimits();
         cluster.verifyRecovery(240);
-        assertEquals(320, cluster.starts().size(), "each task started once");
+        assertEquals(320, cluster.starts().size(), "each task must start once");
         assertEquals(0, cluster.state.rejectedTransactionCount());
     }
 
-    /** Large pages are also split if the limits drop during the failover, before the pages could be split. */
+    /**
+     * The production version wrote pages that are larger than the announced limits of the state service. The new
+     * version must split these pages even if the limits become lower within 1 s of its first election, when the pages
+     * might not be split yet.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.1, 0.3, 1})
-    void largePagesOfProductionAreSplitWhileLimitsDrop(double limitDropDelayS) {
+    void largePagesOfProductionVersionAreSplitWhileLimitsDrop(double limitDropDelayS) {
         awaitLeader();
         cluster.submit(SimJobs.array(1, 320).put("cpus", 0.05).put("memGb", 0.1).put("expectS", 60.0));
         cluster.await(() -> cluster.runningTasks().size() == 320, 40);
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -20,7 +20,7 @@
 import org.spruceridge.sim.SimStateService;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Submission, polling and cancellation of jobs, and metrics, through the interfaces that users and operators use. */
+/** Submits, polls and cancels jobs and reads metrics through the interfaces that users and operators use. */
 final class UserScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -192,7 +192,10 @@
         jobForUnknownMachineType.putArray("builds").add("t9");
         assertEquals(422, cluster.submit(jobForUnknownMachineType));
         ObjectNode arrayLargerThanTeamQuota = SimJobs.array(6, 100);
-        assertEquals(201, cluster.submit(arrayLargerThanTeamQuota), "an array may exceed its team's quota as a whole");
+        assertEquals(
+                201,
+                cluster.submit(arrayLargerThanTeamQuota),
+                "an array must be accepted even if all its tasks together exceed the team's quota");
     }
 
     @Test
@@ -214,7 +217,10 @@
                 >= userLatencies.path("p50Ms").asDouble());
     }
 
-    /** Metrics report the outcomes of heartbeats, the duration of the failover and the age of the leader's view. */
+    /**
+     * Metrics report the outcomes of heartbeats, the duration of the failover and the age of the leader's view of
+     * cancelled jobs.
+     */
     @Test
     void metricsReportHeartbeatOutcomesAndFailover() {
         cluster.submit(SimJobs.array(1, 1));
@@ -243,6 +249,6 @@
         assertEquals(
                 200,
                 cluster.request("n2", "GET", "/healthz").status(),
-                "an outage that all nodes see makes no node unhealthy");
+                "an outage that affects all nodes must not make a node unhealthy");
     }
 }
--- a/src/test/java/org/spruceridge/scenario/package-info.java
+++ b/src/test/java/org/spruceridge/scenario/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Scenario tests: each injects faults into a simulated cluster and asserts the guarantees that must hold despite them.
- * The safety page lists, for each rule of the protocol, the scenarios that fail if the guard of the rule is removed.
+ * Scenario tests. Each test injects faults into a simulated cluster and asserts the guarantees that must hold despite
+ * these faults. For each rule of the protocol, docs/safety.md lists the scenarios that fail if the code that enforces
+ * the rule is removed.
  */
 package org.spruceridge.scenario;
