--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -217,7 +217,9 @@
             // the end of the task until after the write of its record.
             cluster.loop.run(step * 0.005);
             String outcome = cluster.cancel(step % 2 == 0 ? cluster.follower() : cluster.leader(), LONG_JOB_ID);
-            assertTrue(outcome.equals("cancelled") || outcome.equals("done"), outcome);
+            assertTrue(
+                    outcome.equals("cancelled") || outcome.equals("done"),
+                    "the job must be cancelled or done but is " + outcome);
             assertEquals(outcome, cluster.poll(LONG_JOB_ID));
             assertEquals(
                     200, cluster.submit(cluster.follower(), SimJobs.array(1, 1).put("expectS", 5.0)));
@@ -275,7 +277,7 @@
         cluster.loop.run(20);
         assertTrue(
                 cluster.starts().isEmpty(),
-                "no task may start: the binding transaction must fail its comparison with the job's record");
+                "tasks must not start, because the binding transaction fails its comparison with the job's record");
     }
 
     @Test
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -28,7 +28,8 @@
         String firstLeader = cluster.leader();
         cluster.await(() -> cluster.hasBinding("j-000001"), 30);
         assertTrue(
-                cluster.starts().isEmpty(), "no task may start before the leader learns that the binding is committed");
+                cluster.starts().isEmpty(),
+                "the task must not start before the leader learns that the binding is committed");
         cluster.nodes.crash(firstLeader);
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -296,7 +296,7 @@
             return isDeletionRequest || isIsolated ? Delivery.LOST : Delivery.DELIVERED;
         });
         cluster.submit(SimJobs.array(1, 1));
-        cluster.await(() -> deletionRequested.get(), 120); // the leader retries, because its request gets no answer
+        cluster.await(() -> deletionRequested.get(), 120); // the leader retries the request, because no answer arrives
         cluster.awaitLeaderOtherThan(oldLeader, 30);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         assertFalse(deletionRequestedWithoutLease.get());
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -31,10 +31,10 @@
 
     /** Returns the names of all nodes, with the leader at this index and the other nodes in ascending order. */
     private List<String> nodesWithLeaderAt(int index) {
-        List<String> order = new ArrayList<>(List.of("n0", "n1", "n2"));
-        order.remove(cluster.leader());
-        order.add(index, cluster.leader());
-        return order;
+        List<String> nodes = new ArrayList<>(List.of("n0", "n1", "n2"));
+        nodes.remove(cluster.leader());
+        nodes.add(index, cluster.leader());
+        return nodes;
     }
 
     private void upgradeAll(double intervalS) {
@@ -72,12 +72,12 @@
         awaitLeader();
         cluster.submit(SimJobs.array(1, 2).put("expectS", 120.0));
         cluster.submit(SimJobs.array(2, 20).put("expectS", 4.0));
-        List<Boolean> ledByProductionVersion = new ArrayList<>();
+        List<Boolean> leaderRanProductionVersion = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             cluster.loop.run(7);
             awaitLeader();
             String leader = cluster.leader();
-            ledByProductionVersion.add(cluster.nodes.runsProductionVersion(leader));
+            leaderRanProductionVersion.add(cluster.nodes.runsProductionVersion(leader));
             if (leader.equals("n2")) {
                 cluster.nodes.crashLeader(12); // n2 keeps the old version
             } else if (cluster.nodes.runsProductionVersion(leader)) {
@@ -90,8 +90,8 @@
                     isFeatureLevelRaised(), "the feature level must not be raised while a member runs the old version");
         }
         assertTrue(
-                ledByProductionVersion.contains(true) && ledByProductionVersion.contains(false),
-                "leaders must have run both versions; ran production version: " + ledByProductionVersion);
+                leaderRanProductionVersion.contains(true) && leaderRanProductionVersion.contains(false),
+                "leaders must have run both versions; ran production version: " + leaderRanProductionVersion);
         cluster.verifyRecovery(240);
         assertEquals(22, cluster.starts().size(), "each task must start once");
     }
@@ -212,7 +212,7 @@
     /** The leader crashes at different times while it raises the feature level. */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 0.6, 1.0, 1.4, 1.8})
-    void leaderCrashWhileRaisingFeatureLevelLosesNothing(double crashDelayS) {
+    void featureLevelIsRaisedDespiteLeaderCrash(double crashDelayS) {
         awaitLeader();
         upgradeAll(4);
         cluster.loop.run(crashDelayS);
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -172,7 +172,7 @@
         String body = new String(Json.bytes(SimJobs.array(5, 1)), StandardCharsets.UTF_8);
         String malformedBody = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
         Response response = cluster.request("n1", "POST", "/api/jobs", malformedBody.getBytes(StandardCharsets.UTF_8));
-        assertEquals(400, response.status(), malformedBody);
+        assertEquals(400, response.status(), "a malformed job must be rejected: " + malformedBody);
     }
 
     @ParameterizedTest
@@ -227,7 +227,7 @@
         runUntilDone("j-000001");
         JsonNode metrics = cluster.metrics(cluster.leader());
         JsonNode outcomes = metrics.path("heartbeatOutcomes");
-        assertTrue(outcomes.path("answered").asLong() > 0, outcomes.toString());
+        assertTrue(outcomes.path("answered").asLong() > 0, "heartbeats must have been answered: " + outcomes);
         assertEquals(0, outcomes.path("staleView").asLong());
         assertEquals(1, metrics.path("failovers").path("count").asLong());
         assertTrue(metrics.path("failovers").path("lastS").asDouble() > 0);
