--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -233,7 +233,7 @@
         assertTrue(machines.size() >= 2, "replicas must run on at least two machines: " + machines);
     }
 
-    /** The state service lowers its limits while services run, start and move. Writes must not exceed the new limits. */
+    /** The state service lowers its limits while services run, start and move. No write exceeds the new limits. */
     @Test
     void loweredStateServiceLimitsAreNotExceededWhileServicesRun() {
         startService(3);
