--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -20,7 +20,7 @@
 import org.spruceridge.sim.SimStateService;
 import org.spruceridge.sim.SimulatedCluster;
 
-/** Submission, polling and cancellation of jobs, and metrics, through the interfaces that users and operators use. */
+/** Submits, polls and cancels jobs and reads metrics through the interfaces that users and operators use. */
 final class UserScenarioTest {
     private final SimulatedCluster cluster = new SimulatedCluster(3);
 
@@ -172,7 +172,7 @@
         String body = new String(Json.bytes(SimJobs.array(5, 1)), StandardCharsets.UTF_8);
         String malformedBody = body.replaceFirst("\"" + field + "\":(\"[^\"]*\"|[^,}]*)", "\"" + field + "\":" + value);
         Response response = cluster.request("n1", "POST", "/api/jobs", malformedBody.getBytes(StandardCharsets.UTF_8));
-        assertEquals(400, response.status(), malformedBody);
+        assertEquals(400, response.status(), "a malformed job must be rejected: " + malformedBody);
     }
 
     @ParameterizedTest
@@ -192,7 +192,10 @@
         jobForUnknownMachineType.putArray("builds").add("t9");
         assertEquals(422, cluster.submit(jobForUnknownMachineType));
         ObjectNode arrayLargerThanTeamQuota = SimJobs.array(6, 100);
-        assertEquals(201, cluster.submit(arrayLargerThanTeamQuota), "an array may exceed its team's quota as a whole");
+        assertEquals(
+                201,
+                cluster.submit(arrayLargerThanTeamQuota),
+                "an array must be accepted even if all its tasks together exceed the team's quota");
     }
 
     @Test
@@ -214,14 +217,17 @@
                 >= userLatencies.path("p50Ms").asDouble());
     }
 
-    /** Metrics report the outcomes of heartbeats, the duration of the failover and the age of the leader's view. */
+    /**
+     * Metrics report the outcomes of heartbeats, the duration of the failover and the age of the leader's view of
+     * cancelled jobs.
+     */
     @Test
     void metricsReportHeartbeatOutcomesAndFailover() {
         cluster.submit(SimJobs.array(1, 1));
         runUntilDone("j-000001");
         JsonNode metrics = cluster.metrics(cluster.leader());
         JsonNode outcomes = metrics.path("heartbeatOutcomes");
-        assertTrue(outcomes.path("answered").asLong() > 0, outcomes.toString());
+        assertTrue(outcomes.path("answered").asLong() > 0, "heartbeats must have been answered: " + outcomes);
         assertEquals(0, outcomes.path("staleView").asLong());
         assertEquals(1, metrics.path("failovers").path("count").asLong());
         assertTrue(metrics.path("failovers").path("lastS").asDouble() > 0);
@@ -243,6 +249,6 @@
         assertEquals(
                 200,
                 cluster.request("n2", "GET", "/healthz").status(),
-                "an outage that all nodes see makes no node unhealthy");
+                "an outage that affects all nodes must not make a node unhealthy");
     }
 }
