--- a/src/test/java/org/spruceridge/sim/Fixtures.java
+++ b/src/test/java/org/spruceridge/sim/Fixtures.java
@@ -57,7 +57,7 @@
                 0);
     }
 
-    /** A job of team red whose tasks use 1 CPU each; it has a deadline, which is irrelevant for a service. */
+    /** A job of team red whose tasks use 1 CPU each. The job has a deadline, which has no effect on a service. */
     public static Job job(int number, JobKind kind, int tasks) {
         return new Job(
                 new JobSpec(
--- a/src/test/java/org/spruceridge/sim/NodeSettings.java
+++ b/src/test/java/org/spruceridge/sim/NodeSettings.java
@@ -11,7 +11,7 @@
     private final int maxSockets;
     private final boolean announcesLowerLimits;
 
-    /** {@code teamCpus} is the quota of the only team, and {@code maxSockets} the socket limit of each node. */
+    /** {@code teamCpus} is the CPU quota of the only team, and {@code maxSockets} is the socket limit of each node. */
     NodeSettings(List<String> nodeNames, double teamCpus, int maxSockets, boolean announcesLowerLimits) {
         this.nodeNames = nodeNames;
         this.teamCpus = teamCpus;
@@ -19,7 +19,7 @@
         this.announcesLowerLimits = announcesLowerLimits;
     }
 
-    /** The settings of one node. */
+    /** Returns the settings of the node with this name. */
     ObjectNode of(String name) {
         ObjectNode root = Json.object()
                 .put("host_name", name)
--- a/src/test/java/org/spruceridge/sim/ProductionVersion.java
+++ b/src/test/java/org/spruceridge/sim/ProductionVersion.java
@@ -32,23 +32,23 @@
 import org.spruceridge.net.Response;
 
 /**
- * Runs the code of the version in production. Its sources are taken from the repository's history at the commit that the
- * deploy file names, compiled against the test's libraries and loaded by a separate class loader. Its interfaces to clocks
- * and network are bridged to the simulator. The test fails if the history lacks that commit.
+ * Runs the code of the version in production. Its sources are taken from the repository's history at the commit that
+ * the deploy file names, compiled against the test's libraries and loaded by a separate class loader. Proxies connect
+ * the clocks and the network of that version to the simulator. The test fails if the history lacks that commit.
  */
 public final class ProductionVersion {
     private static final Path DEPLOY_FILE = Path.of("deploy", "service.toml");
-    private static final Pattern COMMIT = Pattern.compile("(?m)^production = \"([0-9a-f]{40})\"$");
+    private static final Pattern COMMIT_LINE = Pattern.compile("(?m)^production = \"([0-9a-f]{40})\"$");
     private static final String SOURCES = "src/main/java";
-    private static final String PACKAGE = "org.spruceridge.";
-    private static final Map<String, ClassLoader> CLASS_LOADERS = new ConcurrentHashMap<>();
+    private static final String ROOT_PACKAGE = "org.spruceridge.";
+    private static final Map<String, ClassLoader> CLASS_LOADERS_BY_COMMIT = new ConcurrentHashMap<>();
 
     private ProductionVersion() {}
 
     /** The commit that the deploy file names as the version in production. */
     public static String commit() {
         try {
-            Matcher matcher = COMMIT.matcher(Files.readString(DEPLOY_FILE));
+            Matcher matcher = COMMIT_LINE.matcher(Files.readString(DEPLOY_FILE));
             if (!matcher.find()) {
                 throw new AssertionError(DEPLOY_FILE + " has no line production = \"<commit of 40 hex digits>\"");
             }
@@ -58,11 +58,13 @@
         }
     }
 
-    /** Loads a class of the version in production; {@code name} starts below the root package. */
+    /** Loads a class of the version in production; {@code name} is relative to the root package. */
     public static Class<?> load(String name) {
         try {
             return Class.forName(
-                    PACKAGE + name, true, CLASS_LOADERS.computeIfAbsent(commit(), ProductionVersion::compileAndLoad));
+                    ROOT_PACKAGE + name,
+                    true,
+                    CLASS_LOADERS_BY_COMMIT.computeIfAbsent(commit(), ProductionVersion::compileAndLoad));
         } catch (ClassNotFoundException e) {
             throw new AssertionError(e);
         }
@@ -94,8 +96,8 @@
 
     private record ProductionNode(Object node) implements SimNode {
         @Override
-        public void start(Runnable onLeaderKnown) {
-            call(node.getClass(), "start", node, onLeaderKnown);
+        public void start(Runnable onReady) {
+            call(node.getClass(), "start", node, onReady);
         }
 
         @Override
@@ -135,8 +137,8 @@
     }
 
     /**
-     * A proxy of an interface of the production version that forwards each call to the method of the same name of this
-     * version's {@code delegate}.
+     * Returns a proxy that implements {@code type}, an interface of the version in production. The proxy forwards each
+     * call to the method of the same name of {@code delegate}, an object of the version under test.
      */
     private static Object bridge(Class<?> type, Object delegate) {
         InvocationHandler handler = (proxy, method, arguments) -> {
@@ -147,14 +149,17 @@
                         ? bridgeConsumer((Consumer<?>) productionArguments[i])
                         : fromProduction(productionArguments[i]);
             }
-            Object result = call(publicInterface(delegate), method.getName(), delegate, converted);
+            Object result = call(firstInterface(delegate), method.getName(), delegate, converted);
             return result instanceof Cancellable ? bridge(load("net.Cancellable"), result) : result;
         };
         return Proxy.newProxyInstance(type.getClassLoader(), new Class<?>[] {type}, handler);
     }
 
-    /** The public interface that an object of this version implements; its class need not be public. */
-    private static Class<?> publicInterface(Object delegate) {
+    /**
+     * Returns the first interface that the class of {@code delegate} implements. The methods are looked up in this
+     * public interface, because the class itself need not be public.
+     */
+    private static Class<?> firstInterface(Object delegate) {
         return delegate.getClass().getInterfaces()[0];
     }
 
@@ -178,10 +183,11 @@
             return value;
         }
         return switch (value.getClass().getName()) {
-            case PACKAGE + "config.Address" -> new Address((String) read(value, "host"), (int) read(value, "port"));
-            case PACKAGE + "net.HttpCall" -> new HttpCall(
+            case ROOT_PACKAGE + "config.Address" -> new Address(
+                    (String) read(value, "host"), (int) read(value, "port"));
+            case ROOT_PACKAGE + "net.HttpCall" -> new HttpCall(
                     (String) read(value, "method"), (String) read(value, "target"), (byte[]) read(value, "body"));
-            case PACKAGE + "net.Response" -> new Response(
+            case ROOT_PACKAGE + "net.Response" -> new Response(
                     (int) read(value, "status"), (byte[]) read(value, "body"), (int) read(value, "retryAfterS"));
             default -> value;
         };
@@ -191,7 +197,7 @@
         return call(record.getClass(), component, record);
     }
 
-    /** Creates a record of the production version with its constructor that has this number of parameters. */
+    /** Creates a record of the version in production with the constructor that has one parameter per component. */
     private static Object createRecord(String name, Object... components) {
         try {
             return Arrays.stream(load(name).getConstructors())
@@ -254,7 +260,7 @@
         }
     }
 
-    /** Loads the service's classes from one directory, and delegates all others to the test's class loader. */
+    /** Loads the service's classes from one directory, and leaves all other classes to the test's class loader. */
     private static final class ProductionClassLoader extends URLClassLoader {
         ProductionClassLoader(URL classes) throws MalformedURLException {
             super(new URL[] {classes}, ProductionVersion.class.getClassLoader());
@@ -262,7 +268,7 @@
 
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-            if (!name.startsWith(PACKAGE)) {
+            if (!name.startsWith(ROOT_PACKAGE)) {
                 return super.loadClass(name, resolve);
             }
             synchronized (getClassLoadingLock(name)) {
--- a/src/test/java/org/spruceridge/sim/RateLimit.java
+++ b/src/test/java/org/spruceridge/sim/RateLimit.java
@@ -6,34 +6,40 @@
 /** A token bucket for a rate limit from the settings. Exceeding the limit fails the scenario. */
 final class RateLimit {
     private final String unit;
-    private final double perSecond;
-    private final double burst;
+    private final double tokensPerSecond;
+    private final double burstTokens;
     private final LongSupplier clock;
-    private double available;
+    private double availableTokens;
     private long updatedAt;
 
-    /** The bucket holds {@code burstS} seconds' worth of tokens and is full at first. */
+    /**
+     * The bucket holds the tokens of {@code burstS} seconds and is full at first; {@code unit} names a token in errors.
+     */
     RateLimit(String unit, double perSecond, double burstS, LongSupplier clock) {
         this.unit = unit;
-        this.perSecond = perSecond;
+        this.tokensPerSecond = perSecond;
         this.clock = clock;
-        this.burst = perSecond * burstS;
-        this.available = burst;
+        this.burstTokens = perSecond * burstS;
+        this.availableTokens = burstTokens;
         this.updatedAt = clock.getAsLong();
     }
 
     /** True if this many tokens are available now. */
     boolean allows(int tokens) {
-        return Math.min(burst, available + Durations.seconds(clock.getAsLong() - updatedAt) * perSecond) >= tokens;
+        return Math.min(
+                        burstTokens,
+                        availableTokens + Durations.seconds(clock.getAsLong() - updatedAt) * tokensPerSecond)
+                >= tokens;
     }
 
-    /** Takes tokens; throws an {@link AssertionError} if they are not available. */
+    /** Takes tokens; throws an {@link AssertionError} if too few are available. */
     void take(int tokens) {
         long now = clock.getAsLong();
-        available = Math.min(burst, available + Durations.seconds(now - updatedAt) * perSecond) - tokens;
+        availableTokens =
+                Math.min(burstTokens, availableTokens + Durations.seconds(now - updatedAt) * tokensPerSecond) - tokens;
         updatedAt = now;
-        if (available < 0) {
-            throw new AssertionError("rate limit exceeded: more than " + perSecond + " " + unit + " a second");
+        if (availableTokens < 0) {
+            throw new AssertionError("rate limit exceeded: more than " + tokensPerSecond + " " + unit + " a second");
         }
     }
 }
--- a/src/test/java/org/spruceridge/sim/RateLimitTest.java
+++ b/src/test/java/org/spruceridge/sim/RateLimitTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Durations;
 
-/** A limit allows a burst of one second's worth of requests, and after that no more than its rate. */
+/** A limit allows a burst as large as the requests of one second. After the burst, the limit allows only its rate. */
 final class RateLimitTest {
     private double nowS;
     private final RateLimit limit = new RateLimit("requests", 10, 1, () -> Durations.nanos(nowS));
--- a/src/test/java/org/spruceridge/sim/RuleChecker.java
+++ b/src/test/java/org/spruceridge/sim/RuleChecker.java
@@ -17,26 +17,29 @@
  * users, and fails the scenario as soon as a rule is violated.
  */
 final class RuleChecker {
-    /** Workers drop responses after this time, so a later start of a cancelled task was sent too late or delayed. */
+    /**
+     * A worker drops a response that arrives more than this time after the worker sent its heartbeat. If a cancelled
+     * task starts more than this time after its cancellation, the start command was sent too late or was delayed.
+     */
     private static final double MAX_IN_FLIGHT_S = 4;
 
-    /** The longest time for which a job may wait despite free capacity, once all faults have been cleared. */
+    /** Once all faults have been cleared, a job must not wait longer than this while there is capacity for it. */
     private static final double MAX_WAIT_S = 90;
 
     private final LongSupplier clock;
     private final double teamCpus;
     private final double cancellationDeadlineS;
     private final Map<String, ObjectNode> submittedJobs = new HashMap<>();
-    private final Set<String> acceptedJobs = new HashSet<>();
+    private final Set<String> acceptedJobIds = new HashSet<>();
     private final Map<String, Long> cancelledAt = new HashMap<>();
     private final Set<String> cancelRequested = new HashSet<>();
     private final Map<String, String> terminalStages = new HashMap<>();
     private final Map<String, Placement> placements = new TreeMap<>();
-    private final Set<String> completedTasks = new HashSet<>();
-    /** The number of running tasks of each job, and of each job in each zone under its {@link #zoneKey}. */
-    private final Multiset<String> runningCounts = HashMultiset.create();
+    private final Set<String> completedTaskIds = new HashSet<>();
+    /** The number of running tasks, by job id for a whole job and by {@link #zoneKey} for a job in one zone. */
+    private final Multiset<String> runningTaskCounts = HashMultiset.create();
 
-    private final Multiset<String> completedCounts = HashMultiset.create();
+    private final Multiset<String> completedTaskCounts = HashMultiset.create();
 
     private final Map<String, Long> waitingSince = new HashMap<>();
 
@@ -70,30 +73,30 @@
 
     /** Records a response to a user about a job; {@code stage} is empty unless the status is 200 or 201. */
     void recordResponse(String id, int status, String stage) {
-        boolean known = status == 200 || status == 201;
-        if (known && !submittedJobs.containsKey(id)) {
-            throwViolation("invented", id);
+        boolean isKnown = status == 200 || status == 201;
+        if (isKnown && !submittedJobs.containsKey(id)) {
+            throwViolation("invented", id + " was not submitted by any user");
         }
-        if (acceptedJobs.contains(id) && (status == 404 || status == 400 || status == 422)) {
-            throwViolation("forgotten", id + " got " + status);
+        if (acceptedJobIds.contains(id) && (status == 404 || status == 400 || status == 422)) {
+            throwViolation("forgotten", id + " was accepted, but a response has status " + status);
         }
-        if (!known) {
+        if (!isKnown) {
             return;
         }
-        acceptedJobs.add(id);
+        acceptedJobIds.add(id);
         String terminalStage = terminalStages.get(id);
         if (terminalStage != null && !terminalStage.equals(stage)) {
-            throwViolation("went_back", id + " was " + terminalStage + " and is " + stage);
+            throwViolation("went_back", id + " had the terminal stage " + terminalStage + " and now has " + stage);
         }
         if (stage.equals("cancelled") && !cancelRequested.contains(id)) {
-            throwViolation("went_back", id + " is cancelled without a request");
+            throwViolation("went_back", id + " is cancelled although no user requested it");
         }
         if (stage.equals("done") && isService(submittedJobs.get(id))) {
-            throwViolation("not_done", id + " is a service");
+            throwViolation("not_done", id + " is a service, which cannot be done");
         }
         if (stage.equals("done")
                 && completedTaskCount(id) < submittedJobs.get(id).path("parts").asInt()) {
-            throwViolation("not_done", id);
+            throwViolation("not_done", id + " is done before all its tasks are complete");
         }
         if (stage.equals("done") || stage.equals("cancelled")) {
             terminalStages.put(id, stage);
@@ -120,29 +123,29 @@
         }
         if ((spot && !job.path("windfall").asBoolean())
                 || (job.hasNonNull("grove") && !job.path("grove").asText().equals(zone))) {
-            throwViolation("wrong_place", taskId + " in " + zone);
+            throwViolation("wrong_place", taskId + " on a machine that its job forbids, in zone " + zone);
         }
         placements.put(taskId, new Placement(machine, zone));
-        runningCounts.add(id);
-        runningCounts.add(zoneKey(id, zone));
-        checkSpread(taskId, zone);
+        runningTaskCounts.add(id);
+        runningTaskCounts.add(zoneKey(id, zone));
+        checkZoneConstraints(taskId, zone);
         double cpus = runningCpus();
         if (cpus > teamCpus) {
-            throwViolation("quota", cpus + " CPUs");
+            throwViolation("quota", cpus + " CPUs in use, but the quota is " + teamCpus + " CPUs");
         }
     }
 
-    /** A job may require that its tasks share a zone, or that at most half of them, rounded up, run in one zone. */
-    private void checkSpread(String taskId, String zone) {
+    /** A job can require that all its tasks run in one zone, or that at most half of them, rounded up, do so. */
+    private void checkZoneConstraints(String taskId, String zone) {
         String id = jobIdOf(taskId);
         ObjectNode job = submittedJobs.get(id);
-        long runningInZone = runningCounts.count(zoneKey(id, zone));
+        long runningInZone = runningTaskCounts.count(zoneKey(id, zone));
         if (job.path("samePlace").asBoolean() && runningInZone < runningTaskCount(id)) {
-            throwViolation("wrong_place", taskId + " in " + zone + ", other tasks of its job in another zone");
+            throwViolation("wrong_place", taskId + " in " + zone + ", but other tasks of its job run in another zone");
         }
         int tasks = job.path("parts").asInt();
         if (job.path("scatter").asBoolean() && runningInZone > (tasks + 1) / 2) {
-            throwViolation("wrong_place", taskId + " in " + zone + ", which has more than half of its job's tasks");
+            throwViolation("wrong_place", taskId + " in " + zone + ", where more than half of its job's tasks run");
         }
     }
 
@@ -150,61 +153,67 @@
         Placement placement = placements.get(taskId);
         if (placement != null && placement.machine.equals(machine)) {
             placements.remove(taskId);
-            runningCounts.remove(jobIdOf(taskId));
-            runningCounts.remove(zoneKey(jobIdOf(taskId), placement.zone));
+            runningTaskCounts.remove(jobIdOf(taskId));
+            runningTaskCounts.remove(zoneKey(jobIdOf(taskId), placement.zone));
         }
     }
 
-    private static String zoneKey(String job, String zone) {
-        return job + " " + zone;
+    private static String zoneKey(String jobId, String zone) {
+        return jobId + " " + zone;
     }
 
     void recordCompletion(String taskId) {
-        if (completedTasks.add(taskId)) {
-            completedCounts.add(jobIdOf(taskId));
+        if (completedTaskIds.add(taskId)) {
+            completedTaskCounts.add(jobIdOf(taskId));
         }
     }
 
-    /** Called periodically: cancelled tasks must stop in time, whether or not their machines are reachable. */
+    /** Called periodically: cancelled tasks must stop before the deadline, even on machines that cannot be reached. */
     void checkDeadlines() {
         for (var placement : placements.entrySet()) {
             if (secondsSinceCancellation(jobIdOf(placement.getKey())) > cancellationDeadlineS) {
-                throwViolation("ran_cancelled", placement.getKey() + " still on " + placement.getValue().machine);
+                throwViolation("ran_cancelled", placement.getKey() + " still runs on " + placement.getValue().machine);
             }
         }
     }
 
-    /** Called at the end of a scenario: each accepted job must be cancelled or complete, and no task may still run. */
+    /**
+     * Called at the end of a scenario. Each accepted job must be cancelled or complete, or a service with all replicas
+     * running. No task may still run, except replicas of services that were not cancelled.
+     */
     void checkAllFinished() {
-        for (String id : unfinishedJobs()) {
+        for (String id : unfinishedJobIds()) {
             throwViolation("unfinished", id + " has " + completedTaskCount(id) + " tasks complete");
         }
-        List<String> leftoverTasks = leftoverTasks();
+        List<String> leftoverTasks = leftoverTaskIds();
         if (!leftoverTasks.isEmpty()) {
             throwViolation("still running", leftoverTasks.toString());
         }
     }
 
-    /** The running tasks, except those of services that were not cancelled. */
-    private List<String> leftoverTasks() {
+    /** The ids of the running tasks, except replicas of services that were not cancelled. */
+    private List<String> leftoverTaskIds() {
         return placements.keySet().stream()
                 .filter(taskId ->
                         cancelledAt.containsKey(jobIdOf(taskId)) || !isService(submittedJobs.get(jobIdOf(taskId))))
                 .toList();
     }
 
-    /** Accepted jobs that were not cancelled and have an incomplete task or, for services, a replica that does not run. */
-    private List<String> unfinishedJobs() {
-        return acceptedJobs.stream()
+    /**
+     * The ids of the accepted jobs that were not cancelled and have an incomplete task. A service is included if one of
+     * its replicas does not run.
+     */
+    private List<String> unfinishedJobIds() {
+        return acceptedJobIds.stream()
                 .filter(id -> !cancelledAt.containsKey(id))
                 .filter(id -> (isService(submittedJobs.get(id)) ? runningTaskCount(id) : completedTaskCount(id))
                         < submittedJobs.get(id).path("parts").asInt())
                 .toList();
     }
 
-    /** Accepted jobs that were not cancelled and have a task that is neither complete nor running. */
-    List<String> waitingJobs() {
-        return unfinishedJobs().stream()
+    /** The ids of the accepted jobs that were not cancelled and have a task that is neither complete nor running. */
+    List<String> waitingJobIds() {
+        return unfinishedJobIds().stream()
                 .filter(id -> completedTaskCount(id) + runningTaskCount(id)
                         < submittedJobs.get(id).path("parts").asInt())
                 .toList();
@@ -216,7 +225,7 @@
     }
 
     /** The number of CPUs that the tasks on a machine use. */
-    double cpusOn(String machine) {
+    double cpusUsedOn(String machine) {
         return placements.entrySet().stream()
                 .filter(e -> e.getValue().machine.equals(machine))
                 .mapToDouble(
@@ -225,23 +234,23 @@
     }
 
     /**
-     * Called periodically for each accepted job, once all faults have been cleared: a job with a waiting task and capacity
-     * for it must not wait longer than {@link #MAX_WAIT_S}.
+     * Called periodically for each accepted job, once all faults have been cleared: a job with a waiting task and
+     * capacity for it must not wait longer than {@link #MAX_WAIT_S}.
      */
-    void checkWaiting(String id, boolean hasCapacity) {
+    void checkWaitingTime(String id, boolean hasCapacity) {
         if (!hasCapacity) {
             waitingSince.remove(id);
             return;
         }
         long since = waitingSince.computeIfAbsent(id, i -> clock.getAsLong());
         if (Durations.seconds(clock.getAsLong() - since) > MAX_WAIT_S) {
-            throwViolation("waits despite free capacity", id);
+            throwViolation("waits despite free capacity", id + " has waited for more than " + MAX_WAIT_S + " s");
         }
     }
 
     /** The number of CPUs that all running tasks use. */
     private double runningCpus() {
-        return runningCounts.entrySet().stream()
+        return runningTaskCounts.entrySet().stream()
                 .filter(e -> submittedJobs.containsKey(e.getElement()))
                 .mapToDouble(e -> e.getCount()
                         * submittedJobs.get(e.getElement()).path("cpus").asDouble())
@@ -249,31 +258,31 @@
     }
 
     private long runningTaskCount(String id) {
-        return runningCounts.count(id);
+        return runningTaskCounts.count(id);
     }
 
     boolean areAllFinished() {
-        return leftoverTasks().isEmpty() && unfinishedJobs().isEmpty();
+        return leftoverTaskIds().isEmpty() && unfinishedJobIds().isEmpty();
     }
 
     private long completedTaskCount(String id) {
-        return completedCounts.count(id);
+        return completedTaskCounts.count(id);
     }
 
-    Set<String> acceptedJobs() {
-        return acceptedJobs;
+    Set<String> acceptedJobIds() {
+        return acceptedJobIds;
     }
 
     ObjectNode job(String id) {
         return submittedJobs.get(id);
     }
 
-    Set<String> completedTasks() {
-        return completedTasks;
+    Set<String> completedTaskIds() {
+        return completedTaskIds;
     }
 
-    /** The running tasks, with the machine of each. */
-    Map<String, String> runningTasks() {
+    /** The machine of each running task, by task id. */
+    Map<String, String> machinesByRunningTask() {
         Map<String, String> out = new TreeMap<>();
         placements.forEach((taskId, place) -> out.put(taskId, place.machine));
         return out;
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.spruceridge.net.Durations;
 
-/** Each rule of the checker fails on a history that violates it, and none fails on a valid history. */
+/** The checker reports each rule that a history violates, and reports nothing for a valid history. */
 final class RuleCheckerTest {
-    private static final String JOB = "j-000001";
-    private static final String TASK = "j-000001/0";
+    private static final String JOB_ID = "j-000001";
+    private static final String TASK_ID = "j-000001/0";
 
     private double nowS;
     private final RuleChecker rules = new RuleChecker(() -> Durations.nanos(nowS), 16, 30);
@@ -36,17 +36,17 @@
     @Test
     void validHistoryViolatesNoRule() {
         accept(SimJobs.array(1, 2));
-        rules.recordStart(TASK, "m1", "z1", true);
+        rules.recordStart(TASK_ID, "m1", "z1", true);
         rules.recordStart("j-000001/1", "m2", "z2", false);
-        rules.recordStop(TASK, "m1");
-        rules.recordStart(TASK, "m2", "z2", false);
-        rules.recordStop(TASK, "m2");
-        rules.recordCompletion(TASK);
+        rules.recordStop(TASK_ID, "m1");
+        rules.recordStart(TASK_ID, "m2", "z2", false);
+        rules.recordStop(TASK_ID, "m2");
+        rules.recordCompletion(TASK_ID);
         rules.recordStop("j-000001/1", "m2");
         rules.recordCompletion("j-000001/1");
-        rules.recordResponse(JOB, 200, "done");
-        rules.recordResponse(JOB, 503, "");
-        rules.recordResponse(JOB, 200, "done");
+        rules.recordResponse(JOB_ID, 200, "done");
+        rules.recordResponse(JOB_ID, 503, "");
+        rules.recordResponse(JOB_ID, 200, "done");
         accept(SimJobs.array(2, 1));
         rules.recordStart("j-000002/0", "m1", "z1", true);
         cancel("j-000002");
@@ -61,23 +61,23 @@
     @Test
     void taskOnTwoMachinesViolatesRanTwice() {
         accept(SimJobs.array(1, 1));
-        rules.recordStart(TASK, "m1", "z1", true);
-        assertViolates("ran_twice", () -> rules.recordStart(TASK, "m2", "z1", true));
+        rules.recordStart(TASK_ID, "m1", "z1", true);
+        assertViolates("ran_twice", () -> rules.recordStart(TASK_ID, "m2", "z1", true));
     }
 
     @Test
-    void cpusBeyondTeamLimitViolateQuota() {
+    void cpusAboveTeamQuotaViolateQuota() {
         accept(SimJobs.array(1, 5));
         for (int i = 0; i < 4; i++) {
-            rules.recordStart(JOB + "/" + i, "m" + i, "z1", true);
+            rules.recordStart(JOB_ID + "/" + i, "m" + i, "z1", true);
         }
-        assertViolates("quota", () -> rules.recordStart(JOB + "/4", "m4", "z1", true));
+        assertViolates("quota", () -> rules.recordStart(JOB_ID + "/4", "m4", "z1", true));
     }
 
     @Test
-    void taskInForbiddenZoneOrKindViolatesWrongPlace() {
+    void taskOnMachineThatItsJobForbidsViolatesWrongPlace() {
         accept(SimJobs.array(1, 2).put("windfall", false));
-        assertViolates("wrong_place", () -> rules.recordStart(TASK, "m1", "z1", true));
+        assertViolates("wrong_place", () -> rules.recordStart(TASK_ID, "m1", "z1", true));
         accept(SimJobs.array(2, 2).put("grove", "z1"));
         assertViolates("wrong_place", () -> rules.recordStart("j-000002/0", "m1", "z2", true));
         accept(SimJobs.array(3, 2).put("samePlace", true));
@@ -86,93 +86,96 @@
     }
 
     @Test
-    void tooManyTasksInOneZoneViolateWrongPlace() {
+    void moreThanHalfOfScatteredTasksInOneZoneViolateWrongPlace() {
         accept(SimJobs.array(1, 3).put("scatter", true));
-        rules.recordStart(JOB + "/0", "m1", "z1", true);
-        rules.recordStart(JOB + "/1", "m1", "z1", true);
-        assertViolates("wrong_place", () -> rules.recordStart(JOB + "/2", "m1", "z1", true));
+        rules.recordStart(JOB_ID + "/0", "m1", "z1", true);
+        rules.recordStart(JOB_ID + "/1", "m1", "z1", true);
+        assertViolates("wrong_place", () -> rules.recordStart(JOB_ID + "/2", "m1", "z1", true));
     }
 
     @Test
-    void cancelledTaskBeyondDeadlineViolatesRanCancelled() {
+    void cancelledTaskRunningAfterDeadlineViolatesRanCancelled() {
         accept(SimJobs.array(1, 1));
-        rules.recordStart(TASK, "m1", "z1", true);
-        cancel(JOB);
+        rules.recordStart(TASK_ID, "m1", "z1", true);
+        cancel(JOB_ID);
         nowS = 31;
         assertViolates("ran_cancelled", rules::checkDeadlines);
     }
 
     @Test
-    void startAfterCancellationViolatesRanCancelled() {
+    void startFiveSecondsAfterCancellationViolatesRanCancelled() {
         accept(SimJobs.array(1, 1));
-        cancel(JOB);
+        cancel(JOB_ID);
         nowS = 5;
-        assertViolates("ran_cancelled", () -> rules.recordStart(TASK, "m1", "z1", true));
+        assertViolates("ran_cancelled", () -> rules.recordStart(TASK_ID, "m1", "z1", true));
     }
 
     @Test
-    void unknownAcceptedJobViolatesForgotten() {
+    void errorResponseAboutAcceptedJobViolatesForgotten() {
         accept(SimJobs.array(1, 1));
         for (int status : new int[] {404, 400, 422}) {
-            assertViolates("forgotten", () -> rules.recordResponse(JOB, status, ""));
+            assertViolates("forgotten", () -> rules.recordResponse(JOB_ID, status, ""));
         }
     }
 
     @Test
-    void unsubmittedJobViolatesInvented() {
-        assertViolates("invented", () -> rules.recordResponse(JOB, 200, "pending"));
+    void successResponseAboutUnsubmittedJobViolatesInvented() {
+        assertViolates("invented", () -> rules.recordResponse(JOB_ID, 200, "pending"));
     }
 
     @Test
     void doneBeforeAllTasksCompleteViolatesNotDone() {
         accept(SimJobs.array(1, 2));
-        rules.recordCompletion(TASK);
-        assertViolates("not_done", () -> rules.recordResponse(JOB, 200, "done"));
+        rules.recordCompletion(TASK_ID);
+        assertViolates("not_done", () -> rules.recordResponse(JOB_ID, 200, "done"));
     }
 
     @Test
     void changedOrUnrequestedTerminalStageViolatesWentBack() {
         accept(SimJobs.array(1, 1));
-        assertViolates("went_back", () -> rules.recordResponse(JOB, 200, "cancelled"));
-        rules.recordCancelRequest(JOB);
-        rules.recordResponse(JOB, 200, "cancelled");
-        assertViolates("went_back", () -> rules.recordResponse(JOB, 200, "running"));
+        assertViolates("went_back", () -> rules.recordResponse(JOB_ID, 200, "cancelled"));
+        rules.recordCancelRequest(JOB_ID);
+        rules.recordResponse(JOB_ID, 200, "cancelled");
+        assertViolates("went_back", () -> rules.recordResponse(JOB_ID, 200, "running"));
     }
 
     @Test
     void jobWaitingDespiteFreeCapacityIsReported() {
         accept(SimJobs.array(1, 5));
-        assertEquals(List.of(JOB), rules.waitingJobs());
+        assertEquals(List.of(JOB_ID), rules.waitingJobIds());
         for (int i = 0; i < 4; i++) {
-            rules.recordStart(JOB + "/" + i, "m" + i / 2, "z1", true);
+            rules.recordStart(JOB_ID + "/" + i, "m" + i / 2, "z1", true);
         }
-        assertEquals(8, rules.cpusOn("m1"));
-        assertFalse(rules.quotaAllows(JOB));
-        rules.recordStop(JOB + "/0", "m0");
-        assertTrue(rules.quotaAllows(JOB));
-        rules.checkWaiting(JOB, true);
+        assertEquals(8, rules.cpusUsedOn("m1"));
+        assertFalse(rules.quotaAllows(JOB_ID));
+        rules.recordStop(JOB_ID + "/0", "m0");
+        assertTrue(rules.quotaAllows(JOB_ID));
+        rules.checkWaitingTime(JOB_ID, true);
         nowS = 80;
-        rules.checkWaiting(JOB, false); // a lack of capacity resets the waiting time
+        rules.checkWaitingTime(JOB_ID, false); // a lack of capacity resets the waiting time
         nowS = 85;
-        rules.checkWaiting(JOB, true);
+        rules.checkWaitingTime(JOB_ID, true);
         nowS = 175;
-        rules.checkWaiting(JOB, true);
+        rules.checkWaitingTime(JOB_ID, true);
         nowS = 176;
-        assertViolates("waits despite free capacity", () -> rules.checkWaiting(JOB, true));
+        assertViolates("waits despite free capacity", () -> rules.checkWaitingTime(JOB_ID, true));
     }
 
     @Test
     void unfinishedJobOrLeftoverTaskIsReported() {
         accept(SimJobs.array(1, 1));
         assertViolates("unfinished", rules::checkAllFinished);
-        rules.recordStart(TASK, "m1", "z1", true);
-        rules.recordCompletion(TASK);
+        rules.recordStart(TASK_ID, "m1", "z1", true);
+        rules.recordCompletion(TASK_ID);
         assertViolates("still running", rules::checkAllFinished);
     }
 
-    /** Deadlines are checked against actual task starts, not against bindings or heartbeats, at full size too. */
+    /**
+     * The deadline check uses the starts and stops that the machines record, not bindings or heartbeats. It finds one
+     * overdue task even among 4000 running tasks on 4000 machines.
+     */
     @Test
-    void overdueCancelledTaskAmongFourThousandMachinesIsDetected() {
+    void overdueTaskAmongFourThousandRunningTasksIsDetected() {
         for (int i = 0; i < 4000; i++) {
             accept(SimJobs.array(i, 1).put("cpus", 0.001));
             rules.recordStart(String.format("j-%06d/0", i), "m" + i, "z1", true);
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -30,7 +30,7 @@
     private int capacity = Integer.MAX_VALUE;
     private SimWorker.Behaviour behaviour = SimWorker.Behaviour.COMPLETES;
 
-    /** A machine that was launched and not deleted; its worker runs once it has booted. */
+    /** A machine that was launched and not deleted. Its worker starts once the machine has booted. */
     private static final class Host {
         private final String zone;
         private final boolean spot;
@@ -56,12 +56,12 @@
         workers().forEach(w -> w.setBehaviour(newBehaviour));
     }
 
-    /** Limits how many machines can exist at the same time. */
+    /** Limits the number of machines that can exist at the same time. */
     public void limitCapacity(int machines) {
         capacity = machines;
     }
 
-    /** The number of requests to delete machines so far. */
+    /** The number of requests to delete machines that the cloud has received. */
     public int deletionRequests() {
         return deletionRequests;
     }
@@ -81,7 +81,7 @@
         return workers().stream().map(SimWorker::name).toList();
     }
 
-    /** Crashes a machine; the listing shows it as failed 30 s later. */
+    /** Crashes the worker's machine. The listing of machines shows the machine as failed 30 s later. */
     public void crash(SimWorker worker) {
         worker.kill();
         Host host = hosts.get(worker.name());
--- a/src/test/java/org/spruceridge/sim/SimJobs.java
+++ b/src/test/java/org/spruceridge/sim/SimJobs.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.spruceridge.net.Json;
 
-/** Messages of users and workers, which scenarios send unchanged or with some fields changed. */
+/** Messages of users and workers. Scenarios send them unchanged or with some fields changed. */
 public final class SimJobs {
     private SimJobs() {}
 
--- a/src/test/java/org/spruceridge/sim/SimLoop.java
+++ b/src/test/java/org/spruceridge/sim/SimLoop.java
@@ -7,27 +7,27 @@
 
 /** An event loop in simulated time: tasks run in the order of their due times, and time advances only between them. */
 public final class SimLoop implements Loop {
-    private final ManualLoop time = new ManualLoop();
+    private final ManualLoop manualLoop = new ManualLoop();
     private boolean isBusy;
 
     /** Starts the monotonic clock at 1000 s, because its origin is arbitrary. */
     public SimLoop() {
-        time.advanceClock(Durations.nanos(1000));
+        manualLoop.advanceClock(Durations.nanos(1000));
     }
 
     @Override
     public long nanos() {
-        return time.nanos();
+        return manualLoop.nanos();
     }
 
     @Override
     public long wallMillis() {
-        return 1_700_000_000_000L + time.wallMillis();
+        return 1_700_000_000_000L + manualLoop.wallMillis();
     }
 
     @Override
     public Cancellable after(long delayNanos, Runnable work) {
-        return time.after(delayNanos, work);
+        return manualLoop.after(delayNanos, work);
     }
 
     @Override
@@ -35,37 +35,43 @@
         return isBusy;
     }
 
-    /** Sets whether the loop reports that requests are queued for it. */
+    /** Sets the result of {@link #busy}, as if requests were queued for the loop or not. */
     public void setBusy(boolean value) {
         isBusy = value;
     }
 
     /** The number of tasks that have not run yet. */
     public int pendingTaskCount() {
-        return time.pendingTaskCount();
+        return manualLoop.pendingTaskCount();
     }
 
-    /** Advances the clock within a task, as if the task used this much CPU time; due tasks then run late. */
+    /** Advances the clock as if the running task used this much CPU time. Tasks that become due run late. */
     public void advanceClock(double seconds) {
-        time.advanceClock(Durations.nanos(seconds));
+        manualLoop.advanceClock(Durations.nanos(seconds));
     }
 
     /** Advances the time by {@code seconds} and runs the tasks that become due. */
     public void run(double seconds) {
-        time.advance(Durations.nanos(seconds));
+        manualLoop.advance(Durations.nanos(seconds));
     }
 
-    /** The event loop of one process: nothing runs once the process is killed, and due tasks wait while it is paused. */
+    /**
+     * The event loop of one process. No task runs once the process is killed. Due tasks wait while the process is
+     * paused.
+     */
     public static final class ProcessLoop implements Loop {
         private final SimLoop loop;
-        private boolean stopped;
+        private boolean isKilled;
         private long pausedUntil = Long.MIN_VALUE;
 
         ProcessLoop(SimLoop loop) {
             this.loop = loop;
         }
 
-        /** Pauses the process while its clocks run on; the tasks that become due meanwhile run after the pause, in order. */
+        /**
+         * Pauses the process for {@code seconds} while its clocks run on. Tasks that become due during the pause run
+         * after it, in order.
+         */
         void pause(double seconds) {
             pausedUntil = loop.nanos() + Durations.nanos(seconds);
         }
@@ -73,17 +79,17 @@
         private void runUnlessKilled(Runnable work) {
             if (loop.nanos() < pausedUntil) {
                 loop.after(pausedUntil - loop.nanos(), () -> runUnlessKilled(work));
-            } else if (!stopped) {
+            } else if (!isKilled) {
                 work.run();
             }
         }
 
         void kill() {
-            stopped = true;
+            isKilled = true;
         }
 
         boolean isStopped() {
-            return stopped;
+            return isKilled;
         }
 
         @Override
--- a/src/test/java/org/spruceridge/sim/SimNet.java
+++ b/src/test/java/org/spruceridge/sim/SimNet.java
@@ -26,7 +26,7 @@
         LOST,
         /** The request is processed, but its response never arrives. */
         RESPONSE_LOST,
-        /** The sender times out; the request arrives when held messages are delivered. */
+        /** The request arrives only when held messages are delivered; the sender gets no response. */
         HELD,
         /** The request arrives, and a duplicate of it arrives when held messages are delivered. */
         DUPLICATED,
@@ -55,7 +55,7 @@
 
     private final SimLoop loop;
     private final Map<Address, Server> servers = new HashMap<>();
-    private final List<Runnable> held = new ArrayList<>();
+    private final List<Runnable> heldMessages = new ArrayList<>();
     private final SplittableRandom random = new SplittableRandom(1);
     private final Map<String, Long> refusedUntil = new HashMap<>();
     private FaultPolicy faultPolicy = (from, to, call) -> Delivery.DELIVERED;
@@ -64,12 +64,15 @@
         this.loop = loop;
     }
 
-    /** Delivers all requests from now on as the policy decides. */
+    /** Lets the policy decide how each request is delivered from now on. */
     public void injectFaults(FaultPolicy policy) {
         faultPolicy = policy;
     }
 
-    /** Refuses only this node's requests to the state service for {@code seconds}; its open watches get no response. */
+    /**
+     * Answers 503 to this node's requests to the state service for {@code seconds}. Responses to the node's open
+     * watches are withheld until that time is over.
+     */
     public void refuseStateRequests(String node, double seconds) {
         refusedUntil.put(node, loop.nanos() + Durations.nanos(seconds));
     }
@@ -79,7 +82,7 @@
                 && loop.nanos() < refusedUntil.getOrDefault(from, Long.MIN_VALUE);
     }
 
-    /** Delivers all requests from now on and refuses no node; held messages stay held. */
+    /** Ends all faults: requests from now on are delivered, and no node is refused. Held messages stay held. */
     public void clearFaults() {
         refusedUntil.clear();
         faultPolicy = (from, to, call) -> Delivery.DELIVERED;
@@ -87,20 +90,20 @@
 
     /** The number of held messages. */
     public int heldCount() {
-        return held.size();
+        return heldMessages.size();
     }
 
-    /** Delivers all held messages. */
+    /** Delivers all held messages, in the order in which they were held. */
     public void deliverHeld() {
-        List<Runnable> messages = List.copyOf(held);
-        held.clear();
+        List<Runnable> messages = List.copyOf(heldMessages);
+        heldMessages.clear();
         messages.forEach(Runnable::run);
     }
 
     /** Delivers the message that was held first, if any. */
     public void deliverOldestHeld() {
-        if (!held.isEmpty()) {
-            held.remove(0).run();
+        if (!heldMessages.isEmpty()) {
+            heldMessages.remove(0).run();
         }
     }
 
@@ -108,11 +111,13 @@
         servers.put(address, server);
     }
 
-    void remove(Address address) {
+    void removeServer(Address address) {
         servers.remove(address);
     }
 
-    /** An HTTP client of one process, which sends its requests through this network. */
+    /**
+     * Returns an HTTP client that sends the requests of a process through this network; {@code from} names the process.
+     */
     HttpClient client(String from, SimLoop.ProcessLoop process) {
         return (to, call, timeout, onResponse) -> {
             Exchange exchange = new Exchange(from, to, call, process, onResponse);
@@ -122,7 +127,7 @@
         };
     }
 
-    /** One request of one process, until its response, its timeout or its cancellation. */
+    /** Tracks one request of a process until the response arrives, the request times out or the process cancels it. */
     private final class Exchange {
         private final String from;
         private final Address to;
@@ -156,10 +161,10 @@
             switch (delivery) {
                 case DELIVERED, RESPONSE_LOST -> loop.after(LATENCY_NANOS, arrival);
                 case SLOW -> loop.after(Durations.millis(100), arrival);
-                case HELD -> held.add(arrival);
+                case HELD -> heldMessages.add(arrival);
                 case DUPLICATED -> {
                     loop.after(LATENCY_NANOS, arrival);
-                    held.add(arrival);
+                    heldMessages.add(arrival);
                 }
                 case DUPLICATED_LATE -> {
                     loop.after(LATENCY_NANOS, arrival);
@@ -179,7 +184,9 @@
             }
         }
 
-        /** Withholds the response to a watch while its node is refused, as the state service does in an outage. */
+        /**
+         * Withholds responses to watches of a refused node, because the state service answers no watch in an outage.
+         */
         private void onServerResponse(Delivery delivery, HttpAnswer response) {
             if (call.target().startsWith("/follow") && isRefused(from, to)) {
                 loop.after(Durations.millis(50), () -> onServerResponse(delivery, response));
--- a/src/test/java/org/spruceridge/sim/SimNode.java
+++ b/src/test/java/org/spruceridge/sim/SimNode.java
@@ -12,22 +12,25 @@
 import org.spruceridge.node.Node;
 import org.spruceridge.peer.PeerTransport;
 
-/** The simulator's interface to a controller node, which runs this version or the version in production. */
+/** The simulator's interface to a controller node, which runs the version under test or the version in production. */
 interface SimNode {
-    /** Starts the node; {@code onLeaderKnown} runs once the node knows which node leads. */
-    void start(Runnable onLeaderKnown);
+    /**
+     * Starts the node. {@code onReady} runs once the node knows the leader, or leads and has loaded the list of
+     * open jobs.
+     */
+    void start(Runnable onReady);
 
-    /** True while the node may act as leader. */
+    /** True while the node is permitted to act as the leader. */
     boolean leads();
 
     /** Handles a request and passes the response to {@code onResponse}. */
     void handle(Request request, Consumer<Response> onResponse);
 
-    /** The dependencies of a node. */
+    /** The objects that the simulator passes to a node when the node is created. */
     record Dependencies(
             Loop loop, HttpClient http, PeerTransport peerTransport, SplittableRandom random, JsonNode settings) {}
 
-    /** A node of this version. */
+    /** Creates a node that runs the version under test. */
     static SimNode current(Dependencies dependencies) {
         Node node = new Node(
                 dependencies.loop(),
--- a/src/test/java/org/spruceridge/sim/SimNodes.java
+++ b/src/test/java/org/spruceridge/sim/SimNodes.java
@@ -25,7 +25,7 @@
     private final Set<String> nodesOnProductionVersion = new HashSet<>();
     private int incarnationCount;
 
-    /** A node since its last start; its process may have been stopped. */
+    /** One run of a node, from its start until its crash; the process of a crashed node is stopped. */
     private record Incarnation(SimNode node, SimLoop.ProcessLoop process) {
         boolean leads() {
             return !process.isStopped() && node.leads();
@@ -53,7 +53,7 @@
         nodesOnProductionVersion.addAll(names);
     }
 
-    /** Starts a node, for the first time or after a crash. */
+    /** Starts a node for the first time or after a crash. */
     public void start(String name) {
         SimLoop.ProcessLoop process = new SimLoop.ProcessLoop(loop);
         SimPeers.Link link = peers.link(name, process);
@@ -90,7 +90,7 @@
     public void crash(String name) {
         readyNodes.remove(name);
         latestIncarnations.get(name).process.kill();
-        net.remove(SimulatedCluster.address(name));
+        net.removeServer(SimulatedCluster.address(name));
     }
 
     /** Crashes the leader, if there is one, and restarts it after {@code restartAfterS} seconds. */
@@ -101,14 +101,14 @@
         });
     }
 
-    /** Stops a node and restarts it with this version after a delay, as one step of a rolling upgrade. */
+    /** Crashes a node and restarts it with the version under test after a delay, as one step of a rolling upgrade. */
     public void upgrade(String name, double restartAfterS) {
         crash(name);
         nodesOnProductionVersion.remove(name);
         restartAfter(name, restartAfterS);
     }
 
-    /** Stops a node and restarts it with the version in production after a delay. */
+    /** Crashes a node and restarts it with the version in production after a delay. */
     public void downgrade(String name, double restartAfterS) {
         crash(name);
         nodesOnProductionVersion.add(name);
@@ -119,12 +119,12 @@
         loop.after(Durations.nanos(seconds), () -> startIfStopped(name));
     }
 
-    /** True if the node runs the version in production, or ran it last. */
+    /** True if the node runs the version in production or, if it is stopped, will run that version when it starts. */
     public boolean runsProductionVersion(String name) {
         return nodesOnProductionVersion.contains(name);
     }
 
-    /** Pauses a node's process while its clocks run on. */
+    /** Pauses a node's process for {@code seconds}; the clocks of the node run on. */
     public void pause(String name, double seconds) {
         latestIncarnations.get(name).process.pause(seconds);
     }
@@ -139,7 +139,7 @@
         peers.reconnect(name);
     }
 
-    /** True once the node has learned, since its last start, which node leads. */
+    /** True once the node, since its last start, can answer workers or redirect them to the leader. */
     public boolean isReady(String name) {
         return readyNodes.contains(name);
     }
@@ -148,7 +148,7 @@
         return latestIncarnations.get(name).process.isStopped();
     }
 
-    /** The name of the node that leads, if any. */
+    /** The name of the node that leads, or empty if no node leads. */
     Optional<String> leader() {
         return latestIncarnations.entrySet().stream()
                 .filter(entry -> entry.getValue().leads())
@@ -156,7 +156,7 @@
                 .findFirst();
     }
 
-    /** The names of the running nodes that match the filter, in order. */
+    /** The names of the running nodes that match the filter, in the order of {@link #names}. */
     public List<String> running(Predicate<String> filter) {
         return names.stream()
                 .filter(name -> !isStopped(name) && filter.test(name))
--- a/src/test/java/org/spruceridge/sim/SimPeers.java
+++ b/src/test/java/org/spruceridge/sim/SimPeers.java
@@ -8,31 +8,31 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.peer.PeerTransport;
 
-/** The network between the nodes, which delivers peer heartbeats after 1 ms, except to and from isolated nodes. */
+/** The network between the nodes. It delivers peer heartbeats after 1 ms, except to and from isolated nodes. */
 final class SimPeers {
     private static final long LATENCY_NANOS = Durations.millis(1);
 
     private final Map<String, Link> links = new TreeMap<>();
-    private final Set<String> isolated = new HashSet<>();
+    private final Set<String> isolatedNodes = new HashSet<>();
 
     /** Creates a node's link to the network, which receives nothing until {@link #connect}. */
     Link link(String node, SimLoop.ProcessLoop process) {
         return new Link(node, process);
     }
 
-    /** Connects a link, which replaces the one of the node's previous incarnation. */
+    /** Connects a link in place of the link of the node's previous incarnation. */
     void connect(Link link) {
         links.put(link.node, link);
     }
 
     /** Drops all heartbeats to and from a node. */
     void isolate(String node) {
-        isolated.add(node);
+        isolatedNodes.add(node);
     }
 
     /** Ends {@link #isolate}. */
     void reconnect(String node) {
-        isolated.remove(node);
+        isolatedNodes.remove(node);
     }
 
     /** The transport of one incarnation of a node. */
@@ -54,7 +54,7 @@
         @Override
         public void broadcast(byte[] frame) {
             links.forEach((name, link) -> {
-                if (!name.equals(node) && !isolated.contains(node) && !isolated.contains(name)) {
+                if (!name.equals(node) && !isolatedNodes.contains(node) && !isolatedNodes.contains(name)) {
                     link.process.after(LATENCY_NANOS, () -> link.receiver.accept(frame));
                 }
             });
--- a/src/test/java/org/spruceridge/sim/SimStateService.java
+++ b/src/test/java/org/spruceridge/sim/SimStateService.java
@@ -26,8 +26,8 @@
     private double maxValueKb = SimulatedCluster.VALUE_KB;
     private int rejectedTransactionCount;
     private int transactionCount;
-    private int maxValueBytes;
-    private int maxTransactionOps;
+    private int largestValueBytes;
+    private int largestTransactionOps;
     private final int pageSize;
     private final TreeMap<String, VersionedValue> keys = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
@@ -43,11 +43,11 @@
     private record VersionedValue(JsonNode json, long modRevision, long leaseId) {}
 
     private static final class Lease {
-        private final long ttl;
-        private long expiresAt;
+        private final long ttlNanos;
+        private long expiresAtNanos;
 
         Lease(long ttl) {
-            this.ttl = ttl;
+            this.ttlNanos = ttl;
         }
     }
 
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Accepts values of up to 4 KiB and up to {@code maxOps} changes in a transaction; a page of a listing has up to
-     * {@code pageSize} keys.
+     * The service accepts values of up to 4 KiB and transactions of up to {@code maxOps} operations. A page of a
+     * listing has up to {@code pageSize} keys.
      */
     public SimStateService(SimLoop loop, int maxOps, int pageSize) {
         this.loop = loop;
@@ -77,13 +77,17 @@
         expireLeases();
     }
 
-    /** Refuses all requests with 503 for {@code seconds}; after that every lease gets its full TTL again. */
+    /** Answers 503 to all requests for {@code seconds}. When the outage ends, every lease gets its full TTL again. */
     public void startOutage(double seconds) {
         outageUntil = loop.nanos() + Durations.nanos(seconds);
-        loop.after(Durations.nanos(seconds), () -> leases.values().forEach(g -> g.expiresAt = loop.nanos() + g.ttl));
+        loop.after(Durations.nanos(seconds), () -> leases.values()
+                .forEach(g -> g.expiresAtNanos = loop.nanos() + g.ttlNanos));
     }
 
-    /** Lowers the limits: larger values and transactions are answered with 400, writes beyond the rate with 429. */
+    /**
+     * Lowers the limits. From now on, the service answers 400 to larger values and transactions, and 429 to writes
+     * beyond the rate.
+     */
     public void lowerLimits(double newMaxValueKb, int newMaxOps, double newWriteRps) {
         maxValueKb = newMaxValueKb;
         maxOps = newMaxOps;
@@ -91,52 +95,61 @@
         refuseWritesBeyondRate();
     }
 
-    /** Answers 429 to writes beyond the rate, as the real service does, instead of failing the scenario. */
+    /**
+     * Makes the service answer 429 to writes beyond the rate, as the real service does. By default, such writes fail
+     * the scenario.
+     */
     public void refuseWritesBeyondRate() {
         refusesExcessWrites = true;
     }
 
-    /** The number of transactions rejected because they, or a value in them, were too large. */
+    /** The number of transactions rejected for too many operations or guards, or for a value that was too large. */
     public int rejectedTransactionCount() {
         return rejectedTransactionCount;
     }
 
     /** The size in bytes of the largest value in transactions since the last call of this method; resets it. */
     public int takeLargestValueBytes() {
-        int largest = maxValueBytes;
-        maxValueBytes = 0;
+        int largest = largestValueBytes;
+        largestValueBytes = 0;
         return largest;
     }
 
-    /** The largest number of changes in one transaction since the last call of this method; resets it. */
+    /** The largest number of operations in a transaction since the last call of this method; resets it. */
     public int takeLargestTransactionOps() {
-        int largest = maxTransactionOps;
-        maxTransactionOps = 0;
+        int largest = largestTransactionOps;
+        largestTransactionOps = 0;
         return largest;
     }
 
-    /** Stores a value directly, for example as another version might have written it; returns its revision. */
+    /**
+     * Stores a value without a transaction and without notice to watches, for example a value in the form that another
+     * version writes. Returns the revision of the value.
+     */
     public long put(String key, JsonNode value) {
         keys.put(key, new VersionedValue(value, ++revision, 0));
         return revision;
     }
 
-    /** The number of transactions requested so far. */
+    /**
+     * The number of transactions so far. Those refused in an outage, for their rate or for the size of their body are
+     * not counted.
+     */
     public int transactionCount() {
         return transactionCount;
     }
 
-    /** The value of a key, or null. */
+    /** The value of a key, or null if the key does not exist. */
     public JsonNode value(String key) {
         return keys.containsKey(key) ? keys.get(key).json : null;
     }
 
-    /** The keys with this prefix. */
+    /** The keys that start with this prefix, in no particular order. */
     public Set<String> keys(String prefix) {
         return Set.copyOf(keys.subMap(prefix, prefix + '\uffff').keySet());
     }
 
-    /** True if the request is a transaction that names a key containing {@code keyPart}. */
+    /** True if the request is a transaction whose body contains {@code keyPart}, a part of a key. */
     public static boolean isTransactionOn(HttpCall call, String keyPart) {
         return call.target().equals("/txn") && new String(call.body(), StandardCharsets.UTF_8).contains(keyPart);
     }
@@ -148,7 +161,7 @@
     private void expireLeases() {
         if (!isInOutage()) {
             for (long id : List.copyOf(leases.keySet())) {
-                if (leases.get(id).expiresAt < loop.nanos()) {
+                if (leases.get(id).expiresAtNanos < loop.nanos()) {
                     endLease(id);
                 }
             }
@@ -187,7 +200,7 @@
             } else if (path.equals("/store")) {
                 onResponse.accept(listKeys(call.target()));
             } else {
-                onResponse.accept(get(path.substring("/store/".length())));
+                onResponse.accept(readKey(path.substring("/store/".length())));
             }
         } catch (BadMessageException e) {
             onResponse.accept(new HttpAnswer(400, e.getMessage().getBytes(StandardCharsets.UTF_8)));
@@ -196,14 +209,14 @@
 
     private static JsonNode parseTransaction(byte[] body) throws BadMessageException {
         if (body.length > MAX_TRANSACTION_BYTES) {
-            throw new BadMessageException("too large");
+            throw new BadMessageException("the transaction body exceeds " + MAX_TRANSACTION_BYTES + " bytes");
         }
         return Json.object(body);
     }
 
     private HttpAnswer createLease(JsonNode body) throws BadMessageException {
         Lease lease = new Lease(Durations.millis(Json.number(body, "ttlMs")));
-        lease.expiresAt = loop.nanos() + lease.ttl;
+        lease.expiresAtNanos = loop.nanos() + lease.ttlNanos;
         leases.put(++lastLeaseId, lease);
         return ok(Json.object().put("permit", lastLeaseId));
     }
@@ -217,11 +230,11 @@
         if (lease == null) {
             return new HttpAnswer(404, "{}".getBytes(StandardCharsets.UTF_8));
         }
-        lease.expiresAt = loop.nanos() + lease.ttl;
+        lease.expiresAtNanos = loop.nanos() + lease.ttlNanos;
         return ok(Json.object());
     }
 
-    private HttpAnswer get(String key) {
+    private HttpAnswer readKey(String key) {
         VersionedValue value = keys.get(key);
         return value == null
                 ? new HttpAnswer(404, Json.bytes(Json.object().put("ring", revision)))
@@ -234,18 +247,18 @@
         int limit = Math.min(pageSize, Integer.parseInt(queryParameter(target, "limit", "1000")));
         ObjectNode out = Json.object().put("ring", revision);
         ArrayNode entries = out.putArray("entries");
-        boolean more = false;
+        boolean isTruncated = false;
         for (var keyAndValue : keys.subMap(prefix, prefix + '\uffff').entrySet()) {
             if (keyAndValue.getKey().compareTo(afterKey) <= 0) {
                 continue;
             }
             if (entries.size() == limit) {
-                more = true;
+                isTruncated = true;
                 break;
             }
             entries.add(entry(keyAndValue.getKey(), keyAndValue.getValue()));
         }
-        return ok(out.put("truncated", more));
+        return ok(out.put("truncated", isTruncated));
     }
 
     private HttpAnswer applyTransaction(JsonNode body) throws BadMessageException {
@@ -254,15 +267,15 @@
             return new HttpAnswer(429, new byte[0]);
         }
         writeLimit.take(ops.size());
-        maxTransactionOps = Math.max(maxTransactionOps, ops.size());
+        largestTransactionOps = Math.max(largestTransactionOps, ops.size());
         transactionCount++;
-        checkSizes(ops, body.path("guards").size());
+        checkTransactionLimits(ops, body.path("guards").size());
         for (JsonNode op : ops) {
             if (op.has("permit") && !leases.containsKey(op.get("permit").asLong())) {
                 return new HttpAnswer(400, Json.bytes(Json.object().put("error", "no such lease")));
             }
         }
-        ArrayNode failed = failedComparisons(Json.list(body, "guards"));
+        ArrayNode failed = failedGuardKeys(Json.list(body, "guards"));
         if (!failed.isEmpty()) {
             ObjectNode out = Json.object().put("ring", revision);
             out.set("failed", failed);
@@ -274,23 +287,24 @@
         return ok(Json.object().put("ring", revision));
     }
 
-    private void checkSizes(JsonNode ops, int guards) throws BadMessageException {
-        if (ops.size() > maxOps || guards > 4 * maxOps) {
+    private void checkTransactionLimits(JsonNode ops, int guardCount) throws BadMessageException {
+        if (ops.size() > maxOps || guardCount > 4 * maxOps) {
             rejectedTransactionCount++;
-            throw new BadMessageException("too many");
+            throw new BadMessageException(
+                    "the transaction exceeds " + maxOps + " operations or " + 4 * maxOps + " guards");
         }
         for (JsonNode op : ops) {
             int bytes = Json.bytes(Json.object().set("v", op.path("v"))).length;
-            maxValueBytes = Math.max(maxValueBytes, bytes);
+            largestValueBytes = Math.max(largestValueBytes, bytes);
             if (bytes > maxValueKb * 1024) {
                 rejectedTransactionCount++;
-                throw new BadMessageException("too large");
+                throw new BadMessageException("the value of an operation exceeds " + maxValueKb + " KiB");
             }
         }
     }
 
-    /** The keys whose revision differs from the one in their guard; a missing key has revision 0. */
-    private ArrayNode failedComparisons(Iterable<JsonNode> guards) throws BadMessageException {
+    /** The keys whose revision differs from the revision in their guard; a missing key has revision 0. */
+    private ArrayNode failedGuardKeys(Iterable<JsonNode> guards) throws BadMessageException {
         ArrayNode failed = Json.array();
         for (JsonNode guard : guards) {
             String key = Json.text(guard, "k");
@@ -329,7 +343,7 @@
         notifyWatches();
     }
 
-    /** Answers a watch whose maximum wait is over; in an outage it stays open until the outage ends. */
+    /** Answers a watch whose maximum wait is over. In an outage, the watch stays open until the outage ends. */
     private void timeOut(Watch watch) {
         if (isInOutage()) {
             loop.after(outageUntil - loop.nanos(), () -> timeOut(watch));
--- a/src/test/java/org/spruceridge/sim/SimUsers.java
+++ b/src/test/java/org/spruceridge/sim/SimUsers.java
@@ -10,17 +10,17 @@
 import org.spruceridge.net.Response;
 
 /**
- * Many concurrent users, implemented from the published protocol. Each user retries its request at the next node: 1 s after
- * a response other than 200 or 201, or after 5 s without a response.
+ * Many concurrent users, implemented from the published protocol. Each user retries its request at the next node,
+ * either 1 s after a response other than 200 or 201, or after 5 s without a response.
  */
 public final class SimUsers {
-    private static final double ANSWER_TIMEOUT_S = 5;
+    private static final double RESPONSE_TIMEOUT_S = 5;
     private static final double RETRY_DELAY_S = 1;
 
     private final SimLoop loop;
     private final RuleChecker rules;
     private final Consumer<Call> sender;
-    private int unanswered;
+    private int pendingRequestCount;
 
     /** A request to one node, and the callback that receives the response. */
     record Call(String node, Request request, Consumer<Response> onResponse) {}
@@ -33,10 +33,10 @@
 
     /** The number of requests that have not been answered with 200 or 201 yet. */
     public int unansweredCount() {
-        return unanswered;
+        return pendingRequestCount;
     }
 
-    /** Submits the jobs, each by its own user, at the nodes in turn. */
+    /** Submits each job through a user of its own; the users send their first requests to the nodes in turn. */
     public void submit(List<ObjectNode> jobs, List<String> nodes) {
         for (int i = 0; i < jobs.size(); i++) {
             ObjectNode job = jobs.get(i);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Cancels the jobs, each by its own user, at the nodes in turn. */
+    /** Cancels each job through a user of its own; the users send their first requests to the nodes in turn. */
     public void cancel(List<String> ids, List<String> nodes) {
         for (int i = 0; i < ids.size(); i++) {
             String id = ids.get(i);
@@ -57,26 +57,26 @@
 
     /** A user who retries one request until it is accepted. */
     private final class User {
-        private final String job;
+        private final String jobId;
         private final Request request;
         private final List<String> nodes;
 
         User(String job, Request request, List<String> nodes) {
-            this.job = job;
+            this.jobId = job;
             this.request = request;
             this.nodes = nodes;
-            unanswered++;
+            pendingRequestCount++;
         }
 
         void sendRequest(int attempt) {
-            AtomicBoolean isOver = new AtomicBoolean();
-            loop.after(Durations.nanos(ANSWER_TIMEOUT_S), () -> {
-                if (!isOver.getAndSet(true)) {
+            AtomicBoolean isAttemptOver = new AtomicBoolean();
+            loop.after(Durations.nanos(RESPONSE_TIMEOUT_S), () -> {
+                if (!isAttemptOver.getAndSet(true)) {
                     sendRequest(attempt + 1);
                 }
             });
             sender.accept(new Call(nodes.get(attempt % nodes.size()), request, response -> {
-                if (!isOver.getAndSet(true)) {
+                if (!isAttemptOver.getAndSet(true)) {
                     onResponse(response, attempt);
                 }
             }));
@@ -84,9 +84,9 @@
 
         private void onResponse(Response response, int attempt) {
             boolean accepted = response.status() == 200 || response.status() == 201;
-            rules.recordResponse(job, response.status(), accepted ? SimulatedCluster.stage(response) : "");
+            rules.recordResponse(jobId, response.status(), accepted ? SimulatedCluster.stage(response) : "");
             if (accepted) {
-                unanswered--;
+                pendingRequestCount--;
             } else {
                 loop.after(Durations.nanos(RETRY_DELAY_S), () -> sendRequest(attempt + 1));
             }
--- a/src/test/java/org/spruceridge/sim/SimWorker.java
+++ b/src/test/java/org/spruceridge/sim/SimWorker.java
@@ -38,11 +38,13 @@
     private final List<Runnable> deferred = new ArrayList<>();
     private Double interruptionNoticeS;
 
-    /** How a started task ends. */
+    /** The way in which started tasks end. */
     public enum Behaviour {
+        /** Tasks complete; replicas of services run until they are stopped. */
         COMPLETES,
+        /** Tasks and replicas of services end with the cause {@code error}. */
         FAILS,
-        /** Tasks complete, and replicas of services end as well. */
+        /** Tasks complete, and replicas of services end with the cause {@code done}. */
         ENDS_SERVICES
     }
 
@@ -84,7 +86,7 @@
         behaviour = newBehaviour;
     }
 
-    /** True if the job allows this machine's zone and, for a spot machine, spot capacity. */
+    /** True if the job allows this machine's zone and, if this is a spot machine, allows spot machines. */
     boolean fits(ObjectNode job) {
         boolean zoneFits =
                 !job.hasNonNull("grove") || job.path("grove").asText().equals(zone);
@@ -97,8 +99,8 @@
     }
 
     /**
-     * Makes the machine hang: commands and responses that arrive are deferred until {@link #resume}. It may run its tasks
-     * only within its lease, so they count as stopped once the lease expires.
+     * Makes the machine hang: commands and responses that arrive are deferred until {@link #resume}. A machine must not
+     * run tasks after its lease expires, so the tasks of a hung machine count as stopped from then on.
      */
     public void hang() {
         isHung = true;
@@ -126,7 +128,7 @@
         startTask(new Task(id, attempt), id + "#" + attempt);
     }
 
-    /** Ends all replicas of services on the machine and reports this cause. */
+    /** Ends all replicas of services on the machine and reports {@code cause} for each of them. */
     public void endReplicas(String cause) {
         for (Task task : List.copyOf(tasks.values())) {
             if (cluster.isReplica(task.id) && !task.stage.equals("ended")) {
@@ -155,16 +157,16 @@
         }
         try {
             JsonNode body = Json.object(call.body());
-            boolean valid = Json.nonNegativeLong(body, "warrant") >= fencingToken
+            boolean isValid = Json.nonNegativeLong(body, "warrant") >= fencingToken
                     && Json.nonNegativeLong(body, "watch") == incarnation;
-            if (valid) {
+            if (isValid) {
                 fencingToken = Json.nonNegativeLong(body, "warrant");
                 for (JsonNode command : Json.list(body, "orders")) {
                     execute(command);
                 }
             }
             sequence++;
-            onResponse.accept(new HttpAnswer(valid ? 200 : 409, Json.bytes(heartbeatBody())));
+            onResponse.accept(new HttpAnswer(isValid ? 200 : 409, Json.bytes(heartbeatBody())));
         } catch (BadMessageException e) {
             throw new AssertionError(e);
         }
@@ -172,7 +174,7 @@
 
     void kill() {
         process.kill();
-        cluster.net.remove(address(name));
+        cluster.net.removeServer(address(name));
         tasks.values().forEach(t -> cluster.taskEnded(t.id, name));
         tasks.clear();
     }
@@ -194,7 +196,9 @@
         }
     }
 
-    /** Announces a higher fencing token in an extra heartbeat, at most once per half lease, as in the protocol. */
+    /**
+     * Announces a higher fencing token in an extra heartbeat; the protocol allows one such heartbeat per half lease.
+     */
     private void announceToken() {
         long now = cluster.loop.nanos();
         if (now - tokenAnnouncedAt >= Durations.nanos(SimulatedCluster.LEASE_S / 2)) {
@@ -248,7 +252,7 @@
 
     private void onResponse(HttpAnswer response, long sentAt, long sentIncarnation) {
         if (isHung) {
-            // The response is too old by the time the machine resumes.
+            // The response will be too old when the machine resumes, so the machine then handles it as missing.
             deferred.add(() -> onResponse(HttpAnswer.noResponse(), sentAt, sentIncarnation));
             return;
         }
@@ -319,8 +323,8 @@
         tasks.put(key, task);
         cluster.taskStarted(task.id, this, zone, spot);
         sendHeartbeatSoon();
-        boolean ends = !cluster.isReplica(task.id) || behaviour != Behaviour.COMPLETES;
-        if (ends) {
+        boolean endsByItself = !cluster.isReplica(task.id) || behaviour != Behaviour.COMPLETES;
+        if (endsByItself) {
             process.after(Durations.nanos(cluster.durationS(task.id)), () -> complete(task, key));
         }
     }
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -47,39 +47,53 @@
     public final SimUsers users;
     private final RuleChecker rules;
     private final List<String> starts = new ArrayList<>();
-    /** The limits of the state service, and whether the settings announce lower ones. */
+    /**
+     * The limits of the state service; {@code announcesLowerLimits} tells whether the settings announce lower limits.
+     */
     private record Limits(int txnOps, int pageSize, boolean announcesLowerLimits) {}
 
-    /** The CPU quota of the only team, and the socket limit of each node. */
+    /** {@code teamCpus} is the CPU quota of the only team, and {@code maxSockets} is the socket limit of each node. */
     private record ClusterSize(double teamCpus, int maxSockets) {}
 
     private static final ClusterSize SMALL_SIZE = new ClusterSize(TEAM_CPUS, 100);
 
-    /** A small cluster of this version. */
+    /** A small cluster whose nodes run the version under test. */
     public SimulatedCluster(int nodeCount) {
         this(nodeCount, 12, 1000);
     }
 
-    /** A cluster whose nodes all run the version in production; its settings announce lower limits of the state service. */
+    /**
+     * A small cluster whose nodes all run the version in production. The settings announce lower limits of the state
+     * service.
+     */
     public static SimulatedCluster withProductionVersion(int nodeCount) {
         return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL_SIZE, true);
     }
 
-    /** A cluster of this version whose settings announce lower limits of the state service. */
+    /**
+     * A small cluster whose nodes run the version under test. The settings announce lower limits of the state service.
+     */
     public static SimulatedCluster withAnnouncedLowerLimits(int nodeCount) {
         return new SimulatedCluster(nodeCount, new Limits(12, 1000, true), SMALL_SIZE, false);
     }
 
-    /** A small cluster of this version; a small {@code pageSize} splits listings into several pages. */
+    /**
+     * A small cluster whose nodes run the version under test. A small {@code pageSize} splits listings of the state
+     * service into several pages.
+     */
     public SimulatedCluster(int nodeCount, int txnOps, int pageSize) {
         this(nodeCount, new Limits(txnOps, pageSize, false), SMALL_SIZE, false);
     }
 
-    /** A cluster whose only team has a quota of the CPUs of {@code machines} machines. */
+    /**
+     * A cluster for {@code machines} machines: the CPU quota of the only team equals the CPUs of these machines, and
+     * the socket limit of each node is two sockets per machine.
+     */
     public static SimulatedCluster ofSize(int nodeCount, int machines) {
         ClusterSize size = new ClusterSize(machines * SimCloud.MACHINE_CPUS, 2 * machines);
         SimulatedCluster cluster = new SimulatedCluster(nodeCount, new Limits(12, 1000, false), size, false);
-        // Users send requests to all nodes at once, and the nodes' bursts together exceed that of the service.
+        // Users send requests to all nodes at once. The write bursts of the nodes together exceed the burst that the
+        // state service permits, so the service answers 429 to the excess writes instead of failing the scenario.
         cluster.state.refuseWritesBeyondRate();
         return cluster;
     }
@@ -127,7 +141,7 @@
         state.lowerLimits(NEXT_VALUE_KB, NEXT_TXN_OPS, NEXT_WRITE_RPS);
     }
 
-    /** The name of the node that leads, or null. */
+    /** The name of the node that leads, or null if no node leads. */
     public String leader() {
         return nodes.leader().orElse(null);
     }
@@ -139,17 +153,19 @@
                 .orElseThrow();
     }
 
-    /** Sends a request without a body to a node and advances time until it is answered; null after 5 s. */
+    /** Sends a request without a body and advances time until the response; returns null without a response in 5 s. */
     public Response request(String node, String method, String path) {
         return request(node, method, path, new byte[0]);
     }
 
-    /** Sends a request with a JSON body to a node and advances time until it is answered; null after 5 s. */
+    /**
+     * Sends a request with a JSON body and advances time until the response; returns null without a response in 5 s.
+     */
     public Response request(String node, String method, String path, JsonNode body) {
         return request(node, method, path, Json.bytes(body));
     }
 
-    /** Sends a request to a node and advances time until it is answered; null after 5 s. */
+    /** Sends a request to a node and advances time until the response; returns null without a response in 5 s. */
     public Response request(String node, String method, String path, byte[] body) {
         String[] segments = path.split("/");
         String id = segments.length > 3 ? segments[3] : "";
@@ -187,12 +203,12 @@
         }
     }
 
-    /** Advances time until a node leads. */
+    /** Advances time until a node leads; fails if no node leads within {@code timeoutS}. */
     public void awaitLeader(double timeoutS) {
         await(() -> leader() != null, timeoutS);
     }
 
-    /** Advances time until a node other than this one leads. */
+    /** Advances time until a node other than the previous leader leads; fails if none does within {@code timeoutS}. */
     public void awaitLeaderOtherThan(String previousLeader, double timeoutS) {
         await(() -> leader() != null && !leader().equals(previousLeader), timeoutS);
     }
@@ -212,25 +228,32 @@
         return status;
     }
 
-    /** Cancels a job through a node; returns the stage in the response, the status if it is not 200, or "none". */
+    /**
+     * Cancels a job through a node. Returns the job's stage, the status if it is not 200, or "none" if there is no
+     * response.
+     */
     public String cancel(String node, String id) {
         Response response = request(node, "POST", "/api/jobs/" + id + "/abort");
         return stageOrStatus(response);
     }
 
-    /** Clears all faults; then every accepted job must finish within {@code timeoutS}, and every node must know it. */
+    /**
+     * Clears all faults, delivers held messages and starts stopped nodes. Then every accepted job must finish within
+     * {@code timeoutS}, and every node must answer 200 when asked about each accepted job.
+     */
     public void verifyRecovery(double timeoutS) {
         net.clearFaults();
         net.deliverHeld();
         nodes.names().forEach(nodes::startIfStopped);
         for (double elapsedS = 0; elapsedS < timeoutS && !rules.areAllFinished(); elapsedS += 0.5) {
             loop.run(0.5);
-            Set<String> waitingJobs = Set.copyOf(rules.waitingJobs());
-            rules.acceptedJobs().forEach(id -> rules.checkWaiting(id, waitingJobs.contains(id) && hasCapacityFor(id)));
+            Set<String> waitingJobs = Set.copyOf(rules.waitingJobIds());
+            rules.acceptedJobIds()
+                    .forEach(id -> rules.checkWaitingTime(id, waitingJobs.contains(id) && hasCapacityFor(id)));
         }
         rules.checkAllFinished();
         loop.run(8);
-        for (String id : rules.acceptedJobs()) {
+        for (String id : rules.acceptedJobIds()) {
             for (String name : nodes.names()) {
                 Response response = request(name, "GET", "/api/jobs/" + id);
                 if (response == null || response.status() != 200) {
@@ -240,7 +263,10 @@
         }
     }
 
-    /** The stage of a job as the leader, or else a follower, returns it, the status if it is not 200, or "none". */
+    /**
+     * Asks the leader or, if no node leads, a follower about a job. Returns the job's stage, the status if it is not
+     * 200, or "none" if there is no response.
+     */
     public String poll(String id) {
         Response response = request(leader() == null ? follower() : leader(), "GET", "/api/jobs/" + id);
         return stageOrStatus(response);
@@ -252,7 +278,7 @@
         return rules.quotaAllows(id)
                 && cloud.workers().stream()
                         .anyMatch(w -> w.fits(job)
-                                && rules.cpusOn(w.name()) + job.path("cpus").asDouble() <= SimCloud.MACHINE_CPUS);
+                                && rules.cpusUsedOn(w.name()) + job.path("cpus").asDouble() <= SimCloud.MACHINE_CPUS);
     }
 
     private static String stageOrStatus(Response response) {
@@ -275,7 +301,7 @@
         }
     }
 
-    /** The number of replicas of a service that run. */
+    /** The number of running replicas of a service. */
     public long runningReplicaCount(int jobNumber) {
         String id = SimJobs.id(jobNumber);
         return runningTasks().keySet().stream()
@@ -283,7 +309,7 @@
                 .count();
     }
 
-    /** The bindings of each machine as recorded in the state service. */
+    /** The bindings of each machine that the state service has stored. */
     public List<BindingsRecord.MachineBindings> recordedBindings() {
         List<BindingsRecord.MachineBindings> out = new ArrayList<>();
         for (String key : new TreeSet<>(state.keys("bound/"))) {
@@ -296,26 +322,26 @@
         return out;
     }
 
-    /** True if the records bind a task of this job to a machine. */
+    /** True if the state service has stored a binding of a task of this job to a machine. */
     public boolean hasBinding(String jobId) {
         return recordedBindings().stream()
                 .flatMap(m -> m.tasks().stream())
                 .anyMatch(b -> b.task().job().equals(jobId));
     }
 
-    /** All task starts so far, as {@code task@machine}. */
+    /** All task starts so far, oldest first, each as the task id and the machine name: {@code task@machine}. */
     public List<String> starts() {
         return starts;
     }
 
     /** The ids of the tasks that have completed. */
     public Set<String> completedTasks() {
-        return rules.completedTasks();
+        return rules.completedTaskIds();
     }
 
-    /** The running tasks, with the machine of each. */
+    /** The machine of each running task, by task id. */
     public Map<String, String> runningTasks() {
-        return rules.runningTasks();
+        return rules.machinesByRunningTask();
     }
 
     /** True if the task is a replica of a service, which ends only when it is stopped. */
