--- a/src/main/java/org/spruceridge/api/AdmissionControl.java
+++ b/src/main/java/org/spruceridge/api/AdmissionControl.java
@@ -17,7 +17,7 @@
         this.teams = teams;
     }
 
-    /** Returns why the job can never run, or empty if it can run. The text is sent to the user. */
+    /** Returns the reason why the job can never run, or empty if the job can run. The reason is sent to the user. */
     Optional<String> rejectionReason(JobSpec spec, ImmutableMap<String, MachineType> types) {
         Team team = teams.get(spec.team());
         if (team == null) {
@@ -32,8 +32,8 @@
                     ? Optional.empty()
                     : Optional.of("a task needs more than the team's limit");
         }
-        // All replicas of a service run at the same time and none completes, so the limit must cover all of them at
-        // once.
+        // All replicas of a service run at the same time and no replica completes. The limit must therefore cover the
+        // sum of their resources.
         Resources allReplicas = spec.taskResources().times(spec.taskCount());
         return allReplicas.fitsIn(limit) ? Optional.empty() : Optional.of("the job needs more than the team's limit");
     }
@@ -43,7 +43,7 @@
                 && type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
     }
 
-    /** A limit of 0 in the settings means unlimited. */
+    /** Returns the limit of a team. A limit of 0 in the settings means unlimited. */
     private static Resources limitOf(Team team) {
         return new Resources(
                 team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
@@ -51,7 +51,7 @@
                 Double.MAX_VALUE);
     }
 
-    /** Removes unknown machine types from the job's list of allowed types, to keep its record small. */
+    /** Removes unknown machine types from the job's list of allowed types, to keep the job record small. */
     static JobSpec withKnownTypes(JobSpec spec, ImmutableMap<String, MachineType> types) {
         Optional<ImmutableSet<String>> knownTypes = spec.types()
                 .map(named -> Sets.intersection(named, types.keySet()).immutableCopy());
--- a/src/main/java/org/spruceridge/api/JobCancellation.java
+++ b/src/main/java/org/spruceridge/api/JobCancellation.java
@@ -10,7 +10,10 @@
 import org.spruceridge.state.StateResult;
 import org.spruceridge.state.Transaction;
 
-/** Cancels jobs: marks the job record as cancelled by compare-and-swap, and announces the cancellation to the peers. */
+/**
+ * Cancels jobs. Marks the job record as cancelled by compare-and-swap, and adds the job to the cancellations that this
+ * node announces to its peers.
+ */
 final class JobCancellation {
     private final JobsEndpoint.Dependencies dependencies;
     private final StateClient state;
@@ -37,11 +40,12 @@
                 onResponse.accept(isMissing ? JobResponses.unknownJob() : JobResponses.stateUnavailable());
                 return;
             }
-            Optional<JobRecord> record = lookup.read(id, readResult.value().value());
+            Optional<JobRecord> record =
+                    lookup.readRecord(id, readResult.value().value());
             if (record.isEmpty()) {
                 onResponse.accept(JobResponses.unreadableRecord());
             } else if (record.get().stage() != JobRecord.Stage.OPEN) {
-                lookup.cache(record.get());
+                lookup.cacheEndedJob(record.get());
                 onResponse.accept(
                         JobResponses.cancellationResult(id, record.get().stage()));
             } else {
@@ -50,7 +54,10 @@
         });
     }
 
-    /** {@code modRevision} applies to both the job record and the open-job entry: both are always written together. */
+    /**
+     * {@code modRevision} is the revision of both the job record and the open-job entry, because every transaction that
+     * writes one of them writes both.
+     */
     private void commitCancellation(
             String id, JobRecord openRecord, long modRevision, long deadline, Consumer<Response> onResponse) {
         JobRecord cancelledRecord =
@@ -61,10 +68,10 @@
                 .build();
         transactions.commit(transaction, deadline, onResponse, result -> {
             if (result.isCommitted()) {
-                lookup.cache(cancelledRecord);
+                lookup.cacheEndedJob(cancelledRecord);
                 dependencies.cancellations().add(id);
                 onResponse.accept(JobResponses.cancellationResult(id, JobRecord.Stage.CANCELLED));
-            } else if (transactions.isBefore(deadline)) {
+            } else if (transactions.hasTimeLeft(deadline)) {
                 cancel(id, deadline, onResponse);
             } else {
                 onResponse.accept(JobResponses.stateUnavailable());
--- a/src/main/java/org/spruceridge/api/JobLookup.java
+++ b/src/main/java/org/spruceridge/api/JobLookup.java
@@ -16,7 +16,7 @@
 import org.spruceridge.state.StateClient;
 import org.spruceridge.state.StateResult;
 
-/** Returns the state of a job, from its record in the state service or from the cache of ended jobs. */
+/** Looks up the state of a job, in the cache of ended jobs or in the job record in the state service. */
 final class JobLookup {
     private static final int MAX_CACHED_JOBS = 20_000;
 
@@ -27,7 +27,7 @@
     private final Cache<String, EndedJob> endedJobs =
             CacheBuilder.newBuilder().maximumSize(MAX_CACHED_JOBS).build();
 
-    private record EndedJob(JobRecord.Stage stage, int tasks) {
+    private record EndedJob(JobRecord.Stage stage, int taskCount) {
         static EndedJob of(JobRecord record) {
             return new EndedJob(record.stage(), record.spec().taskCount());
         }
@@ -39,16 +39,19 @@
         this.warnings = warnings;
     }
 
-    /** Responds with the job's current state, or with {@code ifMissing} if the job does not exist. */
+    /**
+     * Passes the job's current state to {@code onResponse}, or {@code ifMissing} if the job does not exist. If the
+     * state cannot be read, the response is an error.
+     */
     void lookUp(String id, Response ifMissing, Consumer<Response> onResponse) {
         EndedJob endedJob = endedJobs.getIfPresent(id);
         if (endedJob != null) {
-            onResponse.accept(JobResponses.ended(id, endedJob.stage, endedJob.tasks));
+            onResponse.accept(JobResponses.ended(id, endedJob.stage, endedJob.taskCount));
             return;
         }
         state.get(StateKeys.job(id), Priority.SUBMISSIONS, readResult -> {
             if (readResult.isOk()) {
-                onResponse.accept(read(id, readResult.value().value())
+                onResponse.accept(readRecord(id, readResult.value().value())
                         .map(this::describe)
                         .orElseGet(JobResponses::unreadableRecord));
             } else {
@@ -60,8 +63,8 @@
         });
     }
 
-    /** Parses a job record. If it is unreadable, logs a warning and returns empty. */
-    Optional<JobRecord> read(String id, JsonNode value) {
+    /** Parses a job record. Logs a warning and returns empty if the record is unreadable. */
+    Optional<JobRecord> readRecord(String id, JsonNode value) {
         try {
             return Optional.of(JobRecord.read(value));
         } catch (BadMessageException e) {
@@ -70,8 +73,7 @@
         }
     }
 
-    /** Caches an ended job. */
-    void cache(JobRecord ended) {
+    void cacheEndedJob(JobRecord ended) {
         endedJobs.put(ended.spec().id(), EndedJob.of(ended));
     }
 
@@ -80,7 +82,7 @@
         if (record.stage() == JobRecord.Stage.OPEN) {
             return JobResponses.open(id, progress.apply(id));
         }
-        cache(record);
+        cacheEndedJob(record);
         return JobResponses.ended(id, record.stage(), record.spec().taskCount());
     }
 }
--- a/src/main/java/org/spruceridge/api/JobResponses.java
+++ b/src/main/java/org/spruceridge/api/JobResponses.java
@@ -24,16 +24,16 @@
                         .put("running", progress.running()));
     }
 
-    /** The state of an ended job, with its progress. */
-    static Response ended(String id, JobRecord.Stage stage, int tasks) {
+    /** The response to a query for an ended job. All tasks count as done if the job is done, and none otherwise. */
+    static Response ended(String id, JobRecord.Stage stage, int taskCount) {
         return Response.of(
                 200,
                 summary(id, stageName(stage))
-                        .put("done", stage == JobRecord.Stage.DONE ? tasks : 0)
+                        .put("done", stage == JobRecord.Stage.DONE ? taskCount : 0)
                         .put("running", 0));
     }
 
-    /** The response to a cancellation: the final stage of the job. */
+    /** The response to a cancellation. If the job completed before the cancellation, its stage is {@code done}. */
     static Response cancellationResult(String id, JobRecord.Stage stage) {
         return Response.of(200, summary(id, stageName(stage)));
     }
--- a/src/main/java/org/spruceridge/api/JobSubmission.java
+++ b/src/main/java/org/spruceridge/api/JobSubmission.java
@@ -18,8 +18,8 @@
 
 /**
  * Submits jobs. Submission is idempotent: once a job id has been accepted, every further submission with that id
- * returns the state of the existing job, regardless of the body. A submission with a readable id is therefore
- * rejected only after checking that the job does not exist.
+ * returns the state of the existing job, regardless of the body. Before this class rejects a submission with a readable
+ * id, it therefore checks that the job does not exist.
  */
 final class JobSubmission {
     private final JobsEndpoint.Dependencies dependencies;
@@ -73,33 +73,33 @@
         if (spec.isService()) {
             storeServiceIfSupported(specWithKnownTypes, onResponse);
         } else {
-            store(specWithKnownTypes, onResponse);
+            storeJob(specWithKnownTypes, onResponse);
         }
     }
 
     /**
      * Stores a service if the cluster supports services. Nodes of an earlier version cannot read the record of a
-     * service, so the submission is rejected while any of them may be running.
+     * service. While such a node might be running, the submission is rejected and the user is asked to retry.
      */
     private void storeServiceIfSupported(JobSpec spec, Consumer<Response> onResponse) {
-        if (servicesSupported()) {
-            store(spec, onResponse);
+        if (areServicesSupported()) {
+            storeJob(spec, onResponse);
             return;
         }
         dependencies.featureLevel().read(Priority.SUBMISSIONS, level -> {
-            if (servicesSupported()) {
-                store(spec, onResponse);
+            if (areServicesSupported()) {
+                storeJob(spec, onResponse);
             } else {
                 lookup.lookUp(spec.id(), JobResponses.retryLater("the cluster is being upgraded"), onResponse);
             }
         });
     }
 
-    private boolean servicesSupported() {
+    private boolean areServicesSupported() {
         return dependencies.featureLevel().highestKnown().includes(FeatureLevel.SERVICES);
     }
 
-    private void store(JobSpec spec, Consumer<Response> onResponse) {
+    private void storeJob(JobSpec spec, Consumer<Response> onResponse) {
         JobRecord record = JobRecord.open(spec, dependencies.loop().wallMillis());
         if (!record.fits(valueBytes)) {
             lookup.lookUp(spec.id(), JobResponses.jobTooLarge(), onResponse);
--- a/src/main/java/org/spruceridge/api/JobTransactions.java
+++ b/src/main/java/org/spruceridge/api/JobTransactions.java
@@ -9,9 +9,9 @@
 import org.spruceridge.state.Transaction;
 import org.spruceridge.state.TransactionResult;
 
-/** Commits the transactions of user requests, with retries while the user is still waiting for the response. */
+/** Commits the transactions of user requests, and retries them while the user is still waiting for the response. */
 final class JobTransactions {
-    /** A request is not retried after this time, because users wait 5 s for a response. */
+    /** The time after which a request is no longer retried. Users wait 5 s for a response. */
     private static final long REQUEST_TIMEOUT_NANOS = Durations.millis(3500);
 
     private final Loop loop;
@@ -22,19 +22,19 @@
         this.state = state;
     }
 
-    /** The deadline for retries of a request that arrives now, in nanoseconds on the loop's clock. */
+    /** The time after which a request that arrives now is no longer retried, in nanoseconds on the loop's clock. */
     long newDeadline() {
         return loop.nanos() + REQUEST_TIMEOUT_NANOS;
     }
 
-    boolean isBefore(long deadline) {
+    boolean hasTimeLeft(long deadline) {
         return loop.nanos() < deadline;
     }
 
     /**
-     * Commits the transaction. If the outcome is unknown, the same transaction is sent again: its preconditions make it
-     * idempotent. {@code onCommitOrConflict} receives a commit or a conflict; in all other cases the response asks the
-     * user to retry.
+     * Commits the transaction. If the outcome is unknown, sends the same transaction again until the deadline. The
+     * preconditions of the transaction make it idempotent. {@code onCommitOrConflict} receives a commit or a conflict.
+     * In all other cases {@code onResponse} receives a response that asks the user to retry.
      */
     void commit(
             Transaction transaction,
@@ -45,13 +45,14 @@
             switch (result.outcome()) {
                 case COMMITTED, CONFLICT -> onCommitOrConflict.accept(result);
                 case UNKNOWN -> {
-                    if (isBefore(deadline)) {
+                    if (hasTimeLeft(deadline)) {
                         commit(transaction, deadline, onResponse, onCommitOrConflict);
                     } else {
                         onResponse.accept(JobResponses.stateUnavailable());
                     }
                 }
-                    // The size was checked beforehand, so a rejection is a server error and not a user error.
+                    // Callers ensure that records fit the size limit, so a rejection is a server error and not a user
+                    // error.
                 default -> onResponse.accept(JobResponses.stateUnavailable());
             }
         });
--- a/src/main/java/org/spruceridge/api/JobsEndpoint.java
+++ b/src/main/java/org/spruceridge/api/JobsEndpoint.java
@@ -25,11 +25,11 @@
     private final JobCancellation cancellation;
 
     /**
-     * The dependencies of the endpoint on the node.
+     * The parts of the node that the endpoint uses.
      *
-     * @param machineTypes the machine types by name, empty until they are known
-     * @param progress returns the number of done and running tasks for a job id
-     * @param cancellations records the confirmed cancellations
+     * @param machineTypes supplies the machine types by name, empty until they are known
+     * @param progress returns the numbers of done and running tasks of the job with the given id
+     * @param cancellations the jobs whose cancellation this node announces to its peers
      */
     public record Dependencies(
             Loop loop,
@@ -41,7 +41,7 @@
             RateLimitedWarnings warnings,
             RecentCancellations cancellations) {}
 
-    /** Creates the endpoint; it sends nothing before the first request. */
+    /** Creates the endpoint, which sends nothing to the state service before the first request. */
     public JobsEndpoint(Dependencies dependencies) {
         JobTransactions transactions = new JobTransactions(dependencies.loop(), dependencies.state());
         this.lookup = new JobLookup(dependencies.state(), dependencies.progress(), dependencies.warnings());
@@ -49,12 +49,12 @@
         this.cancellation = new JobCancellation(dependencies, lookup, transactions);
     }
 
-    /** POST /api/jobs. */
+    /** Handles {@code POST /api/jobs}. */
     public void submit(byte[] body, Consumer<Response> onResponse) {
         submission.submit(body, onResponse);
     }
 
-    /** GET /api/jobs/{id}. */
+    /** Handles {@code GET /api/jobs/{id}}. */
     public void poll(String id, Consumer<Response> onResponse) {
         if (JobSpecMessage.isId(id)) {
             lookup.lookUp(id, JobResponses.unknownJob(), onResponse);
@@ -63,7 +63,7 @@
         }
     }
 
-    /** POST /api/jobs/{id}/abort. */
+    /** Handles {@code POST /api/jobs/{id}/abort}. */
     public void abort(String id, Consumer<Response> onResponse) {
         if (JobSpecMessage.isId(id)) {
             cancellation.cancel(id, onResponse);
--- a/src/main/java/org/spruceridge/api/RecentCancellations.java
+++ b/src/main/java/org/spruceridge/api/RecentCancellations.java
@@ -5,7 +5,9 @@
 import java.util.Deque;
 import org.spruceridge.net.Loop;
 
-/** The jobs whose cancellation this node recently confirmed to a user; its heartbeats announce them to the peers. */
+/**
+ * The jobs whose cancellation this node recently confirmed to a user. The node's heartbeats announce them to its peers.
+ */
 public final class RecentCancellations {
     private final Loop loop;
     private final long retentionNanos;
@@ -13,7 +15,7 @@
 
     private record Entry(String job, long addedAt) {}
 
-    /** Retains each job for {@code retentionNanos} nanoseconds. */
+    /** Creates an empty list that retains each added job for {@code retentionNanos} nanoseconds. */
     public RecentCancellations(Loop loop, long retentionNanos) {
         this.loop = loop;
         this.retentionNanos = retentionNanos;
--- a/src/main/java/org/spruceridge/api/Router.java
+++ b/src/main/java/org/spruceridge/api/Router.java
@@ -30,7 +30,7 @@
     private final Loop loop;
     private final Latencies latencies;
 
-    /** {@code onHeartbeatDropped} runs for each worker heartbeat that is rejected under load. */
+    /** {@code onHeartbeatDropped} runs for each worker heartbeat that is rejected because the node is overloaded. */
     public Router(
             JobsEndpoint jobs,
             Function<byte[], Response> heartbeatHandler,
@@ -69,10 +69,10 @@
     public void handle(Request request, Consumer<Response> onResponse) {
         String path = request.path();
         if (path.equals(HEARTBEATS_PATH)) {
-            requireMethod("POST", request, onResponse, () -> timed(Latencies.Kind.HEARTBEATS, onResponse)
+            requireMethod("POST", request, onResponse, () -> recordingLatency(Latencies.Kind.HEARTBEATS, onResponse)
                     .accept(heartbeatHandler.apply(request.body())));
         } else if (path.equals(HEALTH_PATH)) {
-            requireMethod("GET", request, onResponse, () -> onResponse.accept(health()));
+            requireMethod("GET", request, onResponse, () -> onResponse.accept(healthResponse()));
         } else if (path.equals(METRICS_PATH)) {
             requireMethod("GET", request, onResponse, () -> onResponse.accept(Response.of(200, metrics.get())));
         } else if (path.equals(JOBS_PATH)) {
@@ -80,32 +80,36 @@
                     "POST",
                     request,
                     onResponse,
-                    () -> jobs.submit(request.body(), timed(Latencies.Kind.USERS, onResponse)));
+                    () -> jobs.submit(request.body(), recordingLatency(Latencies.Kind.USERS, onResponse)));
         } else if (path.startsWith(JOBS_PATH + "/")) {
-            dispatchJob(path.substring(JOBS_PATH.length() + 1), request, onResponse);
+            dispatchJobRequest(path.substring(JOBS_PATH.length() + 1), request, onResponse);
         } else {
             onResponse.accept(Response.error(404, "no such path"));
         }
     }
 
-    /** {@code jobPath} is the part after {@link #JOBS_PATH}: a job id, or a job id and an action. */
-    private void dispatchJob(String jobPath, Request request, Consumer<Response> onResponse) {
+    /** {@code jobPath} is the part after {@link #JOBS_PATH} and a slash: a job id, or a job id and an action. */
+    private void dispatchJobRequest(String jobPath, Request request, Consumer<Response> onResponse) {
         int slash = jobPath.indexOf('/');
         if (slash < 0) {
             requireMethod(
-                    "GET", request, onResponse, () -> jobs.poll(jobPath, timed(Latencies.Kind.USERS, onResponse)));
+                    "GET",
+                    request,
+                    onResponse,
+                    () -> jobs.poll(jobPath, recordingLatency(Latencies.Kind.USERS, onResponse)));
         } else if (jobPath.substring(slash).equals(ABORT_SUFFIX)) {
             requireMethod(
                     "POST",
                     request,
                     onResponse,
-                    () -> jobs.abort(jobPath.substring(0, slash), timed(Latencies.Kind.USERS, onResponse)));
+                    () -> jobs.abort(jobPath.substring(0, slash), recordingLatency(Latencies.Kind.USERS, onResponse)));
         } else {
             onResponse.accept(Response.error(404, "no such path"));
         }
     }
 
-    private Consumer<Response> timed(Latencies.Kind kind, Consumer<Response> onResponse) {
+    /** Returns a callback that records the time since this call as a latency, and then calls {@code onResponse}. */
+    private Consumer<Response> recordingLatency(Latencies.Kind kind, Consumer<Response> onResponse) {
         long receivedAt = loop.nanos();
         return response -> {
             latencies.record(kind, loop.nanos() - receivedAt);
@@ -113,7 +117,7 @@
         };
     }
 
-    private Response health() {
+    private Response healthResponse() {
         return isHealthy.getAsBoolean()
                 ? Response.of(200, Json.object().put("status", "ok"))
                 : Response.error(503, "cut off from the state service");
--- a/src/test/java/org/spruceridge/api/ErrorResponseTest.java
+++ b/src/test/java/org/spruceridge/api/ErrorResponseTest.java
@@ -12,7 +12,7 @@
 import org.spruceridge.net.Response;
 import org.spruceridge.sim.SimLoop;
 
-/** Tests the complete texts of error responses. */
+/** Tests the status and the complete text of error responses. */
 final class ErrorResponseTest {
     private static String text(Response response) {
         return response.status() + " " + new String(response.body(), StandardCharsets.UTF_8);
