--- a/src/main/java/org/spruceridge/worker/CommandResult.java
+++ b/src/main/java/org/spruceridge/worker/CommandResult.java
@@ -5,7 +5,8 @@
 /**
  * The result of commands that were sent directly to a worker.
  *
- * @param heartbeat the worker's status, if its response contained one: after the commands, or instead of executing them
+ * @param heartbeat the worker's status, if its response contained one. If the worker executed the commands, the status
+ *     is the one after the commands.
  */
 public record CommandResult(Kind kind, Optional<WorkerHeartbeat> heartbeat) {
     /** The outcome of the commands. */
@@ -13,13 +14,13 @@
         /** The worker accepted the commands. */
         EXECUTED,
         /**
-         * The worker rejected the commands and executed none: it has seen a newer fencing token, or it is another
-         * incarnation.
+         * The worker rejected the commands and executed none. It has seen a newer fencing token, its current
+         * incarnation is not the one that the commands were sent to, or it reported an invalid request.
          */
         REFUSED,
         /** The commands were not sent. */
         UNSENT,
-        /** No usable response: the commands may have been executed, or may still arrive minutes later. */
+        /** There was no usable response. The commands might have been executed, or might arrive minutes later. */
         UNKNOWN
     }
 
--- a/src/main/java/org/spruceridge/worker/WorkerClient.java
+++ b/src/main/java/org/spruceridge/worker/WorkerClient.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Sends commands with a fencing token to one incarnation of a worker. {@code onResult} is called on the event loop,
-     * at the latest after {@code timeoutNanos} nanoseconds.
+     * Sends commands and the leader's fencing token to a worker, which rejects them unless {@code incarnation} is its
+     * current one. {@code onResult} is called on the event loop, at the latest after {@code timeoutNanos} nanoseconds.
      */
     public void send(
             Address worker,
--- a/src/main/java/org/spruceridge/worker/WorkerCommand.java
+++ b/src/main/java/org/spruceridge/worker/WorkerCommand.java
@@ -10,7 +10,8 @@
 /**
  * A command to a worker, for one attempt of a task.
  *
- * @param graceS for a stop, the time for a checkpoint in seconds; 0 stops the task immediately
+ * @param graceS the time that a stop allows for a checkpoint, in seconds; 0 stops the task immediately. Unused by other
+ *     commands.
  */
 public record WorkerCommand(Verb verb, TaskId task, long attempt, double graceS) {
     /** The action to perform. */
@@ -31,7 +32,7 @@
         return new WorkerCommand(Verb.START, task, attempt, 0);
     }
 
-    /** Stops a task after a checkpoint, which may take {@code graceS} seconds. */
+    /** Stops a task after a checkpoint, which can take up to {@code graceS} seconds. */
     public static WorkerCommand stop(TaskId task, long attempt, double graceS) {
         return new WorkerCommand(Verb.STOP, task, attempt, graceS);
     }
@@ -51,7 +52,7 @@
         return Response.of(200, toJson(fencingToken, commands));
     }
 
-    /** The response that redirects a worker to the leader, given by its host name. */
+    /** The response that redirects a worker to the leader. {@code leader} is the leader's host name. */
     public static Response redirectToLeader(String leader) {
         return Response.of(421, Json.object().put("steward", leader));
     }
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeat.java
@@ -12,14 +12,15 @@
 import org.spruceridge.net.Json;
 
 /**
- * A worker's heartbeat: its identity, and the status of its tasks.
+ * A worker's heartbeat. It contains the worker's identity and the status of each of its tasks.
  *
  * @param machine the name of the machine
  * @param address the address for direct commands; empty if the worker does not accept them
  * @param incarnation the number of the worker's current lease; it increases whenever the worker starts a new lease
  * @param sequence the sequence number, which increases with every heartbeat and every response to a direct command
  * @param fencingToken the highest fencing token that the worker has seen
- * @param reclaimNoticeS the time until the cloud reclaims the machine, in seconds; empty without a reclaim notice
+ * @param reclaimNoticeS the time until the cloud reclaims the machine, in seconds; empty if the cloud has not announced
+ *     that
  */
 public record WorkerHeartbeat(
         String machine,
@@ -57,7 +58,7 @@
         }
     }
 
-    /** Why a task exited. */
+    /** The reason why a task exited. */
     public enum ExitCause {
         /** The task has not exited. */
         NONE(null),
@@ -65,7 +66,7 @@
         DONE("done"),
         /** A command stopped the task. */
         STOPPED("stopped"),
-        /** The task failed, or this version does not know the cause. */
+        /** The task failed, or the worker sent a cause that this version does not know. */
         ERROR("error"),
         /** The worker refused the start: the machine lacks capacity. */
         NO_ROOM("no_room"),
@@ -100,7 +101,7 @@
         }
     }
 
-    /** Parses a heartbeat from JSON. Throws {@link BadMessageException} if it is incomplete or malformed. */
+    /** Parses a heartbeat from JSON. Throws {@link BadMessageException} if the heartbeat is incomplete or malformed. */
     public static WorkerHeartbeat read(byte[] body) throws BadMessageException {
         try (JsonParser parser = Json.parser(body)) {
             WorkerHeartbeat heartbeat = new WorkerHeartbeatParser(parser).read();
--- a/src/main/java/org/spruceridge/worker/WorkerHeartbeatParser.java
+++ b/src/main/java/org/spruceridge/worker/WorkerHeartbeatParser.java
@@ -13,7 +13,7 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
 /**
- * Parses a heartbeat token by token, without building a JSON tree, because most messages to a leader are heartbeats.
+ * Parses a heartbeat token by token. It builds no JSON tree, because most messages to a leader are heartbeats.
  * Unknown fields are ignored.
  */
 final class WorkerHeartbeatParser {
@@ -29,7 +29,7 @@
     private long sequence = MISSING;
     private long fencingToken = MISSING;
     private OptionalDouble reclaimNoticeS = OptionalDouble.empty();
-    private ImmutableList<TaskStatus> tasks;
+    private ImmutableList<TaskStatus> taskStatuses;
 
     WorkerHeartbeatParser(JsonParser parser) {
         this.parser = parser;
@@ -51,40 +51,40 @@
                 sequence,
                 fencingToken,
                 reclaimNoticeS,
-                tasks);
+                taskStatuses);
     }
 
     private void readField(String field) throws IOException, BadMessageException {
         switch (field) {
-            case "host" -> machine = text(field);
-            case "endpoint" -> address = text(field);
-            case "build" -> type = text(field);
-            case "grove" -> zone = text(field);
-            case "windfall" -> spot = booleanValue(field);
-            case "watch" -> incarnation = nonNegativeLong(field);
-            case "tally" -> sequence = nonNegativeLong(field);
-            case "warrant" -> fencingToken = nonNegativeLong(field);
-            case "warningS" -> reclaimNoticeS = optionalNumber(field);
-            case "parts" -> tasks = tasks();
+            case "host" -> machine = readText(field);
+            case "endpoint" -> address = readText(field);
+            case "build" -> type = readText(field);
+            case "grove" -> zone = readText(field);
+            case "windfall" -> spot = readBoolean(field);
+            case "watch" -> incarnation = readNonNegativeLong(field);
+            case "tally" -> sequence = readNonNegativeLong(field);
+            case "warrant" -> fencingToken = readNonNegativeLong(field);
+            case "warningS" -> reclaimNoticeS = readOptionalNumber(field);
+            case "parts" -> taskStatuses = taskStatuses();
             default -> parser.skipChildren();
         }
     }
 
     private boolean isComplete() {
         boolean hasMachine = machine != null && address != null && type != null && zone != null && spot != null;
-        return hasMachine && incarnation >= 0 && sequence >= 0 && fencingToken >= 0 && tasks != null;
+        return hasMachine && incarnation >= 0 && sequence >= 0 && fencingToken >= 0 && taskStatuses != null;
     }
 
-    private ImmutableList<TaskStatus> tasks() throws IOException, BadMessageException {
+    private ImmutableList<TaskStatus> taskStatuses() throws IOException, BadMessageException {
         require(parser.currentToken() == JsonToken.START_ARRAY, "parts is not an array");
         ImmutableList.Builder<TaskStatus> statuses = ImmutableList.builder();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            statuses.add(taskStatus());
+            statuses.add(readTaskStatus());
         }
         return statuses.build();
     }
 
-    private TaskStatus taskStatus() throws IOException, BadMessageException {
+    private TaskStatus readTaskStatus() throws IOException, BadMessageException {
         require(parser.currentToken() == JsonToken.START_OBJECT, "an entry of parts is not an object");
         TaskId task = null;
         long attempt = MISSING;
@@ -93,10 +93,10 @@
         for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
             parser.nextToken();
             switch (field) {
-                case "part" -> task = taskId(text(field));
-                case "try" -> attempt = nonNegativeLong(field);
-                case "stage" -> state = TaskState.fromWire(text(field));
-                case "cause" -> cause = isNull() ? null : ExitCause.fromWire(text(field));
+                case "part" -> task = parseTaskId(readText(field));
+                case "try" -> attempt = readNonNegativeLong(field);
+                case "stage" -> state = TaskState.fromWire(readText(field));
+                case "cause" -> cause = isNull() ? null : ExitCause.fromWire(readText(field));
                 default -> parser.skipChildren();
             }
         }
@@ -105,7 +105,7 @@
         return new TaskStatus(task, attempt, state, state == TaskState.EXITED ? cause : ExitCause.NONE);
     }
 
-    private static TaskId taskId(String text) throws BadMessageException {
+    private static TaskId parseTaskId(String text) throws BadMessageException {
         int slash = text.lastIndexOf('/');
         try {
             return new TaskId(text.substring(0, slash), Integer.parseInt(text.substring(slash + 1)));
@@ -119,12 +119,12 @@
         return parser.currentToken() == JsonToken.VALUE_NULL;
     }
 
-    private String text(String field) throws IOException, BadMessageException {
+    private String readText(String field) throws IOException, BadMessageException {
         require(parser.currentToken() == JsonToken.VALUE_STRING, field + " is not a string");
         return parser.getText();
     }
 
-    private long nonNegativeLong(String field) throws IOException, BadMessageException {
+    private long readNonNegativeLong(String field) throws IOException, BadMessageException {
         boolean isNonNegativeLong = parser.currentToken() == JsonToken.VALUE_NUMBER_INT
                 && parser.getNumberType() != JsonParser.NumberType.BIG_INTEGER
                 && parser.getLongValue() >= 0;
@@ -132,12 +132,12 @@
         return parser.getLongValue();
     }
 
-    private boolean booleanValue(String field) throws IOException, BadMessageException {
+    private boolean readBoolean(String field) throws IOException, BadMessageException {
         require(parser.currentToken().isBoolean(), field + " is not true or false");
         return parser.getBooleanValue();
     }
 
-    private OptionalDouble optionalNumber(String field) throws IOException, BadMessageException {
+    private OptionalDouble readOptionalNumber(String field) throws IOException, BadMessageException {
         if (isNull()) {
             return OptionalDouble.empty();
         }
--- a/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/worker/WorkerHeartbeatTest.java
@@ -24,7 +24,7 @@
 import org.spruceridge.worker.WorkerHeartbeat.TaskState;
 import org.spruceridge.worker.WorkerHeartbeat.TaskStatus;
 
-/** Tests that complete heartbeats are parsed, and that incomplete or malformed ones are rejected. */
+/** Tests that complete heartbeats are parsed, and that incomplete or malformed heartbeats are rejected. */
 final class WorkerHeartbeatTest {
     private static ObjectNode completeHeartbeat() {
         ObjectNode heartbeat = Json.object()
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void allTaskStatesAndExitCausesAreCovered() {
+    void testDataCoversAllTaskStatesAndExitCauses() {
         assertEquals(EnumSet.allOf(TaskState.class), secondArguments(stages()));
         assertEquals(EnumSet.complementOf(EnumSet.of(ExitCause.NONE)), secondArguments(causes()));
     }
