--- a/src/main/java/org/spruceridge/peer/MemberVersion.java
+++ b/src/main/java/org/spruceridge/peer/MemberVersion.java
@@ -9,7 +9,7 @@
  * @param name the version of the node's software, for display
  */
 public record MemberVersion(int supportedLevel, String name) {
-    /** The version assumed for a heartbeat without version fields, as sent by version 0.1. */
+    /** The version assumed for a heartbeat without version fields. Nodes of version 0.1 send such heartbeats. */
     static final MemberVersion UNANNOUNCED = new MemberVersion(FeatureLevel.BASE.number(), "0.1");
 
     /** The version of this node's software. */
--- a/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
+++ b/src/main/java/org/spruceridge/peer/NettyPeerTransport.java
@@ -25,13 +25,13 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Address;
 
-/** A peer transport on Netty: one outgoing TCP connection to each peer, with length-prefixed frames. */
+/** A peer transport based on Netty. It sends length-prefixed frames over one outgoing TCP connection to each peer. */
 public final class NettyPeerTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(NettyPeerTransport.class);
     private static final int MAX_FRAME_BYTES = 1 << 20;
     private static final int LENGTH_FIELD_BYTES = 4;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    /** A connection with more unsent bytes than this is closed and replaced, because its peer is presumed dead. */
+    /** A connection with more unsent bytes than this is closed and replaced, because the peer is presumed dead. */
     private static final long MAX_PENDING_BYTES = 4L * MAX_FRAME_BYTES;
 
     private final EventLoopGroup group;
@@ -40,7 +40,7 @@
     private final Map<Address, Channel> connections = new HashMap<>();
     private Consumer<byte[]> frameReceiver = frame -> {};
 
-    /** Keeps one connection to each of {@code peers}. */
+    /** Creates a transport that opens one connection to each of {@code peers}, and reopens it when it is closed. */
     public NettyPeerTransport(EventLoopGroup group, Address listenAddress, List<Address> peers) {
         this.group = group;
         this.listenAddress = listenAddress;
@@ -48,7 +48,8 @@
     }
 
     /**
-     * Listens for peers; throws if the address cannot be bound. Call this before the loop is in use, because it blocks.
+     * Starts listening for peers. Throws if the address cannot be bound. Call this method before the event loop is in
+     * use, because the method blocks.
      */
     public void listen() {
         new ServerBootstrap()
--- a/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeat.java
@@ -6,13 +6,15 @@
 /**
  * The heartbeat that a node broadcasts to the other nodes once a second.
  *
- * <p>Heartbeats are used for display, for the health check, by a leader that workers cannot reach, and to stop the
- * tasks of a cancelled job before the state service reports the cancellation. These uses tolerate lost and stale
- * heartbeats. Raising the cluster feature level requires fresh heartbeats: every member must have announced support for
- * the new level. A missing heartbeat never raises the level.
+ * <p>Nodes use the heartbeats for display and for the health check. A leader that workers cannot reach uses them to
+ * decide whether to resign. The heartbeats let a leader stop the tasks of a cancelled job before the state service
+ * reports the cancellation. All these uses tolerate lost and stale heartbeats.
+ *
+ * <p>The cluster feature level is raised only if a fresh heartbeat of every member announces support for the new level.
+ * A missing heartbeat never raises the level.
  *
  * @param hostName the host name of the sender
- * @param stateServiceReachable whether the state service answers the sender
+ * @param stateServiceReachable whether the sender can reach the state service
  * @param receivesWorkerHeartbeats whether the sender has recently received heartbeats from workers
  * @param term the sender's term, 0 if it is not the leader
  * @param progress the progress of the open jobs by id; empty if the sender is not the leader
@@ -27,7 +29,7 @@
         ImmutableMap<String, Progress> progress,
         ImmutableList<String> cancelledJobs,
         MemberVersion version) {
-    /** The number of done and of running tasks of a job. */
+    /** The numbers of done and running tasks of a job. */
     public record Progress(int done, int running) {
         public static final Progress NONE = new Progress(0, 0);
     }
--- a/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
+++ b/src/main/java/org/spruceridge/peer/PeerHeartbeatCodec.java
@@ -13,9 +13,12 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.peer.PeerHeartbeat.Progress;
 
-/** Encodes peer heartbeats as MessagePack arrays. Later versions may append fields, which older readers ignore. */
+/**
+ * Encodes and decodes peer heartbeats as MessagePack arrays. Later versions can append fields; older readers ignore
+ * them.
+ */
 public final class PeerHeartbeatCodec {
-    /** The number of fields in version 0.1, which ignores any further fields. */
+    /** The number of fields in a heartbeat of version 0.1. Nodes of that version ignore any further fields. */
     private static final int VERSION_0_1_FIELD_COUNT = 6;
 
     private static final int FIELD_COUNT = VERSION_0_1_FIELD_COUNT + 2;
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Decodes a frame. Throws {@link BadMessageException} if it has too few fields or is not a heartbeat. */
+    /** Decodes a frame. Throws {@link BadMessageException} if the frame has too few fields or is not a heartbeat. */
     public static PeerHeartbeat decode(byte[] frame) throws BadMessageException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
             int fieldCount = unpacker.unpackArrayHeader();
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -22,7 +22,7 @@
 /** Broadcasts this node's heartbeat and keeps the latest heartbeat of each peer. */
 public final class PeerMonitor {
     private static final long HEARTBEAT_INTERVAL_NANOS = Durations.nanos(1);
-    /** A heartbeat received longer ago than this is stale. */
+    /** A heartbeat is fresh for this time after its receipt, and stale afterwards. */
     private static final long HEARTBEAT_TIMEOUT_NANOS = Durations.nanos(3);
 
     private final Loop loop;
@@ -31,7 +31,7 @@
     private final RateLimitedWarnings warnings;
     private final Supplier<PeerHeartbeat> ownHeartbeat;
     private final Consumer<String> onJobCancelled;
-    private final Map<String, ReceivedHeartbeat> lastHeartbeats = new HashMap<>();
+    private final Map<String, ReceivedHeartbeat> latestHeartbeats = new HashMap<>();
     private PeerHeartbeat leaderHeartbeat =
             new PeerHeartbeat("", false, false, 0, ImmutableMap.of(), ImmutableList.of(), MemberVersion.UNANNOUNCED);
 
@@ -43,7 +43,8 @@
 
     /**
      * {@code ownHeartbeat} supplies the heartbeat to send. {@code onJobCancelled} receives the id of each job whose
-     * cancellation a peer has confirmed, once for each heartbeat that contains the id.
+     * cancellation a peer has confirmed to a user. A job id is passed once for each heartbeat that contains
+     * the id.
      */
     public PeerMonitor(
             Loop loop,
@@ -59,7 +60,7 @@
         this.onJobCancelled = onJobCancelled;
     }
 
-    /** Starts sending heartbeats and receiving those of the peers. */
+    /** Starts sending this node's heartbeats and receiving the peers' heartbeats. */
     public void start() {
         transport.start(this::receive);
         send();
@@ -72,45 +73,48 @@
 
     /** True if a fresh heartbeat of a peer reports that the peer can reach the state service. */
     public boolean anyPeerReachesStateService() {
-        return anyFresh(PeerHeartbeat::stateServiceReachable);
+        return anyFreshHeartbeat(PeerHeartbeat::stateServiceReachable);
     }
 
-    /** True if any peer has sent a fresh heartbeat. */
+    /** True if the latest heartbeat of any peer is fresh. */
     public boolean anyPeerAlive() {
-        return anyFresh(heartbeat -> true);
+        return anyFreshHeartbeat(heartbeat -> true);
     }
 
     /** True if a fresh heartbeat of a peer reports that the peer receives worker heartbeats. */
     public boolean anyPeerReceivesWorkerHeartbeats() {
-        return anyFresh(PeerHeartbeat::receivesWorkerHeartbeats);
+        return anyFreshHeartbeat(PeerHeartbeat::receivesWorkerHeartbeats);
     }
 
-    /** The host name of the leader with the highest term, according to the fresh heartbeats; empty if none is known. */
+    /** The host name of the node with the highest term among the fresh heartbeats; empty if no node reports a term. */
     public Optional<String> leader() {
         long now = loop.nanos();
-        return lastHeartbeats.values().stream()
+        return latestHeartbeats.values().stream()
                 .filter(received -> received.isFresh(now) && received.heartbeat.term() > 0)
                 .map(ReceivedHeartbeat::heartbeat)
                 .max(Comparator.comparingLong(PeerHeartbeat::term))
                 .map(PeerHeartbeat::hostName);
     }
 
-    /** The version in the latest heartbeat of each peer, by host name. */
+    /** The version in the latest heartbeat of each peer, fresh or stale, by host name. */
     public ImmutableSortedMap<String, MemberVersion> versions() {
         ImmutableSortedMap.Builder<String, MemberVersion> versions = ImmutableSortedMap.naturalOrder();
-        lastHeartbeats.forEach((host, received) -> versions.put(host, received.heartbeat.version()));
+        latestHeartbeats.forEach((host, received) -> versions.put(host, received.heartbeat.version()));
         return versions.build();
     }
 
     /**
-     * True if each of these hosts has announced support for the level in a fresh heartbeat. A host without a fresh
-     * heartbeat may be restarting with an earlier version.
+     * True if a fresh heartbeat of each of {@code hosts} announces support for the level. A host without a fresh
+     * heartbeat does not count, because it might be restarting with an earlier version.
      */
     public boolean allPeersSupport(FeatureLevel level, Collection<String> hosts) {
-        return hosts.stream().allMatch(host -> supports(lastHeartbeats.get(host), level));
+        return hosts.stream().allMatch(host -> supports(latestHeartbeats.get(host), level));
     }
 
-    /** The progress of a job, from the latest heartbeat of the leader with the highest term. */
+    /**
+     * The progress of a job, from the latest heartbeat of the leader with the highest term; {@link Progress#NONE} if
+     * that heartbeat does not contain the job.
+     */
     public Progress progress(String job) {
         return leaderHeartbeat.progress().getOrDefault(job, Progress.NONE);
     }
@@ -121,9 +125,9 @@
                 && received.heartbeat.version().supportedLevel() >= level.number();
     }
 
-    private boolean anyFresh(Predicate<PeerHeartbeat> condition) {
+    private boolean anyFreshHeartbeat(Predicate<PeerHeartbeat> condition) {
         long now = loop.nanos();
-        return lastHeartbeats.values().stream()
+        return latestHeartbeats.values().stream()
                 .anyMatch(received -> condition.test(received.heartbeat) && received.isFresh(now));
     }
 
@@ -135,7 +139,7 @@
     private void receive(byte[] frame) {
         try {
             PeerHeartbeat heartbeat = PeerHeartbeatCodec.decode(frame);
-            lastHeartbeats.put(heartbeat.hostName(), new ReceivedHeartbeat(heartbeat, loop.nanos()));
+            latestHeartbeats.put(heartbeat.hostName(), new ReceivedHeartbeat(heartbeat, loop.nanos()));
             if (heartbeat.term() >= leaderHeartbeat.term() && heartbeat.term() > 0) {
                 leaderHeartbeat = heartbeat;
             }
--- a/src/main/java/org/spruceridge/peer/PeerTransport.java
+++ b/src/main/java/org/spruceridge/peer/PeerTransport.java
@@ -4,9 +4,9 @@
 
 /** Transports frames between the controller nodes, without guaranteed delivery. */
 public interface PeerTransport {
-    /** Starts receiving; {@code frameReceiver} is called on the event loop for each frame. */
+    /** Starts receiving frames. Each frame is passed to {@code frameReceiver} on the event loop. */
     void start(Consumer<byte[]> frameReceiver);
 
-    /** Sends a frame to every other node to which there is a connection. */
+    /** Sends a frame to each connected peer. */
     void broadcast(byte[] frame);
 }
--- a/src/test/java/org/spruceridge/peer/PeerHeartbeatTest.java
+++ b/src/test/java/org/spruceridge/peer/PeerHeartbeatTest.java
@@ -9,7 +9,7 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.sim.Fixtures;
 
-/** Tests that peer heartbeats round-trip through the codec, and that truncated or foreign frames are rejected. */
+/** Tests that decoding an encoded heartbeat returns an equal heartbeat, and that invalid frames are rejected. */
 final class PeerHeartbeatTest {
     private final PeerHeartbeat heartbeat = Fixtures.heartbeat();
 
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void heartbeatWithTooFewFieldsReportsMinimum() {
+    void frameWithTooFewFieldsIsRejectedWithMinimumFieldCount() {
         byte[] arrayOfFiveFields = {(byte) 0x95};
         assertEquals(
                 "a peer heartbeat has fewer than 6 fields",
