--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -21,7 +21,7 @@
 import org.spruceridge.net.RateLimiter;
 import org.spruceridge.net.RateLimiter.Priority;
 
-/** The client of the cloud API. It stays within this node's share of the cloud's rate limit. */
+/** The client of the cloud API. Its request rate stays within this node's share of the cloud's rate limit. */
 public final class CloudClient {
     /** The maximum number of machines in one launch request. */
     public static final int MAX_LAUNCH_BATCH = 50;
@@ -36,7 +36,7 @@
     private final RateLimiter limiter;
     private final RateLimitedWarnings warnings;
 
-    /** Sends requests to {@code address}, at the rate that {@code limiter} allows. */
+    /** Creates a client that sends requests to {@code address}, at the rate that {@code limiter} allows. */
     public CloudClient(HttpClient http, Address address, RateLimiter limiter, RateLimitedWarnings warnings) {
         this.http = http;
         this.address = address;
@@ -44,14 +44,17 @@
         this.warnings = warnings;
     }
 
-    /** Fetches the machine types and their current prices, by name; empty if there was no usable response. */
+    /**
+     * Fetches the machine types and their current prices. {@code onResponse} receives the machine types by name, or
+     * empty if there was no usable response.
+     */
     public void fetchMachineTypes(Consumer<Optional<ImmutableMap<String, MachineType>>> onResponse) {
         send(Priority.SCHEDULING, HttpCall.get("/flavors"), response -> onResponse.accept(readCatalogue(response)));
     }
 
     /**
-     * Launches {@code count} machines. The request id must be new, or the id of a request that got no response or was
-     * refused.
+     * Launches {@code count} machines. {@code requestId} must be new, or be the id of an earlier request that got no
+     * response or was refused.
      */
     public void launch(
             String requestId, String type, String zone, boolean spot, int count, Consumer<LaunchResult> onResult) {
@@ -67,7 +70,10 @@
                 response -> onResult.accept(readLaunchResult(response)));
     }
 
-    /** Deletes machines. True confirms that the machines and everything on them are deleted. */
+    /**
+     * Deletes machines. {@code onResult} receives true if the cloud confirmed that the machines and everything on them
+     * are deleted.
+     */
     public void deleteMachines(List<String> machines, Consumer<Boolean> onResult) {
         ArrayNode names = Json.array();
         machines.forEach(names::add);
@@ -79,8 +85,8 @@
     }
 
     /**
-     * Lists all machines, page by page; empty if there was no usable response. The list lags, and a later list may be
-     * older than an earlier one.
+     * Lists all machines, page by page. {@code onResponse} receives empty if a page had no usable response. The list
+     * lags behind the actual state, and the list in a later response can be older than the list in an earlier one.
      */
     public void listMachines(Consumer<Optional<ImmutableList<CloudMachine>>> onResponse) {
         listPage("", new ArrayList<>(), onResponse);
@@ -165,7 +171,7 @@
     private LaunchResult readLaunchResult(HttpAnswer response) {
         try {
             return switch (response.status()) {
-                case 200 -> new LaunchResult(LaunchResult.Kind.LAUNCHED, launchedNames(response));
+                case 200 -> new LaunchResult(LaunchResult.Kind.LAUNCHED, readLaunchedNames(response));
                 case 503 -> LaunchResult.of(
                         isOutOfCapacity(response) ? LaunchResult.Kind.NO_CAPACITY : LaunchResult.Kind.REFUSED);
                 case 400 -> LaunchResult.of(LaunchResult.Kind.REJECTED);
@@ -178,7 +184,7 @@
         }
     }
 
-    private static ImmutableList<String> launchedNames(HttpAnswer response) throws BadMessageException {
+    private static ImmutableList<String> readLaunchedNames(HttpAnswer response) throws BadMessageException {
         ImmutableList.Builder<String> names = ImmutableList.builder();
         Json.list(Json.object(response.body()), "hosts").forEach(name -> names.add(name.asText()));
         return names.build();
--- a/src/main/java/org/spruceridge/cloud/LaunchResult.java
+++ b/src/main/java/org/spruceridge/cloud/LaunchResult.java
@@ -9,11 +9,14 @@
         LAUNCHED,
         /** The cloud currently has no capacity for this type, zone and purchase option (spot or on-demand). */
         NO_CAPACITY,
-        /** Temporarily refused, because of rate limiting or an outage; the request may be retried. */
+        /** The cloud refused the request temporarily, because of rate limiting or an outage. A retry is possible. */
         REFUSED,
         /** The request is invalid. */
         REJECTED,
-        /** No usable response: machines may have been launched. The request must be retried with the same id. */
+        /**
+         * There was no usable response, so machines might have been launched. The request must be retried with the same
+         * id.
+         */
         UNKNOWN
     }
 
