--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -15,7 +15,10 @@
 import org.spruceridge.schedule.Plan;
 import org.spruceridge.term.LeaderContext;
 
-/** Runs the periodic machine management: polls the cloud's lists, removes failed machines, and scales out and in. */
+/**
+ * Manages the machines of one leader term. It periodically polls the cloud's lists of machine types and machines,
+ * removes failed machines, and scales the cluster out and in.
+ */
 public final class Autoscaler {
     private static final long CATALOGUE_REFRESH_NANOS = Durations.nanos(60);
 
@@ -38,8 +41,9 @@
     /**
      * Creates an autoscaler for one term.
      *
-     * @param lastPlan the plan of the last scheduling cycle, empty before the first one
-     * @param requestSchedulingCycle requests a scheduling cycle, after machines or machine types may have changed
+     * @param lastPlan supplies the plan of the last scheduling cycle, empty before the first cycle
+     * @param requestSchedulingCycle requests a scheduling cycle; called when a machine has been removed or the machine
+     *     types have been fetched
      */
     public Autoscaler(
             LeaderContext context,
@@ -106,7 +110,7 @@
         lastTickAt = now;
         if (isLeader.getAsBoolean()) {
             failedMachineRemoval.run();
-            // While requests are queued, scaling runs less often, because worker heartbeats take priority.
+            // While requests are queued, scaling runs less often, because worker heartbeats take precedence.
             double sinceLastScalingS = Durations.secondsSince(lastScalingAt, now);
             if (!loop.busy() || sinceLastScalingS > settings.workers().maxDecisionDelayS()) {
                 lastScalingAt = now;
@@ -116,7 +120,7 @@
         scope.after(Durations.nanos(settings.workers().heartbeatIntervalS() / 3), this::tick);
     }
 
-    /** Records that this node is overloaded, so that it may not have processed all heartbeats that have arrived. */
+    /** Records that this node is overloaded. It might therefore have received heartbeats that it has not processed. */
     public void recordOverload() {
         failureDetector.recordOverload();
     }
@@ -131,7 +135,10 @@
         scaleIn.run(neededMachines, now);
     }
 
-    /** The time since the earliest cancellation of a job with an unproven stop, in seconds; 0 if there is none. */
+    /**
+     * The time since the earliest cancellation of a job whose tasks are not all proven to be stopped, in seconds; 0 if
+     * there is no such job.
+     */
     public double oldestUnprovenStopS() {
         return failureDetector.oldestUnprovenStopS();
     }
--- a/src/main/java/org/spruceridge/autoscaling/CloudRequestContext.java
+++ b/src/main/java/org/spruceridge/autoscaling/CloudRequestContext.java
@@ -10,11 +10,12 @@
 /**
  * The context shared by all classes that send requests to the cloud.
  *
- * @param scope the scope of pending timers and callbacks; closed at the end of the term
- * @param isLeader whether the lease on the leader key is still valid; no requests are sent after it has expired
+ * @param scope the scope of pending timers and callbacks, which is closed at the end of the term
+ * @param isLeader true while the lease on the leader key is valid. While it is false, no machine is launched,
+ *     and only machines that the cloud reports as failed are deleted.
  */
 record CloudRequestContext(
         Loop loop, CancellationScope scope, CloudClient cloud, Cluster cluster, BooleanSupplier isLeader) {
-    /** The delay before retrying a request that got no response or could not be sent. */
+    /** The delay before a retry of a request that got no usable response or could not be sent. */
     static final long RETRY_INTERVAL_NANOS = Durations.nanos(2);
 }
--- a/src/main/java/org/spruceridge/autoscaling/FailedMachineRemoval.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailedMachineRemoval.java
@@ -10,8 +10,8 @@
 import org.spruceridge.net.Loop;
 
 /**
- * Handles the failures found by the failure detector: releases the tasks of machines with expired leases, and deletes
- * dead machines.
+ * Handles the failures that the failure detector finds. It releases the tasks of machines with expired leases. It
+ * deletes machines that are dead or whose stops are overdue.
  */
 final class FailedMachineRemoval {
     private static final Logger LOG = LoggerFactory.getLogger(FailedMachineRemoval.class);
@@ -27,11 +27,11 @@
     }
 
     void run() {
-        releaseTasksOfExpiredLeases();
+        releaseTasksOfMachinesWithExpiredLease();
         deleteDeadMachines();
     }
 
-    private void releaseTasksOfExpiredLeases() {
+    private void releaseTasksOfMachinesWithExpiredLease() {
         for (Machine machine : failureDetector.findMachinesWithExpiredLease()) {
             LOG.info(
                     "machine lease expired, its tasks are released machine={} count={}",
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Deletes machines that are declared dead or whose stops are overdue. A confirmed deletion proves that their tasks
-     * no longer run.
+     * Deletes machines that are declared dead or whose stops are overdue. A confirmed deletion proves that the tasks of
+     * a machine no longer run.
      */
     private void deleteDeadMachines() {
         List<Machine> machinesWithOverdueStops = failureDetector.findMachinesWithOverdueStop();
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -15,12 +15,12 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.net.Loop;
 
-/** Finds machines with expired leases and dead machines. It does not change the cluster state. */
+/** Finds machines with expired leases, machines with overdue stops, and dead machines. Does not change the cluster. */
 final class FailureDetector {
-    /** Allowance for late timers on both sides, added to the lease duration in addition to clock drift. */
+    /** The time added to a lease duration for late timers on the leader and the worker. Clock drift is added too. */
     private static final double LEASE_MARGIN_S = 1;
 
-    /** After this many lease durations a machine is declared dead even if its zone appears to be partitioned. */
+    /** A machine that is unresponsive for more than this many lease durations is dead, even in a partitioned zone. */
     private static final double PARTITIONED_ZONE_LEASES = 4;
 
     private final Loop loop;
@@ -30,10 +30,13 @@
     private final CancellationTimes cancellationTimes;
     private long overloadedUntil = Long.MIN_VALUE;
 
-    /** If a zone sends no heartbeat for this many heartbeat intervals, the zone or this node is partitioned. */
+    /** If no machine of a zone sends a heartbeat for this many intervals, the zone or this node is partitioned. */
     private static final double PARTITIONED_ZONE_HEARTBEAT_INTERVALS = 1.5;
 
-    /** The number of machines and of responsive machines in a zone, and the time of its latest heartbeat. */
+    /**
+     * The machines of a zone that have sent a heartbeat: their number, the number of responsive ones, and the time of
+     * the latest heartbeat.
+     */
     private static final class ZoneStatus {
         private int machineCount;
         private int responsiveCount;
@@ -48,12 +51,18 @@
         this.cancellationTimes = CancellationTimes.of(settings.workers());
     }
 
-    /** Records that this node is overloaded, so that it may not have processed all heartbeats that have arrived. */
+    /**
+     * Records that this node is overloaded. It might therefore have received heartbeats that it has not processed. For
+     * half a lease from now, no machine is declared dead.
+     */
     void recordOverload() {
         overloadedUntil = loop.nanos() + Durations.nanos(settings.workers().leaseS() / 2);
     }
 
-    /** Finds machines whose leases no leader can have renewed in time: their workers have killed all tasks. */
+    /**
+     * Finds machines whose lease has certainly expired, whichever leader last renewed the lease. The workers of these
+     * machines have killed all their tasks. Machines without tasks to release are left out.
+     */
     List<Machine> findMachinesWithExpiredLease() {
         long leaseNanos = Durations.nanos(
                 settings.workers().leaseS() * (1 + 2 * Durations.MAX_CLOCK_DRIFT_RATIO) + LEASE_MARGIN_S);
@@ -73,7 +82,7 @@
 
     /**
      * Finds machines on which the stop of a cancelled task has been unproven for too long. A machine that hangs or is
-     * unreachable keeps its task, and only deleting the machine is certain to stop the task in time.
+     * unreachable keeps its tasks. Deleting such a machine is the only certain way to stop a task in time.
      */
     List<Machine> findMachinesWithOverdueStop() {
         long now = loop.nanos();
@@ -82,7 +91,10 @@
                 .toList();
     }
 
-    /** The time since the earliest cancellation of a job with an unproven stop, in seconds; 0 if there is none. */
+    /**
+     * The time since the earliest cancellation of a job whose tasks are not all proven to be stopped, in seconds; 0 if
+     * there is no such job.
+     */
     double oldestUnprovenStopS() {
         long now = loop.nanos();
         return cluster.machines().stream()
@@ -93,6 +105,7 @@
                 .orElse(0);
     }
 
+    /** True if the job is cancelled, but its task might be on the machine or a start command for it might arrive. */
     private static boolean isStopUnproven(Binding binding) {
         return binding.job().isCancelled() && binding.stage() != Binding.Stage.PROPOSED && !binding.isProvenGone();
     }
@@ -106,7 +119,7 @@
 
     /**
      * Finds machines that have stopped sending heartbeats, do not acknowledge commands, or have failed to boot. Returns
-     * none while this node is overloaded and may not have processed all heartbeats.
+     * no machines while this node is overloaded, because it might not have processed all received heartbeats.
      */
     List<Machine> findDeadMachines() {
         long now = loop.nanos();
@@ -131,7 +144,7 @@
             if (machine.hasReported()) {
                 ZoneStatus status = zones.computeIfAbsent(machine.zone(), z -> new ZoneStatus());
                 status.machineCount++;
-                status.responsiveCount += unresponsiveS(machine, now) < deadTimeoutS() ? 1 : 0;
+                status.responsiveCount += unresponsiveDurationS(machine, now) < deadTimeoutS() ? 1 : 0;
                 status.lastHeartbeat =
                         Math.max(status.lastHeartbeat, machine.lease().lastHeartbeat());
             }
@@ -152,23 +165,23 @@
     }
 
     /**
-     * If most machines of a zone are unresponsive, the likely cause is the network and they may recover, so a longer
-     * timeout applies.
+     * True if the machine has been unresponsive for longer than its timeout. If the zone as a whole is not responsive,
+     * the likely cause is the network and its machines can recover. A longer timeout therefore applies.
      */
     private boolean isDead(Machine machine, ZoneStatus zone, long now) {
         double leaseS = settings.workers().leaseS();
-        double unresponsiveForS = unresponsiveS(machine, now);
-        // A worker that has not yet sent a heartbeat to this leader may still be locating it.
+        double unresponsiveForS = unresponsiveDurationS(machine, now);
+        // A worker whose heartbeats do not yet contain this term's fencing token might still be locating this leader.
         boolean isTimedOut = unresponsiveForS > (machine.lease().isFenced() ? deadTimeoutS() : leaseS);
-        return isTimedOut && (isResponsive(zone, now) || unresponsiveForS > PARTITIONED_ZONE_LEASES * leaseS);
+        return isTimedOut && (isZoneResponsive(zone, now) || unresponsiveForS > PARTITIONED_ZONE_LEASES * leaseS);
     }
 
     /**
-     * True if most machines of a zone are responsive and at least one has recently sent a heartbeat. The majority alone
-     * is not enough: when a zone is partitioned, the machines with the oldest heartbeats reach the timeout while most
-     * others still count as responsive.
+     * True if most machines of a zone are responsive and at least one machine has recently sent a heartbeat. The first
+     * condition is not enough. When a zone is partitioned, the machines with the oldest heartbeats reach the timeout
+     * while most other machines of the zone still count as responsive.
      */
-    private boolean isResponsive(ZoneStatus zone, long now) {
+    private boolean isZoneResponsive(ZoneStatus zone, long now) {
         double sinceLastHeartbeatS = Durations.secondsSince(zone.lastHeartbeat, now);
         return zone.responsiveCount * 2 > zone.machineCount
                 && sinceLastHeartbeatS
@@ -177,10 +190,10 @@
     }
 
     /**
-     * For how many seconds the machine has been unresponsive: since its last heartbeat, or since a command has been
-     * unacknowledged or the machine suspect, whichever is longer.
+     * The number of seconds for which the machine has been unresponsive. Counts from the earliest of three events: its
+     * last heartbeat, the sending of its oldest unacknowledged command, and the time at which it became suspect.
      */
-    private static double unresponsiveS(Machine machine, long now) {
+    private static double unresponsiveDurationS(Machine machine, long now) {
         double sinceLastHeartbeatS = Durations.secondsSince(machine.lease().lastHeartbeat(), now);
         return machine.awaitsAcknowledgement()
                 ? Math.max(sinceLastHeartbeatS, Durations.secondsSince(machine.unacknowledgedSince(), now))
--- a/src/main/java/org/spruceridge/autoscaling/MachineListReconciler.java
+++ b/src/main/java/org/spruceridge/autoscaling/MachineListReconciler.java
@@ -13,8 +13,9 @@
 import org.spruceridge.net.Loop;
 
 /**
- * Reconciles the cluster state with the cloud's machine list: adds unknown machines, and removes machines that the
- * cloud reports as failed. The list lags, so machines that are missing from it are not removed.
+ * Reconciles the cluster state with the cloud's machine list. It adds unknown machines, and removes machines that the
+ * cloud reports as failed. It keeps machines that are missing from the list, because the list lags behind the actual
+ * state.
  */
 final class MachineListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(MachineListReconciler.class);
@@ -34,16 +35,16 @@
         List<String> failedNames = new ArrayList<>();
         for (CloudMachine listed : listedMachines) {
             if (listed.stage() == CloudMachine.Stage.FAILED) {
-                removeFailed(listed);
+                removeFailedMachine(listed);
                 failedNames.add(listed.name());
             } else {
                 addOrUpdate(listed, now);
             }
         }
-        scaleInRequests.removeFromCloudList(failedNames);
+        scaleInRequests.deleteFailedMachines(failedNames);
     }
 
-    private void removeFailed(CloudMachine listed) {
+    private void removeFailedMachine(CloudMachine listed) {
         Machine machine = cluster.machine(listed.name());
         if (machine != null) {
             LOG.info("machine failed machine={}", machine.name());
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
@@ -12,9 +12,13 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.term.LeaderContext;
 
-/** Decides which machines to delete because they are idle or cannot be given any more tasks. */
+/**
+ * Decides which machines to delete because they are idle or unusable. No tasks can be placed on an unusable machine.
+ */
 final class ScaleInCycle {
-    /** The minimum time that the cloud bills for a machine. An idle machine is not deleted earlier. */
+    /**
+     * The minimum time that the cloud bills for a machine. An idle machine is kept until that time after its launch.
+     */
     private static final double MIN_BILLED_S = 60;
 
     private final Cluster cluster;
@@ -32,7 +36,8 @@
     }
 
     /**
-     * Deletes idle and unusable machines, except idle ones in {@code neededMachines}, whose capacity is still needed.
+     * Deletes unusable machines, and idle machines that are not in {@code neededMachines}. The capacity of the needed
+     * machines is reserved for unplaced tasks or as warm capacity.
      */
     void run(Set<Machine> neededMachines, long now) {
         List<Machine> machinesToDelete = new ArrayList<>();
@@ -47,7 +52,7 @@
     private static boolean canBeDeleted(Machine machine) {
         return !machine.isTerminating()
                 && machine.hasReported()
-                && (machine.bindings().isEmpty() || mayReceiveStartOfCancelledTask(machine));
+                && (machine.bindings().isEmpty() || canStartOfCancelledTaskStillArrive(machine));
     }
 
     private boolean isUnusable(Machine machine, long now) {
@@ -62,32 +67,35 @@
 
     private boolean isIdleTimeoutExceeded(Machine machine, long now) {
         double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
-        double idleTimeoutS = policy.fleet().idleTimeoutBoots() * bootS * minPriceRatio(machine);
+        double idleTimeoutS = policy.fleet().idleTimeoutBoots() * bootS * lowestToOwnPriceRatio(machine);
         return Durations.secondsSince(machine.idleSince(), now) > idleTimeoutS
                 && Durations.secondsSince(machine.launchedAt(), now) > MIN_BILLED_S;
     }
 
-    /** True if the machine became suspect recently, so that it may still respond to a probe. */
+    /**
+     * True if a suspect machine can still respond to a probe. The machine gets half a lease from the time at which it
+     * became suspect or its oldest pending command was sent, whichever is earlier.
+     */
     private boolean isBeingProbed(Machine machine, long now) {
         return Durations.secondsSince(machine.unacknowledgedSince(), now)
                 < settings.workers().leaseS() / 2;
     }
 
     /**
-     * The lowest price of the machine's type divided by the machine's own price. It scales the idle timeout, so that
-     * more expensive machines are deleted sooner.
+     * The lower price of the machine's type, spot or on-demand, divided by the machine's own price. This ratio scales
+     * the idle timeout, which shortens the timeout of machines that cost more than the lower price.
      */
-    private double minPriceRatio(Machine machine) {
+    private double lowestToOwnPriceRatio(Machine machine) {
         return cluster.typeOf(machine)
                 .map(type -> Math.min(type.price(), type.spotPrice()) / type.price(machine.isSpot()))
                 .orElse(1.0);
     }
 
     /**
-     * True if a direct command to start a cancelled task may still reach the machine, which only the deletion of the
-     * machine rules out.
+     * True if a direct command to start a cancelled task can still reach the machine. Deleting the machine is the only
+     * way to rule that out.
      */
-    private static boolean mayReceiveStartOfCancelledTask(Machine machine) {
+    private static boolean canStartOfCancelledTaskStillArrive(Machine machine) {
         return machine.directCommands().hasUncertainStart()
                 && machine.bindings().stream()
                         .anyMatch(binding -> binding.job().isCancelled()
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInRequests.java
@@ -24,7 +24,7 @@
     private final BindingReleaser releaser;
     private final Runnable requestSchedulingCycle;
     private final Set<String> deletionsInFlight = new HashSet<>();
-    private final Set<String> removedFromCloudList = new HashSet<>();
+    private final Set<String> requestedFailedMachineDeletions = new HashSet<>();
 
     /** {@code requestSchedulingCycle} is called when a machine has been removed. */
     ScaleInRequests(CloudRequestContext context, BindingReleaser releaser, Runnable requestSchedulingCycle) {
@@ -34,14 +34,17 @@
         this.requestSchedulingCycle = requestSchedulingCycle;
     }
 
-    /** Requests the deletion of machines, if any, and retries until it is confirmed; {@code reason} is logged. */
+    /**
+     * Requests the deletion of {@code machines}, and retries until the cloud confirms the deletion. Does nothing if the
+     * list is empty. {@code reason} is logged.
+     */
     void delete(List<Machine> machines, String reason) {
         if (machines.isEmpty()) {
             return;
         }
         if (!context.isLeader().getAsBoolean()) {
-            // Retries only if the leader lease is renewed. Otherwise a new leader may have assigned tasks to the
-            // machines.
+            // Sends nothing until the leader lease is renewed. If the lease has expired, a new leader might have
+            // assigned tasks to the machines.
             context.scope().after(CloudRequestContext.RETRY_INTERVAL_NANOS, () -> delete(machines, reason));
             return;
         }
@@ -78,29 +81,32 @@
     }
 
     /**
-     * Deletes machines that the cloud reports as failed, so that they leave its list. Each deletion is requested once,
-     * and again only if it was not confirmed.
+     * Requests the deletion of machines that the cloud reports as failed, to remove them from the cloud's list. The
+     * deletion of a machine is requested again only if the previous request for the machine was not confirmed.
      */
-    void removeFromCloudList(List<String> failedNames) {
-        List<String> newNames =
-                failedNames.stream().filter(removedFromCloudList::add).toList();
+    void deleteFailedMachines(List<String> failedNames) {
+        List<String> newNames = failedNames.stream()
+                .filter(requestedFailedMachineDeletions::add)
+                .toList();
         for (List<String> batch : Lists.partition(newNames, CloudClient.MAX_DELETE_BATCH)) {
             context.cloud().deleteMachines(batch, context.scope().guard(confirmed -> {
                 if (!confirmed) {
-                    batch.forEach(removedFromCloudList::remove);
+                    batch.forEach(requestedFailedMachineDeletions::remove);
                 }
             }));
         }
     }
 
-    /** Removes a machine that is proven to no longer exist, and releases its tasks. */
+    /**
+     * Releases the tasks of a machine and removes it from the cluster. The machine must be proven to no longer exist.
+     */
     void recordDeletion(Machine machine) {
         releaseAll(machine);
         cluster.remove(machine);
         requestSchedulingCycle.run();
     }
 
-    /** Releases all tasks of a machine. They must be proven to no longer run on it. */
+    /** Releases all tasks of a machine. It must be proven that none of the tasks runs on the machine any more. */
     void releaseAll(Machine machine) {
         for (Binding binding : ImmutableList.copyOf(machine.bindings())) {
             if (binding.stage() == Binding.Stage.ORPHANED) {
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
@@ -15,7 +15,7 @@
 import org.spruceridge.net.Durations;
 import org.spruceridge.schedule.Plan;
 
-/** Decides how many machines to launch, for unplaced tasks of the last scheduling cycle and for warm capacity. */
+/** Decides how many machines to launch for warm capacity and for tasks that the last scheduling cycle did not place. */
 final class ScaleOutCycle {
     private final Cluster cluster;
     private final Settings settings;
@@ -29,7 +29,7 @@
         this.scaleOutRequests = scaleOutRequests;
     }
 
-    /** Requests the additional machines, and returns the existing machines whose capacity is needed. */
+    /** Requests the missing machines, and returns the existing machines whose capacity is needed. */
     Set<Machine> run(Plan plan, long now, long wallMs) {
         List<WarmCapacity.Reserve> reserves = warmCapacity.reserves(cluster, now, wallMs);
         ScaleOutPlanner planner =
@@ -37,17 +37,17 @@
         List<Machine> running = addBootingMachines(planner, now);
         addPendingRequests(planner);
         for (Machine machine : running) {
-            planner.addFutureCapacity(machine, freedWithinBoot(machine, now));
+            planner.addFutureCapacity(machine, capacityFreedWithinBoot(machine, now));
         }
         plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
-        running.forEach(planner::add); // warm capacity may use the capacity that the scheduling cycle left free
+        running.forEach(planner::add); // warm capacity can use the capacity that the scheduling cycle left free
         reserves.forEach(reserve -> planner.place(
-                reserve.example(), reserve.tasks(), ZoneAllowance.of(reserve.example(), reserve.tasks())));
-        planner.launches().forEach(scaleOutRequests::launch);
+                reserve.example(), reserve.taskCount(), ZoneAllowance.of(reserve.example(), reserve.taskCount())));
+        planner.launchCounts().forEach(scaleOutRequests::launch);
         return planner.neededMachines();
     }
 
-    /** The minimum of each resource over all tasks to be placed. */
+    /** For each resource, the smallest amount that any of the tasks to be placed needs. */
     private static Resources minTaskResources(Plan plan, List<WarmCapacity.Reserve> reserves) {
         Stream<JobSpec> specs = Stream.concat(
                 plan.unplaced().keySet().stream().map(Job::spec),
@@ -55,7 +55,7 @@
         return Resources.minOf(specs.map(JobSpec::taskResources));
     }
 
-    /** Adds the booting machines, and returns the running ones. */
+    /** Adds the booting machines to the planner, and returns the machines whose workers have sent a heartbeat. */
     private List<Machine> addBootingMachines(ScaleOutPlanner planner, long now) {
         List<Machine> running = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
@@ -86,8 +86,8 @@
                         < 2 * settings.workers().heartbeatIntervalS();
     }
 
-    /** The capacity that tasks of a machine are estimated to free sooner than a new machine of its type can boot. */
-    private Resources freedWithinBoot(Machine machine, long now) {
+    /** The capacity of those tasks on a machine that are estimated to end before a new machine of its type can boot. */
+    private Resources capacityFreedWithinBoot(Machine machine, long now) {
         double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
         Resources freed = Resources.NONE;
         for (Binding binding : machine.bindings()) {
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
@@ -17,8 +17,8 @@
 import org.spruceridge.cluster.Resources;
 
 /**
- * Bin-packs unplaced tasks into existing and booting machines, and the remaining ones into new machines of the cheapest
- * available kind that fits. It only computes the plan; {@link ScaleOutCycle} requests the machines.
+ * Bin-packs unplaced tasks into existing and booting machines. Plans new machines for the remaining tasks, each of the
+ * cheapest available kind that fits. Only computes the plan; {@link ScaleOutCycle} requests the machines.
  */
 final class ScaleOutPlanner {
     private static final int MAX_NEW_MACHINES = 100;
@@ -27,14 +27,15 @@
     private final Predicate<MachineKind> isAvailable;
     private final Resources minTaskResources;
     private final List<Bin> bins = new ArrayList<>();
-    private final Map<MachineKind, Integer> launches = new HashMap<>();
+    private final Map<MachineKind, Integer> launchCounts = new HashMap<>();
     private final Map<String, Integer> machinesPerZone = new HashMap<>();
     private final Set<Machine> neededMachines = new HashSet<>();
     private int newMachineCount;
 
     /**
-     * {@code isAvailable} is true for kinds that the cloud has not recently refused. {@code minTaskResources} is the
-     * minimum of each resource over all tasks to be placed; free capacity smaller than that is ignored.
+     * {@code isAvailable} is true for kinds of machines that the cloud has not recently refused. {@code
+     * minTaskResources} contains, for each resource, the smallest amount that any task to be placed needs. Capacity
+     * into which {@code minTaskResources} does not fit is ignored.
      */
     ScaleOutPlanner(Cluster cluster, Predicate<MachineKind> isAvailable, Resources minTaskResources) {
         this.cluster = cluster;
@@ -50,7 +51,7 @@
         addIfUseful(machine.kind(), cluster.freeCapacity(machine), machine);
     }
 
-    /** Adds the capacity that will become free on a machine before a new machine could boot. */
+    /** Adds the capacity that is expected to become free on a machine before a new machine can boot. */
     void addFutureCapacity(Machine machine, Resources freed) {
         addIfUseful(machine.kind(), freed, machine);
     }
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Adds the capacity of a requested machine. */
+    /** Adds the capacity of a machine whose launch request has no result yet. */
     void add(MachineKind kind) {
         MachineType type = cluster.types().get(kind.type());
         if (type != null) {
@@ -69,7 +70,9 @@
         }
     }
 
-    /** Places tasks of a job, and plans new machines for those that do not fit. */
+    /**
+     * Places {@code count} tasks of a job, and plans new machines for the tasks that fit on no machine added so far.
+     */
     void place(JobSpec spec, int count, ZoneAllowance zoneAllowance) {
         int remaining = count;
         for (Bin bin : bins) {
@@ -86,18 +89,18 @@
             Bin bin = new Bin(kind.get(), cluster.types().get(kind.get().type()).capacity(), null);
             bins.add(bin);
             newMachineCount++;
-            launches.merge(kind.get(), 1, Integer::sum);
+            launchCounts.merge(kind.get(), 1, Integer::sum);
             machinesPerZone.merge(kind.get().zone(), 1, Integer::sum);
             remaining -= bin.place(spec, remaining, zoneAllowance);
         }
     }
 
     /** The number of machines to launch, by kind. */
-    Map<MachineKind, Integer> launches() {
-        return launches;
+    Map<MachineKind, Integer> launchCounts() {
+        return launchCounts;
     }
 
-    /** The existing machines whose capacity is needed. */
+    /** The existing machines on which this planner has placed tasks. */
     Set<Machine> neededMachines() {
         return neededMachines;
     }
@@ -109,7 +112,7 @@
                 continue;
             }
             for (String zone : type.zones()) {
-                if (zoneAllowance.remaining(zone) == 0) {
+                if (zoneAllowance.remainingTaskCount(zone) == 0) {
                     continue;
                 }
                 for (boolean spot : new boolean[] {true, false}) {
@@ -132,6 +135,7 @@
         return type.price(kind.spot()) / Math.max(1, tasksPerMachine);
     }
 
+    /** Free capacity for tasks. {@code machine} is null if the machine does not exist yet. */
     private final class Bin {
         private final MachineKind kind;
         private final Machine machine;
@@ -143,14 +147,15 @@
             this.machine = machine;
         }
 
+        /** Places up to {@code maxCount} tasks of a job, and returns the number of tasks placed. */
         int place(JobSpec spec, int maxCount, ZoneAllowance zoneAllowance) {
             if (!spec.taskResources().fitsIn(freeCapacity) || !spec.allows(kind.type(), kind.zone(), kind.spot())) {
                 return 0;
             }
             int count = Math.min(
-                    Math.min(maxCount, zoneAllowance.remaining(kind.zone())),
+                    Math.min(maxCount, zoneAllowance.remainingTaskCount(kind.zone())),
                     freeCapacity.fittingTasks(spec.taskResources()));
-            zoneAllowance.add(kind.zone(), count);
+            zoneAllowance.addPlannedTasks(kind.zone(), count);
             for (int i = 0; i < count; i++) {
                 freeCapacity = freeCapacity.minus(spec.taskResources());
             }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
@@ -31,7 +31,7 @@
     /** A request that has no result yet. */
     private record Request(MachineKind kind, int count, long requestedAt) {}
 
-    /** {@code leaseS} is used as the boot time of an unknown machine type, in seconds. */
+    /** {@code leaseS} is the lease duration in seconds. It serves as the boot time of unknown machine types. */
     ScaleOutRequests(CloudRequestContext context, long term, double leaseS) {
         this.context = context;
         this.cluster = context.cluster();
@@ -39,7 +39,7 @@
         this.leaseS = leaseS;
     }
 
-    /** True unless the cloud recently refused machines of this kind. */
+    /** True unless the cloud recently refused a launch of this kind or launched fewer machines than requested. */
     boolean isAvailable(MachineKind kind) {
         return unavailableUntil.getOrDefault(kind, Long.MIN_VALUE)
                 <= context.loop().nanos();
@@ -50,7 +50,7 @@
         pendingRequests.values().forEach(request -> consumer.accept(request.kind, request.count));
     }
 
-    /** Requests {@code count} machines, or {@link CloudClient#MAX_LAUNCH_BATCH} if that is fewer. */
+    /** Requests {@code count} machines, but at most {@link CloudClient#MAX_LAUNCH_BATCH}. */
     void launch(MachineKind kind, int count) {
         String requestId = term + "-" + (++requestCount);
         Request request = new Request(
@@ -83,8 +83,8 @@
                         request.count,
                         context.scope().guard(launchResult -> {
                             if (launchResult.kind() == LaunchResult.Kind.UNKNOWN) {
-                                // Machines may have been launched. A retry with the same id returns them without
-                                // launching any twice.
+                                // Machines might have been launched. A retry with the same id returns their names
+                                // and launches no machine twice.
                                 context.scope()
                                         .after(
                                                 CloudRequestContext.RETRY_INTERVAL_NANOS,
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -13,24 +13,24 @@
 import org.spruceridge.net.Durations;
 
 /**
- * Capacity kept free for tasks that should start sooner than a machine can boot. For a class of job arrays whose wait
- * objective is shorter than a boot time, it is the recent peak of unfinished tasks. For a class of services, it is the
- * peak of replicas submitted within one boot time; in addition, it covers the replicas that the failure of one machine
- * would stop.
+ * Computes the capacity to keep free for tasks that should start sooner than a machine can boot. For a class of job
+ * arrays whose wait objective is shorter than a boot time, this is the recent peak number of unfinished tasks. For a
+ * class of services, this is the recent peak number of replicas submitted within one boot time. One further reserve
+ * covers the replicas on the machine with the most replicas, because a failure of that machine would stop them.
  */
 final class WarmCapacity {
-    /** How long a peak is retained, in boot times. */
+    /** A peak that is not reached again for this many boot times is lowered by one task. */
     private static final double PEAK_RETENTION_BOOTS = 15;
 
-    /** How long a new leader waits for jobs of a class without any, in boot times. */
+    /** The time for which a new leader waits for the first job of a class, in boot times. */
     private static final double LEARNING_BOOTS = 3;
 
     private final Settings settings;
     private final long startedAt;
     private final Map<String, Peak> peaks = new HashMap<>();
 
-    /** Capacity to keep free for a number of tasks of the same shape as the example job's. */
-    record Reserve(JobSpec example, int tasks) {}
+    /** Capacity to keep free: room for {@code taskCount} tasks with the same needs as the tasks of the example job. */
+    record Reserve(JobSpec example, int taskCount) {}
 
     /** The current demand of the jobs of a class. */
     private static final class Demand {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * True while a new leader has not yet observed the classes that need warm capacity for long enough to know their
-     * peaks. Until then it must not delete the capacity that its predecessor kept for them.
+     * True until a new leader has observed the classes that need warm capacity for long enough to know their peaks.
+     * While this is true, the leader must not delete the capacity that its predecessor kept for these classes.
      */
     boolean isLearning(Cluster cluster, long now) {
         double bootS = minBootS(cluster);
@@ -59,7 +59,11 @@
                 .anyMatch(objective -> now - startedAt < Durations.nanos(learningBoots(objective.jobClass()) * bootS));
     }
 
-    /** The demand of services is known immediately, because their job records contain the submission time. */
+    /**
+     * The time for which a new leader must observe a class, in boot times. The demand of services is known immediately,
+     * because their job records contain the submission time. A class of job arrays is observed for as long as a peak is
+     * retained.
+     */
     private double learningBoots(String jobClass) {
         Peak peak = peaks.get(jobClass);
         if (peak == null || peak.example == null) {
@@ -80,8 +84,8 @@
     }
 
     /**
-     * The capacity to keep free, as counts of tasks of example jobs. {@code now} is in nanoseconds on the loop's clock,
-     * {@code wallMs} in milliseconds of wall-clock time.
+     * Updates the peaks, and returns the capacity to keep free. {@code now} is in nanoseconds on the loop's clock.
+     * {@code wallMs} is the wall-clock time in milliseconds.
      */
     List<Reserve> reserves(Cluster cluster, long now, long wallMs) {
         double bootS = minBootS(cluster);
@@ -118,7 +122,7 @@
         }
     }
 
-    /** Adds capacity for the replicas of the machine with the most replicas. */
+    /** Adds a reserve for the replicas on the machine with the most replicas. */
     private static void addMachineFailureReserve(Cluster cluster, List<Reserve> reserves) {
         int maxReplicas = 0;
         JobSpec example = null;
@@ -137,6 +141,7 @@
         }
     }
 
+    /** The highest recent number of tasks of a class, and the latest job of the class. */
     private static final class Peak {
         private JobSpec example;
         private int taskCount;
--- a/src/main/java/org/spruceridge/autoscaling/ZoneAllowance.java
+++ b/src/main/java/org/spruceridge/autoscaling/ZoneAllowance.java
@@ -6,15 +6,17 @@
 import org.spruceridge.cluster.Job;
 import org.spruceridge.cluster.JobSpec;
 
-/** The number of additional tasks of a job that may be placed in each zone, given those already bound. */
+/**
+ * The number of further tasks of a job that its zone constraints allow in each zone, given the tasks already placed.
+ */
 final class ZoneAllowance {
     private final int maxTasksPerZone;
-    private final boolean oneZone;
+    private final boolean requiresOneZone;
     private final Map<String, Integer> tasksPerZone = new HashMap<>();
 
     private ZoneAllowance(int maxTasksPerZone, boolean oneZone) {
         this.maxTasksPerZone = maxTasksPerZone;
-        this.oneZone = oneZone;
+        this.requiresOneZone = oneZone;
     }
 
     /** The allowance for the waiting tasks of a job. */
@@ -27,21 +29,24 @@
         return allowance;
     }
 
-    /** The allowance for {@code tasks} unbound tasks of the same shape as those of the example job. */
-    static ZoneAllowance of(JobSpec example, int tasks) {
-        return new ZoneAllowance(example.spread() ? (tasks + 1) / 2 : tasks, false);
+    /**
+     * The allowance for {@code taskCount} tasks like those of the example job, none of which is placed yet. If the
+     * example job is spread over zones, half of the tasks, rounded up, are allowed in each zone.
+     */
+    static ZoneAllowance of(JobSpec example, int taskCount) {
+        return new ZoneAllowance(example.spread() ? (taskCount + 1) / 2 : taskCount, false);
     }
 
-    /** The number of tasks that may still be placed in the zone. */
-    int remaining(String zone) {
-        if (oneZone && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone)) {
+    /** The number of further tasks that are allowed in the zone. */
+    int remainingTaskCount(String zone) {
+        if (requiresOneZone && !tasksPerZone.isEmpty() && !tasksPerZone.containsKey(zone)) {
             return 0;
         }
         return Math.max(0, maxTasksPerZone - tasksPerZone.getOrDefault(zone, 0));
     }
 
-    /** Counts {@code count} more tasks as planned for the zone. */
-    void add(String zone, int count) {
+    /** Records that {@code count} more tasks are planned for the zone. */
+    void addPlannedTasks(String zone, int count) {
         tasksPerZone.merge(zone, count, Integer::sum);
     }
 }
--- a/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
+++ b/src/test/java/org/spruceridge/autoscaling/FailureDetectorTest.java
@@ -15,7 +15,7 @@
 import org.spruceridge.sim.Fixtures;
 import org.spruceridge.sim.SimLoop;
 
-/** Tests which machines are declared dead because of missing heartbeats. */
+/** Tests which machines the failure detector declares dead because of missing heartbeats. */
 final class FailureDetectorTest {
     private static final double HEARTBEAT_INTERVAL_S = 1.5;
     private static final double LEASE_S = 12;
@@ -44,7 +44,10 @@
         }
     }
 
-    /** For {@code seconds}, each machine except {@code silent} sends one heartbeat per interval, evenly staggered. */
+    /**
+     * Runs the loop for {@code seconds}. Every machine except {@code silent} sends one heartbeat per interval, and the
+     * heartbeats are spread evenly over the interval. If {@code silent} is null, all machines send heartbeats.
+     */
     private void sendHeartbeatsFromAllBut(Machine silent, double seconds) {
         for (int i = 0; i < seconds / HEARTBEAT_INTERVAL_S * MACHINES; i++) {
             Machine machine = machines.get(i % MACHINES);
@@ -65,15 +68,18 @@
     }
 
     /**
-     * Guards against deleting the machines of a partitioned zone. Those with the oldest heartbeats before the partition
-     * reach the timeout of half a lease while most other machines of the zone still count as responsive.
+     * Guards against deleting the machines of a partitioned zone. The machines whose last heartbeats are the oldest
+     * reach the timeout of half a lease first. At that time most other machines of the zone still count as responsive.
      */
     @Test
     void machinesOfPartitionedZoneAreNotDeclaredDeadWithinThreeLeases() {
         sendHeartbeatsFromAllBut(null, 6);
         for (double elapsedS = 0; elapsedS < 3 * LEASE_S; elapsedS += 0.1) {
             loop.run(0.1);
-            assertEquals(List.of(), detector.findDeadMachines(), elapsedS + " s after the partition");
+            assertEquals(
+                    List.of(),
+                    detector.findDeadMachines(),
+                    "no machine is declared dead " + elapsedS + " s after the partition");
         }
     }
 }
