--- a/src/main/java/org/spruceridge/net/BadMessageException.java
+++ b/src/main/java/org/spruceridge/net/BadMessageException.java
@@ -10,7 +10,10 @@
         super(message, null, false, false);
     }
 
-    /** A received text as part of a message: the text itself if it is short and printable, otherwise only its length. */
+    /**
+     * Returns a received text as it appears in error messages: the text itself if it is short and printable, otherwise
+     * only its length.
+     */
     public static String describe(String text) {
         boolean isPrintable = text.chars().noneMatch(Character::isISOControl);
         boolean isShort = !text.isEmpty() && text.length() <= MAX_SHOWN_LENGTH;
--- a/src/main/java/org/spruceridge/net/CancellationScope.java
+++ b/src/main/java/org/spruceridge/net/CancellationScope.java
@@ -23,12 +23,12 @@
         Timer timer = new Timer(task);
         if (!isClosed) {
             timers.add(timer);
-            timer.pending = loop.after(delayNanos, timer);
+            timer.loopTimer = loop.after(delayNanos, timer);
         }
         return timer;
     }
 
-    /** A callback that does nothing once the scope is closed. */
+    /** Returns a callback that calls {@code callback} while the scope is open, and does nothing once it is closed. */
     public <T> Consumer<T> guard(Consumer<T> callback) {
         return value -> {
             if (!isClosed) {
@@ -52,7 +52,7 @@
 
     private final class Timer implements Runnable, Cancellable {
         private final Runnable task;
-        private Cancellable pending = () -> {};
+        private Cancellable loopTimer = () -> {};
 
         Timer(Runnable task) {
             this.task = task;
@@ -69,7 +69,7 @@
         @Override
         public void cancel() {
             timers.remove(this);
-            pending.cancel();
+            loopTimer.cancel();
         }
     }
 }
--- a/src/main/java/org/spruceridge/net/ClientConnection.java
+++ b/src/main/java/org/spruceridge/net/ClientConnection.java
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory;
 import org.spruceridge.config.Address;
 
-/** One outbound connection: carries one exchange at a time and returns to the pool after its response. */
+/** One outbound connection. It carries one exchange at a time and returns to the pool after each response. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
 
@@ -58,7 +58,10 @@
         idleSinceNanos = nanos;
     }
 
-    /** Sets the channel, connected or not yet. It counts against the connection limit until it is closed. */
+    /**
+     * Sets the channel, which need not be connected yet. The channel counts against the connection limit until it is
+     * closed.
+     */
     void attach(Channel newChannel) {
         channel = newChannel;
         channel.closeFuture().addListener(future -> release());
--- a/src/main/java/org/spruceridge/net/ConnectionLimiter.java
+++ b/src/main/java/org/spruceridge/net/ConnectionLimiter.java
@@ -3,18 +3,28 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Counts the inbound and outbound connections of this process against its socket limit. Above the limit new connections
- * fail, including those of users and health checks. Idle outbound connections are therefore closed before the limit is
- * reached, and connections of workers are limited to a share of it. Used on the event loop only.
+ * Counts the inbound and outbound connections of this process against its socket limit. At the limit every new
+ * connection fails, including connections of users and health checks. Idle outbound connections are therefore closed
+ * before the limit is reached, and workers' connections may use only a share of the sockets. Used on the event loop
+ * only.
  */
 public final class ConnectionLimiter {
-    /** The rest is for the listening socket, the peers, and closed connections whose sockets are not released yet. */
+    /**
+     * The share of sockets at which no further outbound connection is opened. The remaining sockets are for the
+     * listening socket, the peers, and closed connections whose sockets the operating system has not released yet.
+     */
     private static final double USABLE_SHARE = 0.95;
-    /** Idle outbound connections are kept only below this share, so that new connections can be opened. */
+    /** The share of sockets above which idle outbound connections are closed, which keeps sockets free for new ones. */
     private static final double IDLE_ALLOWED_BELOW_SHARE = 0.9;
-    /** The limit of inbound connections; the rest is reserved for outbound calls. */
+    /**
+     * The maximum share of sockets for inbound connections. The remaining sockets are reserved for outbound
+     * connections.
+     */
     private static final double INBOUND_SHARE = 0.75;
-    /** The limit of workers' connections; the rest of the inbound share is reserved for users and health checks. */
+    /**
+     * The maximum share of sockets for workers' connections. The rest of {@link #INBOUND_SHARE} is reserved for users
+     * and health checks.
+     */
     private static final double WORKER_SHARE = 0.65;
 
     private final int maxSockets;
@@ -40,7 +50,8 @@
     }
 
     /**
-     * Sets the function that closes the least recently used idle outbound connection; it returns false if none is idle.
+     * Sets the function that closes the least recently used idle outbound connection. The function returns false if no
+     * outbound connection is idle.
      */
     void setIdleConnectionCloser(BooleanSupplier closer) {
         closeIdleConnection = closer;
@@ -60,10 +71,13 @@
         openCount--;
     }
 
-    /** Closes idle outbound connections while the total number of connections is above their allowed share. */
+    /**
+     * Closes idle outbound connections until the total number of connections is within {@link
+     * #IDLE_ALLOWED_BELOW_SHARE}, or none is idle.
+     */
     void closeExcessIdleConnections() {
         while (openCount > maxSockets * IDLE_ALLOWED_BELOW_SHARE && closeIdleConnection.getAsBoolean()) {
-            // each call closes one connection
+            // each call of the condition closes one connection
         }
     }
 }
--- a/src/main/java/org/spruceridge/net/ConnectionPool.java
+++ b/src/main/java/org/spruceridge/net/ConnectionPool.java
@@ -11,7 +11,9 @@
 
 /** The idle connections of the client, by address. Used on the event loop only. */
 final class ConnectionPool {
-    /** After a longer idle time the peer may have disappeared without closing the connection. */
+    /**
+     * The maximum idle time of a connection. After a longer time, the peer might have disappeared without closing it.
+     */
     private static final long MAX_IDLE_NANOS = Durations.nanos(90);
 
     private final Loop loop;
@@ -25,7 +27,9 @@
         this.connectionLimiter = connectionLimiter;
     }
 
-    /** Removes and returns the most recently used idle connection to the address, if there is one. */
+    /**
+     * Removes and returns the most recently used idle connection to the address; empty if no such connection is open.
+     */
     Optional<ClientConnection> take(Address address) {
         Deque<ClientConnection> idleConnections = idleByAddress.get(address);
         while (idleConnections != null && !idleConnections.isEmpty()) {
@@ -62,9 +66,9 @@
     }
 
     /**
-     * Closes the least recently used idle connection; returns false if none is idle. Each machine that was sent a
-     * command has an idle connection here, even long after the machine has gone. Together with the connections for
-     * heartbeats these would use up the sockets of a leader.
+     * Closes the least recently used idle connection. Returns false if no connection is idle. Each machine to which a
+     * command was sent has an idle connection in this pool, even long after the machine has gone. If none were closed,
+     * these connections and the connections for heartbeats would use up the sockets of a leader.
      */
     boolean closeLeastRecentlyUsed() {
         if (idleByLastUse.isEmpty()) {
--- a/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
+++ b/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
@@ -54,7 +54,7 @@
         ctx.fireChannelInactive();
     }
 
-    /** Releases the connection's place because it is closed or about to be closed. Idempotent. */
+    /** Stops counting and watching the connection, which is closed or about to be closed. Idempotent. */
     void release() {
         connections.removeConnection(this, connection);
         if (isAdmitted) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Called when a request is complete: the peer waits for this node, so no deadline applies. */
+    /** Called when a request has been received completely. No deadline applies while the peer waits for this node. */
     void requestReceived() {
         isReceiving = false;
         connections.unwatch(this);
--- a/src/main/java/org/spruceridge/net/HttpAnswer.java
+++ b/src/main/java/org/spruceridge/net/HttpAnswer.java
@@ -5,7 +5,7 @@
  *
  * @param status the HTTP status, or 0 if no response was received
  * @param body the body of the response, empty if no response was received
- * @param sent false if the request was certainly not executed
+ * @param sent false if the request was certainly not executed, true if it may have been executed
  */
 public record HttpAnswer(int status, byte[] body, boolean sent) {
     private static final HttpAnswer NO_RESPONSE = new HttpAnswer(0, new byte[0], true);
--- a/src/main/java/org/spruceridge/net/HttpExchange.java
+++ b/src/main/java/org/spruceridge/net/HttpExchange.java
@@ -9,7 +9,7 @@
     private final HttpCall call;
     private final Consumer<HttpAnswer> onComplete;
     private Cancellable timeoutTimer;
-    /** The connection that carries the request or is being opened for it; null until one is assigned. */
+    /** The connection that carries the request or that is being opened for it. Null until a connection is assigned. */
     private ClientConnection connection;
 
     private boolean isFinished;
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Finishes without a response. The outcome depends on whether the request was sent, because a request that was sent
-     * may have been executed.
+     * Finishes without a response. The outcome states whether the request was sent, because a request that was sent may
+     * have been executed.
      */
     void onTimeout() {
         if (!isFinished) {
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -49,7 +49,7 @@
                 // After a restart of all nodes the whole fleet connects almost simultaneously.
                 .option(ChannelOption.SO_BACKLOG, backlog)
                 // Accepts the whole backlog in one loop iteration. With Netty's default of 16 connections per iteration
-                // and iterations of 0.1 s, workers looking for a busy leader timed out in the backlog.
+                // and iterations of 0.1 s, workers that tried to reach a busy leader timed out in its backlog.
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(backlog))
--- a/src/main/java/org/spruceridge/net/InboundConnections.java
+++ b/src/main/java/org/spruceridge/net/InboundConnections.java
@@ -4,24 +4,27 @@
 import java.util.Set;
 
 /**
- * The inbound connections of the server. Connections on which workers send heartbeats are limited to a separate share.
- * When the share is used up, the worker connection that has been idle longest is closed, and its worker reconnects if
- * it is still alive. Neither dead connections nor a large fleet can therefore lock out users and health checks. Used on
- * the event loop only.
+ * The inbound connections of the server. Connections on which workers send heartbeats have a separate, lower limit.
+ * When that limit is reached, the worker connection that has been idle longest is closed. Its worker reconnects if the
+ * worker is still alive. Neither dead connections nor a large fleet can therefore lock out users and health checks.
+ * Used on the event loop only.
  */
 final class InboundConnections {
     /** The maximum idle time between two requests on a connection that is not a worker's. */
     static final long IDLE_TIMEOUT_NANOS = Durations.nanos(90);
-    /** Timeouts are checked by one periodic sweep, because a timer per request costs more than all sweeps together. */
+    /**
+     * The interval between two checks of all deadlines. One periodic check is used because a timer per request costs
+     * more CPU time than all checks together.
+     */
     private static final long TIMEOUT_CHECK_INTERVAL_NANOS = Durations.nanos(1);
 
     private final Loop loop;
     private final ConnectionLimiter connectionLimiter;
     private final long workerIdleTimeoutNanos;
-    /** Connections on which workers send heartbeats, idle longest first. */
+    /** Connections on which workers send heartbeats, the longest idle first. */
     private final Set<ServerConnection> workerConnections = new LinkedHashSet<>();
-    /** Connections that wait for their peer and are closed at their deadline. */
-    private final Set<ConnectionWatchdog> watched = new LinkedHashSet<>();
+    /** The watchdogs of connections that wait for their peer; each connection is closed at its deadline. */
+    private final Set<ConnectionWatchdog> activeWatchdogs = new LinkedHashSet<>();
 
     private int connectionCount;
 
@@ -31,7 +34,10 @@
         this.workerIdleTimeoutNanos = workerIdleTimeoutNanos;
     }
 
-    /** Counts a new connection. Returns false if the limit is reached; the caller must then close the connection. */
+    /**
+     * Counts a new connection. If the limit is reached, the worker connection that has been idle longest is closed to
+     * make room. Returns false if there is no such connection; the caller must then close the new connection.
+     */
     boolean admit() {
         if (connectionCount >= connectionLimiter.maxInbound() && !closeLongestIdleWorkerConnection()) {
             return false;
@@ -47,14 +53,16 @@
         connectionLimiter.closed();
     }
 
-    /** Removes a connection from all collections, whether or not it was admitted. */
+    /** Removes a connection and its watchdog from all collections. The connection need not have been admitted. */
     void removeConnection(ConnectionWatchdog watchdog, ServerConnection connection) {
-        watched.remove(watchdog);
+        activeWatchdogs.remove(watchdog);
         workerConnections.remove(connection);
     }
 
     /**
-     * Records a heartbeat on this connection, which counts against the share of workers as the most recently used one.
+     * Records a heartbeat on this connection, which becomes the most recently used worker connection. If the connection
+     * was not a worker connection before and their limit is reached, the worker connection that has been idle longest
+     * is closed.
      */
     void recordHeartbeat(ServerConnection connection) {
         workerConnections.remove(connection);
@@ -77,13 +85,13 @@
         return workerConnections.contains(connection) ? workerIdleTimeoutNanos : IDLE_TIMEOUT_NANOS;
     }
 
-    /** Closes the connection at its deadline, unless it is no longer watched by then. */
+    /** Watches the connection, which is closed at its deadline unless the watch ends earlier. */
     void watch(ConnectionWatchdog watchdog) {
-        watched.add(watchdog);
+        activeWatchdogs.add(watchdog);
     }
 
     void unwatch(ConnectionWatchdog watchdog) {
-        watched.remove(watchdog);
+        activeWatchdogs.remove(watchdog);
     }
 
     void startTimeoutChecks() {
@@ -92,7 +100,10 @@
 
     private void closeTimedOut() {
         long now = loop.nanos();
-        watched.stream().filter(watchdog -> watchdog.isTimedOut(now)).toList().forEach(ConnectionWatchdog::close);
+        activeWatchdogs.stream()
+                .filter(watchdog -> watchdog.isTimedOut(now))
+                .toList()
+                .forEach(ConnectionWatchdog::close);
         startTimeoutChecks();
     }
 }
--- a/src/main/java/org/spruceridge/net/Json.java
+++ b/src/main/java/org/spruceridge/net/Json.java
@@ -26,12 +26,14 @@
 
     private Json() {}
 
-    /** Parses a user's message. Anything but a single JSON object is rejected, and so are duplicate fields. */
+    /**
+     * Parses a user's message. Rejects a body that is not a single JSON object, and an object with duplicate fields.
+     */
     public static JsonNode strictObject(byte[] body) throws BadMessageException {
         return object(STRICT_FACTORY, body);
     }
 
-    /** Parses a message from a component of the platform. Anything but a single JSON object is rejected. */
+    /** Parses a message from a component of the platform. Rejects a body that is not a single JSON object. */
     public static JsonNode object(byte[] body) throws BadMessageException {
         return object(DEFAULT_FACTORY, body);
     }
@@ -89,7 +91,7 @@
         return child.textValue();
     }
 
-    /** Reads a field whose value is a string of Base64. */
+    /** Reads a field whose value is a Base64 string, and returns the decoded bytes. */
     public static byte[] bytes(JsonNode node, String name) throws BadMessageException {
         JsonNode child = node.get(name);
         try {
--- a/src/main/java/org/spruceridge/net/JsonTrees.java
+++ b/src/main/java/org/spruceridge/net/JsonTrees.java
@@ -11,15 +11,17 @@
 
 /**
  * Builds trees from Jackson's parser and writes them to its generator. ObjectMapper does the same, but its construction
- * takes 50 ms of CPU time for dates, types and annotations that are not used here. On the smallest machine that is most
- * of a second of the start-up time.
+ * takes 50 ms of CPU time to prepare for dates, types and annotations, none of which are used here. On the smallest
+ * machine, these 50 ms of CPU time prolong the startup by most of a second.
  */
 final class JsonTrees {
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     private JsonTrees() {}
 
-    /** Reads the value that starts at the current token; afterwards the current token is the last one of the value. */
+    /**
+     * Reads the value that starts at the current token. Afterwards the current token is the last token of the value.
+     */
     static JsonNode read(JsonParser parser) throws IOException {
         return switch (parser.currentToken()) {
             case START_OBJECT -> {
--- a/src/main/java/org/spruceridge/net/Latencies.java
+++ b/src/main/java/org/spruceridge/net/Latencies.java
@@ -9,19 +9,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Latency histograms since the start of the process; logged periodically and part of {@code GET /metrics}. */
+/**
+ * Latency histograms since the start of the process. They are logged periodically and returned by {@code GET /metrics}.
+ */
 public final class Latencies {
     /** The measured operations; their names in lower case are keys of {@code GET /metrics}. */
     public enum Kind {
-        /** From a user's submission, poll or cancellation to its response. */
+        /** The time from a user's submission, poll or cancellation to its response. */
         USERS,
-        /** From a worker's heartbeat to its response. */
+        /** The time from a worker's heartbeat to its response. */
         HEARTBEATS,
-        /** From a call of the state service to its response, excluding the time in the rate limiter. */
+        /** The time from a call of the state service to its response, excluding the wait in the rate limiter. */
         STATE,
-        /** One scheduling cycle. */
+        /** The duration of one scheduling cycle. */
         SCHEDULING_CYCLES,
-        /** From a binding's proposal to its commit. */
+        /** The time from the proposal of a binding to its commit. */
         COMMITS
     }
 
@@ -33,7 +35,7 @@
     private final CancellationScope scope;
     private final Map<Kind, Histogram> histograms = new EnumMap<>(Kind.class);
 
-    /** Creates empty histograms; the periodic log line runs on timers of this loop. */
+    /** Creates empty histograms. The periodic log line is scheduled on this loop. */
     public Latencies(Loop loop) {
         this.scope = new CancellationScope(loop);
         for (Kind kind : Kind.values()) {
--- a/src/main/java/org/spruceridge/net/Loop.java
+++ b/src/main/java/org/spruceridge/net/Loop.java
@@ -11,7 +11,10 @@
     /** Runs the task on this loop after a delay in nanoseconds. */
     Cancellable after(long delayNanos, Runnable task);
 
-    /** True while requests are queued for this loop; background work should be postponed until they are handled. */
+    /**
+     * True while requests are queued for this loop. Background work should be postponed until these requests are
+     * handled.
+     */
     default boolean busy() {
         return false;
     }
--- a/src/main/java/org/spruceridge/net/NettyHttpClient.java
+++ b/src/main/java/org/spruceridge/net/NettyHttpClient.java
@@ -21,14 +21,14 @@
 public final class NettyHttpClient implements HttpClient {
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-    /** A timer that fires later than this after its deadline was delayed by a busy loop, not by its resolution. */
+    /** The maximum delay that the resolution of timers explains. A longer delay means that the loop was busy. */
     private static final long MAX_TIMER_DELAY_NANOS = Durations.millis(50);
 
     private final NettyLoop loop;
     private final ConnectionLimiter connectionLimiter;
     private final ConnectionPool pool;
 
-    /** All connections count against {@code connectionLimiter}. */
+    /** Creates a client whose connections all count against the limits of {@code connectionLimiter}. */
     public NettyHttpClient(NettyLoop loop, ConnectionLimiter connectionLimiter) {
         this.loop = loop;
         this.connectionLimiter = connectionLimiter;
@@ -53,9 +53,9 @@
     }
 
     /**
-     * A timer that fires late indicates that this loop was busy, not that the peer did not respond. Input that has
-     * arrived in the meantime is therefore read first. Otherwise a node flooded with requests would never see a
-     * response of the state service.
+     * Completes the exchange as timed out. A timer that fires late indicates that this loop was busy, not that the peer
+     * did not respond. In that case, input that has arrived in the meantime is read first. Otherwise a node flooded
+     * with requests would never see a response of the state service.
      */
     private void handleTimeout(HttpExchange exchange, long deadlineNanos) {
         if (loop.nanos() - deadlineNanos > MAX_TIMER_DELAY_NANOS) {
--- a/src/main/java/org/spruceridge/net/NettyLoop.java
+++ b/src/main/java/org/spruceridge/net/NettyLoop.java
@@ -20,12 +20,12 @@
     private final EventLoop loop = group.next();
     private BooleanSupplier busyCheck = () -> false;
 
-    /** The event loop group that channels are registered with. */
+    /** The event loop group with which channels are registered. */
     public EventLoopGroup group() {
         return group;
     }
 
-    /** Sets the check behind {@link #busy}, which returns true while requests are queued. */
+    /** Sets the function that implements {@link #busy}. The function must return true while requests are queued. */
     void setBusyCheck(BooleanSupplier check) {
         busyCheck = check;
     }
@@ -61,11 +61,13 @@
         group.terminationFuture().await();
     }
 
-    /** Logs an exception of a task, so that it does not affect the other tasks of the loop. */
+    /**
+     * Runs a task and logs its exception, if any. An exception therefore does not affect the other tasks of the loop.
+     */
     private static void runLogged(Runnable task) {
         try {
             task.run();
-        } catch (RuntimeException | Error e) { // otherwise lost in the discarded future of the task
+        } catch (RuntimeException | Error e) { // otherwise the exception is lost in the future, which nothing reads
             LOG.error("event loop task failed", e);
         }
     }
--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -7,13 +7,14 @@
 import java.util.function.IntSupplier;
 
 /**
- * Limits the rate of requests to a service, and the rate of the changes that they contain, by priority. Work beyond the
- * rate waits in a bounded queue, so the service never receives more than its published limit. Work that only reads
- * never waits for changes. Users' changes have a separate token bucket, so that users of the leader's node are served
- * like those of other nodes however much the leader writes. Used on the event loop only.
+ * Limits the rate of requests to a service and the rate of changes in these requests. Work that exceeds the rates waits
+ * in a bounded queue and runs in order of priority. The service therefore never receives more than its published limit.
+ * Work that only reads never waits for work that changes data. Users' changes have a separate token bucket. Users of
+ * the leader's node are therefore served as fast as users of other nodes, regardless of how much the leader writes.
+ * Used on the event loop only.
  */
 public final class RateLimiter {
-    /** The purpose of the work, the highest priority first. */
+    /** The priority of work, named after its purpose; the highest priority is first. */
     public enum Priority {
         /** Renewal of the leader's lease, elections and recovery. */
         LEASE_RENEWAL,
@@ -21,12 +22,15 @@
         HEARTBEATS,
         /** Writes caused by scheduling and scaling. */
         SCHEDULING,
-        /** Requests of users; rejected instead of being queued for a long time. */
+        /** Requests of users. A request whose expected wait is too long is rejected instead of queued. */
         SUBMISSIONS
     }
 
     private static final int MAX_QUEUED_PER_PRIORITY = 256;
-    /** A user's request with a longer expected wait is rejected immediately; the user should retry. */
+    /**
+     * The maximum expected wait of a user's request. With a longer expected wait the request is rejected immediately,
+     * and the user should retry.
+     */
     private static final double MAX_SUBMISSION_WAIT_S = 1;
 
     private final Loop loop;
@@ -37,7 +41,9 @@
     private Cancellable wakeUp;
     private long submittedCount;
 
-    /** Takes the rates per second of requests, of changes and of users' changes; initially without a user burst. */
+    /**
+     * Creates a limiter with these rates per second and without a user burst; {@link #setRates} sets the user burst.
+     */
     public RateLimiter(Loop loop, double requestsPerS, double changesPerS, double userChangesPerS) {
         this.loop = loop;
         this.requestTokens = new TokenBucket(requestsPerS, 1, loop.nanos());
@@ -49,8 +55,8 @@
     }
 
     /**
-     * Changes the rates, for example when this node becomes the leader or steps down. Because users' requests arrive in
-     * bursts, a node that has been idle allows {@code userBurst} changes by users at once.
+     * Changes the rates, for example when this node becomes the leader or steps down. Users' requests arrive in bursts.
+     * A node that has been idle therefore allows {@code userBurst} changes by users at once.
      */
     public void setRates(double requestsPerS, double changesPerS, double userChangesPerS, double userBurst) {
         long now = loop.nanos();
@@ -72,8 +78,9 @@
     }
 
     /**
-     * Like {@link #submit(Priority, int, Runnable)}, for work whose number of changes is only known when it runs. The
-     * work returns that number, which is at most {@code maxChanges}; the unused tokens are returned.
+     * Like {@link #submit(Priority, int, Runnable)}, for work whose number of changes is known only when the work runs.
+     * The work returns that number, which is at most {@code maxChanges}. Tokens taken for the other changes are
+     * returned.
      */
     public boolean submit(Priority priority, int maxChanges, IntSupplier work) {
         Queue queue = queues.get(priority);
@@ -99,7 +106,7 @@
             run(runStep.queue.remove(), runStep.changeBucket);
             step = nextStep();
         }
-        cancelWakeUp(); // set again if the work submitted more work
+        cancelWakeUp(); // a nested call of drain, for work that was submitted by the work above, may have set it
         if (step instanceof WaitFor waitStep) {
             wakeUp = loop.after(waitStep.nanos, this::drain);
         }
@@ -115,10 +122,10 @@
     /** The next step of {@link #drain}. */
     private sealed interface NextStep permits Run, WaitFor, Idle {}
 
-    /** Run the head of the queue now, with its changes taken from the bucket. */
+    /** Run the head of the queue now, and take its change tokens from the bucket. */
     private record Run(Deque<PendingWork> queue, TokenBucket changeBucket) implements NextStep {}
 
-    /** Wait for this long: work is queued, but the rates do not allow any of it earlier. */
+    /** Wait this long. Work is queued, but the rates allow none of it earlier. */
     private record WaitFor(long nanos) implements NextStep {}
 
     private enum Idle implements NextStep {
@@ -133,16 +140,18 @@
         for (Priority priority : Priority.values()) {
             Queue queue = queues.get(priority);
             TokenBucket bucket = priority == Priority.SUBMISSIONS ? userChangeTokens : changeTokens;
-            boolean mayChange = !queue.changes.isEmpty();
-            if (mayChange) {
+            boolean canRunChange = !queue.changes.isEmpty();
+            if (canRunChange) {
                 long changeWait = bucket.waitNanos(queue.changes.peek().maxChanges, now);
                 minChangeWait = changeWait > 0 ? Math.min(minChangeWait, changeWait) : minChangeWait;
                 // While a priority waits for change tokens, lower priorities must not take them.
-                mayChange = changeWait == 0 && !(isShortOfChangeTokens && bucket == changeTokens);
+                canRunChange = changeWait == 0 && !(isShortOfChangeTokens && bucket == changeTokens);
                 isShortOfChangeTokens |= changeWait > 0 && bucket == changeTokens;
             }
-            if (mayChange || !queue.reads.isEmpty()) {
-                return requestWait > 0 ? new WaitFor(requestWait) : new Run(queue.dequeOfEarliest(mayChange), bucket);
+            if (canRunChange || !queue.reads.isEmpty()) {
+                return requestWait > 0
+                        ? new WaitFor(requestWait)
+                        : new Run(queue.dequeOfEarliest(canRunChange), bucket);
             }
         }
         return minChangeWait == Long.MAX_VALUE ? Idle.NOTHING_QUEUED : new WaitFor(minChangeWait);
@@ -165,9 +174,12 @@
             return changes.size() + reads.size();
         }
 
-        /** The deque with the earliest submitted work among that which may run. At least one item must be runnable. */
-        Deque<PendingWork> dequeOfEarliest(boolean mayChange) {
-            if (!mayChange) {
+        /**
+         * Returns the deque whose head was submitted first. The head of {@code changes} is considered only if {@code
+         * canRunChange} is true. At least one head must be runnable.
+         */
+        Deque<PendingWork> dequeOfEarliest(boolean canRunChange) {
+            if (!canRunChange) {
                 return reads;
             }
             return reads.isEmpty() || changes.peek().sequenceNumber < reads.peek().sequenceNumber ? changes : reads;
--- a/src/main/java/org/spruceridge/net/RequestQueue.java
+++ b/src/main/java/org/spruceridge/net/RequestQueue.java
@@ -6,19 +6,22 @@
 import java.util.Map;
 
 /**
- * The queue of received requests under overload. With CPU time to spare, each request is handled immediately. Requests
- * that arrive faster than they can be handled are queued by priority, and those whose sender has disconnected or timed
- * out are rejected unhandled: a node that spends its time on responses that nobody is waiting for would answer no
- * request in time, because senders retry. Used on the event loop only.
+ * The queue of received requests under overload. Without overload, each request is handled immediately. Requests that
+ * arrive faster than this node can handle them are queued by priority. A request whose sender has disconnected or timed
+ * out is rejected unhandled. Otherwise this node would spend its time on responses that nobody waits for, and because
+ * senders retry, it would answer no request in time. Used on the event loop only.
  */
 public final class RequestQueue {
-    /** The priority of requests under overload, the highest first, with the time after which they are rejected. */
+    /**
+     * The priority of requests under overload, the highest first. A queued request is rejected after the timeout of its
+     * priority, in seconds.
+     */
     public enum Priority {
-        /** Health checks; if they are delayed, the load balancer considers a busy node dead. */
+        /** Health checks. If they are delayed, the load balancer considers a busy node dead. */
         HEALTH(1),
-        /** Workers' heartbeats; the worker times out after 4 s. */
+        /** Workers' heartbeats. A worker stops waiting for the response after 4 s. */
         HEARTBEAT(3),
-        /** Requests of users; they receive a response that asks them to retry instead of waiting longer. */
+        /** Requests of users. After the timeout, the response asks the user to retry instead of waiting longer. */
         USER(1);
 
         private final long timeoutNanos;
@@ -40,7 +43,9 @@
         boolean isAbandoned();
     }
 
-    /** The maximum time spent on requests before the network is polled for new requests and disconnects. */
+    /**
+     * The maximum time for which requests are handled before the loop looks for new requests and closed connections.
+     */
     private static final long MAX_SLICE_NANOS = Durations.millis(50);
 
     private final Loop loop;
--- a/src/main/java/org/spruceridge/net/ServerConnection.java
+++ b/src/main/java/org/spruceridge/net/ServerConnection.java
@@ -49,7 +49,10 @@
         return isBusy;
     }
 
-    /** Closes the connection, on which a heartbeat must have been received before. */
+    /**
+     * Closes the connection. Called only if a heartbeat was received on the connection before, because {@code context}
+     * is null until then.
+     */
     void close() {
         watchdog.release();
         context.close();
--- a/src/main/java/org/spruceridge/net/TokenBucket.java
+++ b/src/main/java/org/spruceridge/net/TokenBucket.java
@@ -1,8 +1,8 @@
 package org.spruceridge.net;
 
-/** A token bucket with a capacity of one second's worth of tokens, or of a minimum capacity if that is larger. */
+/** A token bucket. Its capacity is one second's worth of tokens, or the minimum capacity if that is larger. */
 final class TokenBucket {
-    /** A smaller number of missing tokens is a rounding error. */
+    /** The maximum number of missing tokens that is ignored as a rounding error. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private double minCapacity;
@@ -39,7 +39,10 @@
         tokens = Math.min(tokens + Math.max(0, capacity() - oldCapacity), capacity());
     }
 
-    /** Nanoseconds until {@code count} tokens are available, or until the bucket is full if its capacity is smaller. */
+    /**
+     * Returns the nanoseconds until {@code count} tokens are available. If the capacity is smaller than {@code count},
+     * returns the nanoseconds until the bucket is full.
+     */
     long waitNanos(int count, long now) {
         fill(now);
         double missingTokens = Math.min(count, capacity()) - tokens;
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -96,10 +96,11 @@
             for (int machine = 1; machine <= 60; machine++) {
                 assertEquals(200, call(client, new Address("127.0.0." + machine, port)));
                 assertTrue(
-                        onLoop(limiter::openCount) <= 36, "idle connections must be closed above their allowed share");
+                        onLoop(limiter::openCount) <= 36,
+                        "at most 36 of the 40 sockets must be in use after a request");
             }
         }
-        // Inbound connections cause idle outbound connections to be closed, too.
+        // New inbound connections cause idle outbound connections to be closed.
         onLoop(() -> {
             for (int i = 0; i < 30; i++) {
                 limiter.opened();
@@ -110,8 +111,8 @@
     }
 
     /**
-     * A node flooded with requests let calls of the state service time out although the responses had arrived but were
-     * not read yet, so it never became the leader.
+     * A node was flooded with requests. Calls of the state service timed out although their responses had arrived,
+     * because the node had not read the responses yet. The node therefore never became the leader.
      */
     @Test
     void responseReceivedWhileLoopIsBusyCompletesRequest() throws Exception {
@@ -196,7 +197,8 @@
         assertTrue(getsResponse(user, "/api/jobs/j-1"));
         Socket first = connect();
         assertTrue(getsResponse(first, "/hello"));
-        // Four times as many worker connections as sockets, all left open, as after a network partition.
+        // The workers open four times as many connections as there are sockets and close none, as in a network
+        // partition.
         Socket last = first;
         for (int i = 0; i < 160; i++) {
             last = connect();
--- a/src/test/java/org/spruceridge/net/JsonTest.java
+++ b/src/test/java/org/spruceridge/net/JsonTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Trees are written as they were read, and input other than a single JSON object is rejected. */
+/** Writing a parsed tree yields the original text, and input other than a single JSON object is rejected. */
 final class JsonTest {
     private static byte[] utf8(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
@@ -51,7 +51,7 @@
 
     @ParameterizedTest
     @CsvSource({"[], not a JSON object", "{} {}, unexpected data after the JSON object"})
-    void rejectionOfOtherInputNamesTheProblem(String text, String message) {
+    void rejectionOfInputOtherThanOneObjectNamesTheProblem(String text, String message) {
         assertEquals(
                 message,
                 assertThrows(BadMessageException.class, () -> Json.object(utf8(text)))
@@ -66,7 +66,7 @@
                         .getMessage());
     }
 
-    /** Jackson reports invalid UTF-32 by an exception other than its exceptions for invalid JSON. */
+    /** Jackson reports invalid UTF-32 by an exception that does not extend its exception for invalid JSON. */
     @Test
     void rejectionOfInvalidEncodingNamesTheProblem() {
         byte[] invalidUtf32 = {0, 0, 0, '{', 0x7f, 0x7f, 0x7f, 0x7f};
@@ -92,7 +92,7 @@
         assertEquals(message, assertThrows(BadMessageException.class, read).getMessage());
     }
 
-    /** Deep nesting must throw the exception for bad messages, not overflow the stack. */
+    /** Deep nesting must cause a {@link BadMessageException}, not a stack overflow. */
     @Test
     void deeplyNestedBodyIsRejectedAsBadMessage() {
         byte[] deep = utf8("{\"a\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}");
--- a/src/test/java/org/spruceridge/net/RateLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/RateLimiterTest.java
@@ -11,7 +11,7 @@
 import org.spruceridge.net.RateLimiter.Priority;
 import org.spruceridge.sim.SimLoop;
 
-/** The order in which work runs when more is submitted than the rates allow. */
+/** Work that exceeds the rates runs later in order of priority, and users' submissions have a separate rate. */
 final class RateLimiterTest {
     private final SimLoop loop = new SimLoop();
     private final RateLimiter limiter = new RateLimiter(loop, 10, 4, 2);
@@ -52,18 +52,18 @@
         assertEquals(
                 List.of("heartbeat", "scheduling"),
                 executed.subList(3, 5),
-                "smaller work of a lower priority must not overtake");
+                "smaller work of a lower priority must not overtake work that waits for change tokens");
     }
 
     @Test
-    void unusedReservedChangesAreReturned() {
+    void unusedChangeTokensAreReturned() {
         limiter.submit(Priority.SCHEDULING, 4, () -> 1);
         submit(Priority.SCHEDULING, 3, "fits");
         assertEquals(List.of("fits"), executed);
     }
 
     @Test
-    void workPerSecondStaysWithinRate() {
+    void changesPerSecondStayWithinRate() {
         for (int i = 0; i < 40; i++) {
             submit(Priority.HEARTBEATS, 1, "r" + i);
         }
@@ -73,11 +73,11 @@
     }
 
     /**
-     * Users submit in a burst to a node that was idle. Tokens used by a burst are not available again, and a reduced
-     * capacity limits the next burst.
+     * Users submit in a burst to a node that was idle. Tokens taken by a burst are not available to the next burst, and
+     * a reduced capacity limits the next burst.
      */
     @Test
-    void submissionBurstRunsAtOnceUpToCapacity() {
+    void submissionBurstRunsImmediatelyUpToCapacity() {
         limiter.setRates(100, 4, 1, 8);
         for (int i = 0; i < 5; i++) {
             submit(Priority.SUBMISSIONS, 2, "s" + i);
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void submissionWithLongExpectedWaitIsRejectedAtOnce() {
+    void submissionWithLongExpectedWaitIsRejectedImmediately() {
         assertTrue(submit(Priority.SUBMISSIONS, 4, "spends the users' share"));
         assertTrue(submit(Priority.SUBMISSIONS, 2, "s1"));
         assertTrue(submit(Priority.SUBMISSIONS, 2, "s2"));
--- a/src/test/java/org/spruceridge/net/RequestQueueTest.java
+++ b/src/test/java/org/spruceridge/net/RequestQueueTest.java
@@ -8,7 +8,10 @@
 import org.spruceridge.net.RequestQueue.Priority;
 import org.spruceridge.sim.SimLoop;
 
-/** Under CPU overload heartbeats precede users' requests, and requests whose sender no longer waits are not handled. */
+/**
+ * Under CPU overload, heartbeats are handled before users' requests. Requests whose sender no longer waits are not
+ * handled.
+ */
 final class RequestQueueTest {
     private final SimLoop loop = new SimLoop();
     private final RequestQueue requestQueue = new RequestQueue(loop);
@@ -42,7 +45,7 @@
     }
 
     @Test
-    void requestWithoutOverloadIsHandledAtOnce() {
+    void requestWithoutOverloadIsHandledImmediately() {
         for (int i = 0; i < 5; i++) {
             requestQueue.add(Priority.USER, new TestRequest("user", 0.005));
             assertEquals(i + 1, outcomes.size());
@@ -51,7 +54,7 @@
     }
 
     @Test
-    void overloadedQueueServesHealthThenHeartbeatsThenUsers() {
+    void overloadedQueueHandlesHealthChecksThenHeartbeatsThenUserRequests() {
         requestQueue.add(Priority.USER, new TestRequest("first", 0.2));
         requestQueue.add(Priority.USER, new TestRequest("user", 0.2));
         requestQueue.add(Priority.HEARTBEAT, new TestRequest("heartbeat", 0.2));
@@ -61,7 +64,7 @@
     }
 
     @Test
-    void expiredAndAbandonedRequestsAreRejectedUnhandled() {
+    void timedOutAndAbandonedRequestsAreRejectedUnhandled() {
         requestQueue.add(Priority.HEARTBEAT, new TestRequest("first", 2));
         requestQueue.add(Priority.USER, new TestRequest("user", 0.1));
         TestRequest abandoned = new TestRequest("gone", 0.1);
@@ -72,6 +75,6 @@
         assertEquals(List.of("first", "no gone", "heartbeat", "no user"), outcomes);
         loop.run(1);
         requestQueue.add(Priority.USER, new TestRequest("later", 0.1));
-        assertEquals("later", outcomes.get(4), "without queued requests, a request must be handled immediately again");
+        assertEquals("later", outcomes.get(4), "a request must be handled immediately once the queue is empty");
     }
 }
