--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -6,11 +6,11 @@
 import java.util.function.Function;
 
 /**
- * Reads the fields of one object of a settings file. Every error names the field with its full path, and what is wrong
- * with its value.
+ * Reads the fields of one object of a settings file. Every error message contains the full path of the field and the
+ * problem with its value.
  */
 final class Fields {
-    /** Longer values are not repeated in error messages. */
+    /** The maximum length of a value that error messages repeat. */
     private static final int MAX_SHOWN_LENGTH = 100;
 
     private final JsonNode node;
@@ -118,8 +118,8 @@
     }
 
     /**
-     * The name that the file uses for a renamed field: its former name if that is present, otherwise {@code name}. It
-     * is an error if both are present.
+     * Returns the name under which the file contains a renamed field: the former name if it is present, otherwise
+     * {@code name}. Rejects the file if both names are present.
      */
     String usedName(String name, String formerName) {
         if (!node.has(formerName)) {
@@ -140,17 +140,23 @@
         });
     }
 
-    /** The error for a field; {@code problem} is a phrase that follows the field name in the message. */
+    /** Creates the error for a field. {@code problem} is a phrase that follows the field name in the message. */
     SettingsException invalid(String name, String problem) {
         return new SettingsException(path + name + " " + problem);
     }
 
-    /** The error for a field that is present; the message has {@code requirement} followed by the field's value. */
+    /**
+     * Creates the error for a field that is present. In the message, the value of the field follows {@code
+     * requirement}.
+     */
     SettingsException invalidValue(String name, String requirement) {
         return invalid(name, requirement + ", but is " + describe(node.get(name)));
     }
 
-    /** A value as part of an error message: scalars up to a maximum length are repeated, others only named. */
+    /**
+     * Describes a value in an error message. Arrays and objects are described by their type, values over the maximum
+     * length by their length. Other values are repeated.
+     */
     private static String describe(JsonNode value) {
         if (value.isContainerNode()) {
             return value.isArray() ? "an array" : "an object";
--- a/src/main/java/org/spruceridge/config/Policy.java
+++ b/src/main/java/org/spruceridge/config/Policy.java
@@ -3,13 +3,15 @@
 import java.nio.file.Path;
 
 /**
- * The operators' own settings: the weights of the scheduling terms, and the ratios that derive timeouts and intervals
- * from the platform's settings. Each component corresponds to a field of the policy file.
+ * The operators' own settings: the weights of the scheduling terms, and the ratios from which timeouts and intervals
+ * are calculated with the platform's settings. Each component corresponds to a field of the policy file.
  */
 public record Policy(
         Weights weights, Scheduling scheduling, Preemption preemption, Leadership leadership, FleetTimeouts fleet) {
 
-    /** The weights of the scheduling terms in the design document, and of the terms added to these. */
+    /**
+     * The weights of the scheduling terms that the design document defines, and of the terms that were added to them.
+     */
     public record Weights(
             double deadline,
             double overhead,
@@ -59,7 +61,7 @@
      */
     public record FleetTimeouts(double idleTimeoutBoots, double bootTimeoutBoots, double silenceTimeoutLeases) {}
 
-    /** The values used without a policy file. */
+    /** Returns the policy that applies if no policy file is given. */
     public static Policy defaults() {
         return new Policy(
                 new Weights(15, 40, 8, 5, 40, 40, 2, 3),
--- a/src/main/java/org/spruceridge/config/PolicyReader.java
+++ b/src/main/java/org/spruceridge/config/PolicyReader.java
@@ -15,8 +15,9 @@
 import org.spruceridge.config.Policy.Weights;
 
 /**
- * Reads and checks a policy file, section by section. Omitted sections and fields keep their defaults; unknown ones are
- * rejected. A renamed section or field is also accepted under its former name, but not under both names at once.
+ * Reads and checks a policy file, section by section. Omitted sections and fields keep their defaults; unknown sections
+ * and fields are rejected. A renamed section or field is accepted under its current or its former name, but not under
+ * both in the same file.
  */
 final class PolicyReader {
     private static final double MAX_TTL_WORKER_LEASES = 0.5;
--- a/src/main/java/org/spruceridge/config/Settings.java
+++ b/src/main/java/org/spruceridge/config/Settings.java
@@ -9,7 +9,7 @@
 import org.spruceridge.net.BadMessageException;
 import org.spruceridge.net.Json;
 
-/** The settings that the platform provides. The platform defines the fields of the file; unknown ones are ignored. */
+/** The settings that the platform provides. The platform defines the fields of the file; unknown fields are ignored. */
 public record Settings(
         String hostName,
         String zone,
@@ -36,14 +36,16 @@
      */
     public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
-    /** A service-level objective: this share of the jobs of a class must meet the time {@code withinS}. */
+    /**
+     * A service-level objective: the share of the jobs of a class that must meet the time {@code withinS}, in seconds.
+     */
     public record Objective(String kind, String jobClass, double withinS, double share) {}
 
     /** The heartbeat interval and the lease of workers, and the deadline for a cancellation, in seconds. */
     public record Workers(double heartbeatIntervalS, double leaseS, double cancelS) {
         private static final double MAX_DECISION_DELAY_LEASES = 0.1;
 
-        /** The maximum time for which a leader delays scheduling decisions while requests are queued, in seconds. */
+        /** The maximum time in seconds for which the leader delays scheduling decisions while requests are queued. */
         public double maxDecisionDelayS() {
             return MAX_DECISION_DELAY_LEASES * leaseS;
         }
@@ -53,22 +55,32 @@
     public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
     /**
-     * The current and the upcoming limits of the state service. The time of the change is not announced. The current
-     * rates are used until the service rejects a request; sizes respect both sets of limits from the start.
+     * The current and the upcoming limits of the state service. The time at which the limits change is not announced.
+     * The current rates are used until the service rejects a request. The sizes of values and transactions respect both
+     * sets of limits from the start.
      */
     public record State(StateLimits current, StateLimits next) {
-        /** Limits records even if the service allows larger values, because a transaction contains several records. */
+        /**
+         * The maximum size of a record in kilobytes. It applies even if the service allows larger values, because a
+         * transaction contains several records.
+         */
         private static final double MAX_RECORD_KB = 8;
 
         private static final int BYTES_PER_KB = 1024;
 
-        /** With a lower limit, a record page of a single machine does not fit into a value. */
+        /**
+         * The minimum size limit of values in kilobytes. A record page of a single machine does not fit into a smaller
+         * value.
+         */
         static final double MIN_VALUE_KB = 1;
 
-        /** With a lower limit, one transaction cannot end a job and release its last task. */
+        /**
+         * The minimum limit of writes per transaction. With a lower limit, one transaction cannot end a job and release
+         * its last task.
+         */
         static final int MIN_TXN_OPS = 3;
 
-        /** Takes limits that do not change. */
+        /** Creates limits that do not change: the upcoming limits equal the current ones. */
         public State(double rps, double writeRps, double valueKb, int txnOps) {
             this(new StateLimits(rps, writeRps, valueKb, txnOps), new StateLimits(rps, writeRps, valueKb, txnOps));
         }
@@ -93,21 +105,27 @@
             return Math.min(valueKb(), MAX_RECORD_KB);
         }
 
-        /** The maximum size of records written by a version that ignores the upcoming limits, in kilobytes. */
+        /**
+         * The maximum size in kilobytes of records that a version of the scheduler without support for upcoming limits
+         * writes.
+         */
         public double currentRecordKb() {
             return Math.min(current.valueKb, MAX_RECORD_KB);
         }
 
-        /** True if an upcoming rate is lower; a rejected request may then mean that the upcoming limits apply. */
+        /**
+         * True if an upcoming rate is lower than the current rate. A request that the service rejects can then mean
+         * that the upcoming limits already apply.
+         */
         public boolean ratesWillFall() {
             return next.rps < current.rps || next.writeRps < current.writeRps;
         }
     }
 
-    /** The limits of the cloud. */
+    /** The maximum rate of requests to the cloud, per second, and the lag of its machine list, in seconds. */
     public record Cloud(double rps, double listLagS) {}
 
-    /** The resources of the machine of this node. */
+    /** The resources of the machine on which this node runs. */
     public record Resources(double coreShare, double memMb, int maxSockets) {}
 
     /** The number of controller nodes, including this one. */
--- a/src/main/java/org/spruceridge/config/SettingsException.java
+++ b/src/main/java/org/spruceridge/config/SettingsException.java
@@ -18,7 +18,7 @@
                 "cannot read " + file + ": " + cause.getClass().getSimpleName());
     }
 
-    /** The same error with the file name before the message. */
+    /** Returns the same error, with the file name before the message. */
     public SettingsException inFile(Path file) {
         return new SettingsException(file + ": " + getMessage());
     }
--- a/src/main/java/org/spruceridge/config/SettingsReader.java
+++ b/src/main/java/org/spruceridge/config/SettingsReader.java
@@ -112,7 +112,7 @@
         return new State(current, fields.has("next") ? nextLimits(fields.object("next"), current) : current);
     }
 
-    /** The upcoming limits; omitted ones keep their current value. */
+    /** Reads the upcoming limits. An omitted limit keeps its current value. */
     private static StateLimits nextLimits(Fields fields, StateLimits current) {
         StateLimits next = new StateLimits(
                 fields.positiveOr("rps", current.rps()),
@@ -123,7 +123,10 @@
         return next;
     }
 
-    /** Rejects limits that are too small for the scheduler's records, under which it could not keep its guarantees. */
+    /**
+     * Rejects limits that are too small for the scheduler's records. Under such limits the scheduler could not keep its
+     * guarantees.
+     */
     private static void requireMinimumSizes(Fields fields, StateLimits limits) {
         if (limits.valueKb() < State.MIN_VALUE_KB) {
             throw fields.invalidValue("value_kb", "must be at least " + State.MIN_VALUE_KB);
--- a/src/test/java/org/spruceridge/config/CancellationTimesTest.java
+++ b/src/test/java/org/spruceridge/config/CancellationTimesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.spruceridge.net.Durations;
 
-/** The sums of docs/safety.md for various settings: each path of a cancellation ends within {@code cancel_s}. */
+/** The sums of docs/safety.md hold for various settings: each path of a cancellation ends within {@code cancel_s}. */
 final class CancellationTimesTest {
     @ParameterizedTest
     @CsvSource({
@@ -23,19 +23,21 @@
     void everyCancellationPathEndsBeforeDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
 
-        // Unreachable machine: the last response comes from a leader without the cancellation, then one lease passes.
-        assertTrue(times.maxStalenessS() + times.fullLeaseS() < cancelS);
+        // Unreachable machine: the last response comes from a leader that has not received the cancellation. The worker
+        // then runs its tasks for one more lease.
+        assertTrue(times.maxStalenessS() + times.leaseWithClockDriftS() < cancelS);
         // The leader receives the cancellation from its watch well before its view exceeds the maximum staleness.
         assertTrue(times.watchTimeoutS() > 0 && times.watchTimeoutS() < times.maxStalenessS() / 2);
-        // The assumed lease is not shorter than the lease on the slowest clock of a worker.
-        assertTrue(times.fullLeaseS() >= leaseS * (1 + Durations.MAX_CLOCK_DRIFT_RATIO));
+        // The lease length used in calculations is at least that of a lease on the slowest worker clock allowed.
+        assertTrue(times.leaseWithClockDriftS() >= leaseS * (1 + Durations.MAX_CLOCK_DRIFT_RATIO));
     }
 
     @ParameterizedTest
     @CsvSource({"3, 22, 42", "1.5, 12, 32", "5, 22, 42", "4, 22, 42"})
-    void deployedSettingsLetStopsAndDeletionsMeetDeadline(double heartbeatIntervalS, double leaseS, double cancelS) {
+    void stopsAndDeletionsMeetDeadlineWithDeployedSettings(double heartbeatIntervalS, double leaseS, double cancelS) {
         CancellationTimes times = CancellationTimes.of(new Settings.Workers(heartbeatIntervalS, leaseS, cancelS));
-        // Reachable machine: the stop is in the response to its next heartbeat, which is up to a quarter interval late.
+        // Reachable machine: the response to the next heartbeat contains the stop command. This heartbeat is at most
+        // a quarter of an interval late.
         assertTrue(times.maxStalenessS() + 1.25 * heartbeatIntervalS < cancelS);
         double checkIntervalS = heartbeatIntervalS / 3;
         double latestDeletionDecisionS =
@@ -43,6 +45,7 @@
                         + checkIntervalS;
         assertTrue(
                 cancelS - latestDeletionDecisionS > 0.1 * cancelS,
-                "time left for the cloud in seconds: " + (cancelS - latestDeletionDecisionS));
+                "more than a tenth of the budget must be left for the cloud, but seconds left: "
+                        + (cancelS - latestDeletionDecisionS));
     }
 }
--- a/src/test/java/org/spruceridge/config/PolicyNamesTest.java
+++ b/src/test/java/org/spruceridge/config/PolicyNamesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The field names of the policy file. Former names stay valid, but not together with the name that replaced them. */
+/** The field names of the policy file. Former names stay valid, but a field must not be given under both its names. */
 final class PolicyNamesTest {
     private static final Policy ALL_CHANGED = new Policy(
             new Policy.Weights(1, 2, 3, 4, 5, 6, 7, 8),
--- a/src/test/java/org/spruceridge/config/SettingsTest.java
+++ b/src/test/java/org/spruceridge/config/SettingsTest.java
@@ -31,7 +31,7 @@
               "resources":{"core_share":0.25,"mem_mb":263.0,"max_sockets":3000},"time_bound_ms":25.0}}
             """;
 
-    /** Settings with every field that is read, each with a distinct value. */
+    /** Settings that contain every field that the reader reads. Each field has a distinct value. */
     private static final String COMPLETE_SETTINGS =
             """
             {"host_name":"n0","domain":"a","serve_on":"10.0.0.1:8080","peer_listen":"10.0.0.2:8081",
@@ -120,7 +120,8 @@
                 "\"zones\":[\"a\",\"b\"]; \"zones\":1; facts.zones must be an array, but is 1",
                 "\"teams\":[{; \"teams\":[{\"name\":\"red\"},{; facts.teams contains a duplicate team name: red",
             })
-    void invalidSettingIsNamedInMessage(String original, String replacement, String message) throws IOException {
+    void invalidSettingIsRejectedWithMessageThatNamesIt(String original, String replacement, String message)
+            throws IOException {
         JsonNode invalidSettings = json(VALID_SETTINGS.replace(original, replacement));
         assertEquals(
                 message,
@@ -160,10 +161,11 @@
     }
 
     /**
-     * Sizes respect both sets of limits from the start; the current rates apply until the service rejects a request.
+     * Size limits are the lower of the current and the upcoming limits from the start. The current rates apply until
+     * the service rejects a request.
      */
     @Test
-    void upcomingLimitsAreReadAlongsideCurrentOnes() throws IOException {
+    void upcomingLimitsAreReadInAdditionToCurrentLimits() throws IOException {
         Settings.State withoutChange = Settings.read(json(VALID_SETTINGS)).state();
         assertEquals(withoutChange.current(), withoutChange.next());
         Settings.State withChange = Settings.read(json(VALID_SETTINGS.replace(
@@ -184,11 +186,13 @@
     }
 
     @Test
-    void policyMayOmitFieldsButNotNameUnknownOnes() throws IOException {
+    void omittedPolicyFieldsKeepDefaultsAndInvalidPoliciesAreRejected() throws IOException {
         assertEquals(20, policy("weights: {deadline: 20}\n").weights().deadline());
         assertEquals(Policy.defaults(), policy(""));
         assertRejected("weights.speed is not a known field", "weights: {speed: 1}\n");
         assertRejected("colour is not a known field", "colour: red\n");
+        // Messages name a field as the file does: "rounds.spacing_of_report" is the former name of
+        // "scheduling.min_cycle_interval_heartbeats", and "leading.ttl_of_lease" of "leadership.ttl_worker_leases".
         assertRejected("rounds.spacing_of_report must be above 0, but is -1", "rounds: {spacing_of_report: -1}\n");
         assertRejected("leading.ttl_of_lease must not be above 0.5, but is 0.9", "leading: {ttl_of_lease: 0.9}\n");
         assertRejected("invalid YAML: while parsing a flow mapping", "{ a");
