--- a/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
+++ b/src/main/java/org/spruceridge/cli/ClassArchiveCommand.java
@@ -30,13 +30,13 @@
 import picocli.CommandLine.Model.CommandSpec;
 
 /**
- * Runs a node on the loopback interface for a short time, without the services that it needs, so that the build can
- * write the class data sharing archive that speeds up startup.
+ * Runs a node on the loopback interface for a short time, without the services that the node needs. The run loads the
+ * classes for the class data sharing archive, which the build writes to speed up startup.
  */
 final class ClassArchiveCommand implements Callable<Integer> {
     private static final long REQUEST_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** Time for peer heartbeats and retries to run, so that their classes are included in the archive. */
+    /** The time during which peer heartbeats and retries run; their classes are thereby included in the archive. */
     private static final long BACKGROUND_RUN_MILLIS = 1500;
 
     static CommandSpec createSpec() {
--- a/src/main/java/org/spruceridge/cli/Commands.java
+++ b/src/main/java/org/spruceridge/cli/Commands.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Model.OptionSpec;
 
 /**
- * Builds the command line of the program. It uses picocli's programmatic model instead of its annotations, which cost
- * 0.1 s of CPU time at each start, more than 1 s on the smallest machines.
+ * Builds the command line of the program with picocli's programmatic model. Picocli's annotations would cost 0.1 s of
+ * CPU time at each start. On the smallest machines, they would prolong the start by more than 1 s.
  */
 final class Commands {
     private Commands() {}
--- a/src/main/java/org/spruceridge/cli/LogLevel.java
+++ b/src/main/java/org/spruceridge/cli/LogLevel.java
@@ -2,13 +2,16 @@
 
 import java.util.Locale;
 
-/** Configures the logging library. This must run before the first logger is created. */
+/** Configures the logging library. {@link #apply} must run before the first logger is created. */
 final class LogLevel {
     private static final String PROPERTY_PREFIX = "org.slf4j.simpleLogger.";
 
     private LogLevel() {}
 
-    /** {@code requestedLevel} is the value of LOG_LEVEL; null or an unknown level means info. */
+    /**
+     * Sets the log level of this program. {@code requestedLevel} is the value of LOG_LEVEL; null or an unknown level
+     * means info.
+     */
     static void apply(String requestedLevel) {
         String level = requestedLevel == null ? "info" : requestedLevel.trim().toLowerCase(Locale.ROOT);
         boolean isKnown = level.equals("error") || level.equals("info") || level.equals("debug");
--- a/src/main/java/org/spruceridge/cli/Main.java
+++ b/src/main/java/org/spruceridge/cli/Main.java
@@ -2,7 +2,7 @@
 
 /** The entry point of the program. */
 public final class Main {
-    /** The exit code for invalid settings or files that cannot be read. */
+    /** The exit code for settings that are invalid or cannot be read. */
     static final int INVALID_SETTINGS_EXIT_CODE = 3;
 
     private Main() {}
--- a/src/main/java/org/spruceridge/cli/ServeCommand.java
+++ b/src/main/java/org/spruceridge/cli/ServeCommand.java
@@ -19,7 +19,10 @@
 
 /** Runs a controller node until the process is killed. */
 final class ServeCommand implements Callable<Integer> {
-    /** The maximum delay before the server listens, for outages of the state service, when no leader is found. */
+    /**
+     * The maximum time that the server waits for the node to become ready before it listens, in worker leases. The node
+     * can take longer if it finds no leader, for example during an outage of the state service.
+     */
     private static final double MAX_LISTEN_DELAY_LEASES = 0.125;
 
     private final SettingsFiles files = new SettingsFiles();
@@ -44,23 +47,25 @@
                 new ConnectionLimiter(settings.resources().maxSockets());
         Node node = new Node(
                 loop, new NettyHttpClient(loop, connectionLimiter), transport, random(settings), settings, policy);
-        // After this time without a heartbeat the worker's lease has expired: it is gone or uses another connection.
+        // The lease of a worker that sends no heartbeat for this time has expired. The worker of a connection without
+        // heartbeats for this time is therefore gone or uses another connection.
         long workerIdleTimeoutNanos = Durations.nanos(settings.workers().leaseS());
         HttpServer server = new HttpServer(loop, connectionLimiter, workerIdleTimeoutNanos, node.handler());
         transport.listen();
-        startNode(node, loop, settings);
+        startNodeAndAwaitReadiness(node, loop, settings);
         server.start(settings.serveAddress());
         loop.join();
         return 0;
     }
 
-    /** Starts the node and returns when it is ready, or after the maximum delay before the server must listen. */
-    private static void startNode(Node node, NettyLoop loop, Settings settings) throws InterruptedException {
+    /** Starts the node and returns when the node is ready, at the latest after the maximum delay. */
+    private static void startNodeAndAwaitReadiness(Node node, NettyLoop loop, Settings settings)
+            throws InterruptedException {
         CountDownLatch nodeStarted = new CountDownLatch(1);
         loop.execute(() -> node.start(nodeStarted::countDown));
         // Until this node has found the leader, it could only reject requests of workers. All workers would retry 1 s
-        // later and use the CPU time that the node needs to find the leader. A refused connection costs no CPU time,
-        // and the worker tries the next node.
+        // later, and their requests would use the CPU time that the node needs to find the leader. A refused connection
+        // costs this node no CPU time, and the worker tries the next node.
         nodeStarted.await(Durations.nanos(settings.workers().leaseS() * MAX_LISTEN_DELAY_LEASES), TimeUnit.NANOSECONDS);
     }
 
--- a/src/main/java/org/spruceridge/cli/SettingsErrorHandler.java
+++ b/src/main/java/org/spruceridge/cli/SettingsErrorHandler.java
@@ -3,7 +3,9 @@
 import org.spruceridge.config.SettingsException;
 import picocli.CommandLine;
 
-/** Prints a settings error on one line and returns its exit code. Other exceptions are rethrown. */
+/**
+ * Prints a settings error on one line and returns {@link Main#INVALID_SETTINGS_EXIT_CODE}. Rethrows other exceptions.
+ */
 final class SettingsErrorHandler implements CommandLine.IExecutionExceptionHandler {
     @Override
     public int handleExecutionException(
--- a/src/test/java/org/spruceridge/cli/CommandLineNamesTest.java
+++ b/src/test/java/org/spruceridge/cli/CommandLineNamesTest.java
@@ -24,7 +24,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Model.OptionSpec;
 
-/** The exact names of commands, options, the environment variable and the logging properties. */
+/** The names of commands, options, the environment variable and the logging properties are exactly as expected. */
 final class CommandLineNamesTest {
     private static final String LOGGING_PREFIX = "org.slf4j.simpleLogger.";
 
@@ -52,7 +52,10 @@
         System.setProperties(savedProperties);
     }
 
-    /** The options of a command, each as its names in order; required options are marked. */
+    /**
+     * Returns the options of a command. Each entry contains all names of the option in order, and marks a required
+     * option.
+     */
     private static Set<String> options(CommandLine command) {
         Set<String> options = new TreeSet<>();
         for (OptionSpec option : command.getCommandSpec().options()) {
@@ -103,7 +106,10 @@
                 added);
     }
 
-    /** Starts the program in a separate process, which exits because its address for peers is not of this host. */
+    /**
+     * Starts the program in a separate process. The process exits because its listen address for peers is not an
+     * address of this host.
+     */
     @ParameterizedTest
     @CsvSource({"info, 1", "error, 0"})
     void logLevelVariableControlsStartupLogging(String level, int expectedLineCount)
