--- a/src/test/java/org/spruceridge/docs/DocumentationTest.java
+++ b/src/test/java/org/spruceridge/docs/DocumentationTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The tests that the safety page names for each rule exist, and so do the types that other pages name. Guards against
- * pages that still name a renamed or deleted test or type.
+ * The tests that the safety page names for each rule exist, and the types that other pages name exist. The test guards
+ * against pages that still name a renamed or deleted test or type.
  */
 final class DocumentationTest {
-    /** A name of a test method: camel case with at least four words, which no other text in the tables has. */
+    /** The name of a test method: camel case with at least four words. No other text in the tables has this form. */
     private static final Pattern TEST_METHOD = Pattern.compile("(?<![\\w`.])[a-z]+(?:[A-Z][a-z0-9]*){3,}\\b(?![`.(])");
 
     private static final Pattern CODE_QUOTE = Pattern.compile("`([^`\\n]+)`");
-    /** A name with at least one lower-case letter; names in capitals are constants. */
+    /** The name of a type, which has at least one lower-case letter. Names in capitals are constants. */
     private static final Pattern TYPE_NAME =
             Pattern.compile("(?:[a-z]+\\.)?[A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*\\b(?![-/ ])");
 
@@ -42,12 +42,14 @@
                         .filter(line -> line.startsWith("|"))
                         .toList());
         String sources = testSources();
-        Set<String> testNames = names(TEST_METHOD, tables).collect(Collectors.toSet());
+        Set<String> testNames = matchesOf(TEST_METHOD, tables).collect(Collectors.toSet());
         Stream<String> missing = Stream.concat(
                 testNames.stream().filter(name -> !sources.contains("void " + name + "(")),
-                names(TEST_CLASS, tables).filter(name -> !sources.contains("class " + name + " ")));
+                matchesOf(TEST_CLASS, tables).filter(name -> !sources.contains("class " + name + " ")));
         assertEquals(Set.of(), missing.collect(Collectors.toSet()));
-        assertTrue(testNames.size() > 50, "number of test names found: " + testNames.size());
+        assertTrue(
+                testNames.size() > 50,
+                "the safety page must name more than 50 tests, but tests found: " + testNames.size());
     }
 
     @ParameterizedTest
@@ -79,7 +81,10 @@
                         .toList());
     }
 
-    /** Names in code quotes of the form `Type` or `package.Type`; what follows, as in `Type.method`, is ignored. */
+    /**
+     * Returns the names in code quotes of the form `Type` or `package.Type`. Text after the name is ignored, as in
+     * `Type.method`.
+     */
     private static Stream<String> typesNamedIn(String page) {
         return CODE_QUOTE
                 .matcher(page)
@@ -89,7 +94,10 @@
                 .map(Matcher::group);
     }
 
-    /** All types of the sources including nested ones, by simple name and by package and name. */
+    /**
+     * Returns the types that the sources declare, including nested types. Each type is listed by its simple name and by
+     * its package and name.
+     */
     private static Set<String> declaredTypes() throws IOException {
         Set<String> types = new HashSet<>();
         try (Stream<Path> files = Files.walk(Path.of("src"))) {
@@ -105,7 +113,7 @@
         return types;
     }
 
-    private static Stream<String> names(Pattern pattern, String text) {
+    private static Stream<String> matchesOf(Pattern pattern, String text) {
         return pattern.matcher(text).results().map(match -> match.group());
     }
 
--- a/src/test/java/org/spruceridge/docs/VocabularyTest.java
+++ b/src/test/java/org/spruceridge/docs/VocabularyTest.java
@@ -24,7 +24,7 @@
     private static final Pattern NOT_CODE = Pattern.compile(
             "\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\\n])*\"|'(?:\\\\.|[^'\\\\\n])*'|//[^\n]*|/\\*.*?\\*/", Pattern.DOTALL);
 
-    /** The clause of sealed types, whose keyword is also a withdrawn word. */
+    /** The clause of sealed types. Its keyword is a withdrawn word. */
     private static final String PERMITS_CLAUSE = "\\bpermits(?= [A-Z])";
 
     /** A constant named like a phrase, such as CEILING_OF_X, which states neither what it is nor its unit. */
@@ -32,7 +32,7 @@
 
     private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_$][\\w$]*");
 
-    /** A complete log statement; the string literals in it are read by operators. */
+    /** A complete log statement. Operators read the string literals in it. */
     private static final Pattern LOG_STATEMENT = Pattern.compile(
             "\\b(?:LOG\\.(?:error|warn|info|debug)|warnings\\.warn)\\((?:\"(?:\\\\.|[^\"\\\\])*\"|[^;\"])*;");
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void withdrawnWordInIdentifierOfAnyCaseIsReported() {
+    void withdrawnWordInIdentifierIsReportedInAnyCase() {
         assertEquals(List.of("grant in endGrant"), violations("void endGrant() {}"));
         assertEquals(List.of("grant in LAST_GRANTS"), violations("int LAST_GRANTS = 1;"));
         assertEquals(List.of("hold back in holdBackUntil"), violations("long holdBackUntil;"));
@@ -115,7 +115,10 @@
         return withdrawnWord.matcher(text).results().map(match -> match.group(1));
     }
 
-    /** The words of an identifier in camel case or upper case, in lower case and separated by blanks. */
+    /**
+     * Returns the words of an identifier in lower case, separated by blanks. The identifier is in camel case or upper
+     * case.
+     */
     private static String words(String identifier) {
         return identifier
                 .replace('_', ' ')
@@ -135,7 +138,9 @@
                 .filter(line -> line.startsWith("| ") && !line.startsWith("| withdrawn"))
                 .map(line -> line.split("\\|", -1)[1].strip())
                 .toList();
-        assertTrue(words.size() >= MIN_WITHDRAWN_WORDS, "withdrawn words found: " + words);
+        assertTrue(
+                words.size() >= MIN_WITHDRAWN_WORDS,
+                "the glossary must list at least 30 withdrawn words, but words found: " + words);
         return words;
     }
 }
