--- a/src/main/java/org/spruceridge/net/ClientConnection.java
+++ b/src/main/java/org/spruceridge/net/ClientConnection.java
@@ -66,7 +66,7 @@
         channel = newChannel;
         channel.closeFuture().addListener(future -> release());
         isCounted = true;
-        connectionLimiter.opened();
+        connectionLimiter.recordOpened();
     }
 
     void close() {
@@ -78,7 +78,7 @@
         pool.remove(this);
         if (isCounted) {
             isCounted = false;
-            connectionLimiter.closed();
+            connectionLimiter.recordClosed();
         }
     }
 
--- a/src/main/java/org/spruceridge/net/ConnectionLimiter.java
+++ b/src/main/java/org/spruceridge/net/ConnectionLimiter.java
@@ -36,11 +36,11 @@
         this.maxSockets = maxSockets;
     }
 
-    int maxInbound() {
+    int maxInboundConnections() {
         return (int) (maxSockets * INBOUND_SHARE);
     }
 
-    int maxWorkers() {
+    int maxWorkerConnections() {
         return (int) (maxSockets * WORKER_SHARE);
     }
 
@@ -62,12 +62,12 @@
         return openCount;
     }
 
-    void opened() {
+    void recordOpened() {
         openCount++;
         closeExcessIdleConnections();
     }
 
-    void closed() {
+    void recordClosed() {
         openCount--;
     }
 
--- a/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
+++ b/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
@@ -64,13 +64,13 @@
     }
 
     /** Called when a request has been received completely. No deadline applies while the peer waits for this node. */
-    void requestReceived() {
+    void onRequestReceived() {
         isReceiving = false;
         connections.unwatch(this);
     }
 
     /** Called before the response is written: the next request is due within the idle timeout. */
-    void responseReady() {
+    void beforeResponseIsWritten() {
         if (isAdmitted) {
             setDeadline(connections.idleTimeoutNanos(connection));
         }
--- a/src/main/java/org/spruceridge/net/HttpServer.java
+++ b/src/main/java/org/spruceridge/net/HttpServer.java
@@ -42,7 +42,7 @@
 
     /** Binds the address and starts listening; throws the cause if the address cannot be bound. */
     public void start(Address address) {
-        int backlog = connectionLimiter.maxInbound();
+        int backlog = connectionLimiter.maxInboundConnections();
         new ServerBootstrap()
                 .group(loop.group())
                 .channel(NioServerSocketChannel.class)
--- a/src/main/java/org/spruceridge/net/InboundConnections.java
+++ b/src/main/java/org/spruceridge/net/InboundConnections.java
@@ -39,18 +39,18 @@
      * make room. Returns false if there is no such connection; the caller must then close the new connection.
      */
     boolean admit() {
-        if (connectionCount >= connectionLimiter.maxInbound() && !closeLongestIdleWorkerConnection()) {
+        if (connectionCount >= connectionLimiter.maxInboundConnections() && !closeLongestIdleWorkerConnection()) {
             return false;
         }
         connectionCount++;
-        connectionLimiter.opened();
+        connectionLimiter.recordOpened();
         return true;
     }
 
     /** Stops counting a connection that was admitted before. */
     void release() {
         connectionCount--;
-        connectionLimiter.closed();
+        connectionLimiter.recordClosed();
     }
 
     /** Removes a connection and its watchdog from all collections. The connection need not have been admitted. */
@@ -66,7 +66,7 @@
      */
     void recordHeartbeat(ServerConnection connection) {
         workerConnections.remove(connection);
-        if (workerConnections.size() >= connectionLimiter.maxWorkers()) {
+        if (workerConnections.size() >= connectionLimiter.maxWorkerConnections()) {
             closeLongestIdleWorkerConnection();
         }
         workerConnections.add(connection);
--- a/src/main/java/org/spruceridge/net/ManualLoop.java
+++ b/src/main/java/org/spruceridge/net/ManualLoop.java
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Advances time by this many nanoseconds without running tasks, as if a running task took that long. Tasks that
-     * become due run late.
+     * Advances time by this many nanoseconds without running tasks, like a running task that takes that long. Tasks
+     * that become due in this time run late.
      */
     public void advanceClock(long nanos) {
         nowNanos += nanos;
--- a/src/main/java/org/spruceridge/net/NettyHttpClient.java
+++ b/src/main/java/org/spruceridge/net/NettyHttpClient.java
@@ -14,9 +14,9 @@
 import org.spruceridge.config.Address;
 
 /**
- * The HTTP client, based on Netty: persistent connections with one request at a time on each. The connection of a
- * request that timed out or was cancelled is closed, so that its late response cannot be mistaken for the response to
- * another request. Runs on the event loop.
+ * The HTTP client, based on Netty. It uses persistent connections, each with one request at a time. When a request
+ * times out or is cancelled, its connection is closed. A late response to this request can therefore not be mistaken
+ * for the response to another request. Runs on the event loop.
  */
 public final class NettyHttpClient implements HttpClient {
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
--- a/src/main/java/org/spruceridge/net/RateLimitedWarnings.java
+++ b/src/main/java/org/spruceridge/net/RateLimitedWarnings.java
@@ -5,7 +5,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Warnings that may occur at a high rate: all are counted, but each kind is logged at most once every 30 s. */
+/**
+ * Warnings that can occur at a high rate. All warnings are counted, but each kind is logged at most once every 30 s.
+ */
 public final class RateLimitedWarnings {
     private static final Logger LOG = LoggerFactory.getLogger(RateLimitedWarnings.class);
     private static final long MIN_LOG_INTERVAL_NANOS = Durations.nanos(30);
--- a/src/main/java/org/spruceridge/net/ServerConnection.java
+++ b/src/main/java/org/spruceridge/net/ServerConnection.java
@@ -60,7 +60,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
-        watchdog.requestReceived();
+        watchdog.onRequestReceived();
         if (isBusy) {
             ctx.close(); // pipelining is not supported
             return;
@@ -129,7 +129,7 @@
         if (!keepAlive) {
             httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        watchdog.responseReady();
+        watchdog.beforeResponseIsWritten();
         ctx.writeAndFlush(httpResponse)
                 .addListener(keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
     }
--- a/src/test/java/org/spruceridge/docs/VocabularyTest.java
+++ b/src/test/java/org/spruceridge/docs/VocabularyTest.java
@@ -27,7 +27,10 @@
     /** The clause of sealed types. Its keyword is a withdrawn word. */
     private static final String PERMITS_CLAUSE = "\\bpermits(?= [A-Z])";
 
-    /** A constant named like a phrase, such as CEILING_OF_X, which states neither what it is nor its unit. */
+    /**
+     * The name of a constant that is a phrase, such as CEILING_OF_X. Such a name states neither what the constant is
+     * nor its unit.
+     */
     private static final Pattern PHRASE_CONSTANT = Pattern.compile("[A-Z0-9_]+_OF_[A-Z0-9_]+");
 
     private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z_$][\\w$]*");
--- a/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
+++ b/src/test/java/org/spruceridge/net/ConnectionLimiterTest.java
@@ -103,7 +103,7 @@
         // New inbound connections cause idle outbound connections to be closed.
         onLoop(() -> {
             for (int i = 0; i < 30; i++) {
-                limiter.opened();
+                limiter.recordOpened();
             }
             return null;
         });
