--- a/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
+++ b/src/main/java/org/spruceridge/net/ConnectionWatchdog.java
@@ -54,7 +54,7 @@
         ctx.fireChannelInactive();
     }
 
-    /** Releases the connection's place because it is closed or about to be closed. Idempotent. */
+    /** Stops counting and watching the connection, which is closed or about to be closed. Idempotent. */
     void release() {
         connections.removeConnection(this, connection);
         if (isAdmitted) {
@@ -63,14 +63,14 @@
         }
     }
 
-    /** Called when a request is complete: the peer waits for this node, so no deadline applies. */
-    void requestReceived() {
+    /** Called when a request has been received completely. No deadline applies while the peer waits for this node. */
+    void onRequestReceived() {
         isReceiving = false;
         connections.unwatch(this);
     }
 
     /** Called before the response is written: the next request is due within the idle timeout. */
-    void responseReady() {
+    void beforeResponseIsWritten() {
         if (isAdmitted) {
             setDeadline(connections.idleTimeoutNanos(connection));
         }
--- a/src/main/java/org/spruceridge/net/ServerConnection.java
+++ b/src/main/java/org/spruceridge/net/ServerConnection.java
@@ -49,7 +49,10 @@
         return isBusy;
     }
 
-    /** Closes the connection, on which a heartbeat must have been received before. */
+    /**
+     * Closes the connection. Called only if a heartbeat was received on the connection before, because {@code context}
+     * is null until then.
+     */
     void close() {
         watchdog.release();
         context.close();
@@ -57,7 +60,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
-        watchdog.requestReceived();
+        watchdog.onRequestReceived();
         if (isBusy) {
             ctx.close(); // pipelining is not supported
             return;
@@ -126,7 +129,7 @@
         if (!keepAlive) {
             httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        watchdog.responseReady();
+        watchdog.beforeResponseIsWritten();
         ctx.writeAndFlush(httpResponse)
                 .addListener(keepAlive ? ChannelFutureListener.CLOSE_ON_FAILURE : ChannelFutureListener.CLOSE);
     }
