--- a/src/main/java/org/spruceridge/api/AdmissionControl.java
+++ b/src/main/java/org/spruceridge/api/AdmissionControl.java
@@ -53,8 +53,8 @@
 
     /** Removes unknown machine types from the job's list of allowed types, to keep the job record small. */
     static JobSpec withKnownTypes(JobSpec spec, ImmutableMap<String, MachineType> types) {
-        Optional<ImmutableSet<String>> knownTypes = spec.types()
+        Optional<ImmutableSet<String>> knownTypes = spec.allowedMachineTypes()
                 .map(named -> Sets.intersection(named, types.keySet()).immutableCopy());
-        return spec.withTypes(knownTypes);
+        return spec.withAllowedMachineTypes(knownTypes);
     }
 }
--- a/src/main/java/org/spruceridge/api/RecentCancellations.java
+++ b/src/main/java/org/spruceridge/api/RecentCancellations.java
@@ -26,7 +26,7 @@
     }
 
     /** The ids of the retained jobs, oldest first. */
-    public ImmutableList<String> recent() {
+    public ImmutableList<String> recentJobIds() {
         while (!entries.isEmpty() && loop.nanos() - entries.peek().addedAt > retentionNanos) {
             entries.remove();
         }
--- a/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
+++ b/src/main/java/org/spruceridge/autoscaling/Autoscaler.java
@@ -82,7 +82,7 @@
     private void refreshCatalogue() {
         cloud.fetchMachineTypes(scope.guard(response -> {
             response.ifPresent(types -> {
-                cluster.updateTypes(types);
+                cluster.updateMachineTypes(types);
                 requestSchedulingCycle.run();
             });
             scope.after(
@@ -127,7 +127,7 @@
 
     private void scale() {
         Optional<Plan> plan = lastPlan.get();
-        if (plan.isEmpty() || cluster.types().isEmpty()) {
+        if (plan.isEmpty() || cluster.machineTypes().isEmpty()) {
             return;
         }
         long now = loop.nanos();
--- a/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
+++ b/src/main/java/org/spruceridge/autoscaling/FailureDetector.java
@@ -157,7 +157,7 @@
     }
 
     private boolean hasFailedToBoot(Machine machine, long now) {
-        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(Double.MAX_VALUE);
+        double bootS = cluster.machineTypeOf(machine).map(MachineType::bootS).orElse(Double.MAX_VALUE);
         return Durations.secondsSince(machine.launchedAt(), now)
                         > policy.fleet().bootTimeoutBoots() * bootS
                 && Durations.secondsSince(machine.knownSince(), now)
--- a/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleInCycle.java
@@ -66,7 +66,7 @@
     }
 
     private boolean isIdleTimeoutExceeded(Machine machine, long now) {
-        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
+        double bootS = cluster.machineTypeOf(machine).map(MachineType::bootS).orElse(0.0);
         double idleTimeoutS = policy.fleet().idleTimeoutBoots() * bootS * lowestToOwnPriceRatio(machine);
         return Durations.secondsSince(machine.idleSince(), now) > idleTimeoutS
                 && Durations.secondsSince(machine.launchedAt(), now) > MIN_BILLED_S;
@@ -86,7 +86,7 @@
      * the idle timeout, which shortens the timeout of machines that cost more than the lower price.
      */
     private double lowestToOwnPriceRatio(Machine machine) {
-        return cluster.typeOf(machine)
+        return cluster.machineTypeOf(machine)
                 .map(type -> Math.min(type.price(), type.spotPrice()) / type.price(machine.isSpot()))
                 .orElse(1.0);
     }
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
@@ -39,7 +39,7 @@
         for (Machine machine : running) {
             planner.addFutureCapacity(machine, capacityFreedWithinBoot(machine, now));
         }
-        plan.unplaced().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
+        plan.unplacedTaskCounts().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
         running.forEach(planner::add); // warm capacity can use the capacity that the scheduling cycle left free
         reserves.forEach(reserve -> planner.place(
                 reserve.example(), reserve.taskCount(), ZoneAllowance.of(reserve.example(), reserve.taskCount())));
@@ -50,7 +50,7 @@
     /** For each resource, the smallest amount that any of the tasks to be placed needs. */
     private static Resources minTaskResources(Plan plan, List<WarmCapacity.Reserve> reserves) {
         Stream<JobSpec> specs = Stream.concat(
-                plan.unplaced().keySet().stream().map(Job::spec),
+                plan.unplacedTaskCounts().keySet().stream().map(Job::spec),
                 reserves.stream().map(WarmCapacity.Reserve::example));
         return Resources.minOf(specs.map(JobSpec::taskResources));
     }
@@ -80,7 +80,7 @@
     }
 
     private boolean isBooting(Machine machine, long now) {
-        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
+        double bootS = cluster.machineTypeOf(machine).map(MachineType::bootS).orElse(0.0);
         return Durations.secondsSince(machine.launchedAt(), now) < 2 * bootS
                 || Durations.secondsSince(machine.knownSince(), now)
                         < 2 * settings.workers().heartbeatIntervalS();
@@ -88,10 +88,10 @@
 
     /** The capacity of those tasks on a machine that are estimated to end before a new machine of its type can boot. */
     private Resources capacityFreedWithinBoot(Machine machine, long now) {
-        double bootS = cluster.typeOf(machine).map(MachineType::bootS).orElse(0.0);
+        double bootS = cluster.machineTypeOf(machine).map(MachineType::bootS).orElse(0.0);
         Resources freed = Resources.NONE;
         for (Binding binding : machine.bindings()) {
-            double remainingS = binding.job().spec().estimateS() - binding.elapsedS(now);
+            double remainingS = binding.job().spec().estimateS() - binding.runTimeS(now);
             boolean isRunning = binding.phase() == Binding.Phase.RUNNING;
             if (isRunning && binding.isExpectedToEnd() && remainingS < bootS && !binding.isProvenGone()) {
                 freed = freed.plus(binding.job().spec().taskResources());
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutPlanner.java
@@ -64,7 +64,7 @@
 
     /** Adds the capacity of a machine whose launch request has no result yet. */
     void add(MachineKind kind) {
-        MachineType type = cluster.types().get(kind.type());
+        MachineType type = cluster.machineTypes().get(kind.type());
         if (type != null) {
             bins.add(new Bin(kind, type.capacity(), null));
         }
@@ -86,7 +86,8 @@
             if (kind.isEmpty()) {
                 return;
             }
-            Bin bin = new Bin(kind.get(), cluster.types().get(kind.get().type()).capacity(), null);
+            Bin bin = new Bin(
+                    kind.get(), cluster.machineTypes().get(kind.get().type()).capacity(), null);
             bins.add(bin);
             newMachineCount++;
             launchCounts.merge(kind.get(), 1, Integer::sum);
@@ -107,7 +108,7 @@
 
     private Optional<MachineKind> cheapestKind(JobSpec spec, ZoneAllowance zoneAllowance) {
         List<MachineKind> candidates = new ArrayList<>();
-        for (MachineType type : cluster.types().values()) {
+        for (MachineType type : cluster.machineTypes().values()) {
             if (!spec.taskResources().fitsIn(type.capacity())) {
                 continue;
             }
@@ -130,8 +131,8 @@
     }
 
     private double pricePerTask(MachineKind kind, JobSpec spec) {
-        MachineType type = cluster.types().get(kind.type());
-        int tasksPerMachine = Math.min(spec.taskCount(), type.capacity().fittingTasks(spec.taskResources()));
+        MachineType type = cluster.machineTypes().get(kind.type());
+        int tasksPerMachine = Math.min(spec.taskCount(), type.capacity().countFittingTasks(spec.taskResources()));
         return type.price(kind.spot()) / Math.max(1, tasksPerMachine);
     }
 
@@ -154,7 +155,7 @@
             }
             int count = Math.min(
                     Math.min(maxCount, zoneAllowance.remainingTaskCount(kind.zone())),
-                    freeCapacity.fittingTasks(spec.taskResources()));
+                    freeCapacity.countFittingTasks(spec.taskResources()));
             zoneAllowance.addPlannedTasks(kind.zone(), count);
             for (int i = 0; i < count; i++) {
                 freeCapacity = freeCapacity.minus(spec.taskResources());
--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutRequests.java
@@ -75,7 +75,7 @@
         }
         MachineKind kind = request.kind;
         context.cloud()
-                .launch(
+                .launchMachines(
                         requestId,
                         kind.type(),
                         kind.zone(),
@@ -112,8 +112,8 @@
                     requestId,
                     launchResult.kind(),
                     launchResult.machines().size());
-            double bootS = cluster.types().containsKey(kind.type())
-                    ? cluster.types().get(kind.type()).bootS()
+            double bootS = cluster.machineTypes().containsKey(kind.type())
+                    ? cluster.machineTypes().get(kind.type()).bootS()
                     : leaseS;
             boolean isOutOfCapacity = launchResult.kind() == LaunchResult.Kind.NO_CAPACITY
                     || launchResult.kind() == LaunchResult.Kind.LAUNCHED;
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -73,7 +73,7 @@
     }
 
     private static double minBootS(Cluster cluster) {
-        return cluster.types().values().stream()
+        return cluster.machineTypes().values().stream()
                 .mapToDouble(MachineType::bootS)
                 .min()
                 .orElse(0);
@@ -127,8 +127,8 @@
         int maxReplicas = 0;
         JobSpec example = null;
         for (Machine machine : cluster.machines()) {
-            if (machine.replicas() > maxReplicas) {
-                maxReplicas = machine.replicas();
+            if (machine.replicaCount() > maxReplicas) {
+                maxReplicas = machine.replicaCount();
                 example = machine.bindings().stream()
                         .map(binding -> binding.job().spec())
                         .filter(JobSpec::isService)
--- a/src/main/java/org/spruceridge/cloud/CloudClient.java
+++ b/src/main/java/org/spruceridge/cloud/CloudClient.java
@@ -56,7 +56,7 @@
      * Launches {@code count} machines. {@code requestId} must be new, or be the id of an earlier request that got no
      * response or was refused.
      */
-    public void launch(
+    public void launchMachines(
             String requestId, String type, String zone, boolean spot, int count, Consumer<LaunchResult> onResult) {
         byte[] body = Json.bytes(Json.object()
                 .put("claim", requestId)
--- a/src/main/java/org/spruceridge/cluster/Binding.java
+++ b/src/main/java/org/spruceridge/cluster/Binding.java
@@ -43,7 +43,7 @@
     private final long attempt;
     private final Machine machine;
     private final Job job;
-    private final long boundAt;
+    private final long createdAt;
     private Stage stage;
     private StopMode stopMode = StopMode.NONE;
     private Phase phase = Phase.ABSENT;
@@ -60,7 +60,7 @@
         this.attempt = attempt;
         this.machine = machine;
         this.stage = stage;
-        this.boundAt = now;
+        this.createdAt = now;
     }
 
     /** The bound task. */
@@ -84,8 +84,8 @@
     }
 
     /** The time at which this binding was created. */
-    public long boundAt() {
-        return boundAt;
+    public long createdAt() {
+        return createdAt;
     }
 
     /** The state of this binding in the stored records. */
@@ -139,7 +139,7 @@
     }
 
     /** The time in seconds since the task was first reported as running; 0 if the task is not running. */
-    public double elapsedS(long now) {
+    public double runTimeS(long now) {
         return phase == Phase.RUNNING || phase == Phase.CHECKPOINTING ? (now - runningSince) / 1e9 : 0;
     }
 
--- a/src/main/java/org/spruceridge/cluster/Cluster.java
+++ b/src/main/java/org/spruceridge/cluster/Cluster.java
@@ -21,7 +21,7 @@
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, Resources> teamUsage = new HashMap<>();
-    private ImmutableMap<String, MachineType> types = ImmutableMap.of();
+    private ImmutableMap<String, MachineType> machineTypes = ImmutableMap.of();
 
     /** All jobs that are open or still have bound tasks. */
     public Collection<Job> jobs() {
@@ -74,24 +74,24 @@
         return removedMachineNames.contains(name);
     }
 
-    /** The machine types by name; empty until the first call of {@link #updateTypes}. */
-    public ImmutableMap<String, MachineType> types() {
-        return types;
+    /** The machine types by name; empty until the first call of {@link #updateMachineTypes}. */
+    public ImmutableMap<String, MachineType> machineTypes() {
+        return machineTypes;
     }
 
     /** Replaces the machine types. */
-    public void updateTypes(ImmutableMap<String, MachineType> typesByName) {
-        types = typesByName;
+    public void updateMachineTypes(ImmutableMap<String, MachineType> typesByName) {
+        machineTypes = typesByName;
     }
 
     /** The type of a machine; empty if the type is unknown. */
-    public Optional<MachineType> typeOf(Machine machine) {
-        return Optional.ofNullable(types.get(machine.type()));
+    public Optional<MachineType> machineTypeOf(Machine machine) {
+        return Optional.ofNullable(machineTypes.get(machine.type()));
     }
 
     /** The unused capacity of a machine; {@link Resources#NONE} while its type is unknown. */
     public Resources freeCapacity(Machine machine) {
-        return typeOf(machine)
+        return machineTypeOf(machine)
                 .map(type -> type.capacity().minus(machine.used()))
                 .orElse(Resources.NONE);
     }
--- a/src/main/java/org/spruceridge/cluster/DirectCommands.java
+++ b/src/main/java/org/spruceridge/cluster/DirectCommands.java
@@ -19,12 +19,12 @@
     }
 
     /** Records that a start command for this attempt is sent. */
-    public void startSent(long attempt) {
+    public void recordStartSent(long attempt) {
         unresolvedStarts.add(attempt);
     }
 
     /** Records that the result of the start command for this attempt is known. */
-    public void startResolved(long attempt) {
+    public void recordStartResolved(long attempt) {
         unresolvedStarts.remove(attempt);
     }
 
--- a/src/main/java/org/spruceridge/cluster/JobSpec.java
+++ b/src/main/java/org/spruceridge/cluster/JobSpec.java
@@ -9,7 +9,7 @@
  *
  * @param jobClass the name that service-level objectives refer to
  * @param taskResources the resources that each task requests
- * @param types the names of the allowed machine types; if empty, all machine types are allowed
+ * @param allowedMachineTypes the names of the allowed machine types; if empty, all machine types are allowed
  * @param zone the only allowed zone; if empty, all zones are allowed
  * @param oneZone whether all tasks must be in the same zone
  * @param spread whether the number of tasks in one zone is limited to half of all tasks, rounded up
@@ -28,7 +28,7 @@
         JobPriority priority,
         int taskCount,
         Resources taskResources,
-        Optional<ImmutableSet<String>> types,
+        Optional<ImmutableSet<String>> allowedMachineTypes,
         Optional<String> zone,
         boolean oneZone,
         boolean spread,
@@ -56,13 +56,13 @@
     }
 
     /** Returns a copy of this spec with the given allowed machine types; if empty, all machine types are allowed. */
-    public JobSpec withTypes(Optional<ImmutableSet<String>> allowed) {
+    public JobSpec withAllowedMachineTypes(Optional<ImmutableSet<String>> allowed) {
         return copy(jobClass, image, allowed);
     }
 
     /** Returns a copy of this spec with the given job class and image name. An ended job needs neither name. */
     public JobSpec withClassAndImage(String newClass, String newImage) {
-        return copy(newClass, newImage, types);
+        return copy(newClass, newImage, allowedMachineTypes);
     }
 
     private JobSpec copy(String newClass, String newImage, Optional<ImmutableSet<String>> newTypes) {
@@ -89,7 +89,7 @@
 
     /** True if the job allows machines of this kind. Does not consider the zones of the other tasks of the job. */
     public boolean allows(String type, String machineZone, boolean spotMachine) {
-        return (types.isEmpty() || types.get().contains(type))
+        return (allowedMachineTypes.isEmpty() || allowedMachineTypes.get().contains(type))
                 && (zone.isEmpty() || zone.get().equals(machineZone))
                 && (spot || !spotMachine);
     }
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -103,7 +103,7 @@
     }
 
     /** The number of bindings that are service replicas. */
-    public int replicas() {
+    public int replicaCount() {
         return allocation.replicaCount();
     }
 
--- a/src/main/java/org/spruceridge/cluster/Resources.java
+++ b/src/main/java/org/spruceridge/cluster/Resources.java
@@ -47,7 +47,7 @@
     }
 
     /** Returns the number of tasks with the given request that fit into this capacity; 0 if none fits. */
-    public int fittingTasks(Resources task) {
+    public int countFittingTasks(Resources task) {
         double count = Integer.MAX_VALUE;
         count = task.cpus > 0 ? Math.min(count, (cpus + ROUNDING_TOLERANCE) / task.cpus) : count;
         count = task.gpus > 0 ? Math.min(count, (gpus + ROUNDING_TOLERANCE) / task.gpus) : count;
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -93,7 +93,7 @@
         machinesAwaitingResponse.add(machine);
         long incarnation = machine.incarnation();
         for (Binding binding : batch.bindingsToStart()) {
-            machine.directCommands().startSent(binding.attempt());
+            machine.directCommands().recordStartSent(binding.attempt());
         }
         workers.send(
                 address,
@@ -123,7 +123,7 @@
     private void resolveStarts(Machine machine, long incarnation, CommandBatch batch, CommandResult result) {
         if (result.kind() != CommandResult.Kind.UNKNOWN) {
             for (Binding binding : batch.bindingsToStart()) {
-                machine.directCommands().startResolved(binding.attempt());
+                machine.directCommands().recordStartResolved(binding.attempt());
             }
         } else if (!batch.bindingsToStart().isEmpty() && machine.incarnation() == incarnation) {
             LOG.info("machine excluded from scheduling machine={} reason=start-unanswered", machine.name());
--- a/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
+++ b/src/main/java/org/spruceridge/dispatch/SchedulingLoop.java
@@ -127,7 +127,7 @@
                     "scheduling cycle completed placements={} preemptions={} unplacedJobs={} groups={} durationMs={}",
                     plan.placements().size(),
                     plan.preemptions().size(),
-                    plan.unplaced().size(),
+                    plan.unplacedTaskCounts().size(),
                     plan.machineGroupCount(),
                     (loop.nanos() - startedAt) / 1e6);
         }
--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -72,7 +72,7 @@
         for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(entry.value(), records.baseChunkSize())) {
             Job job = cluster.job(chunk.job());
             if (job != null) { // otherwise the job has ended, and the next write of the page omits the chunk
-                records.restoreFinishedTasks(job, chunk.first(), chunk.tasks(), page);
+                records.restoreFinishedTasks(job, chunk.firstTaskIndex(), chunk.tasks(), page);
             }
         }
     }
--- a/src/main/java/org/spruceridge/leader/ClusterStatus.java
+++ b/src/main/java/org/spruceridge/leader/ClusterStatus.java
@@ -56,7 +56,7 @@
                 leaving++;
             }
             usedCpus += machine.used().cpus();
-            totalCpus += cluster.typeOf(machine)
+            totalCpus += cluster.machineTypeOf(machine)
                     .map(MachineType::capacity)
                     .map(capacity -> capacity.cpus())
                     .orElse(0.0);
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -252,8 +252,8 @@
      * cloud.
      */
     public void adoptMachineTypes(ImmutableMap<String, MachineType> types) {
-        if (cluster.types().isEmpty()) {
-            cluster.updateTypes(types);
+        if (cluster.machineTypes().isEmpty()) {
+            cluster.updateMachineTypes(types);
         }
     }
 
--- a/src/main/java/org/spruceridge/node/LeaderLocator.java
+++ b/src/main/java/org/spruceridge/node/LeaderLocator.java
@@ -24,7 +24,7 @@
      * leader.
      */
     Optional<String> leader() {
-        return stateHealth.isReachable() ? election.leaderName() : peers.leader();
+        return stateHealth.isReachable() ? election.leaderName() : peers.leaderHostName();
     }
 
     /** The host name of the leader; empty if this node leads or the leader is unknown. */
--- a/src/main/java/org/spruceridge/node/MetricsEndpoint.java
+++ b/src/main/java/org/spruceridge/node/MetricsEndpoint.java
@@ -39,7 +39,7 @@
         ObjectNode cluster = out.putObject("cluster")
                 .put("featureLevel", clusterFeatureLevel.highestKnown().number());
         ObjectNode versions = cluster.putObject("versions").put(ownHostName, ownVersion.name());
-        peers.versions().forEach((host, version) -> versions.put(host, version.name()));
+        peers.versionsByHost().forEach((host, version) -> versions.put(host, version.name()));
         leaderMetrics.writeTo(out);
         currentLeader.get().ifPresent(leader -> leader.writeTo(out.putObject("leader")));
         return out;
--- a/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
+++ b/src/main/java/org/spruceridge/node/PeerHeartbeatSource.java
@@ -45,7 +45,7 @@
                 reachability.isReachable(),
                 leader.map(Leader::term).orElse(0L),
                 leader.map(PeerHeartbeatSource::progress).orElse(ImmutableMap.of()),
-                cancellations.recent(),
+                cancellations.recentJobIds(),
                 ownVersion);
     }
 
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -87,7 +87,7 @@
     }
 
     /** The host name of the node with the highest term among the fresh heartbeats; empty if no node reports a term. */
-    public Optional<String> leader() {
+    public Optional<String> leaderHostName() {
         long now = loop.nanos();
         return latestHeartbeats.values().stream()
                 .filter(received -> received.isFresh(now) && received.heartbeat.term() > 0)
@@ -97,7 +97,7 @@
     }
 
     /** The version in the latest heartbeat of each peer, fresh or stale, by host name. */
-    public ImmutableSortedMap<String, MemberVersion> versions() {
+    public ImmutableSortedMap<String, MemberVersion> versionsByHost() {
         ImmutableSortedMap.Builder<String, MemberVersion> versions = ImmutableSortedMap.naturalOrder();
         latestHeartbeats.forEach((host, received) -> versions.put(host, received.heartbeat.version()));
         return versions.build();
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -50,8 +50,8 @@
     public RecordPages(Settings.State limits, FeatureLevel level) {
         this.txnOps = limits.txnOps();
         this.valueBytes = limits.valueBytes();
-        this.baseChunkSize = FinishedTasksRecord.chunkSize(limits.currentRecordKb());
-        this.smallChunkSize = FinishedTasksRecord.chunkSize(limits.recordKb());
+        this.baseChunkSize = FinishedTasksRecord.tasksPerChunk(limits.currentRecordKb());
+        this.smallChunkSize = FinishedTasksRecord.tasksPerChunk(limits.recordKb());
         this.maxRecordBytes = (int) (limits.recordKb() * 1024);
         this.level = level;
         int capacity = PackedValue.capacity(limits.recordKb());
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -220,7 +220,7 @@
         for (Binding boundBinding : batch.bound()) {
             if (boundBinding.stage() == Binding.Stage.PROPOSED) {
                 boundBinding.advanceTo(Binding.Stage.COMMITTED);
-                latencies.record(Latencies.Kind.COMMITS, nowNanos - boundBinding.boundAt());
+                latencies.record(Latencies.Kind.COMMITS, nowNanos - boundBinding.createdAt());
                 boundMachines.add(boundBinding.machine());
             }
         }
--- a/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
+++ b/src/main/java/org/spruceridge/reconciliation/BindingReconciler.java
@@ -110,7 +110,7 @@
         if (binding.phase() == Binding.Phase.ENDED) {
             return; // the release of the binding is already being written
         }
-        double elapsedS = binding.elapsedS(now);
+        double elapsedS = binding.runTimeS(now);
         binding.recordPhase(Binding.Phase.ENDED, now);
         logExit(binding, cause, elapsedS);
         switch (cause) {
@@ -143,7 +143,7 @@
                 describe(binding),
                 binding.job().spec().jobClass(),
                 (loop.wallMillis() - binding.job().submittedMs()) / 1000.0,
-                Durations.seconds(now - binding.boundAt()));
+                Durations.seconds(now - binding.createdAt()));
     }
 
     private static void logExit(Binding binding, ExitCause cause, double elapsedS) {
--- a/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
+++ b/src/main/java/org/spruceridge/record/FinishedTasksRecord.java
@@ -27,10 +27,10 @@
     private FinishedTasksRecord() {}
 
     /** The finished tasks of one chunk of a job. Bit 0 is the task with index {@code first}. */
-    public record Chunk(String job, int first, BitSet tasks) {}
+    public record Chunk(String job, int firstTaskIndex, BitSet tasks) {}
 
     /** The number of tasks in a full chunk. The bit set of a full chunk takes about a third of a page. */
-    public static int chunkSize(double valueKb) {
+    public static int tasksPerChunk(double valueKb) {
         return Math.max(64, PackedValue.capacity(valueKb) / 3 * 8);
     }
 
@@ -51,7 +51,7 @@
             for (Chunk chunk : chunks) {
                 byte[] bits = chunk.tasks.toByteArray();
                 out.packString(chunk.job);
-                out.packInt(withFirstTask ? chunk.first : chunk.first / baseChunkSize);
+                out.packInt(withFirstTask ? chunk.firstTaskIndex : chunk.firstTaskIndex / baseChunkSize);
                 out.packBinaryHeader(bits.length);
                 out.writePayload(bits);
             }
--- a/src/main/java/org/spruceridge/record/JobRecord.java
+++ b/src/main/java/org/spruceridge/record/JobRecord.java
@@ -62,7 +62,7 @@
             return write();
         }
         JobSpec truncatedSpec = spec.withClassAndImage(truncate(spec.jobClass()), truncate(spec.image()))
-                .withTypes(Optional.empty());
+                .withAllowedMachineTypes(Optional.empty());
         return new JobRecord(truncatedSpec, submittedMs, stage, endedMs).write();
     }
 
--- a/src/main/java/org/spruceridge/record/JobSpecMessage.java
+++ b/src/main/java/org/spruceridge/record/JobSpecMessage.java
@@ -93,7 +93,7 @@
                 .put("expectS", spec.estimateS())
                 .put("markEveryS", spec.checkpointIntervalS())
                 .put("markS", spec.checkpointDurationS());
-        spec.types().ifPresent(types -> types.forEach(out.putArray("builds")::add));
+        spec.allowedMachineTypes().ifPresent(types -> types.forEach(out.putArray("builds")::add));
         spec.zone().ifPresent(zone -> out.put("grove", zone));
         spec.deadlineS().ifPresent(due -> out.put("dueS", due));
         return out;
--- a/src/main/java/org/spruceridge/schedule/CycleState.java
+++ b/src/main/java/org/spruceridge/schedule/CycleState.java
@@ -46,7 +46,7 @@
         this.quotas = new TeamQuotas(cluster, settings);
         Map<MachineKind, Integer> kindIndexes = new HashMap<>();
         for (Machine machine : cluster.machines()) {
-            MachineType type = cluster.types().get(machine.type());
+            MachineType type = cluster.machineTypes().get(machine.type());
             if (type != null && isSchedulable(machine)) {
                 int kindIndex = kindIndexes.computeIfAbsent(machine.kind(), this::addKind);
                 machines.add(new MachineCapacity(machine, type, kindIndex));
@@ -97,9 +97,9 @@
         boolean[] allowed = new boolean[kinds.size()];
         for (int i = 0; i < allowed.length; i++) {
             MachineKind kind = kinds.get(i);
-            allowed[i] =
-                    spec.taskResources().fitsIn(cluster.types().get(kind.type()).capacity())
-                            && spec.allows(kind.type(), kind.zone(), kind.spot());
+            allowed[i] = spec.taskResources()
+                            .fitsIn(cluster.machineTypes().get(kind.type()).capacity())
+                    && spec.allows(kind.type(), kind.zone(), kind.spot());
         }
         return allowed;
     }
@@ -110,7 +110,7 @@
         double highestPrice = 0;
         for (int i = 0; i < prices.length; i++) {
             MachineKind kind = kinds.get(i);
-            MachineType type = cluster.types().get(kind.type());
+            MachineType type = cluster.machineTypes().get(kind.type());
             prices[i] = type.price(kind.spot()) / type.capacity().cpus();
             highestPrice = Math.max(highestPrice, prices[i]);
         }
--- a/src/main/java/org/spruceridge/schedule/MachineCapacity.java
+++ b/src/main/java/org/spruceridge/schedule/MachineCapacity.java
@@ -36,7 +36,7 @@
         this.kindIndex = kindIndex;
         this.free = type.capacity().minus(machine.used());
         this.bindingCount = machine.bindings().size();
-        this.replicaCount = machine.replicas();
+        this.replicaCount = machine.replicaCount();
     }
 
     Machine machine() {
@@ -129,7 +129,7 @@
                 new ArrayList<>(machine.bindings().size());
         for (Binding binding : machine.bindings()) {
             if (!binding.isProvenGone() && binding.isExpectedToEnd()) {
-                double remainingS = estimator.remainingS(binding.job().spec().estimateS(), binding.elapsedS(now));
+                double remainingS = estimator.remainingS(binding.job().spec().estimateS(), binding.runTimeS(now));
                 expectedReleases.add(
                         new ExpectedRelease(remainingS, binding.job().spec().taskResources()));
             }
--- a/src/main/java/org/spruceridge/schedule/Plan.java
+++ b/src/main/java/org/spruceridge/schedule/Plan.java
@@ -12,8 +12,8 @@
  * @param preemptions the running tasks to preempt for waiting tasks of a higher priority
  * @param evictions the replicas to evict from machines that the cloud is about to reclaim; room for each replica is
  *     reserved on another machine
- * @param unplaced the number of tasks of each job that the cycle could not place only because capacity was lacking; in
- *     the cluster's order of jobs
+ * @param unplacedTaskCounts the number of tasks of each job that the cycle could not place only because capacity was
+ *     lacking; in the cluster's order of jobs
  * @param machineGroupCount the number of machine groups, which are the columns of the matrix; determines the cost of a
  *     cycle
  */
@@ -21,7 +21,7 @@
         ImmutableList<Placement> placements,
         ImmutableList<Binding> preemptions,
         ImmutableList<Binding> evictions,
-        ImmutableMap<Job, Integer> unplaced,
+        ImmutableMap<Job, Integer> unplacedTaskCounts,
         int machineGroupCount) {
 
     /** A waiting task, identified by its index in the job, and the machine to bind it to. */
--- a/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
+++ b/src/main/java/org/spruceridge/schedule/PreemptionTarget.java
@@ -59,7 +59,7 @@
         if (spec.isService()) {
             return Double.POSITIVE_INFINITY;
         }
-        return spec.canCheckpoint() ? spec.checkpointDurationS() : binding.elapsedS(now);
+        return spec.canCheckpoint() ? spec.checkpointDurationS() : binding.runTimeS(now);
     }
 
     MachineCapacity capacity() {
@@ -91,7 +91,7 @@
         if (!task.fitsIn(expectedFree)) {
             return 0;
         }
-        int count = Math.min(wanted, expectedFree.fittingTasks(task));
+        int count = Math.min(wanted, expectedFree.countFittingTasks(task));
         for (int i = 0; i < count; i++) {
             expectedFree = expectedFree.minus(task);
         }
--- a/src/main/java/org/spruceridge/schedule/Reservations.java
+++ b/src/main/java/org/spruceridge/schedule/Reservations.java
@@ -47,7 +47,7 @@
                 continue;
             }
             if (capacity.fits(task)) {
-                wanted -= capacity.free().fittingTasks(task);
+                wanted -= capacity.free().countFittingTasks(task);
                 if (wanted <= 0) {
                     return;
                 }
--- a/src/main/java/org/spruceridge/schedule/TeamQuotas.java
+++ b/src/main/java/org/spruceridge/schedule/TeamQuotas.java
@@ -40,7 +40,7 @@
                 team.cpusMax() > 0 ? team.cpusMax() - used.cpus() : Double.MAX_VALUE,
                 team.gpusMax() > 0 ? team.gpusMax() - used.gpus() : Double.MAX_VALUE,
                 Double.MAX_VALUE);
-        return remaining.fittingTasks(spec.taskResources());
+        return remaining.countFittingTasks(spec.taskResources());
     }
 
     /** Reserves the rest of a team's quota. Later candidates of this cycle cannot use the reserved quota. */
--- a/src/main/java/org/spruceridge/warmup/SyntheticCluster.java
+++ b/src/main/java/org/spruceridge/warmup/SyntheticCluster.java
@@ -73,7 +73,7 @@
         ImmutableList<String> zones = settings.zones().isEmpty() ? ImmutableList.of(settings.zone()) : settings.zones();
         MachineType type = new MachineType(
                 SYNTHETIC_NAME, new Resources(CPUS, 0, MEMORY_GB), FETCH_GB_PER_S, PRICE, SPOT_PRICE, BOOT_S, zones);
-        cluster.updateTypes(ImmutableMap.of(type.name(), type));
+        cluster.updateMachineTypes(ImmutableMap.of(type.name(), type));
         for (int i = 0; i < MACHINE_COUNT; i++) {
             MachineKind kind = new MachineKind(type.name(), zones.get(i % zones.size()), i % 2 == 0);
             Machine machine = new Machine("i-" + i, MACHINE_ADDRESS, kind, loop.nanos(), loop.nanos());
--- a/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
+++ b/src/test/java/org/spruceridge/dispatch/FleetSizeTest.java
@@ -107,7 +107,7 @@
                     new LeaderTerm(term, leaderRevision, loop.nanos()),
                     () -> true);
             cluster = context.cluster();
-            cluster.updateTypes(ImmutableMap.of(
+            cluster.updateMachineTypes(ImmutableMap.of(
                     "t4",
                     new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
             HttpClient http = (to, call, timeout, onResponse) ->
--- a/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordPagesTest.java
@@ -35,7 +35,7 @@
     private static BitSet finishedTasksOn(ObjectNode page, int baseChunkSize) throws BadMessageException {
         BitSet tasks = new BitSet();
         for (FinishedTasksRecord.Chunk chunk : FinishedTasksRecord.read(page, baseChunkSize)) {
-            chunk.tasks().stream().forEach(i -> tasks.set(chunk.first() + i));
+            chunk.tasks().stream().forEach(i -> tasks.set(chunk.firstTaskIndex() + i));
         }
         return tasks;
     }
--- a/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -143,7 +143,7 @@
             if (!proposed.isEmpty()) {
                 longestWaitS = Math.max(
                         longestWaitS,
-                        Durations.seconds(loop.nanos() - proposed.peek().boundAt()));
+                        Durations.seconds(loop.nanos() - proposed.peek().createdAt()));
             }
         }
         assertTrue(
--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -94,7 +94,7 @@
         cluster.verifyRecovery(60);
         assertEquals(
                 3,
-                cluster.starts().size(),
+                cluster.taskStarts().size(),
                 "each task must start once: a listing must replace the stuck watch before a lease expires");
     }
 
@@ -256,7 +256,7 @@
         assertEquals("cancelled", SimulatedCluster.stage(response));
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 60);
-        assertEquals(1, cluster.starts().size());
+        assertEquals(1, cluster.taskStarts().size());
         cluster.net.deliverHeld();
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S);
         assertFalse(cluster.hasBinding("j-000001"));
@@ -276,7 +276,7 @@
         cluster.request(cluster.follower(), "POST", "/api/jobs/j-000001/abort");
         cluster.loop.run(20);
         assertTrue(
-                cluster.starts().isEmpty(),
+                cluster.taskStarts().isEmpty(),
                 "tasks must not start, because the binding transaction fails its comparison with the job's record");
     }
 
@@ -309,7 +309,7 @@
                 "the binding must be released once the deletion of the machine is confirmed");
         cluster.net.deliverHeld();
         cluster.loop.run(5);
-        assertTrue(cluster.starts().stream().noneMatch(start -> start.startsWith("j-000002")));
+        assertTrue(cluster.taskStarts().stream().noneMatch(start -> start.startsWith("j-000002")));
         assertEquals(1, cluster.runningTasks().size(), "the task of the first job must run on another machine");
     }
 }
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -167,7 +167,7 @@
             assertEquals("cancelled", cluster.cancel(cluster.follower(), "j-000001"));
             cluster.await(() -> cluster.runningTasks().isEmpty(), 2);
             cluster.submit(SimJobs.array(2, 2).put("expectS", 5.0));
-            cluster.await(() -> cluster.starts().size() == 5, 40);
+            cluster.await(() -> cluster.taskStarts().size() == 5, 40);
             assertFalse(silentMachines.contains(cluster.runningTasks().get("j-000002/0")));
             assertFalse(silentMachines.contains(cluster.runningTasks().get("j-000002/1")));
         });
--- a/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FailoverScenarioTest.java
@@ -28,12 +28,12 @@
         String firstLeader = cluster.leader();
         cluster.await(() -> cluster.hasBinding("j-000001"), 30);
         assertTrue(
-                cluster.starts().isEmpty(),
+                cluster.taskStarts().isEmpty(),
                 "the task must not start before the leader learns that the binding is committed");
         cluster.nodes.crash(firstLeader);
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(1, cluster.starts().size());
+        assertEquals(1, cluster.taskStarts().size());
     }
 
     @Test
@@ -50,11 +50,11 @@
         cluster.awaitLeader(30);
         cluster.loop.run(4);
         assertEquals(1, cluster.runningTasks().size(), "the silent worker must still run the task");
-        assertEquals(1, cluster.starts().size());
+        assertEquals(1, cluster.taskStarts().size());
         cluster.net.clearFaults();
         cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 120);
-        assertEquals(2, cluster.starts().size());
+        assertEquals(2, cluster.taskStarts().size());
     }
 
     @Test
@@ -95,7 +95,7 @@
                 "the silent worker must keep its machine while it might still be locating the leader");
         cluster.net.clearFaults();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(4, cluster.starts().size());
+        assertEquals(4, cluster.taskStarts().size());
     }
 
     /**
--- a/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/FairnessScenarioTest.java
@@ -23,7 +23,7 @@
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         cluster.submit(SimJobs.array(1, 30).put("rank", "best_effort").put("expectS", 60.0));
         long submittedAtNanos = cluster.loop.nanos();
-        while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
+        while (cluster.taskStarts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
             submitUrgent(++jobNumber);
             cluster.loop.run(1.5);
             assertTrue(
@@ -41,7 +41,7 @@
         cluster.await(() -> cluster.runningTasks().size() == (int) SimulatedCluster.TEAM_CPUS, 40);
         cluster.submit(SimJobs.array(1, 2).put("cpus", 8.0).put("expectS", 10.0));
         long submittedAtNanos = cluster.loop.nanos();
-        while (cluster.starts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
+        while (cluster.taskStarts().stream().noneMatch(s -> s.startsWith("j-000001"))) {
             submitSmall(++jobNumber);
             cluster.loop.run(0.4);
             assertTrue(
@@ -67,7 +67,7 @@
     }
 
     private boolean hasStarted(String job) {
-        return cluster.starts().stream().anyMatch(s -> s.startsWith(job));
+        return cluster.taskStarts().stream().anyMatch(s -> s.startsWith(job));
     }
 
     private void submitSmall(int jobNumber) {
--- a/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/LeadershipScenarioTest.java
@@ -59,7 +59,7 @@
         assertEquals(leaderRecord, cluster.state.value("leader"));
         assertEquals(bindings, cluster.recordedBindings());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 300);
-        assertEquals(2, cluster.starts().size());
+        assertEquals(2, cluster.taskStarts().size());
     }
 
     @Test
@@ -86,7 +86,9 @@
         cluster.loop.run(10);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
         assertEquals(
-                2, cluster.starts().size(), "each task must start once, because the outage is shorter than a lease");
+                2,
+                cluster.taskStarts().size(),
+                "each task must start once, because the outage is shorter than a lease");
     }
 
     @Test
@@ -103,7 +105,7 @@
             cluster.nodes.start(node);
         }
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(4, cluster.starts().size());
+        assertEquals(4, cluster.taskStarts().size());
     }
 
     @Test
@@ -121,7 +123,7 @@
         assertNotEquals(oldLeader, cluster.leader());
         assertEquals(
                 2,
-                cluster.starts().size(),
+                cluster.taskStarts().size(),
                 "each task must start once: another leader must answer workers before a lease expires");
     }
 
@@ -202,7 +204,7 @@
         assertEquals(503, response.status(), "a node must not redirect workers to a leader that it cannot confirm");
         assertEquals(503, cluster.request(isolatedNode, "GET", "/healthz").status());
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertEquals(2, cluster.starts().size(), "each task must start once, because no lease expires");
+        assertEquals(2, cluster.taskStarts().size(), "each task must start once, because no lease expires");
     }
 
     @Test
@@ -217,7 +219,7 @@
                 : Delivery.DELIVERED);
         cluster.awaitLeaderOtherThan(isolatedLeader, 30);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertEquals(2, cluster.starts().size(), "each task must start once, because no lease expires");
+        assertEquals(2, cluster.taskStarts().size(), "each task must start once, because no lease expires");
     }
 
     @Test
@@ -239,7 +241,7 @@
         singleNodeCluster.submit(SimJobs.array(1, 1));
         singleNodeCluster.loop.run(40);
         assertEquals("done", singleNodeCluster.poll("j-000001"));
-        assertEquals(1, singleNodeCluster.starts().size());
+        assertEquals(1, singleNodeCluster.taskStarts().size());
     }
 
     @Test
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -48,11 +48,11 @@
         SimWorker worker = cluster.cloud.workers().get(0);
         // The worker's heartbeats are held until its lease has expired and the task runs on another machine.
         cluster.net.injectFaults((from, to, call) -> from.equals(worker.name()) ? Delivery.HELD : Delivery.DELIVERED);
-        cluster.await(() -> cluster.starts().size() == 2, 60);
+        cluster.await(() -> cluster.taskStarts().size() == 2, 60);
         cluster.net.clearFaults();
         cluster.net.deliverHeld();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(2, cluster.starts().size());
+        assertEquals(2, cluster.taskStarts().size());
     }
 
     @Test
@@ -83,7 +83,7 @@
         cluster.net.clearFaults();
         cluster.net.deliverHeld();
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 120);
-        assertEquals(2, cluster.starts().size(), "each task must start once, by the answer to a heartbeat");
+        assertEquals(2, cluster.taskStarts().size(), "each task must start once, by the answer to a heartbeat");
     }
 
     @Test
@@ -93,7 +93,7 @@
         cluster.await(() -> cluster.runningTasks().size() == 1, 30);
         cluster.cloud.crash(cluster.cloud.workers().get(0));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 120);
-        assertEquals(2, cluster.starts().size());
+        assertEquals(2, cluster.taskStarts().size());
     }
 
     @Test
@@ -123,8 +123,8 @@
         cluster.loop.run(5);
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 60);
-        assertNotNull(cluster.starts().get(1));
-        assertFalse(cluster.starts().get(1).endsWith(worker.name()));
+        assertNotNull(cluster.taskStarts().get(1));
+        assertFalse(cluster.taskStarts().get(1).endsWith(worker.name()));
     }
 
     /** Drops all responses and commands to the worker; its heartbeats still arrive. */
@@ -148,7 +148,7 @@
         // must not count a received heartbeat as a renewal of the lease.
         cluster.await(() -> !cluster.cloud.workers().contains(unreachableWorker), 4 * SimulatedCluster.LEASE_S);
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 100);
-        assertTrue(cluster.starts().stream().skip(4).noneMatch(s -> s.endsWith(unreachableWorker.name())));
+        assertTrue(cluster.taskStarts().stream().skip(4).noneMatch(s -> s.endsWith(unreachableWorker.name())));
     }
 
     @Test
@@ -214,7 +214,7 @@
             cluster.loop.run(2);
         }
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(2, cluster.starts().size());
+        assertEquals(2, cluster.taskStarts().size());
         assertTrue(cluster.loop.nanos() / 1e9 - leaderElectedAtS < 3 * SimulatedCluster.LEASE_S + 20);
     }
 
@@ -233,12 +233,12 @@
         cluster.nodes.crash(oldLeader);
         cluster.nodes.start(oldLeader);
         cluster.awaitLeader(30);
-        int deletionRequests = cluster.cloud.deletionRequests();
+        int deletionRequests = cluster.cloud.deletionRequestCount();
         cluster.net.deliverHeld();
         cluster.loop.run(2 * SimulatedCluster.LEASE_S);
         assertEquals(
                 deletionRequests,
-                cluster.cloud.deletionRequests(),
+                cluster.cloud.deletionRequestCount(),
                 "a leader must not treat the deleted machine as running and delete it again");
         cluster.submit(SimJobs.array(2, 1));
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 30);
@@ -251,7 +251,7 @@
         cluster.await(() -> cluster.runningTasks().size() == 2, 40);
         cluster.cloud.workers().get(0).restart();
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 60);
-        assertEquals(4, cluster.starts().size());
+        assertEquals(4, cluster.taskStarts().size());
     }
 
     @Test
--- a/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/PausedNodeScenarioTest.java
@@ -25,7 +25,7 @@
         assertNotEquals(oldLeader, cluster.leader());
         Response response = cluster.request(cluster.leader(), "POST", "/api/jobs/j-000002/abort");
         String outcome = SimulatedCluster.stage(response);
-        int deletionRequests = cluster.cloud.deletionRequests();
+        int deletionRequests = cluster.cloud.deletionRequestCount();
         cluster.loop.run(SimulatedCluster.LEASE_S + 1);
         assertNotEquals(
                 oldLeader,
@@ -33,13 +33,13 @@
                 "the paused node must not lead again, because the state that it read before the pause is stale");
         assertEquals(
                 deletionRequests,
-                cluster.cloud.deletionRequests(),
+                cluster.cloud.deletionRequestCount(),
                 "a node must not delete machines because of heartbeats that it missed during its own pause");
         assertEquals(outcome, SimulatedCluster.stage(cluster.request(oldLeader, "GET", "/api/jobs/j-000002")));
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
         assertEquals(
                 2,
-                cluster.starts().stream()
+                cluster.taskStarts().stream()
                         .filter(start -> start.startsWith("j-000001"))
                         .count(),
                 "each task of the first job must start once, because no lease expires");
@@ -51,16 +51,16 @@
         cluster.submit(SimJobs.array(1, 4).put("expectS", 60.0));
         cluster.await(() -> cluster.runningTasks().size() == 4, 40);
         String leader = cluster.leader();
-        int deletionRequests = cluster.cloud.deletionRequests();
+        int deletionRequests = cluster.cloud.deletionRequestCount();
         cluster.nodes.pause(leader, SimulatedCluster.LEASE_S * 0.4);
         cluster.loop.run(SimulatedCluster.LEASE_S);
         assertEquals(leader, cluster.leader());
         assertEquals(
                 deletionRequests,
-                cluster.cloud.deletionRequests(),
+                cluster.cloud.deletionRequestCount(),
                 "a node must not delete machines because of heartbeats that it missed during its own pause");
         cluster.await(() -> cluster.poll("j-000001").equals("done"), 90);
-        assertEquals(4, cluster.starts().size());
+        assertEquals(4, cluster.taskStarts().size());
     }
 
     @Test
@@ -78,7 +78,7 @@
             assertEquals("n0", twoNodeCluster.leader(), "n0 must lead in step " + step);
             twoNodeCluster.loop.run(60);
             assertEquals("done", twoNodeCluster.poll("j-000001"));
-            assertEquals(1, twoNodeCluster.starts().size());
+            assertEquals(1, twoNodeCluster.taskStarts().size());
         }
     }
 }
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -54,7 +54,7 @@
         assertEquals("running", body.path("stage").asText());
         assertEquals(3, body.path("running").asInt());
         assertEquals(0, body.path("done").asInt());
-        assertEquals(3, cluster.starts().size(), "each replica must start once, because no replica is stopped");
+        assertEquals(3, cluster.taskStarts().size(), "each replica must start once, because no replica is stopped");
         assertEquals(200, cluster.submit(SimJobs.service(1, 3)), "a repeated submission must be idempotent");
         assertEquals("cancelled", cluster.cancel("n1", SERVICE_ID));
         cluster.await(() -> cluster.runningReplicaCount(1) == 0, SimulatedCluster.CANCELLATION_DEADLINE_S);
@@ -86,7 +86,7 @@
         faultyWorker.setBehaviour(SimWorker.Behaviour.FAILS);
         faultyWorker.endReplicas("error");
         cluster.loop.run(30);
-        long startsOnFaultyMachine = cluster.starts().stream()
+        long startsOnFaultyMachine = cluster.taskStarts().stream()
                 .filter(s -> s.endsWith("@" + faultyWorker.name()))
                 .count();
         assertTrue(
@@ -101,9 +101,9 @@
         startService(2);
         cluster.cloud.setBehaviour(SimWorker.Behaviour.ENDS_SERVICES);
         cluster.cloud.workers().forEach(w -> w.endReplicas("done"));
-        int startsBefore = cluster.starts().size();
+        int startsBefore = cluster.taskStarts().size();
         cluster.loop.run(300);
-        int starts = cluster.starts().size() - startsBefore;
+        int starts = cluster.taskStarts().size() - startsBefore;
         assertTrue(
                 starts > 2 && starts < 60,
                 "replicas must start 3 to 59 times in 300 s but started " + starts + " times");
@@ -135,7 +135,7 @@
                 () -> cluster.runningReplicaCount(1) == 1
                         && !cluster.runningTasks().containsValue(interruptedWorker.name()),
                 50);
-        assertEquals(2, cluster.starts().size());
+        assertEquals(2, cluster.taskStarts().size());
     }
 
     /** The leader crashes at different times while a replica moves after an interruption notice. */
--- a/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UpgradeScenarioTest.java
@@ -62,7 +62,7 @@
             cluster.loop.run(10);
         }
         cluster.verifyRecovery(200);
-        assertEquals(14, cluster.starts().size(), "each task must start once");
+        assertEquals(14, cluster.taskStarts().size(), "each task must start once");
         cluster.await(this::isFeatureLevelRaised, 10);
     }
 
@@ -93,7 +93,7 @@
                 leaderRanProductionVersion.contains(true) && leaderRanProductionVersion.contains(false),
                 "leaders must have run both versions; ran production version: " + leaderRanProductionVersion);
         cluster.verifyRecovery(240);
-        assertEquals(22, cluster.starts().size(), "each task must start once");
+        assertEquals(22, cluster.taskStarts().size(), "each task must start once");
     }
 
     /** A cancellation confirmed by one version stays in force under the next leader of the other version. */
@@ -260,7 +260,7 @@
         }
         cluster.lowerLimits();
         cluster.verifyRecovery(240);
-        assertEquals(320, cluster.starts().size(), "each task must start once");
+        assertEquals(320, cluster.taskStarts().size(), "each task must start once");
         assertEquals(0, cluster.state.rejectedTransactionCount());
     }
 
--- a/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/UserScenarioTest.java
@@ -45,7 +45,7 @@
         }
         cluster.loop.run(3);
         assertEquals("done", cluster.poll("j-000001"));
-        assertEquals(6, cluster.starts().size());
+        assertEquals(6, cluster.taskStarts().size());
     }
 
     @Test
@@ -81,7 +81,7 @@
             assertEquals(200, response.status());
             assertEquals("done", SimulatedCluster.stage(response));
         }
-        assertEquals(1, cluster.starts().size());
+        assertEquals(1, cluster.taskStarts().size());
     }
 
     @Test
@@ -135,7 +135,7 @@
         assertEquals(200, cluster.submit(SimJobs.array(2, 1)));
         cluster.loop.run(60);
         assertEquals("cancelled", cluster.poll("j-000002"));
-        assertEquals(1, cluster.starts().size());
+        assertEquals(1, cluster.taskStarts().size());
     }
 
     @ParameterizedTest
--- a/src/test/java/org/spruceridge/schedule/MatchingFixture.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingFixture.java
@@ -42,7 +42,7 @@
 
     @BeforeEach
     void addMachineTypes() {
-        cluster.updateTypes(ImmutableMap.of(
+        cluster.updateMachineTypes(ImmutableMap.of(
                 "t8", new MachineType("t8", new Resources(8, 0, 32), 1, 1, 0.3, 20, ImmutableList.of("a", "b"))));
     }
 
--- a/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingReferenceTest.java
@@ -76,7 +76,7 @@
     }
 
     private void buildClusterState(SplittableRandom random, int machineCount, int jobCount) {
-        cluster.updateTypes(TYPES);
+        cluster.updateMachineTypes(TYPES);
         Job running = addJob(random, 10_000, WALL_MS - 5000);
         for (int i = 0; i < machineCount; i++) {
             String type = random.nextBoolean() ? "t4" : "t8";
--- a/src/test/java/org/spruceridge/schedule/MatchingTest.java
+++ b/src/test/java/org/spruceridge/schedule/MatchingTest.java
@@ -32,7 +32,7 @@
         Job job = largeJob.add();
         Plan plan = plan();
         assertEquals(2, plan.placements().size());
-        assertEquals(3, plan.unplaced().get(job));
+        assertEquals(3, plan.unplacedTaskCounts().get(job));
     }
 
     @Test
@@ -47,7 +47,8 @@
         releasingBinding.advanceTo(Binding.Stage.RELEASING); // the task may still run until its release is recorded
         Plan plan = plan();
         assertEquals(2, plan.placements().size());
-        assertTrue(plan.unplaced().isEmpty(), "tasks that exceed the team's quota must not count as unplaced");
+        assertTrue(
+                plan.unplacedTaskCounts().isEmpty(), "tasks that exceed the team's quota must not count as unplaced");
     }
 
     /**
@@ -181,6 +182,6 @@
         Job shorterJob = shorter.add();
         Plan plan = plan();
         assertEquals(shorterJob, plan.placements().get(0).job());
-        assertEquals(1, plan.unplaced().get(longerJob));
+        assertEquals(1, plan.unplacedTaskCounts().get(longerJob));
     }
 }
--- a/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
+++ b/src/test/java/org/spruceridge/schedule/SchedulingCostTest.java
@@ -54,7 +54,7 @@
 
     @BeforeEach
     void fillCluster() {
-        cluster.updateTypes(ImmutableMap.of(
+        cluster.updateMachineTypes(ImmutableMap.of(
                 "t4", new MachineType("t4", new Resources(4, 0, 16), 1, 0.2, 0.06, 20, ImmutableList.of("a", "b"))));
         Job small = addJob(JobPriority.NORMAL, 10_000, 1, 60, 1e6);
         Job large = addJob(JobPriority.LOW, 10_000, 4, 60, 0);
--- a/src/test/java/org/spruceridge/sim/SimCloud.java
+++ b/src/test/java/org/spruceridge/sim/SimCloud.java
@@ -26,7 +26,7 @@
     private final TreeMap<String, Host> hosts = new TreeMap<>();
     private final RateLimit callLimit;
     private int launchCount;
-    private int deletionRequests;
+    private int deletionRequestCount;
     private int capacity = Integer.MAX_VALUE;
     private SimWorker.Behaviour behaviour = SimWorker.Behaviour.COMPLETES;
 
@@ -62,8 +62,8 @@
     }
 
     /** The number of requests to delete machines that the cloud has received. */
-    public int deletionRequests() {
-        return deletionRequests;
+    public int deletionRequestCount() {
+        return deletionRequestCount;
     }
 
     /** The number of machines that were launched and not deleted. */
@@ -96,7 +96,7 @@
             if (path.equals("/flavors")) {
                 onResponse.accept(ok(catalogue()));
             } else if (path.equals("/hosts/delete")) {
-                deletionRequests++;
+                deletionRequestCount++;
                 Json.list(Json.object(call.body()), "hosts").forEach(n -> remove(n.asText()));
                 onResponse.accept(ok(Json.object()));
             } else if (call.method().equals("POST")) {
--- a/src/test/java/org/spruceridge/sim/SimNode.java
+++ b/src/test/java/org/spruceridge/sim/SimNode.java
@@ -41,8 +41,8 @@
                 Policy.defaults());
         return new SimNode() {
             @Override
-            public void start(Runnable onLeaderKnown) {
-                node.start(onLeaderKnown);
+            public void start(Runnable onReady) {
+                node.start(onReady);
             }
 
             @Override
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -46,7 +46,7 @@
     public final SimNodes nodes;
     public final SimUsers users;
     private final RuleChecker rules;
-    private final List<String> starts = new ArrayList<>();
+    private final List<String> taskStarts = new ArrayList<>();
     /**
      * The limits of the state service; {@code announcesLowerLimits} tells whether the settings announce lower limits.
      */
@@ -330,8 +330,8 @@
     }
 
     /** All task starts so far, oldest first, each as the task id and the machine name: {@code task@machine}. */
-    public List<String> starts() {
-        return starts;
+    public List<String> taskStarts() {
+        return taskStarts;
     }
 
     /** The ids of the tasks that have completed. */
@@ -355,7 +355,7 @@
 
     void taskStarted(String taskId, SimWorker worker, String zone, boolean spot) {
         rules.recordStart(taskId, worker.name(), zone, spot);
-        starts.add(taskId + "@" + worker.name());
+        taskStarts.add(taskId + "@" + worker.name());
     }
 
     void taskEnded(String taskId, String machine) {
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormatsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormatsTest.java
@@ -200,7 +200,7 @@
     void finishedTasksPageIsReadInBothFormats() throws BadMessageException {
         FinishedTasksRecord.Chunk chunk = FinishedTasksRecord.read(finishedTasksPage(FeatureLevel.BASE), CHUNK_SIZE)
                 .get(0);
-        assertEquals(2 * CHUNK_SIZE, chunk.first());
+        assertEquals(2 * CHUNK_SIZE, chunk.firstTaskIndex());
         assertEquals("{0, 9}", chunk.tasks().toString());
         assertEquals(
                 chunk,
--- a/src/test/java/org/spruceridge/wire/WireFormatsTest.java
+++ b/src/test/java/org/spruceridge/wire/WireFormatsTest.java
@@ -246,7 +246,7 @@
     @Test
     void machinesAreLaunchedAndDeleted() {
         http.setResponse(200, "{\"hosts\":[\"i-1\",\"i-2\"]}");
-        cloud.launch(
+        cloud.launchMachines(
                 "3-1",
                 "t4",
                 "a",
@@ -256,10 +256,10 @@
         assertRequest(
                 "POST /hosts {\"claim\":\"3-1\",\"build\":\"t4\",\"grove\":\"a\",\"windfall\":true,\"howMany\":2}");
         http.setResponse(503, "{\"error\":\"no capacity\"}");
-        cloud.launch(
+        cloud.launchMachines(
                 "3-2", "t4", "a", true, 2, expect(new LaunchResult(LaunchResult.Kind.NO_CAPACITY, ImmutableList.of())));
         http.setResponse(503, "{\"error\":\"busy\"}");
-        cloud.launch(
+        cloud.launchMachines(
                 "3-3", "t4", "a", true, 2, expect(new LaunchResult(LaunchResult.Kind.REFUSED, ImmutableList.of())));
         http.setResponse(200, "{}");
         cloud.deleteMachines(List.of("i-1", "i-2"), expect(true));
