--- a/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/CancellationScenarioTest.java
@@ -108,8 +108,8 @@
                 from.equals(leader) && readsOpenJobs(call.target()) ? Delivery.LOST : Delivery.DELIVERED);
         cluster.loop.run(3); // until all reads of open jobs sent before the fault have been answered
         assertEquals("cancelled", cluster.cancel(cluster.follower(), LONG_JOB_ID));
-        // The state service still renews the leader lease, so this lease alone would let the leader answer workers
-        // indefinitely.
+        // The leader must stop answering workers, because its view of the cancelled jobs is too old. The leader lease
+        // alone would let it answer indefinitely, because the state service still renews this lease.
         cluster.loop.run(SimulatedCluster.CANCELLATION_DEADLINE_S + 1);
         assertEquals(leader, cluster.leader());
         assertTrue(cluster.runningTasks().isEmpty(), "cancelled tasks must stop when their leases expire");
--- a/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ConcurrentFaultsScenarioTest.java
@@ -174,11 +174,9 @@
     }
 
     /**
-     * Guards against a leader that releases a running task because the last heartbeat of its machine is old. That
-     * heartbeat is from a former incarnation of the machine, and the task runs in the new one. Two tasks are being
-     * bound to a machine when the state service fails for longer than a lease. After the outage the worker rejects the
-     * first start command, and its answer reports the new incarnation. The binding of the second task is recorded
-     * shortly after. This task starts in the new incarnation before the machine sends any heartbeat.
+     * Guards against a leader that releases a running task because of an old heartbeat. The machine started a new
+     * incarnation when its lease expired, and the task runs in the new incarnation. The last heartbeat that the leader
+     * accepted from the machine is from an earlier incarnation.
      */
     @Test
     void taskStartedByDirectCommandInNewIncarnationIsNotReleased() {
@@ -187,6 +185,7 @@
             cluster.await(() -> cluster.runningTasks().isEmpty(), 10);
             cluster.cloud.limitCapacity(cluster.cloud.machineCount());
             String leader = cluster.leader();
+            // Two tasks are being bound to a machine when the state service fails for longer than a lease.
             cluster.net.injectFaults((from, to, call) ->
                     SimStateService.isTransactionOn(call, "bound/") ? Delivery.LOST : Delivery.DELIVERED);
             cluster.submit(SimJobs.array(2, 1).put("expectS", 60.0));
@@ -196,6 +195,9 @@
             double outageS = 2.5 * SimulatedCluster.LEASE_S + 0.07 * step;
             cluster.state.startOutage(outageS);
             cluster.loop.run(outageS - 1);
+            // After the outage, the worker rejects the first start command, and its answer reports the new incarnation.
+            // The binding of the second task is recorded shortly after. The second task then starts before the leader
+            // accepts any heartbeat of the new incarnation.
             List<String> silentMachines = cluster.cloud.machineNames();
             cluster.net.injectFaults((from, to, call) -> silentMachines.contains(from)
                     ? Delivery.LOST
@@ -366,8 +368,12 @@
         });
     }
 
+    /**
+     * The state service refuses the leader for 8 s, and each response of the service is lost with a probability of
+     * 30 %. After the requests to cancel the job, the service has an outage.
+     */
     @Test
-    void cancellationMeetsDeadlineWhileStateServiceLosesAnswersAndRefusesLeader() {
+    void cancellationMeetsDeadlineDespiteStateServiceFaults() {
         forEachStep(4, step -> {
             startTasks(1, 2, 600);
             SplittableRandom random = new SplittableRandom(step);
--- a/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MachineScenarioTest.java
@@ -83,7 +83,10 @@
         cluster.net.clearFaults();
         cluster.net.deliverHeld();
         cluster.await(() -> cluster.poll("j-000002").equals("done"), 120);
-        assertEquals(2, cluster.taskStarts().size(), "each task must start once, by the answer to a heartbeat");
+        assertEquals(
+                2,
+                cluster.taskStarts().size(),
+                "each task must start once, when its worker receives the answer to a heartbeat");
     }
 
     @Test
@@ -303,7 +306,7 @@
         cluster.loop.run(2);
         cluster.cloud.workers().get(0).startUnboundTask("j-000002/0", 7);
         cluster.loop.run(5);
-        assertEquals(2, cluster.runningTasks().size(), "the copy of the task without a record must be stopped");
+        assertEquals(2, cluster.runningTasks().size(), "the unrecorded copy of the task must be stopped");
         cluster.verifyRecovery(120);
     }
 }
--- a/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/MassCancellationScenarioTest.java
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Guards against a failover that treats cancelled jobs as open although its reads are fast. One record cannot be
-     * read at all, so the failover does not complete although the leader knows all other records.
+     * A new leader must stop cancelled tasks even if its failover does not complete. The failover does not complete
+     * because one record cannot be read. All other records are read fast, so the leader knows them.
      */
     @Test
     void newLeaderStopsCancelledTasksWhileOneRecordIsUnreadable() {
--- a/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
+++ b/src/test/java/org/spruceridge/scenario/ServiceScenarioTest.java
@@ -78,9 +78,9 @@
         cluster.verifyRecovery(60);
     }
 
-    /** If one machine fails all its tasks, replicas run on other machines and few are started on the faulty machine. */
+    /** If all tasks fail on one machine, replicas run on other machines, and few are started on the faulty machine. */
     @Test
-    void machineThatFailsReplicasReceivesFewStarts() {
+    void fewReplicasStartOnFaultyMachine() {
         startService(2);
         SimWorker faultyWorker = workerOf(SERVICE_ID + "/0");
         faultyWorker.setBehaviour(SimWorker.Behaviour.FAILS);
@@ -91,7 +91,8 @@
                 .count();
         assertTrue(
                 startsOnFaultyMachine <= 4,
-                "the faulty machine must receive at most 4 starts but received " + startsOnFaultyMachine);
+                "at most 4 replicas must start on the faulty machine, but the number of starts is "
+                        + startsOnFaultyMachine);
         cluster.await(() -> cluster.runningReplicaCount(1) == 2, 40);
     }
 
--- a/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
+++ b/src/test/java/org/spruceridge/sim/RuleCheckerTest.java
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void successResponseAboutUnsubmittedJobViolatesInvented() {
+    void successResponseAboutUnsubmittedJobIsReportedAsInvented() {
         assertViolates("invented", () -> rules.recordResponse(JOB_ID, 200, "pending"));
     }
 
--- a/src/test/java/org/spruceridge/sim/SimNodes.java
+++ b/src/test/java/org/spruceridge/sim/SimNodes.java
@@ -134,7 +134,7 @@
         peers.isolate(name);
     }
 
-    /** Ends {@link #isolateFromPeers}. */
+    /** Ends the partition between a node and the other nodes. */
     public void reconnectToPeers(String name) {
         peers.reconnect(name);
     }
--- a/src/test/java/org/spruceridge/sim/SimPeers.java
+++ b/src/test/java/org/spruceridge/sim/SimPeers.java
@@ -30,7 +30,7 @@
         isolatedNodes.add(node);
     }
 
-    /** Ends {@link #isolate}. */
+    /** Ends the isolation of a node, so its heartbeats are delivered again in both directions. */
     void reconnect(String node) {
         isolatedNodes.remove(node);
     }
--- a/src/test/java/org/spruceridge/sim/SimStateService.java
+++ b/src/test/java/org/spruceridge/sim/SimStateService.java
@@ -132,8 +132,8 @@
     }
 
     /**
-     * The number of transactions so far. Those refused in an outage, for their rate or for the size of their body are
-     * not counted.
+     * The number of transactions so far. A transaction is not counted if it is refused because of an outage, because
+     * the write rate is too high, or because its body is too large.
      */
     public int transactionCount() {
         return transactionCount;
--- a/src/test/java/org/spruceridge/sim/SimulatedCluster.java
+++ b/src/test/java/org/spruceridge/sim/SimulatedCluster.java
@@ -48,7 +48,8 @@
     private final RuleChecker rules;
     private final List<String> taskStarts = new ArrayList<>();
     /**
-     * The limits of the state service; {@code announcesLowerLimits} tells whether the settings announce lower limits.
+     * The limits of the state service. {@code announcesLowerLimits} is true if the settings of the nodes also contain
+     * the lower limits that apply after {@link SimulatedCluster#lowerLimits}.
      */
     private record Limits(int txnOps, int pageSize, boolean announcesLowerLimits) {}
 
@@ -153,19 +154,26 @@
                 .orElseThrow();
     }
 
-    /** Sends a request without a body and advances time until the response; returns null without a response in 5 s. */
+    /**
+     * Sends a request without a body and advances time until the response arrives. Returns null if no response arrives
+     * within 5 s.
+     */
     public Response request(String node, String method, String path) {
         return request(node, method, path, new byte[0]);
     }
 
     /**
-     * Sends a request with a JSON body and advances time until the response; returns null without a response in 5 s.
+     * Sends a request with a JSON body and advances time until the response arrives. Returns null if no response
+     * arrives within 5 s.
      */
     public Response request(String node, String method, String path, JsonNode body) {
         return request(node, method, path, Json.bytes(body));
     }
 
-    /** Sends a request to a node and advances time until the response; returns null without a response in 5 s. */
+    /**
+     * Sends a request to a node and advances time until the response arrives. Returns null if no response arrives within
+     * 5 s.
+     */
     public Response request(String node, String method, String path, byte[] body) {
         String[] segments = path.split("/");
         String id = segments.length > 3 ? segments[3] : "";
