--- a/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
+++ b/src/main/java/org/spruceridge/autoscaling/ScaleOutCycle.java
@@ -42,16 +42,16 @@
         plan.unplacedTaskCounts().forEach((job, count) -> planner.place(job.spec(), count, ZoneAllowance.of(job)));
         running.forEach(planner::add); // warm capacity can use the capacity that the scheduling cycle left free
         reserves.forEach(reserve -> planner.place(
-                reserve.example(), reserve.taskCount(), ZoneAllowance.of(reserve.example(), reserve.taskCount())));
+                reserve.jobSpec(), reserve.taskCount(), ZoneAllowance.of(reserve.jobSpec(), reserve.taskCount())));
         planner.launchCounts().forEach(scaleOutRequests::launch);
         return planner.neededMachines();
     }
 
-    /** For each resource, the smallest amount that any of the tasks to be placed needs. */
+    /** For each resource, the minimum of the amounts that the tasks to be placed need. */
     private static Resources minTaskResources(Plan plan, List<WarmCapacity.Reserve> reserves) {
         Stream<JobSpec> specs = Stream.concat(
                 plan.unplacedTaskCounts().keySet().stream().map(Job::spec),
-                reserves.stream().map(WarmCapacity.Reserve::example));
+                reserves.stream().map(WarmCapacity.Reserve::jobSpec));
         return Resources.minOf(specs.map(JobSpec::taskResources));
     }
 
--- a/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
+++ b/src/main/java/org/spruceridge/autoscaling/WarmCapacity.java
@@ -29,16 +29,16 @@
     private final long startedAt;
     private final Map<String, Peak> peaks = new HashMap<>();
 
-    /** Capacity to keep free: room for {@code taskCount} tasks with the same needs as the tasks of the example job. */
-    record Reserve(JobSpec example, int taskCount) {}
+    /** Capacity to keep free: room for {@code taskCount} tasks with the same needs as the tasks of {@code jobSpec}. */
+    record Reserve(JobSpec jobSpec, int taskCount) {}
 
     /** The current demand of the jobs of a class. */
     private static final class Demand {
-        private JobSpec example;
+        private JobSpec latestSpec;
         private int taskCount;
 
         void add(JobSpec spec, int count) {
-            example = spec;
+            latestSpec = spec;
             taskCount += count;
         }
     }
@@ -49,8 +49,9 @@
     }
 
     /**
-     * True until a new leader has observed the classes that need warm capacity for long enough to know their peaks.
-     * While this is true, the leader must not delete the capacity that its predecessor kept for these classes.
+     * True while a new leader does not know the peaks of all classes that need warm capacity, because it has not
+     * observed these classes for long enough. While this is true, the leader must not delete the capacity that its
+     * predecessor kept for these classes.
      */
     boolean isLearning(Cluster cluster, long now) {
         double bootS = minBootS(cluster);
@@ -66,10 +67,10 @@
      */
     private double learningBoots(String jobClass) {
         Peak peak = peaks.get(jobClass);
-        if (peak == null || peak.example == null) {
+        if (peak == null || peak.latestSpec == null) {
             return LEARNING_BOOTS;
         }
-        return peak.example.isService() ? 0 : PEAK_RETENTION_BOOTS;
+        return peak.latestSpec.isService() ? 0 : PEAK_RETENTION_BOOTS;
     }
 
     private static double minBootS(Cluster cluster) {
@@ -103,9 +104,9 @@
         List<Reserve> reserves = new ArrayList<>();
         demands.forEach((jobClass, demand) -> {
             Peak peak = peaks.computeIfAbsent(jobClass, c -> new Peak());
-            peak.record(demand.example, demand.taskCount, now, Durations.nanos(PEAK_RETENTION_BOOTS * bootS));
-            if (peak.example != null) {
-                reserves.add(new Reserve(peak.example, peak.taskCount));
+            peak.record(demand.latestSpec, demand.taskCount, now, Durations.nanos(PEAK_RETENTION_BOOTS * bootS));
+            if (peak.latestSpec != null) {
+                reserves.add(new Reserve(peak.latestSpec, peak.taskCount));
             }
         });
         addMachineFailureReserve(cluster, reserves);
@@ -125,30 +126,30 @@
     /** Adds a reserve for the replicas on the machine with the most replicas. */
     private static void addMachineFailureReserve(Cluster cluster, List<Reserve> reserves) {
         int maxReplicas = 0;
-        JobSpec example = null;
+        JobSpec serviceSpec = null;
         for (Machine machine : cluster.machines()) {
             if (machine.replicaCount() > maxReplicas) {
                 maxReplicas = machine.replicaCount();
-                example = machine.bindings().stream()
+                serviceSpec = machine.bindings().stream()
                         .map(binding -> binding.job().spec())
                         .filter(JobSpec::isService)
                         .findFirst()
                         .orElseThrow();
             }
         }
-        if (example != null) {
-            reserves.add(new Reserve(example, maxReplicas));
+        if (serviceSpec != null) {
+            reserves.add(new Reserve(serviceSpec, maxReplicas));
         }
     }
 
     /** The highest recent number of tasks of a class, and the latest job of the class. */
     private static final class Peak {
-        private JobSpec example;
+        private JobSpec latestSpec;
         private int taskCount;
         private long peakAt;
 
-        void record(JobSpec latestExample, int currentCount, long now, long retentionNanos) {
-            example = latestExample == null ? example : latestExample;
+        void record(JobSpec currentSpec, int currentCount, long now, long retentionNanos) {
+            latestSpec = currentSpec == null ? latestSpec : currentSpec;
             if (currentCount >= taskCount) {
                 taskCount = currentCount;
                 peakAt = now;
--- a/src/main/java/org/spruceridge/autoscaling/ZoneAllowance.java
+++ b/src/main/java/org/spruceridge/autoscaling/ZoneAllowance.java
@@ -30,11 +30,12 @@
     }
 
     /**
-     * The allowance for {@code taskCount} tasks like those of the example job, none of which is placed yet. If the
-     * example job is spread over zones, half of the tasks, rounded up, are allowed in each zone.
+     * The allowance for {@code taskCount} tasks with the same needs as the tasks of {@code jobSpec}. None of the tasks
+     * is placed yet. If {@code jobSpec} requires spreading over zones, half of the tasks, rounded up, are allowed in
+     * each zone.
      */
-    static ZoneAllowance of(JobSpec example, int taskCount) {
-        return new ZoneAllowance(example.spread() ? (taskCount + 1) / 2 : taskCount, false);
+    static ZoneAllowance of(JobSpec jobSpec, int taskCount) {
+        return new ZoneAllowance(jobSpec.spread() ? (taskCount + 1) / 2 : taskCount, false);
     }
 
     /** The number of further tasks that are allowed in the zone. */
--- a/src/main/java/org/spruceridge/cluster/Machine.java
+++ b/src/main/java/org/spruceridge/cluster/Machine.java
@@ -140,8 +140,11 @@
         return reported;
     }
 
-    /** Expects heartbeats from the machine's worker, because the bindings show that the worker ran before this term. */
-    public void expectHeartbeats() {
+    /**
+     * Records that the machine's worker sent a heartbeat before this term. Called if recorded bindings show that the
+     * worker ran before this term.
+     */
+    public void markReported() {
         reported = true;
     }
 
--- a/src/main/java/org/spruceridge/config/Fields.java
+++ b/src/main/java/org/spruceridge/config/Fields.java
@@ -10,7 +10,7 @@
  * problem with its value.
  */
 final class Fields {
-    /** The maximum length of a value that error messages repeat. */
+    /** The maximum length of a value that error messages quote. They state the length of a longer value instead. */
     private static final int MAX_SHOWN_LENGTH = 100;
 
     private final JsonNode node;
--- a/src/main/java/org/spruceridge/dispatch/CommandSender.java
+++ b/src/main/java/org/spruceridge/dispatch/CommandSender.java
@@ -20,11 +20,14 @@
  * Sends start and stop commands directly to workers, without waiting for their next heartbeat.
  *
  * <p>A direct command can arrive minutes late. The worker still executes the command if the fencing token and the
- * incarnation match. A late stop is harmless, because a stop names an attempt. A late start is not harmless, because
- * its binding may have been released in the meantime. A direct start is unresolved until its result is known. Until
- * then, a heartbeat without the task does not prove that the task is gone, and the worker gets no command to forget the
- * attempt. A machine that does not answer a direct start gets no more tasks and is terminated. A new incarnation or a
- * newer fencing token invalidates all commands in flight.
+ * incarnation match. A new incarnation or a newer fencing token therefore invalidates all commands in flight.
+ *
+ * <p>A late stop is harmless, because it stops only the attempt that it names and no later attempt of the task. A late
+ * start is not harmless, because its binding may have been released in the meantime.
+ *
+ * <p>A direct start is unresolved until its result is known. While the start is unresolved, a heartbeat without the
+ * task does not prove that the task is gone. During this time, the worker gets no command to forget the attempt. A
+ * machine that does not answer a direct start gets no more tasks and is terminated.
  */
 public final class CommandSender {
     private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
--- a/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
+++ b/src/main/java/org/spruceridge/dispatch/PlanExecutor.java
@@ -51,7 +51,7 @@
                 Binding.Stage.PROPOSED,
                 now);
         cluster.bind(binding);
-        recordWriter.bind(binding);
+        recordWriter.recordBinding(binding);
     }
 
     private void preempt(Binding binding, long now) {
--- a/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
+++ b/src/main/java/org/spruceridge/failover/ClusterStateBuilder.java
@@ -135,7 +135,7 @@
         if (machine == null) {
             // A previous leader can have renewed the lease of this machine until the election.
             machine = new Machine(record.name(), "", record.kind(), loop.nanos(), term.electedAtNanos());
-            machine.expectHeartbeats();
+            machine.markReported();
             cluster.add(machine);
         }
         records.bindings().assign(machine, recorded.page());
--- a/src/main/java/org/spruceridge/leader/Leader.java
+++ b/src/main/java/org/spruceridge/leader/Leader.java
@@ -265,7 +265,7 @@
      */
     public void writeTo(ObjectNode out) {
         out.put("term", term.term()).put("oldestUnprovenStopS", autoscaler.oldestUnprovenStopS());
-        jobWatcher.cancellationViewAgeS().ifPresent(ageS -> out.put("viewAgeS", ageS));
+        jobWatcher.secondsSinceAllCancellationsKnown().ifPresent(ageS -> out.put("viewAgeS", ageS));
     }
 
     private void machineAvailable(Machine machine) {
--- a/src/main/java/org/spruceridge/net/RateLimiter.java
+++ b/src/main/java/org/spruceridge/net/RateLimiter.java
@@ -151,7 +151,7 @@
             if (canRunChange || !queue.reads.isEmpty()) {
                 return requestWait > 0
                         ? new WaitFor(requestWait)
-                        : new Run(queue.dequeOfEarliest(canRunChange), bucket);
+                        : new Run(queue.dequeWithEarliestWork(canRunChange), bucket);
             }
         }
         return minChangeWait == Long.MAX_VALUE ? Idle.NOTHING_QUEUED : new WaitFor(minChangeWait);
@@ -178,7 +178,7 @@
          * Returns the deque whose head was submitted first. The head of {@code changes} is considered only if {@code
          * canRunChange} is true. At least one head must be runnable.
          */
-        Deque<PendingWork> dequeOfEarliest(boolean canRunChange) {
+        Deque<PendingWork> dequeWithEarliestWork(boolean canRunChange) {
             if (!canRunChange) {
                 return reads;
             }
--- a/src/main/java/org/spruceridge/net/ServerConnection.java
+++ b/src/main/java/org/spruceridge/net/ServerConnection.java
@@ -19,7 +19,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One inbound connection: queues its requests, one at a time, and writes the responses. */
+/**
+ * One inbound connection. It adds each request to the request queue and writes the response. It handles one request at
+ * a time, and it is closed if a request arrives before the previous response was written.
+ */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final Logger LOG = LoggerFactory.getLogger(ServerConnection.class);
     /** The response headers are written by this server itself and need no validation. */
--- a/src/main/java/org/spruceridge/peer/PeerMonitor.java
+++ b/src/main/java/org/spruceridge/peer/PeerMonitor.java
@@ -104,8 +104,8 @@
     }
 
     /**
-     * True if a fresh heartbeat of each of {@code hosts} announces support for the level. A host without a fresh
-     * heartbeat does not count, because it might be restarting with an earlier version.
+     * True if a fresh heartbeat of each of {@code hosts} announces support for the level. False if any of the hosts has
+     * no fresh heartbeat, because this host might be restarting with an earlier version.
      */
     public boolean allPeersSupport(FeatureLevel level, Collection<String> hosts) {
         return hosts.stream().allMatch(host -> supports(latestHeartbeats.get(host), level));
--- a/src/main/java/org/spruceridge/persistence/RecordPages.java
+++ b/src/main/java/org/spruceridge/persistence/RecordPages.java
@@ -99,7 +99,7 @@
                 chunk.job.spec().taskCount());
     }
 
-    /** The number of tasks per chunk in records of the base level. */
+    /** The number of tasks per chunk in records that are written at the feature level {@link FeatureLevel#BASE}. */
     public int baseChunkSize() {
         return baseChunkSize;
     }
--- a/src/main/java/org/spruceridge/persistence/RecordWriter.java
+++ b/src/main/java/org/spruceridge/persistence/RecordWriter.java
@@ -117,7 +117,7 @@
     }
 
     /** Records a proposed binding, which must already be part of the cluster state. */
-    public void bind(Binding binding) {
+    public void recordBinding(Binding binding) {
         pending.addBind(binding);
         submitNext();
     }
--- a/src/main/java/org/spruceridge/persistence/WriteBatch.java
+++ b/src/main/java/org/spruceridge/persistence/WriteBatch.java
@@ -109,7 +109,7 @@
         int newlyDoneCount = newlyDoneCounts.getOrDefault(job, 0)
                 + (job.isDone(binding.task().index()) ? 0 : 1);
         boolean completesJob = job.doneCount() + newlyDoneCount == job.spec().taskCount();
-        boolean added = completesJob ? tryCompleteJob(binding, page) : tryCompleteTask(binding, page);
+        boolean added = completesJob ? tryAddJobCompletion(binding, page) : tryAddTaskCompletion(binding, page);
         if (added) {
             newlyDoneCounts.put(job, newlyDoneCount);
         }
@@ -124,7 +124,7 @@
         return true;
     }
 
-    private boolean tryCompleteTask(Binding binding, Optional<Page<Machine>> page) {
+    private boolean tryAddTaskCompletion(Binding binding, Optional<Page<Machine>> page) {
         int index = binding.task().index();
         TaskChunk chunk = records.chunkOf(binding.job(), index);
         Page<TaskChunk> chunkPage = findOrAssignPage(chunk);
@@ -140,7 +140,7 @@
         return true;
     }
 
-    private boolean tryCompleteJob(Binding binding, Optional<Page<Machine>> page) {
+    private boolean tryAddJobCompletion(Binding binding, Optional<Page<Machine>> page) {
         Job job = binding.job();
         if (completedJobs.contains(job)) {
             return tryReleaseOnly(binding, page, WriteKind.COMPLETE);
--- a/src/main/java/org/spruceridge/reconciliation/HeartbeatResult.java
+++ b/src/main/java/org/spruceridge/reconciliation/HeartbeatResult.java
@@ -5,7 +5,7 @@
 
 /** The result of handling a heartbeat. */
 sealed interface HeartbeatResult {
-    /** The heartbeat was applied to the cluster state. These commands are due on the machine. */
+    /** The heartbeat was applied to the cluster state. These commands must be sent to the machine. */
     record Reconciled(List<WorkerCommand> commands) implements HeartbeatResult {}
 
     /** The reason why a heartbeat was not applied to the cluster state. */
--- a/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
+++ b/src/main/java/org/spruceridge/reconciliation/JobWatcher.java
@@ -92,7 +92,7 @@
      * known to include every confirmed cancellation. Returns empty until the open entries have been loaded for the
      * first time.
      */
-    public OptionalDouble cancellationViewAgeS() {
+    public OptionalDouble secondsSinceAllCancellationsKnown() {
         return view.ageS();
     }
 
--- a/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
+++ b/src/main/java/org/spruceridge/reconciliation/LeaseRenewals.java
@@ -16,8 +16,8 @@
     private final long term;
     private final long workerLeaseNanos;
     /**
-     * The times at which leases of machines that are not in the cluster state yet were renewed, by machine name. The
-     * times are on the monotonic clock, in nanoseconds.
+     * The lease renewal times of machines that are not in the cluster state yet, by machine name. The times are on the
+     * monotonic clock, in nanoseconds.
      */
     private final Map<String, Long> renewalTimesDuringFailover = new HashMap<>();
 
--- a/src/main/java/org/spruceridge/state/StateRequests.java
+++ b/src/main/java/org/spruceridge/state/StateRequests.java
@@ -41,7 +41,10 @@
         return new HttpCall("DELETE", "/grants/" + leaseId, EMPTY_BODY);
     }
 
-    /** The service responds on a change after the revision, at the latest after {@code blockMs} milliseconds. */
+    /**
+     * Creates a request to which the service responds as soon as there is a change with a higher revision than {@code
+     * fromRevision}. Without such a change, the service responds when {@code blockMs} milliseconds have passed.
+     */
     static HttpCall watch(String prefix, long fromRevision, long blockMs) {
         return HttpCall.get("/follow?starts=" + prefix + "&from=" + fromRevision + "&blockMs=" + blockMs);
     }
--- a/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
+++ b/src/test/java/org/spruceridge/persistence/RecordWriterTest.java
@@ -114,7 +114,7 @@
         Binding binding =
                 new Binding(job, job.nextWaiting(0), ++lastAttempt, machine, Binding.Stage.PROPOSED, loop.nanos());
         cluster.bind(binding);
-        recordWriter.bind(binding);
+        recordWriter.recordBinding(binding);
         return binding;
     }
 
--- a/src/test/java/org/spruceridge/upgrade/WrittenFormatsTest.java
+++ b/src/test/java/org/spruceridge/upgrade/WrittenFormatsTest.java
@@ -160,17 +160,17 @@
                 .ended(JobRecord.Stage.DONE, 8)
                 .write();
         JsonNode leader = new LeaderRecord("n0", "ab", 9).write();
-        assertEquals(open, rewrittenByProduction("record.JobRecord", open));
-        assertEquals(ended, rewrittenByProduction("record.JobRecord", ended));
-        assertEquals(leader, rewrittenByProduction("record.LeaderRecord", leader));
-        assertEquals(catalogueRecord(), rewrittenByProduction("record.CatalogueRecord", catalogueRecord()));
+        assertEquals(open, rewrittenByProductionVersion("record.JobRecord", open));
+        assertEquals(ended, rewrittenByProductionVersion("record.JobRecord", ended));
+        assertEquals(leader, rewrittenByProductionVersion("record.LeaderRecord", leader));
+        assertEquals(catalogueRecord(), rewrittenByProductionVersion("record.CatalogueRecord", catalogueRecord()));
         assertEquals(
                 "[OnMachine[name=i-000001, kind=MachineKind[type=t4, zone=a, spot=true], bound=["
                         + "Bound[task=j-000007/0, attempt=150994944], Bound[task=j-000007/1, attempt=150994945]]]]",
-                readByProduction("record.BindingsRecord", bindingsPage()).toString());
+                readByProductionVersion("record.BindingsRecord", bindingsPage()).toString());
         assertEquals(
                 "[Chunk[job=j-000007, number=2, tasks={0, 9}]]",
-                readByProduction("record.FinishedRecord", finishedTasksPage(FeatureLevel.BASE))
+                readByProductionVersion("record.FinishedRecord", finishedTasksPage(FeatureLevel.BASE))
                         .toString());
         assertEquals(
                 "Heartbeat[hostName=n0, stateServes=true, workersReach=false, term=7,"
@@ -183,12 +183,12 @@
                         .toString());
     }
 
-    private static Object readByProduction(String type, JsonNode value) {
+    private static Object readByProductionVersion(String type, JsonNode value) {
         return ProductionVersion.call(ProductionVersion.load(type), "read", null, value);
     }
 
-    private static Object rewrittenByProduction(String type, JsonNode value) {
-        return ProductionVersion.call(ProductionVersion.load(type), "write", readByProduction(type, value));
+    private static Object rewrittenByProductionVersion(String type, JsonNode value) {
+        return ProductionVersion.call(ProductionVersion.load(type), "write", readByProductionVersion(type, value));
     }
 
     /**
